--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -111,7 +111,7 @@
 // ends there. That is what can't be parsed, does not come whole in time, lacks
 // what each message has, or is followed by what begins no message.
 func (c *conn) read(fields []string, post func(message) bool) error {
-	in := stream.NewReader(c, rtsp.MaxMessage)
+	in := stream.NewReader(c, rtsp.MaxMessageSize)
 	var raw rtsp.Message
 	part := false
 	for {
@@ -160,7 +160,7 @@
 	m.id, m.status = control.SessionID(id), raw.Status
 	m.load = parseLoad(raw.Get("Link-State"), fields)
 	if raw.Status != 0 {
-		seq, ok := header.Uint(raw.Get("CSeq"))
+		seq, ok := header.ParseUint(raw.Get("CSeq"))
 		switch {
 		case !ok:
 			return m, false
@@ -205,7 +205,7 @@
 // parseCause reads "cause=N"; without it the end is an ordinary one.
 func parseCause(b []byte) int {
 	_, v, _ := strings.Cut(string(b), "cause=")
-	if n, ok := header.Uint([]byte(strings.TrimSpace(v))); ok {
+	if n, ok := header.ParseUint([]byte(strings.TrimSpace(v))); ok {
 		return int(n)
 	}
 	return 16
--- a/internal/media/ends_test.go
+++ b/internal/media/ends_test.go
@@ -207,7 +207,7 @@
 	stood := 0
 	for name, drained := range map[string]bool{"nothing has changed": false, "it drains by now": true} {
 		n, _, _, reports := bed(t)
-		n.pool.cfg.Stalled = func(time.Duration) { stood++ }
+		n.pool.cfg.OnPause = func(time.Duration) { stood++ }
 		n.conns = []*conn{stub()}
 		n.pool.watch.Start(time.Now().Add(-6 * time.Second))
 		n.handle(try(1))
@@ -328,7 +328,7 @@
 	for _, shared := range []bool{false, true} {
 		n, c, _, reports := bed(t)
 		n.dialling, n.conns = true, []*conn{c}
-		n.pool.cfg.Shared = func() bool { return shared }
+		n.pool.cfg.UpgradeInProgress = func() bool { return shared }
 		n.handle(heard{c, message{kind: ended, id: 1, cause: broker.CauseEnded}})
 		now := time.Now()
 		n.look(now.Add(3 * keepEarly))
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -29,7 +29,7 @@
 	t.Helper()
 	reports = new([]broker.Report)
 	p := NewPool(t.Context(), new(errgroup.Group), Config{
-		Classes: []string{"clip"}, ConnIdle: time.Hour, StreamsPerConn: 4, MaxConns: 9, DrainGrace: time.Second,
+		ClassNames: []string{"clip"}, ConnIdleTimeout: time.Hour, StreamsPerConn: 4, MaxConns: 9, DrainGrace: time.Second,
 		Report: func(r broker.Report) { *reports = append(*reports, r) }, Log: zap.NewNop(),
 	})
 	n = newNode(p, directory.Member{Entry: control.Entry{Server: 7}})
@@ -712,7 +712,7 @@
 	inUse, far := net.Pipe()
 	t.Cleanup(func() { inUse.Close(); far.Close() })
 	go io.Copy(io.Discard, far)
-	old := &conn{Conn: inUse, used: true, touched: time.Now().Add(-n.pool.cfg.ConnIdle * 8 / 10)}
+	old := &conn{Conn: inUse, used: true, touched: time.Now().Add(-n.pool.cfg.ConnIdleTimeout * 8 / 10)}
 	n.conns = []*conn{old, look}
 	if n.usable() != old {
 		t.Error("a set-up would go on a connection that nothing has used yet")
@@ -780,7 +780,7 @@
 	n, _, _, reports := bed(t)
 	wrote := new(writes)
 	c := &conn{Conn: wrote, touched: time.Now(), used: true}
-	n.pool.cfg.NoProbes = true
+	n.pool.cfg.DisableProbes = true
 	n.conns = []*conn{c}
 	n.pool.nodes[n.server] = n
 	n.dialling = true
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -257,7 +257,7 @@
 }
 
 func (n *node) fresh(c *conn) bool {
-	return !c.dead && (c.open > 0 || time.Since(c.touched) < n.pool.cfg.ConnIdle*usablePart/10)
+	return !c.dead && (c.open > 0 || time.Since(c.touched) < n.pool.cfg.ConnIdleTimeout*usablePart/10)
 }
 
 // live returns any connection that can carry a message on a session.
@@ -297,7 +297,7 @@
 		defer context.AfterFunc(n.pool.ctx, func() { nc.Close() })()
 		n.box.Force(dialled{conn: c, addr: addr, breaks: breaks})
 		// Reading waits for nothing: the actor has been told of c before.
-		err = c.read(n.pool.cfg.Fields, func(m message) bool { return n.box.Put(heard{c, m}) })
+		err = c.read(n.pool.cfg.LoadFields, func(m message) bool { return n.box.Put(heard{c, m}) })
 		c.Close()
 		n.pool.conns.Add(-1)
 		n.box.Force(closed{c, err})
@@ -378,7 +378,7 @@
 	}
 	for _, c := range n.conns {
 		if live > mostConns && !c.dead && c.open == 0 {
-			c.retire(n.pool.cfg.ConnIdle)
+			c.retire(n.pool.cfg.ConnIdleTimeout)
 			return
 		}
 	}
@@ -591,7 +591,7 @@
 			delete(n.probes, id)
 			if p.own {
 				if p.conn.tested && !p.conn.dead {
-					p.conn.mute(now, n.pool.cfg.ConnIdle)
+					p.conn.mute(now, n.pool.cfg.ConnIdleTimeout)
 				}
 				continue
 			}
@@ -637,14 +637,14 @@
 			case c.open == 0 && !c.dead && !c.tested && c.suspect(now) && n.carriesEnds(c):
 				// Guard: a set-up on it was cancelled before any word came. Nothing waits
 				// on it that could time out, so nothing else tells.
-				if !n.pool.cfg.NoProbes {
+				if !n.pool.cfg.DisableProbes {
 					c.tested = n.test(c, true, silentTime)
 				} else if now.Sub(c.asked) > silentTime {
-					c.mute(now, n.pool.cfg.ConnIdle)
+					c.mute(now, n.pool.cfg.ConnIdleTimeout)
 				}
 			case spare > 0 && c.used == used && !c.dead && c.open == 0 && now.Sub(c.touched) > spareTime:
 				spare--
-				c.retire(n.pool.cfg.ConnIdle)
+				c.retire(n.pool.cfg.ConnIdleTimeout)
 			}
 		}
 	}
@@ -696,17 +696,17 @@
 		b := rtsp.AppendRequest(n.buf[:0], "SETUP", "rtsp://media/"+a.Key)
 		b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqSetUp))
 		b = rtsp.AppendHeader(b, "Session", id)
-		b = rtsp.AppendHeader(b, "Call-Kind", n.pool.cfg.Classes[a.Class])
+		b = rtsp.AppendHeader(b, "Call-Kind", n.pool.cfg.ClassNames[a.Class])
 		b = rtsp.AppendHeader(b, "Answer-Within", strconv.FormatInt(left.Milliseconds(), 10))
 		b = rtsp.AppendHeader(b, "X-Quality", strconv.Itoa(a.Rung))
-		b = rtsp.Finish(b, a.Description)
+		b = rtsp.AppendBody(b, a.Description)
 		n.buf = b
 		sent, err := c.write(b)
 		if err == nil {
 			a.conn, a.sent = c, c.touched
 			c.open++
-			if n.pool.cfg.Tried != nil {
-				n.pool.cfg.Tried()
+			if n.pool.cfg.OnSetUpSent != nil {
+				n.pool.cfg.OnSetUpSent()
 			}
 			if c.asked.IsZero() {
 				c.asked = a.sent
@@ -752,7 +752,7 @@
 	if status == control.TimedOut && !c.asked.IsZero() && !a.sent.Before(c.asked) && !c.dead {
 		// Guard: nothing later has come since this set-up left, nor may anything more.
 		// The others on it keep their chance; no new one is put there.
-		c.mute(time.Now(), n.pool.cfg.ConnIdle)
+		c.mute(time.Now(), n.pool.cfg.ConnIdleTimeout)
 	}
 }
 
@@ -765,7 +765,7 @@
 	if cause > 0 {
 		b = rtsp.AppendHeader(b, "Reason", "cause="+strconv.Itoa(cause))
 	}
-	return n.write(c, rtsp.Finish(b, nil))
+	return n.write(c, rtsp.AppendBody(b, nil))
 }
 
 func (n *node) write(c *conn, b []byte) bool {
@@ -817,7 +817,7 @@
 	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqOther))
 	b = rtsp.AppendHeader(b, "Session", name)
 	b = rtsp.AppendHeader(b, "X-Quality", strconv.Itoa(m.rung))
-	n.write(c, rtsp.Finish(b, nil))
+	n.write(c, rtsp.AppendBody(b, nil))
 }
 
 func (n *node) probe() {
@@ -838,7 +838,7 @@
 	b := rtsp.AppendRequest(n.buf[:0], "OPTIONS", "rtsp://media/load")
 	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqTest))
 	b = rtsp.AppendHeader(b, "Session", sessionName(control.SessionID(id)))
-	if !n.write(c, rtsp.Finish(b, nil)) {
+	if !n.write(c, rtsp.AppendBody(b, nil)) {
 		return false
 	}
 	n.probes[id] = test{c, c.touched, c.touched.Add(within), own}
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -26,20 +26,20 @@
 
 // Config is what a Pool needs.
 type Config struct {
-	Classes        []string // names by class
-	Fields         []string // of load reports
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // after which nodes close a connection
-	StreamsPerConn int           // set-ups open on one connection
-	MaxConns       int           // connections to all nodes
-	DrainGrace     time.Duration // after which nothing goes to a node that drains
-	NoProbes       bool          // nodes may not be tested
-	HalfConns      int           // of them while Shared says so
-	Shared         func() bool   // another process has its half of the descriptors; nil: none ever has
-	Tried          func()        // told of each SETUP that is written whole; nil: nobody
-	Report         func(broker.Report)
-	Stalled        func(time.Duration) // told when the program has stood still; Fresh is to follow; nil: nobody
-	Log            *zap.Logger
+	ClassNames        []string // names by class
+	LoadFields        []string // of load reports
+	ConnectTimeout    time.Duration
+	ConnIdleTimeout   time.Duration // after which nodes close a connection
+	StreamsPerConn    int           // set-ups open on one connection
+	MaxConns          int           // connections to all nodes
+	DrainGrace        time.Duration // after which nothing goes to a node that drains
+	DisableProbes     bool          // nodes may not be tested
+	MaxConnsInUpgrade int           // of them while Shared says so
+	UpgradeInProgress func() bool   // another process has its half of the descriptors; nil: none ever has
+	OnSetUpSent       func()        // told of each SETUP that is written whole; nil: nobody
+	Report            func(broker.Report)
+	OnPause           func(time.Duration) // told when the program has stood still; Fresh is to follow; nil: nobody
+	Log               *zap.Logger
 }
 
 // Pool is the nodes of the list.
@@ -54,12 +54,12 @@
 	nodes map[control.Server]*node
 }
 
-func (c *Config) shared() bool { return c.Shared != nil && c.Shared() }
+func (c *Config) shared() bool { return c.UpgradeInProgress != nil && c.UpgradeInProgress() }
 
 // most is how many connections may be open now.
 func (c *Config) most() int64 {
 	if c.shared() {
-		return int64(c.HalfConns)
+		return int64(c.MaxConnsInUpgrade)
 	}
 	return int64(c.MaxConns)
 }
@@ -109,16 +109,16 @@
 func (p *Pool) beat(now time.Time) (held bool) {
 	if stood := p.watch.Beat(now); stood > 0 {
 		p.cfg.Log.Warn("the program stood still; the list is asked again", zap.Duration("for", stood))
-		if p.cfg.Stalled != nil {
-			p.cfg.Stalled(stood)
+		if p.cfg.OnPause != nil {
+			p.cfg.OnPause(stood)
 		}
 	}
 	return p.watch.Held(now)
 }
 
-// Fresh tells that the list has answered what was asked at a time, and that Apply
+// ListRefreshed tells that the list has answered what was asked at a time, and that Apply
 // has been told of it.
-func (p *Pool) Fresh(asked time.Time) {
+func (p *Pool) ListRefreshed(asked time.Time) {
 	if !p.watch.Held(time.Now()) {
 		return
 	}
@@ -190,7 +190,7 @@
 }
 
 func (p *Pool) Probe(s control.Server) {
-	if p.cfg.NoProbes || !p.post(s, probe{}, true) {
+	if p.cfg.DisableProbes || !p.post(s, probe{}, true) {
 		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
 	}
 }
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -14,8 +14,8 @@
 	"millethinge/internal/header"
 )
 
-// MaxMessage is the longest message, head and body.
-const MaxMessage = 16 << 10
+// MaxMessageSize is the longest message, head and body.
+const MaxMessageSize = 16 << 10
 
 // ErrSyntax reports bytes that are no RTSP message.
 var ErrSyntax = errors.New("rtsp: malformed message")
@@ -32,7 +32,7 @@
 	Method  []byte
 	URI     []byte
 	Status  int
-	Headers header.List
+	Headers header.Fields
 	Body    []byte
 }
 
@@ -46,7 +46,7 @@
 	*m = Message{}
 	head := bytes.Index(b, headEnd)
 	if head < 0 {
-		if len(b) >= MaxMessage {
+		if len(b) >= MaxMessageSize {
 			return 0, ErrSyntax
 		}
 		return 0, nil
@@ -59,12 +59,12 @@
 	if m.Headers, ok = headers.Parse(rest); !ok {
 		return 0, ErrSyntax
 	}
-	length, ok := m.Headers.Length()
-	if !ok || length > MaxMessage {
+	length, ok := m.Headers.ContentLength()
+	if !ok || length > MaxMessageSize {
 		return 0, ErrSyntax
 	}
 	total := head + len(headEnd) + length
-	if total > MaxMessage {
+	if total > MaxMessageSize {
 		return 0, ErrSyntax
 	}
 	if len(b) < total {
@@ -81,7 +81,7 @@
 	}
 	if bytes.Equal(a, version) {
 		code, _, _ := bytes.Cut(rest, []byte(" "))
-		n, ok := header.Uint(code)
+		n, ok := header.ParseUint(code)
 		if !ok || n < 100 || n > 599 {
 			return ErrSyntax
 		}
@@ -104,8 +104,8 @@
 	return append(b, " RTSP/1.0\r\n"...)
 }
 
-// AppendStatus starts a response.
-func AppendStatus(b []byte, code int, reason string) []byte {
+// AppendResponse starts a response.
+func AppendResponse(b []byte, code int, reason string) []byte {
 	b = append(b, "RTSP/1.0 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, ' ')
@@ -126,8 +126,8 @@
 	return append(b, lineEnd...)
 }
 
-// Finish adds the body's length, the end of the head, and the body.
-func Finish(b, body []byte) []byte {
+// AppendBody adds the body's length, the end of the head, and the body.
+func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	b = append(b, headEnd...)
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -31,7 +31,7 @@
 		"\r\n\r\n", "SETUP x\r\n\r\n", "SETUP x RTSP/2.0\r\n\r\n", "RTSP/1.0 99 x\r\n\r\n", "RTSP/1.0 x\r\n\r\n",
 		"A b RTSP/1.0\r\nno colon\r\n\r\n", "A b RTSP/1.0\r\nname : x\r\n\r\n", "A b RTSP/1.0\r\nContent-Length: -1\r\n\r\n",
 		"A b RTSP/1.0\r\nContent-Length: 99999\r\n\r\n", "A b RTSP/1.0\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-		strings.Repeat("x", MaxMessage),
+		strings.Repeat("x", MaxMessageSize),
 	} {
 		if n, err := Parse([]byte(s), new(Message)); err == nil {
 			t.Errorf("%.30q: %d bytes, no error", s, n)
@@ -40,7 +40,7 @@
 }
 
 func TestHeaderCantHoldALineEnd(t *testing.T) {
-	b := Finish(AppendHeader(AppendRequest(nil, "A", "b"), "X", "1\r\nY: 2"), nil)
+	b := AppendBody(AppendHeader(AppendRequest(nil, "A", "b"), "X", "1\r\nY: 2"), nil)
 	var m Message
 	if n, err := Parse(b, &m); err != nil || n != len(b) || m.Get("Y") != nil || string(m.Get("X")) != "1Y: 2" {
 		t.Errorf("%q: %+v, %v", b, m, err)
@@ -53,7 +53,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var m Message
 		n, err := Parse(in, &m)
-		if n < 0 || n > len(in) || n > MaxMessage || err != nil && n != 0 {
+		if n < 0 || n > len(in) || n > MaxMessageSize || err != nil && n != 0 {
 			t.Errorf("%d of %d bytes, %v", n, len(in), err)
 		}
 		if n > 0 && !bytes.HasSuffix(in[:n], m.Body) {
