--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -137,12 +137,12 @@
 		patches        []Patch
 	}{
 		{"ends-reset-2", "over: not seen", []Patch{{"internal/media/node.go",
-			"return n.covered < n.breaks && len(n.standing) > 0", "return false"}}},
+			"return n.coveredLosses < n.possibleLosses && len(n.established) > 0", "return false"}}},
 		{"ends-mute-orphan", "over: not seen", []Patch{{"internal/media/node.go",
-			"if s.conn == nil || s.conn == c || s.conn.dead {", "if c != nil && s.conn == c {"}}},
-		{"ends-mute-2", "over: not seen", []Patch{{"internal/media/node.go", "case !c.muteAt.IsZero() && c.open", "case false && c.open"}}},
+			"if s.conn == nil || s.conn == c || s.conn.unusable {", "if c != nil && s.conn == c {"}}},
+		{"ends-mute-2", "over: not seen", []Patch{{"internal/media/node.go", "case !c.unresponsiveSince.IsZero() && c.openSetUps", "case false && c.openSetUps"}}},
 		{"ends-viewer", "over: not seen", []Patch{{"internal/front/jsonl/jsonl.go", "	f.sendAgain(c.leave())\n", "	c.leave()\n"}}},
-		{"paused", `"drains" broken`, []Patch{{"internal/media/pool.go", "return p.watch.Held(now)", "return false"}}},
+		{"paused", `"drains" broken`, []Patch{{"internal/media/pool.go", "return p.pauseWatch.Held(now)", "return false"}}},
 		{"cold", `"cold" broken`, []Patch{
 			{"control/control.go", "func (c *Controller) paced(sv *server) bool {\n\treturn c.now < sv.coldTil",
 				"func (c *Controller) paced(sv *server) bool {\n\treturn false"},
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -4,7 +4,7 @@
 
 import "bytes"
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
 // Field is one header line. Its slices are those of the buffer parsed.
 type Field struct{ Name, Value []byte }
@@ -17,7 +17,7 @@
 func (l Fields) Parse(b []byte) (Fields, bool) {
 	for len(b) > 0 {
 		var line []byte
-		line, b, _ = bytes.Cut(b, lineEnd)
+		line, b, _ = bytes.Cut(b, crlf)
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
 			return l, false
@@ -39,16 +39,16 @@
 
 // ContentLength reads Content-ContentLength: 0 if there is none. Several must agree.
 func (l Fields) ContentLength() (int, bool) {
-	length, seen := 0, false
+	length, found := 0, false
 	for _, f := range l {
 		if !bytes.EqualFold(f.Name, []byte("Content-Length")) {
 			continue
 		}
 		n, ok := ParseUint(f.Value)
-		if !ok || seen && int(n) != length {
+		if !ok || found && int(n) != length {
 			return 0, false
 		}
-		length, seen = int(n), true
+		length, found = int(n), true
 	}
 	return length, true
 }
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -21,9 +21,9 @@
 var ErrSyntax = errors.New("rtsp: malformed message")
 
 var (
-	version = []byte("RTSP/1.0")
-	lineEnd = []byte("\r\n")
-	headEnd = []byte("\r\n\r\n")
+	version   = []byte("RTSP/1.0")
+	crlf      = []byte("\r\n")
+	headerEnd = []byte("\r\n\r\n")
 )
 
 // Message is a request, which has a Method, or a response, which has a Status.
@@ -44,15 +44,15 @@
 func Parse(b []byte, m *Message) (int, error) {
 	headers := m.Headers[:0]
 	*m = Message{}
-	head := bytes.Index(b, headEnd)
-	if head < 0 {
+	headLen := bytes.Index(b, headerEnd)
+	if headLen < 0 {
 		if len(b) >= MaxMessageSize {
 			return 0, ErrSyntax
 		}
 		return 0, nil
 	}
-	line, rest, _ := bytes.Cut(b[:head+len(lineEnd)], lineEnd)
-	if err := m.startLine(line); err != nil {
+	line, rest, _ := bytes.Cut(b[:headLen+len(crlf)], crlf)
+	if err := m.parseStartLine(line); err != nil {
 		return 0, err
 	}
 	var ok bool
@@ -63,23 +63,23 @@
 	if !ok || length > MaxMessageSize {
 		return 0, ErrSyntax
 	}
-	total := head + len(headEnd) + length
+	total := headLen + len(headerEnd) + length
 	if total > MaxMessageSize {
 		return 0, ErrSyntax
 	}
 	if len(b) < total {
 		return 0, nil
 	}
-	m.Body = b[head+len(headEnd) : total]
+	m.Body = b[headLen+len(headerEnd) : total]
 	return total, nil
 }
 
-func (m *Message) startLine(line []byte) error {
-	a, rest, ok := bytes.Cut(line, []byte(" "))
-	if !ok || len(a) == 0 {
+func (m *Message) parseStartLine(line []byte) error {
+	first, rest, ok := bytes.Cut(line, []byte(" "))
+	if !ok || len(first) == 0 {
 		return ErrSyntax
 	}
-	if bytes.Equal(a, version) {
+	if bytes.Equal(first, version) {
 		code, _, _ := bytes.Cut(rest, []byte(" "))
 		n, ok := header.ParseUint(code)
 		if !ok || n < 100 || n > 599 {
@@ -88,11 +88,11 @@
 		m.Status = int(n)
 		return nil
 	}
-	uri, v, ok := bytes.Cut(rest, []byte(" "))
-	if !ok || len(uri) == 0 || !bytes.Equal(v, version) {
+	uri, last, ok := bytes.Cut(rest, []byte(" "))
+	if !ok || len(uri) == 0 || !bytes.Equal(last, version) {
 		return ErrSyntax
 	}
-	m.Method, m.URI = a, uri
+	m.Method, m.URI = first, uri
 	return nil
 }
 
@@ -110,7 +110,7 @@
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, ' ')
 	b = append(b, reason...)
-	return append(b, lineEnd...)
+	return append(b, crlf...)
 }
 
 // AppendHeader adds a header line. It drops line ends, so that a value can't
@@ -123,13 +123,13 @@
 			b = append(b, c)
 		}
 	}
-	return append(b, lineEnd...)
+	return append(b, crlf...)
 }
 
 // AppendBody adds the body's length, the end of the head, and the body.
 func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	b = append(b, headEnd...)
+	b = append(b, headerEnd...)
 	return append(b, body...)
 }
