--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -1,19 +1,19 @@
-// Package header reads RTSP's header lines. It is by hand, as its parser is: its
-// fields are slices of the read buffer.
+// Package header parses the header lines of RTSP messages. Like the parser in package rtsp it
+// is hand-written: the fields are slices of the read buffer.
 package header
 
 import "bytes"
 
 var crlf = []byte("\r\n")
 
-// Field is one header line. Its slices are those of the buffer parsed.
+// Field is one header line. Its slices refer to the buffer that was parsed.
 type Field struct{ Name, Value []byte }
 
-// Fields is a message's header.
+// Fields is the header of a message, in the order of its lines.
 type Fields []Field
 
-// Parse adds the lines of b, each ending in CRLF, to l. It tells whether all
-// are well formed.
+// Parse appends the header lines in b, each of which ends in CRLF, to l. It reports whether
+// all of them are well-formed.
 func (l Fields) Parse(b []byte) (Fields, bool) {
 	for len(b) > 0 {
 		var line []byte
@@ -37,7 +37,8 @@
 	return nil
 }
 
-// ContentLength reads Content-ContentLength: 0 if there is none. Several must agree.
+// ContentLength returns the value of Content-Length, or 0 if there is none. It reports whether
+// the value is valid; if the field occurs several times, the values must agree.
 func (l Fields) ContentLength() (int, bool) {
 	length, found := 0, false
 	for _, f := range l {
@@ -53,7 +54,7 @@
 	return length, true
 }
 
-// ParseUint reads a decimal number of at most 9 digits.
+// ParseUint parses a decimal number of at most 9 digits. It reports whether b is one.
 func ParseUint(b []byte) (uint64, bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -8,7 +8,7 @@
 func TestPutForceTake(t *testing.T) {
 	b := New[int](2)
 	if !b.Put(1) || !b.Put(2) || b.Put(3) {
-		t.Error("the limit does not bind")
+		t.Error("Put does not keep to the limit")
 	}
 	b.Force(4)
 	<-b.Ready()
@@ -17,7 +17,7 @@
 	}
 }
 
-// Two actors that flood each other's full boxes both go on: putting never waits.
+// Two actors that add to each other's full boxes both finish, since adding never blocks.
 func TestNoDeadlock(t *testing.T) {
 	a, b := New[int](1), New[int](1)
 	done := make(chan bool)
--- a/internal/media/cases_test.go
+++ b/internal/media/cases_test.go
@@ -11,16 +11,17 @@
 	"millethinge/internal/broker"
 )
 
-// scriptedNode is a scripted node. It says an end once on a connection of its choice, whatever
-// has become of that, and once more on the next that opens.
+// scriptedNode drives a node's actor and plays the media node that it talks to. The media node
+// sends the end of session 1 once, on a connection of the test's choice whatever has become of
+// that one, and once more on the next connection that opens.
 type scriptedNode struct {
 	n                               *node
-	sessionConn, idleConn, busyConn *conn // the session's own; one that stands idle; one that carries notes
-	lossy                           map[*conn]bool
-	stalled                         bool
-	unaccepted                      []*conn // came up while it stood still
-	acceptsLast                     bool    // what came up meanwhile is new to it only after what it has to say
-	endPending                      bool    // the end is said on the next connection that opens
+	sessionConn, idleConn, busyConn *conn          // of session 1's set-up; without a session; of session 2, which gets ANNOUNCEs
+	lossy                           map[*conn]bool // what the media node sends on these is lost
+	stalled                         bool           // the media node is stalled
+	unaccepted                      []*conn        // opened while the media node was stalled
+	acceptsLast                     bool           // once it resumes, the media node sends ends before it accepts those
+	endPending                      bool           // the end is to be sent again on the next connection that opens
 	failNextConn                    func(c *conn)
 	reports                         *[]broker.Report
 	dialling                        bool
@@ -29,7 +30,7 @@
 
 func newScriptedNode(t *testing.T) *scriptedNode {
 	n, _, _, reports := newTestNode(t)
-	n.pool.cfg.MaxConns = 0 // connect dials nothing: the script takes its part
+	n.pool.cfg.MaxConns = 0 // startDial dials nothing: the test sends the dialResult
 	f := &scriptedNode{n: n, sessionConn: newStubConn(), idleConn: newStubConn(), busyConn: newStubConn(), lossy: map[*conn]bool{}, reports: reports}
 	n.conns = []*conn{f.sessionConn, f.idleConn, f.busyConn}
 	n.established[1] = &establishedSession{conn: f.sessionConn, setUpSentAt: time.Now()}
@@ -37,38 +38,39 @@
 	return f
 }
 
-// handle has the actor take messages, and sees whether it dials.
-func (f *scriptedNode) handle(all ...any) {
-	for _, m := range all {
+// handle passes messages to the actor and notes whether it starts a dial.
+func (f *scriptedNode) handle(messages ...any) {
+	for _, m := range messages {
 		f.n.handle(m)
 	}
 	f.noteDial()
 }
 
+// noteDial notes a dial that the actor has started.
 func (f *scriptedNode) noteDial() {
 	if f.n.dialling && !f.dialling {
 		f.dialling, f.lossesAtDial = true, f.n.possibleLosses
 	}
 }
 
-// tick lets a tick pass: a note on the busy connection, a look, and a connection that was
-// being dialled comes up.
+// tick lets a tick pass: an ANNOUNCE arrives on the busy connection, maintain runs, and a dial
+// that was in progress succeeds.
 func (f *scriptedNode) tick() {
 	time.Sleep(tickInterval)
 	if !f.stalled {
 		f.handle(received{f.busyConn, message{kind: kindAnnounce, id: 2}})
 	}
-	up := f.dialling
+	dialled := f.dialling
 	f.n.maintain(time.Now())
 	f.noteDial()
-	if !up {
+	if !dialled {
 		return
 	}
 	c := newStubConn()
 	c.carriedMessage, f.dialling = false, false
 	f.openedConns++
 	if f.failNextConn != nil && !f.stalled {
-		f.endPending = true // the end is said on it, as on any, and not yet once more
+		f.endPending = true // the end was sent once, and is still to be repeated
 		f.failNextConn(c)
 		f.failNextConn = nil
 		return
@@ -76,20 +78,20 @@
 	if f.stalled {
 		f.unaccepted = append(f.unaccepted, c)
 	}
-	again := f.endPending && !f.stalled
-	f.endPending = f.endPending && !again
-	f.handle(dialResult{conn: c, possibleLosses: f.lossesAtDial})
-	if again {
+	repeat := f.endPending && !f.stalled
+	f.endPending = f.endPending && !repeat
+	f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial})
+	if repeat {
 		f.handle(received{c, message{kind: kindTearDown, id: 1, cause: 16}})
 	}
 }
 
-// sendEnd says the end on c, or with none on no connection yet.
+// sendEnd has the media node send the end of session 1 on c, or if c is nil on none yet.
 func (f *scriptedNode) sendEnd(c *conn) {
 	f.deliverEnd(c)
 	f.endPending = true
 	for _, u := range f.unaccepted {
-		if f.acceptsLast && (u.breakCounted || u == f.unaccepted[len(f.unaccepted)-1]) { // the worst of them
+		if f.acceptsLast && (u.breakCounted || u == f.unaccepted[len(f.unaccepted)-1]) { // the worst case for the actor
 			f.endPending = false
 			f.deliverEnd(u)
 			break
@@ -97,18 +99,19 @@
 	}
 	for _, u := range f.unaccepted {
 		if !u.breakCounted {
-			f.handle(received{u, message{status: 200, id: 9}}) // to a TEARDOWN
+			f.handle(received{u, message{status: 200, id: 9}}) // the answer to a TEARDOWN
 		}
 	}
 }
 
+// deliverEnd passes the end of session 1 on c to the actor unless it is lost.
 func (f *scriptedNode) deliverEnd(c *conn) {
 	if c != nil && !f.lossy[c] && !c.breakCounted {
 		f.handle(received{c, message{kind: kindTearDown, id: 1, cause: 16}})
 	}
 }
 
-// stall has it stand still for 1.5 s. A set-up times out on a connection that comes up
+// stall stalls the media node for 1.5 s. A set-up times out on a connection that opens
 // meanwhile.
 func (f *scriptedNode) stall() {
 	f.stalled = true
@@ -122,6 +125,7 @@
 	f.stalled = false
 }
 
+// viewerTold reports whether the end of session 1 has been reported.
 func (f *scriptedNode) viewerTold() bool {
 	for _, r := range *f.reports {
 		if r.Kind == broker.Ended && r.ID == 1 {
@@ -131,10 +135,10 @@
 	return false
 }
 
-// sendSetUp has a set-up go on c.
+// sendSetUp has the actor send a set-up on c.
 func (f *scriptedNode) sendSetUp(c *conn) {
 	for _, o := range f.n.conns {
-		o.openSetUps += 100 * len(f.n.conns) // full
+		o.openSetUps += 100 * len(f.n.conns) // so that all are full
 	}
 	c.openSetUps -= 100 * len(f.n.conns)
 	f.handle(newSetUp(9))
@@ -144,76 +148,78 @@
 	c.openSetUps += 100 * len(f.n.conns)
 }
 
-// makeUnresponsive has a set-up go on c, which nothing comes from any more, and time out.
+// makeUnresponsive lets nothing more arrive on c, and a set-up on it time out.
 func (f *scriptedNode) makeUnresponsive(c *conn) {
 	f.lossy[c] = true
 	f.sendSetUp(c)
 	f.handle(abandonRequest{9, 1, true})
 }
 
-// What may become of a session's own connection, and where its node then says its end.
-// Whatever both are, the viewer is told within 8 s, and few connections are opened.
+// The end of a session must reach its viewer within 8 s whatever becomes of the connection of
+// the session's set-up (fates) and wherever the node then sends the end (places). Few
+// connections may be opened for it.
 //
-// Not there: an own connection that was half-closed, since none is given back that a
-// set-up or a session needs (TestDescriptorsAreShort), and a node's half-close is its close in order;
-// an end said on an own connection that the node has closed in order, since it knows. A
-// connection that falls mute with no set-up on it is told by nothing (README).
+// Left out: a session's connection that was half-closed, since none is retired that a set-up or
+// a session needs (TestConnectionLimit), and since a half-close by the node counts as its
+// orderly close; and an end sent on a connection that the node has closed in order, since the
+// node knows that it did. A connection that becomes unresponsive with no set-up on it is not
+// detected by anything (README).
 func TestEndIsDeliveredAfterConnectionFailures(t *testing.T) {
-	const within = 8 * time.Second
+	const deadline = 8 * time.Second
 	fates := map[string]func(f *scriptedNode){
-		"closed in order": func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, io.EOF}) },
-		"reset":           func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, syscall.ECONNRESET}) },
-		"mute":            func(f *scriptedNode) { f.makeUnresponsive(f.sessionConn) },
+		"orderly close": func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, io.EOF}) },
+		"reset":         func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, syscall.ECONNRESET}) },
+		"unresponsive":  func(f *scriptedNode) { f.makeUnresponsive(f.sessionConn) },
 	}
 	places := map[string]func(f *scriptedNode) *conn{
-		"own":  func(f *scriptedNode) *conn { return f.sessionConn },
-		"busy": func(f *scriptedNode) *conn { return f.busyConn },
-		"idle": func(f *scriptedNode) *conn { return f.idleConn },
-		"mute": func(f *scriptedNode) *conn {
+		"session": func(f *scriptedNode) *conn { return f.sessionConn },
+		"busy":    func(f *scriptedNode) *conn { return f.busyConn },
+		"idle":    func(f *scriptedNode) *conn { return f.idleConn },
+		"unresponsive": func(f *scriptedNode) *conn {
 			f.makeUnresponsive(f.idleConn)
 			return f.idleConn
 		},
-		"mute after a word under way": func(f *scriptedNode) *conn {
+		"unresponsive after a delayed message": func(f *scriptedNode) *conn {
 			f.lossy[f.idleConn] = true
 			f.sendSetUp(f.idleConn)
 			f.handle(received{f.idleConn, message{status: 200, id: 77}}, abandonRequest{9, 1, true})
 			return f.idleConn
 		},
-		"mute, the set-up cancelled": func(f *scriptedNode) *conn {
+		"unresponsive, set-up cancelled": func(f *scriptedNode) *conn {
 			f.lossy[f.idleConn] = true
 			f.sendSetUp(f.idleConn)
 			f.handle(abandonRequest{9, 1, false})
 			return f.idleConn
 		},
-		"just being retired": func(f *scriptedNode) *conn {
-			f.idleConn.retire(time.Hour) // before the session stood
+		"being retired": func(f *scriptedNode) *conn {
+			f.idleConn.retire(time.Hour) // before the session was established
 			f.lossy[f.idleConn] = true
 			return f.idleConn
 		},
-		"just opened, reset": func(f *scriptedNode) *conn {
+		"newly opened, reset": func(f *scriptedNode) *conn {
 			f.failNextConn = func(c *conn) {
-				f.handle(dialResult{conn: c, possibleLosses: f.lossesAtDial}, connClosed{c, syscall.ECONNRESET})
+				f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial}, connClosed{c, syscall.ECONNRESET})
 			}
 			return nil
 		},
-		"just opened, given up": func(f *scriptedNode) *conn {
+		"newly opened, dial timed out": func(f *scriptedNode) *conn {
 			f.failNextConn = func(c *conn) { f.handle(dialResult{err: syscall.ETIMEDOUT}) }
 			return nil
 		},
 	}
-	for fate, befall := range fates {
+	for fate, applyFate := range fates {
 		for place, prepare := range places {
-			if fate == "closed in order" && place == "own" {
+			if fate == "orderly close" && place == "session" {
 				continue
 			}
-			for _, still := range []string{"", "/still, new ones seen first", "/still, new ones seen last"} {
-				t.Run(fate+"/"+place+still, func(t *testing.T) {
+			for _, stallCase := range []string{"", "/stalled, accepts first", "/stalled, accepts last"} {
+				t.Run(fate+"/"+place+stallCase, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						f := newScriptedNode(t)
-						f.stalled, f.acceptsLast = still != "", strings.HasSuffix(still, "last")
-						befall(f)
-						if place != "own" && !f.stalled { // there the end and the close cross
-							for range 8 { // what the fate asks for is opened before the end is said
+						f.stalled, f.acceptsLast = stallCase != "", strings.HasSuffix(stallCase, "last")
+						applyFate(f)
+						if place != "session" && !f.stalled { // on the session's own, the end and the failure cross
+							for range 8 { // connections that the fate calls for open before the end is sent
 								f.tick()
 							}
 						}
@@ -223,22 +229,22 @@
 						}
 						if c != nil {
 							f.sendEnd(c)
-						} else { // on the next that comes up
+						} else { // on the next connection that opens
 							f.n.startDial()
 							f.noteDial()
 						}
-						if place == "just being retired" {
+						if place == "being retired" {
 							f.handle(connClosed{f.idleConn, syscall.ECONNRESET})
 						}
-						said := time.Now()
-						for !f.viewerTold() && time.Since(said) < within {
+						sentAt := time.Now()
+						for !f.viewerTold() && time.Since(sentAt) < deadline {
 							f.tick()
 						}
 						if !f.viewerTold() {
-							t.Error("the viewer is not told")
+							t.Error("the end was not reported")
 						}
 						if f.openedConns > 4 {
-							t.Errorf("%d connections are opened for it", f.openedConns)
+							t.Errorf("%d connections were opened, want at most 4", f.openedConns)
 						}
 					})
 				})
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -15,33 +15,33 @@
 	"millethinge/internal/stream"
 )
 
-// writeTimeout bounds a write. Messages are short: only a node that has long read
-// nothing makes one wait.
+// writeTimeout bounds a write. Messages are short: a write blocks only if the node has
+// read nothing for long.
 const writeTimeout = 200 * time.Millisecond
 
-// partialMessageTimeout bounds how long a message may take to come whole.
+// partialMessageTimeout bounds the time from the first part of a message to the last.
 const partialMessageTimeout = 250 * time.Millisecond
 
-// errInvalidMessage reports a message that is well formed and still not what a node
-// means to send.
-var errInvalidMessage = errors.New("media: spoilt message")
+// errInvalidMessage reports a message that is well-formed RTSP and still no valid message
+// of a node.
+var errInvalidMessage = errors.New("media: invalid message")
 
 // conn is one connection to a node. The node's actor writes, a goroutine reads.
 type conn struct {
 	net.Conn
-	openSetUps        int       // set-ups open on it
-	lastUsedAt        time.Time // when it last carried anything
-	unconfirmedSince  time.Time // when the first set-up was written that no word is known to be later than; zero: none
-	lastMessageAt     time.Time // when the last word came; zero: none
-	carriedMessage    bool      // it has carried a message
-	checkPending      bool      // a test asks whether it is mute
+	openSetUps        int       // set-ups sent on it that have not ended
+	lastUsedAt        time.Time // when it last carried a message, or was opened
+	unconfirmedSince  time.Time // when the first SETUP was written that no message is known to be later than; zero: none
+	lastReceivedAt    time.Time // when the last message came; zero: none yet
+	carriedMessage    bool      // a message was written on it
+	checkPending      bool      // a probe was sent to check whether it is unresponsive
 	unusable          bool      // nothing more is written on it
-	unresponsiveSince time.Time // dead since then, for a set-up that timed out with no later word; zero: it isn't mute
-	breakCounted      bool      // it is counted as broken
-	closeAt           time.Time // when a dead one is closed; zero: by whoever made it dead
+	unresponsiveSince time.Time // when it was marked unresponsive, and with that unusable; zero: it is not
+	breakCounted      bool      // countBreak has counted it
+	closeAt           time.Time // when it is closed if it is unusable; zero: whoever made it unusable closes it
 }
 
-// writeMessage sends one message. It returns how many of its bytes left.
+// writeMessage writes one message. It returns how many of its bytes were written.
 func (c *conn) writeMessage(b []byte) (int, error) {
 	c.lastUsedAt, c.carriedMessage = time.Now(), true
 	if err := c.SetWriteDeadline(c.lastUsedAt.Add(writeTimeout)); err != nil {
@@ -50,30 +50,32 @@
 	return c.Write(b)
 }
 
-// suspect tells whether a connection has been silent for so long, with a set-up that no
-// word is known to be later than, that it may be of no use any more.
+// suspect reports whether the connection may have failed: a SETUP was written that no message
+// is known to be later than, and nothing has come for longer than connSuspectTimeout.
 func (c *conn) suspect(now time.Time) bool {
 	silentSince := c.unconfirmedSince
-	if c.lastMessageAt.After(silentSince) {
-		silentSince = c.lastMessageAt
+	if c.lastReceivedAt.After(silentSince) {
+		silentSince = c.lastReceivedAt
 	}
 	return !c.unconfirmedSince.IsZero() && now.Sub(silentSince) > connSuspectTimeout
 }
 
-// markUnresponsive takes a connection for one that nothing more comes on, unless something does.
+// markUnresponsive stops the use of a connection on which nothing more is expected. It is
+// used again if a message does come, and otherwise closed after closeAfter.
 func (c *conn) markUnresponsive(now time.Time, closeAfter time.Duration) {
 	c.unusable, c.unresponsiveSince, c.closeAt = true, now, now.Add(closeAfter)
 }
 
-// markResponsive takes a mute one in use again.
+// markResponsive takes an unresponsive connection into use again.
 func (c *conn) markResponsive() {
 	if !c.unresponsiveSince.IsZero() && !c.breakCounted {
 		c.unusable, c.unresponsiveSince, c.closeAt = false, time.Time{}, time.Time{}
 	}
 }
 
-// retire ends the writing side. What the node has sent, or sends until it has
-// seen the end, is still read: a release that crosses the close is not lost.
+// retire closes the writing side. What the node has sent, or sends until it sees the
+// half-close, is still read, so a release that crosses it is not lost. The connection is
+// closed after closeAfter at the latest.
 func (c *conn) retire(closeAfter time.Duration) {
 	c.unusable = true
 	c.closeAt = time.Now().Add(closeAfter)
@@ -82,34 +84,35 @@
 	}
 }
 
+// messageKind is what a message means to the actor.
 type messageKind uint8
 
 const (
-	kindOther       messageKind = iota
-	kindSetUpAnswer             // a final answer to SETUP, by status
-	kindProbeAnswer             // an answer to OPTIONS
-	kindTearDown                // the node's TEARDOWN, by cause
-	kindAnnounce                // ANNOUNCE
+	kindOther       messageKind = iota // shows only that the node is alive
+	kindSetUpAnswer                    // a final answer to SETUP
+	kindProbeAnswer                    // an answer to OPTIONS
+	kindTearDown                       // the node's TEARDOWN
+	kindAnnounce                       // the node's ANNOUNCE
 )
 
-// message is what the actor needs of one RTSP message.
+// message holds what the actor needs from one RTSP message.
 type message struct {
 	kind        messageKind
 	id          control.SessionID
-	status      int
-	cause       int
-	load        []float64
-	note        control.NoteKind
+	status      int              // of an answer; 0: a request
+	cause       int              // of a TEARDOWN
+	load        []float64        // of a load report, in the order of Config.LoadFields; nil: none
+	note        control.NoteKind // of an ANNOUNCE, with value
 	value       float64
-	description []byte
+	description []byte // the body of an answer to SETUP
 }
 
-// readMessages passes what the node sends to post until the connection ends. post
-// returns false when the mailbox takes no more.
+// readMessages passes the messages that the node sends to post until the connection ends.
+// post returns false if the inbox is full.
 //
-// Guard: after what is spoilt nothing on a connection can be told apart, so it
-// ends there. That is what can't be parsed, does not come whole in time, lacks
-// what each message has, or is followed by what begins no message.
+// Guard: after an invalid message the following ones cannot be told apart, so reading ends
+// there. Invalid is what cannot be parsed, is not complete in time, lacks what every
+// message has, or is followed by bytes that begin no message.
 func (c *conn) readMessages(fields []string, post func(message) bool) error {
 	reader := stream.NewReader(c, rtsp.MaxMessageSize)
 	var raw rtsp.Message
@@ -147,11 +150,11 @@
 	}
 }
 
-// startsMessage tells whether b can be the start of a message.
+// startsMessage reports whether b is empty or can be the start of a message.
 func startsMessage(b []byte) bool { return len(b) == 0 || b[0] >= 'A' && b[0] <= 'Z' }
 
-// decode takes what the actor needs from one message. It tells whether the
-// message has what all of its kind have.
+// decode extracts what the actor needs from one message. It reports whether the message
+// has what every message of its kind has. fields names the fields of load reports.
 func decode(raw *rtsp.Message, fields []string) (m message, ok bool) {
 	id, err := strconv.ParseUint(string(raw.Get("Session")), 16, 64)
 	if err != nil || raw.Get("Content-Length") == nil {
@@ -167,11 +170,11 @@
 		case raw.Status < 200:
 		case cseq == cseqSetUp:
 			m.kind = kindSetUpAnswer
-			// Guard: a length that is too long swallows the next message's start.
+			// Guard: a Content-Length that is too long takes in the start of the next message.
 			if bytes.Contains(raw.Body, []byte("RTSP/1.0")) {
 				return m, false
 			}
-			// it outlives the read buffer: it goes on to the viewer
+			// copied, since it goes on to the viewer and outlives the read buffer
 			m.description = bytes.Clone(raw.Body)
 		case cseq == cseqProbe:
 			m.kind = kindProbeAnswer
@@ -191,18 +194,19 @@
 	return m, true
 }
 
-// parseNonNegative reads a figure that can be reckoned with.
+// parseNonNegative parses a finite number that is not negative.
 func parseNonNegative(b []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	return v, err == nil && v >= 0 && !math.IsInf(v, 0)
 }
 
+// noteKinds maps the values of an ANNOUNCE's Fail-Word header to kinds of notes.
 var noteKinds = map[string]control.NoteKind{
 	"delivered": control.NoteShare, "rung": control.NoteRung,
 	"link": control.NoteLink, "uplink": control.NoteUplink,
 }
 
-// parseCause reads "cause=N"; without it the end is an ordinary one.
+// parseCause parses "cause=N". Without it the cause is 16, an ordinary end.
 func parseCause(b []byte) int {
 	_, v, _ := strings.Cut(string(b), "cause=")
 	if n, ok := header.ParseUint([]byte(strings.TrimSpace(v))); ok {
@@ -211,8 +215,8 @@
 	return 16
 }
 
-// parseLoad reads "name:value;…" into the order of the settings' fields. A
-// report that lacks one is no report.
+// parseLoad parses a load report, "name:value;…", and returns the values in the order of
+// fields. It returns nil if a field is missing or invalid.
 func parseLoad(b []byte, fields []string) []float64 {
 	if len(b) == 0 || len(fields) == 0 {
 		return nil
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -23,8 +23,8 @@
 	"millethinge/internal/rtsp"
 )
 
-// newTestNode is a node that the test drives in place of its goroutine, with a
-// connection whose other end is far.
+// newTestNode returns a node whose actor the test runs in place of its goroutine, and a
+// connection whose other end is far. The reports to the broker are collected in reports.
 func newTestNode(t *testing.T) (n *node, c *conn, far net.Conn, reports *[]broker.Report) {
 	t.Helper()
 	reports = new([]broker.Report)
@@ -40,16 +40,18 @@
 	return n, c, far, reports
 }
 
+// newSetUp returns the first attempt of session id.
 func newSetUp(id control.SessionID) setUpRequest {
 	return setUpRequest{broker.Attempt{ID: id, Number: 1, Key: "1", Deadline: time.Now().Add(time.Hour), Client: new(fakeClient)}}
 }
 
-// fakeClient is a viewer of whom only matters whether it has gone.
+// fakeClient is a viewer that only knows whether it is gone.
 type fakeClient struct{ gone atomic.Bool }
 
 func (*fakeClient) Deliver(broker.Reply) bool     { return true }
 func (c *fakeClient) Gone(control.SessionID) bool { return c.gone.Load() }
 
+// checkEndStatuses fails t unless the reported ends have exactly the statuses want, in order.
 func checkEndStatuses(t *testing.T, reports *[]broker.Report, want ...control.Status) {
 	t.Helper()
 	var got []control.Status
@@ -63,62 +65,63 @@
 	}
 }
 
-// What waited for a connection goes to no node that drains by then: the state
-// is looked at just before the first byte.
+// A set-up that waited for a connection is not sent to a node that drains by then: the state is
+// checked just before the first byte.
 func TestQueuedSetUpNotSentToDrainingNode(t *testing.T) {
 	n, c, _, reports := newTestNode(t)
-	n.dialling = true // one is being opened
+	n.dialling = true // a connection is being opened
 	n.handle(newSetUp(1))
 	n.state.Store(int32(control.Draining))
 	n.handle(dialResult{conn: c})
 	checkEndStatuses(t, reports, control.Moot)
 }
 
-// Nor does anything go out whose client has gone by then, however it waited: not a byte
-// is written, and what comes behind it is.
+// Nothing is written for a set-up whose client is gone by then, whatever it waited for. The next
+// set-up is written.
 func TestNoSetUpForClosedClient(t *testing.T) {
-	for name, wait := range map[string]func(n *node, c *conn, queued setUpRequest, leave func()){
-		"for a slow dial": func(n *node, c *conn, queued setUpRequest, leave func()) {
+	for name, wait := range map[string]func(n *node, c *conn, queued setUpRequest, closeClient func()){
+		"for a slow dial": func(n *node, c *conn, queued setUpRequest, closeClient func()) {
 			n.dialling = true
 			n.handle(queued)
-			leave()
+			closeClient()
 			n.handle(dialResult{conn: c})
 		},
-		"for the list, after a stand": func(n *node, c *conn, queued setUpRequest, leave func()) {
+		"for the list, after a pause": func(n *node, c *conn, queued setUpRequest, closeClient func()) {
 			n.conns = []*conn{c}
 			n.pool.pauseWatch.Start(time.Now().Add(-time.Minute))
 			n.handle(queued)
-			leave()
+			closeClient()
 			n.pool.pauseWatch.Start(time.Now())
 			n.handle(resumeSetUps{})
 		},
-		"in the mailbox": func(n *node, c *conn, queued setUpRequest, leave func()) {
+		"in the mailbox": func(n *node, c *conn, queued setUpRequest, closeClient func()) {
 			n.conns = []*conn{c}
-			leave()
+			closeClient()
 			n.handle(queued)
 		},
 	} {
 		n, c, far, reports := newTestNode(t)
-		queued, lines := newSetUp(1), make(chan string, 9)
+		queued, written := newSetUp(1), make(chan string, 9)
 		go func() {
 			b := make([]byte, 4096)
 			k, _ := far.Read(b)
-			lines <- string(b[:k])
+			written <- string(b[:k])
 		}()
 		wait(n, c, queued, func() { queued.Client.(*fakeClient).gone.Store(true) })
 		n.handle(newSetUp(2))
-		if got := <-lines; !strings.Contains(got, "Session: 0000000000000002") {
+		if got := <-written; !strings.Contains(got, "Session: 0000000000000002") {
 			t.Errorf("waiting %s: wrote %q", name, got)
 		}
 		checkEndStatuses(t, reports, control.Moot)
 	}
 }
 
-// Nothing is proven once a byte of SETUP has left; before, all is.
+// A set-up whose connection breaks ends with Reset once a byte of its SETUP was written, since it
+// may have run. Before that it ends with ConnectFailed.
 func TestConnectionBreakDuringSetUp(t *testing.T) {
 	n, c, far, reports := newTestNode(t)
 	n.conns = []*conn{c}
-	go func() { // the far end takes some bytes and goes
+	go func() { // the far end reads some bytes and closes
 		far.Read(make([]byte, 5))
 		far.Close()
 	}()
@@ -138,14 +141,14 @@
 	n.conns = []*conn{c}
 	go io.Copy(io.Discard, far)
 	n.handle(newSetUp(1))
-	n.dialling = true // to see whether the node is there
+	n.dialling = true // a dial checks whether the node is reachable
 	n.handle(connClosed{c, io.EOF})
 	n.handle(dialResult{err: io.EOF})
 	checkEndStatuses(t, reports, control.Reset)
 }
 
-// A given-up attempt is out until its TEARDOWN is written; a late 200 is torn
-// down too.
+// An abandoned set-up ends once its TEARDOWN is written. A late 200 to it is answered by another
+// TEARDOWN.
 func TestAbandon(t *testing.T) {
 	n, c, far, reports := newTestNode(t)
 	n.conns = []*conn{c}
@@ -177,13 +180,13 @@
 	}
 	n.dialling = true
 	n.handle(newSetUp(3))
-	n.handle(abandonRequest{3, 1, true}) // not a byte has left: a paid session may go on
+	n.handle(abandonRequest{3, 1, true}) // nothing was written: a billed set-up may be tried elsewhere
 	checkEndStatuses(t, reports, control.TimedOut, control.ConnectFailed)
-	// Where the late 200's connection has closed behind it, another one takes the TEARDOWN,
-	// or the next that opens.
-	for name, spare := range map[string]bool{"another": true, "the next": false} {
+	// If the connection closed after the late 200, the TEARDOWN goes on another connection, or on
+	// the next that opens.
+	for name, spare := range map[string]bool{"another connection": true, "next connection": false} {
 		n, _, _, _ := newTestNode(t)
-		n.pool.cfg.MaxConns = 0 // the script dials
+		n.pool.cfg.MaxConns = 0 // the test dials
 		c, wrote := newStubConn(), new(recordingConn)
 		other := &conn{Conn: wrote, lastUsedAt: time.Now()}
 		n.conns = []*conn{c}
@@ -199,26 +202,26 @@
 			n.handle(dialResult{conn: other})
 		}
 		if !strings.HasPrefix(string(wrote.written), "TEARDOWN") || len(n.established)+len(n.pendingReleases) != 0 {
-			t.Errorf("%s wrote %q", name, wrote.written)
+			t.Errorf("%s: wrote %q", name, wrote.written)
 		}
 	}
-	// Where the node reads nothing, the close says it.
+	// If the node reads nothing, the connection is closed in place of a TEARDOWN.
 	n, c, far, _ = newTestNode(t)
 	n.conns, n.dialling = []*conn{c}, true
 	n.handle(newSetUp(1))
 	far.SetReadDeadline(time.Now())
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
-		t.Error("not closed at once:", err)
+		t.Error("connection not closed at once:", err)
 	}
 }
 
-// A node that can't be reached for some seconds has lost what stood there, and
-// its viewers are told; so has one that restarted or is off the list.
+// The sessions of a node end, and their viewers are told, if it cannot be reached for some
+// seconds, has restarted or is off the list.
 func TestLostNode(t *testing.T) {
 	for name, lose := range map[string]func(*node){
 		"silent":    func(n *node) { n.lastAliveAt = time.Now().Add(-nodeLostTimeout); n.handle(dialResult{err: io.EOF}) },
 		"restarted": func(n *node) { n.handle(listChange{directory.Member{Up: time.Now().Add(time.Second)}}) },
-		"gone": func(n *node) {
+		"off the list": func(n *node) {
 			n.state.Store(int32(control.Gone))
 			n.handle(listChange{})
 		},
@@ -234,13 +237,13 @@
 	n, _, _, reports := newTestNode(t)
 	n.dialling = true
 	n.handle(adoptRequest{1})
-	n.handle(dialResult{err: io.EOF}) // one failed connection proves nothing
+	n.handle(dialResult{err: io.EOF}) // a single failed dial is not enough
 	checkEndStatuses(t, reports)
 }
 
-// What a process that is gone had said may lie in the mailbox before the list's word or
-// behind it. Either way no session stands by it, whoever answers at the address by then,
-// and each set-up ends once.
+// Messages from a node process that is gone may be in the inbox before the list change that says
+// so, or after it. Either way they establish no session, whichever process has the address by
+// then, and each set-up ends once. Steps: a answer 200, f answer 453, e end, c close, l list change.
 func TestAnswerRacesListChange(t *testing.T) {
 	for name, lose := range map[string]func(n *node, up time.Time){
 		"off the list": func(n *node, _ time.Time) {
@@ -250,16 +253,16 @@
 		"restarted": func(n *node, up time.Time) { n.handle(listChange{directory.Member{Up: up}}) },
 	} {
 		for order, steps := range map[string]string{
-			"answer first": "al", "answer behind": "la", "answer and close first": "acl", "close before, answer between": "alc",
-			"never ran": "lf", "never ran, said first": "fl", "no answer": "l", "end behind its answer": "lae", "end between": "ale", "no answer, close first": "cl",
+			"answer, list": "al", "list, answer": "la", "answer, close, list": "acl", "answer, list, close": "alc",
+			"list, refusal": "lf", "refusal, list": "fl", "list": "l", "list, answer, end": "lae", "answer, list, end": "ale", "close, list": "cl",
 		} {
 			t.Run(name+"/"+order, func(t *testing.T) {
 				n, _, _, reports := newTestNode(t)
-				n.pool.cfg.MaxConns = 0 // the script dials
+				n.pool.cfg.MaxConns = 0 // the test dials
 				c := newStubConn()
 				n.conns = []*conn{c}
 				n.handle(newSetUp(1))
-				up := time.Now() // of the next process; what follows is handled late
+				up := time.Now() // when the next process started; the steps are handled after that
 				for _, step := range steps {
 					switch step {
 					case 'a':
@@ -282,20 +285,20 @@
 					want = control.Full
 				}
 				if name == "off the list" {
-					checkEndStatuses(t, reports, want) // and not by a dial that is under way
+					checkEndStatuses(t, reports, want) // before any dial completes
 				}
 				if n.dialling {
-					n.handle(dialResult{conn: newStubConn()}) // another process has the address
+					n.handle(dialResult{conn: newStubConn()}) // to another process at the address
 				}
 				checkEndStatuses(t, reports, want)
-				last := (*reports)[len(*reports)-1] // only of a set-up: is the node there?
+				last := (*reports)[len(*reports)-1] // a set-up's end says whether the node is reachable
 				if len(n.established)+len(n.attempts)+len(n.interrupted) != 0 || last.Cause == 0 && last.Confined != (want == control.Reset && name == "restarted") {
-					t.Errorf("%d stand, %d out, %d doubted; %+v", len(n.established), len(n.attempts), len(n.interrupted), last)
+					t.Errorf("%d established, %d attempts, %d interrupted; %+v", len(n.established), len(n.attempts), len(n.interrupted), last)
 				}
 			})
 		}
 	}
-	// What only waits for a connection ends at once, whatever becomes of the dial.
+	// A set-up that still waits for a connection ends at once, whatever becomes of the dial.
 	for _, state := range []control.State{control.Gone, control.Draining} {
 		n, _, _, reports := newTestNode(t)
 		n.dialling = true
@@ -327,10 +330,10 @@
 	}
 }
 
-// After what is spoilt a connection is read no further, and what was spoilt is
-// told to nobody; nor does a length of gigabytes take any memory.
+// After an invalid message nothing more is read from a connection, and the invalid message is
+// dropped. A Content-Length of gigabytes allocates no memory.
 func TestInvalidMessages(t *testing.T) {
-	good := "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0a\r\nContent-Length: 3\r\n\r\na\r\n"
+	valid := "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 0a\r\nContent-Length: 3\r\n\r\na\r\n"
 	for _, change := range [][2]string{
 		{"CSeq: 1", "CSeq: x"}, {"Session: 0a", "Session: zz"}, {"Session: 0a", "Sess"}, {"Content-Length: 3\r\n", ""},
 		{"Content-Length: 3", "Content-Length: 3000000000"}, {"Content-Length: 3", "Content-Length: -3"},
@@ -339,37 +342,37 @@
 	} {
 		near, far := net.Pipe()
 		go func() {
-			io.WriteString(far, strings.Replace(good, change[0], change[1], 1)+strings.Replace(good, "0a", "0b", 1))
+			io.WriteString(far, strings.Replace(valid, change[0], change[1], 1)+strings.Replace(valid, "0a", "0b", 1))
 		}()
 		var got []message
 		err := (&conn{Conn: near}).readMessages(nil, func(m message) bool { got = append(got, m); return true })
 		if len(got) != 0 || err == nil {
-			t.Errorf("%q: told of %+v", change[1], got)
+			t.Errorf("%q: passed on %+v", change[1], got)
 		}
 		near.Close()
 		far.Close()
 	}
 }
 
-// A connection that broke under set-ups: whether its node is there still is
-// known once another one could be opened, or not. Neither sends them again.
+// When a connection breaks with set-ups open on it, the next dial shows whether the node is still
+// reachable. In either case they end and are not sent again.
 func TestInterruptedSetUpIsResolved(t *testing.T) {
 	for name, e := range map[string]struct {
 		err      error
 		then     dialResult
 		confined bool
 	}{
-		"spoilt":  {errInvalidMessage, dialResult{}, true},
-		"reset":   {io.ErrUnexpectedEOF, dialResult{conn: &conn{}}, true},
-		"refused": {io.ErrUnexpectedEOF, dialResult{err: syscall.ECONNREFUSED}, false},
-		"no word": {io.ErrUnexpectedEOF, dialResult{err: os.ErrDeadlineExceeded}, false},
+		"invalid message": {errInvalidMessage, dialResult{}, true},
+		"reset":           {io.ErrUnexpectedEOF, dialResult{conn: &conn{}}, true},
+		"refused":         {io.ErrUnexpectedEOF, dialResult{err: syscall.ECONNREFUSED}, false},
+		"time-out":        {io.ErrUnexpectedEOF, dialResult{err: os.ErrDeadlineExceeded}, false},
 	} {
 		n, c, far, reports := newTestNode(t)
 		n.conns, n.dialling = []*conn{c}, true
 		go io.Copy(io.Discard, far)
 		n.handle(newSetUp(1))
 		n.handle(connClosed{c, e.err})
-		if name != "spoilt" {
+		if name != "invalid message" {
 			checkEndStatuses(t, reports)
 			n.handle(e.then)
 		}
@@ -384,50 +387,50 @@
 	go io.Copy(io.Discard, far)
 	n.handle(newSetUp(1))
 	n.handle(connClosed{c, io.EOF})
-	n.handle(abandonRequest{1, 1, true}) // its time is up before that is known
+	n.handle(abandonRequest{1, 1, true}) // abandoned before the dial ends
 	n.handle(dialResult{err: io.EOF})
 	checkEndStatuses(t, reports, control.Reset)
 }
 
-// Nothing new is put on a connection that has been silent since a set-up, nor on
-// one that a set-up timed out on with nothing after it.
+// No new set-up is sent on a connection that has been silent since a set-up, nor on one on which
+// a set-up timed out with no message after it.
 func TestSuspectConnection(t *testing.T) {
 	n, c, far, _ := newTestNode(t)
 	n.conns, n.dialling = []*conn{c}, true
 	go io.Copy(io.Discard, far)
 	n.handle(newSetUp(1))
 	if n.connForSetUp() != c {
-		t.Error("not used at once")
+		t.Error("not used right after a set-up")
 	}
 	c.unconfirmedSince = c.unconfirmedSince.Add(-2 * connSuspectTimeout)
 	n.attempts[1].sentAt = c.unconfirmedSince
 	if n.connForSetUp() != nil {
-		t.Error("used while it is silent")
+		t.Error("used while silent")
 	}
-	n.handle(received{c, message{kind: kindSetUpAnswer, id: 99, status: 200}}) // a sign of life
+	n.handle(received{c, message{kind: kindSetUpAnswer, id: 99, status: 200}}) // shows that the node is alive
 	if n.connForSetUp() != c {
-		t.Error("not used again")
+		t.Error("not used after a message")
 	}
 	n.handle(newSetUp(2))
 	n.handle(abandonRequest{2, 1, true})
 	if n.connForSetUp() != nil || !c.unusable {
-		t.Error("used after a time-out in silence")
+		t.Error("used after a time-out without a message")
 	}
 }
 
-// A second copy of an answer, and one to an id never asked for, harm nothing.
+// A second copy of an answer, and an answer to an id that was never sent, have no effect.
 func TestDuplicateAndUnknownAnswers(t *testing.T) {
 	n, c, far, reports := newTestNode(t)
 	n.conns = []*conn{c}
-	wrote := make(chan []byte, 9)
+	written := make(chan []byte, 9)
 	go func() {
 		for b := make([]byte, 4096); ; b = make([]byte, 4096) {
 			k, err := far.Read(b)
 			if err != nil {
-				close(wrote)
+				close(written)
 				return
 			}
-			wrote <- b[:k]
+			written <- b[:k]
 		}
 	}()
 	n.handle(newSetUp(1))
@@ -438,15 +441,15 @@
 	if len(*reports) != 1 || (*reports)[0].Kind != broker.Started || (*reports)[0].ID != 1 || n.established[1] == nil {
 		t.Errorf("%+v", *reports)
 	}
-	for b := range wrote {
+	for b := range written {
 		if !strings.HasPrefix(string(b), "SETUP") {
 			t.Errorf("wrote %q", b)
 		}
 	}
 }
 
-// Want of descriptors is the program's own: set-ups never left, and the node is
-// not lost for it. Connections that nothing needs are given back.
+// If the process is at its connection limit, set-ups end as moot and the node is not lost.
+// Connections that nothing needs are retired.
 func TestConnectionLimit(t *testing.T) {
 	n, _, _, reports := newTestNode(t)
 	n.pool.cfg.MaxConns = 0
@@ -464,50 +467,51 @@
 		n.conns = append(n.conns, &conn{Conn: near, lastUsedAt: time.Now().Add(-2 * idleConnTimeout), openSetUps: i % 2})
 	}
 	n.dialling = true
-	n.established[3] = &establishedSession{setUpSentAt: time.Now()} // whose end may come on any of them
+	n.established[3] = &establishedSession{setUpSentAt: time.Now()} // its end may come on any of them
 	n.maintain(time.Now())
 	if slices.ContainsFunc(n.conns, func(c *conn) bool { return c.unusable }) {
-		t.Error("a connection is given back while a session stands")
+		t.Error("a connection is retired while a session is established")
 	}
 	clear(n.established)
 	n.maintain(time.Now())
 	for i, dead := range []bool{true, false, true, false, true} {
 		if n.conns[i].unusable != dead {
-			t.Errorf("connection %d: given back %v", i, n.conns[i].unusable)
+			t.Errorf("connection %d: retired is %v", i, n.conns[i].unusable)
 		}
 	}
 }
 
-// A new node at the address of another is another node: the old one gets no more.
+// Once a new node has the address of another, the old one is gone and gets nothing more.
 func TestAddressReusedByNewNode(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p := NewPool(ctx, new(errgroup.Group), Config{Report: func(broker.Report) {}, Log: zap.NewNop()})
-	at := func(s control.Server, state control.State) directory.Change {
+	listed := func(s control.Server, state control.State) directory.Change {
 		return directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: "127.0.0.1:1"}}}
 	}
-	p.Apply(at(1, control.Ready))
+	p.Apply(listed(1, control.Ready))
 	old := p.nodes[1]
-	p.Apply(at(2, control.Ready))
+	p.Apply(listed(2, control.Ready))
 	if old.listedState() != control.Gone || p.nodes[2].listedState() != control.Ready {
-		t.Error("both are listed")
+		t.Error("the old node is not gone, or the new one not ready")
 	}
-	p.Apply(at(1, control.Draining)) // late news of the old one
+	p.Apply(listed(1, control.Draining)) // a late change of the old one
 	if p.nodes[2].listedState() != control.Ready {
-		t.Error("the new one is gone")
+		t.Error("the new node is not ready after a late change of the old one")
 	}
 	cancel()
 	p.group.Wait()
 }
 
-// A list that was silent tells at once that a node has gone, that another has its address
-// and that it runs again elsewhere: what it had is lost, what it has since stays, and what
-// waits goes to the new place, whatever the actor has seen of it.
+// After a silence the list says all at once that a node is gone, that another node has its
+// address, and that it runs again at a new one. Its earlier sessions and connections are lost,
+// later ones stay, and queued set-ups go to the new address, however many of the changes the
+// actor has handled by then.
 func TestDelayedListChanges(t *testing.T) {
-	for name, seen := range map[string]int{"nothing": 0, "that it is gone": 1, "all": 2} {
+	for name, seen := range map[string]int{"nothing": 0, "that the node is gone": 1, "all": 2} {
 		n, _, _, reports := newTestNode(t)
-		n.pool.cfg.MaxConns = 0 // the script dials
+		n.pool.cfg.MaxConns = 0 // the test dials
 		n.pool.nodes[n.server] = n
-		told := func(s control.Server, state control.State, addr string, up time.Time) {
+		apply := func(s control.Server, state control.State, addr string, up time.Time) {
 			n.pool.Apply(directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: addr, Up: up}}})
 		}
 		n.member.Addr = "old:1"
@@ -517,35 +521,35 @@
 		n.handle(newSetUp(2))
 		n.handle(received{c, message{kind: kindSetUpAnswer, id: 2, status: 200}})
 		up := time.Now()
-		told(7, control.Gone, "", time.Time{})
-		told(8, control.Ready, "old:1", time.Time{})
-		told(7, control.Ready, "new:1", up)
+		apply(7, control.Gone, "", time.Time{})
+		apply(8, control.Ready, "old:1", time.Time{})
+		apply(7, control.Ready, "new:1", up)
 		all := n.inbox.Take(nil)
 		for _, m := range all[:seen] {
 			n.handle(m)
 		}
-		since := newStubConn() // to the process that runs now
-		n.conns = append(n.conns, since)
-		since.openSetUps, c.openSetUps = n.pool.cfg.StreamsPerConn, n.pool.cfg.StreamsPerConn
-		n.handle(newSetUp(3)) // which the broker sent in between
-		there := &conn{Conn: stubConn{}, lastUsedAt: time.Now()}
-		n.handle(dialResult{conn: there, addr: "old:1"}) // another node's by now
+		current := newStubConn() // to the process that runs now
+		n.conns = append(n.conns, current)
+		current.openSetUps, c.openSetUps = n.pool.cfg.StreamsPerConn, n.pool.cfg.StreamsPerConn
+		n.handle(newSetUp(3)) // sent by the broker meanwhile
+		stale := &conn{Conn: stubConn{}, lastUsedAt: time.Now()}
+		n.handle(dialResult{conn: stale, addr: "old:1"}) // the address is another node's by now
 		for _, m := range all[seen:] {
 			n.handle(m)
 		}
 		if !c.unusable {
-			t.Error("a connection to the process that is gone stays")
+			t.Error("a connection to the process that is gone stays in use")
 		}
 		n.handle(connClosed{c, net.ErrClosed})
 		n.handle(dialResult{conn: newStubConn(), addr: "new:1"})
 		checkEndStatuses(t, reports, control.Reset, control.Reset)
-		if a := n.attempts[3]; a == nil || a.conn != n.conns[len(n.conns)-1] || there.carriedMessage || since.unusable || len(n.established) != 0 {
-			t.Errorf("seen %s: %+v, %d stand; used there: %v, closed here: %v", name, a, len(n.established), there.carriedMessage, since.unusable)
+		if a := n.attempts[3]; a == nil || a.conn != n.conns[len(n.conns)-1] || stale.carriedMessage || current.unusable || len(n.established) != 0 {
+			t.Errorf("handled %s: %+v, %d established; old address used: %v, current connection closed: %v", name, a, len(n.established), stale.carriedMessage, current.unusable)
 		}
 	}
 }
 
-// A node that was cut off and comes back is told to end what was given up.
+// A node that was unreachable and comes back is told to release the sessions that were cut.
 func TestReleaseSentAfterReconnect(t *testing.T) {
 	n, c, far, _ := newTestNode(t)
 	n.dialling = true
@@ -564,11 +568,11 @@
 	n.dialling = true
 	n.handle(dialResult{conn: c})
 	if m := <-got; m.kind != kindTearDown || m.id != 10 || m.cause != broker.CauseCut || len(n.pendingReleases) != 0 {
-		t.Errorf("%+v, %d owed", m, len(n.pendingReleases))
+		t.Errorf("%+v, %d releases pending", m, len(n.pendingReleases))
 	}
 }
 
-// tcpPair is both ends of a connection.
+// tcpPair returns both ends of a TCP connection.
 func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -587,29 +591,29 @@
 	return near, far
 }
 
-// What a node said in the same packet as its close, in order or by a reset, counts, also
-// where the actor hears of the close first, by a write that fails.
+// Messages that arrive in the same packet as the node's close or reset are handled, even if the
+// actor learns of the close first, by a failed write.
 func TestMessageAndCloseInOnePacket(t *testing.T) {
 	const ok = "RTSP/1.0 200 OK\r\nCSeq: 1\r\nSession: 01\r\nContent-Length: 0\r\n\r\n"
 	const end = "TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 01\r\nReason: cause=16\r\nContent-Length: 0\r\n\r\n"
 	for text, e := range map[string]struct {
-		want   []control.Status
-		stands int
+		want            []control.Status
+		wantEstablished int
 	}{
 		strings.Replace(ok, "200", "453", 1): {want: []control.Status{control.Full}},
 		strings.Replace(ok, "200", "454", 1): {want: []control.Status{control.Moot}},
-		ok:                                   {stands: 1},
-		ok + ok:                              {stands: 1}, // a second answer does nothing
+		ok:                                   {wantEstablished: 1},
+		ok + ok:                              {wantEstablished: 1}, // a second answer has no effect
 		ok + end:                             {want: []control.Status{control.OK}},
-		end + ok:                             {want: []control.Status{control.Reset}}, // as a set-up that broke
-		ok + end[:40]:                        {stands: 1},
+		end + ok:                             {want: []control.Status{control.Reset}}, // the set-up ends as reset
+		ok + end[:40]:                        {wantEstablished: 1},
 		ok[:40]:                              {want: []control.Status{control.Reset}},
 		"\x00" + ok + end:                    {want: []control.Status{control.Reset}},
 	} {
 		for _, reset := range []bool{false, true} {
 			for _, first := range []string{"read", "write"} {
 				n, _, _, reports := newTestNode(t)
-				n.pool.cfg.MaxConns = 0 // the script dials
+				n.pool.cfg.MaxConns = 0 // the test dials
 				near, far := tcpPair(t)
 				c := &conn{Conn: near, lastUsedAt: time.Now()}
 				n.conns = []*conn{c}
@@ -630,15 +634,15 @@
 					n.handle(dialResult{conn: newStubConn()})
 				}
 				checkEndStatuses(t, reports, e.want...)
-				if len(n.established) != e.stands || t.Failed() {
-					t.Fatalf("%q, reset %v, %s first: %d stand", text, reset, first, len(n.established))
+				if len(n.established) != e.wantEstablished || t.Failed() {
+					t.Fatalf("%q, reset %v, %s first: %d established", text, reset, first, len(n.established))
 				}
 			}
 		}
 	}
 }
 
-// A connection that is retired is still read: a release may cross its end.
+// A retired connection is still read, since a release may cross the half-close.
 func TestRetiredConnectionIsRead(t *testing.T) {
 	near, far := tcpPair(t)
 	n, _, _, _ := newTestNode(t)
@@ -650,7 +654,7 @@
 		t.Error("the oldest connection is still in use")
 	}
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the node was not told: %v", err)
+		t.Errorf("the connection was not half-closed: %v", err)
 	}
 	io.WriteString(far, "TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nReason: cause=16\r\nContent-Length: 0\r\n\r\n")
 	far.Close()
@@ -661,8 +665,8 @@
 	}
 }
 
-// A connection that comes up just as its node's actor ends is closed all the
-// same: the program can end.
+// A connection that opens just as its node's actor ends is closed all the same, so that the
+// process can exit.
 func TestShutdownDuringDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -678,15 +682,15 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	<-n.inbox.Ready() // dialled, and nobody takes it
+	<-n.inbox.Ready() // the dialResult is there, and nobody takes it
 	cancel()
 	n.pool.group.Wait()
 	if got := n.pool.openConns.Load(); got != 0 {
-		t.Errorf("%d connections are counted", got)
+		t.Errorf("%d connections are counted as open", got)
 	}
 }
 
-// Whatever a node sends, figures that can't be reckoned with go no further.
+// Whatever a node sends, numbers that are negative, infinite or NaN are not passed on.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte("ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: link\r\nX-Reading: NaN\r\nContent-Length: 0\r\n\r\n"))
 	f.Add([]byte("RTSP/1.0 200 OK\r\nCSeq: 3\r\nSession: 0a\r\nLink-State: x1:Inf;load_share:-1\r\nContent-Length: 0\r\n\r\n"))
@@ -704,35 +708,35 @@
 	})
 }
 
-// Eighty managers that each look at a silent node open connections that carry
-// nothing. A look's connection neither takes a set-up from one that is in use
-// nor outlives it, and one in use serves for most of the node's idle time.
+// Eighty managers that each check a silent node open connections that carry nothing. Set-ups
+// prefer a connection in use to one opened for a check, the latter is retired first, and one in
+// use is used for most of the node's idle time-out: each first use costs the node a handshake.
 func TestConnectionChecksCostNoHandshake(t *testing.T) {
-	n, look, _, _ := newTestNode(t)
+	n, checkConn, _, _ := newTestNode(t)
 	inUse, far := net.Pipe()
 	t.Cleanup(func() { inUse.Close(); far.Close() })
 	go io.Copy(io.Discard, far)
 	old := &conn{Conn: inUse, carriedMessage: true, lastUsedAt: time.Now().Add(-n.pool.cfg.ConnIdleTimeout * 8 / 10)}
-	n.conns = []*conn{old, look}
+	n.conns = []*conn{old, checkConn}
 	if n.connForSetUp() != old {
-		t.Error("a set-up would go on a connection that nothing has used yet")
+		t.Error("a set-up would use a connection that has carried nothing")
 	}
 	n.handle(newSetUp(1))
-	if old.openSetUps != 1 || look.carriedMessage {
+	if old.openSetUps != 1 || checkConn.carriedMessage {
 		t.Errorf("%d set-ups on the connection in use", old.openSetUps)
 	}
 	old.openSetUps, old.lastUsedAt = 0, time.Now().Add(-2*idleConnTimeout)
 	for range maxIdleConnsPerNode {
-		n.conns = append(n.conns, &conn{Conn: look.Conn, lastUsedAt: old.lastUsedAt})
+		n.conns = append(n.conns, &conn{Conn: checkConn.Conn, lastUsedAt: old.lastUsedAt})
 	}
 	n.maintain(time.Now())
 	if old.unusable || !n.conns[2].unusable {
-		t.Error("the connection in use was retired, and not one that was opened for a look")
+		t.Error("the connection in use was retired instead of one opened for a check")
 	}
 }
 
-// Set-ups that waited for a connection may fill it at once. A probe that waited too
-// goes on waiting, and the actor with it must not.
+// Queued set-ups may fill a new connection at once. A queued probe then stays queued, and the
+// actor must not loop over it.
 func TestProbeWaitsForFullConnection(t *testing.T) {
 	n, c, far, _ := newTestNode(t)
 	go io.Copy(io.Discard, far)
@@ -749,15 +753,15 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the actor turns in a circle")
+		t.Fatal("the actor loops for ever")
 	}
-	if n.queuedProbes != 1 || !n.dialling || len(n.sentProbes) != 0 {
-		t.Errorf("%d probes wait, dialling %v", n.queuedProbes, n.dialling)
+	if n.queuedProbes != 1 || !n.dialling || len(n.pendingProbes) != 0 {
+		t.Errorf("%d probes queued, dialling %v", n.queuedProbes, n.dialling)
 	}
 }
 
-// What waits for a connection takes a place that comes free meanwhile: the dial may be slow,
-// or never come up.
+// A set-up that waits for a dial uses a slot that becomes free on an open connection: the dial may
+// be slow, or fail.
 func TestQueuedSetUpUsesFreedSlotDuringDial(t *testing.T) {
 	n, _, _, reports := newTestNode(t)
 	c := newStubConn()
@@ -768,14 +772,15 @@
 	}
 	n.handle(received{c, message{kind: kindSetUpAnswer, id: 1, status: 200}})
 	if n.attempts[last].conn != c {
-		t.Error("it waits on")
+		t.Error("the set-up is still queued")
 	}
 	n.handle(dialResult{err: syscall.ETIMEDOUT})
 	checkEndStatuses(t, reports)
 }
 
-// Where the settings allow no probes none is written, whoever asks: the module hears that
-// it never left, and a connection that may be mute is taken for it after a test's time.
+// If the settings allow no probes none is written, whoever asks for one. The broker is told that
+// the probe was not sent, and a connection that may be unresponsive is taken for unresponsive
+// once a check would have timed out.
 func TestNoProbes(t *testing.T) {
 	n, _, _, reports := newTestNode(t)
 	wrote := new(recordingConn)
@@ -786,23 +791,23 @@
 	n.dialling = true
 	n.handle(adoptRequest{1})
 	n.handle(newSetUp(2))
-	n.handle(abandonRequest{2, 1, false}) // cancelled, without a word since it was written
+	n.handle(abandonRequest{2, 1, false}) // cancelled, with no message since it was written
 	for _, later := range []time.Duration{2 * connSuspectTimeout, nodeSilenceTimeout + time.Second} {
 		n.maintain(time.Now().Add(later))
-		if mute := later > nodeSilenceTimeout; c.unusable != mute {
-			t.Errorf("after %v: taken for mute %v", later, c.unusable)
+		if unresponsive := later > nodeSilenceTimeout; c.unusable != unresponsive {
+			t.Errorf("after %v: unusable is %v", later, c.unusable)
 		}
 	}
 	n.pool.Probe(n.server)
 	if last := (*reports)[len(*reports)-1]; !n.inbox.Empty() || last.Kind != broker.Probed || last.Status != control.Moot {
-		t.Errorf("a probe is under way: %+v", last)
+		t.Errorf("a probe is pending, or was not reported as moot: %+v", last)
 	}
 	if got := string(wrote.written); strings.Contains(got, "OPTIONS") || strings.Count(got, "TEARDOWN") != 1 {
 		t.Errorf("wrote %q", got)
 	}
 }
 
-// recordingConn keeps what is written on it.
+// recordingConn records what is written to it.
 type recordingConn struct {
 	stubConn
 	written []byte
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -23,7 +23,7 @@
 	"millethinge/internal/rtsp"
 )
 
-// CSeq values, as PROTOCOL gives them.
+// CSeq values that PROTOCOL assigns to the requests, by kind.
 const (
 	cseqSetUp    = 1
 	cseqTearDown = 2
@@ -32,100 +32,121 @@
 )
 
 const (
-	tickInterval        = 100 * time.Millisecond
-	probeTimeout        = 300 * time.Millisecond // a report that is later says little
-	nodeSilenceTimeout  = 2 * time.Second        // after which a node with sessions is looked at again
-	nodeLostTimeout     = 3 * time.Second        // after which, with failed looks, it is lost
-	redialInterval      = time.Second            // between looks at a lost node
-	maxImmediateRedials = 3                      // connections in a row that time out and are followed by the next at once
-	lostNodeReleaseTTL  = time.Minute            // how long its sessions' releases wait
-	releaseTTL          = 10 * time.Second       // how long a release waits for a connection
-	maxConnsPerNode     = 12                     // to one node; more than open between two closes as idle
-	maxIdleConnsPerNode = 2                      // that are kept though nothing is open on them
-	idleConnTimeout     = 2 * time.Second        // after which others are retired
-	reusableTenths      = 9                      // tenths of a node's idle time, after which a connection may be closing there
-	connSuspectTimeout  = 200 * time.Millisecond // without a word since a set-up, after which others take another connection
-	earlyEndTTL         = 5 * time.Second        // how long an end is known that came before its session did
-	abandonedSetUpTTL   = 10 * time.Second       // how long a set-up that was given up is known, for a late answer
+	// tickInterval is the period of a node's maintenance.
+	tickInterval = 100 * time.Millisecond
+	// probeTimeout bounds the wait for a load report: a later one is of little use.
+	probeTimeout = 300 * time.Millisecond
+	// nodeSilenceTimeout is the silence after which a node with established sessions is
+	// checked by a new connection. It also bounds the wait for the answer to a check of a connection.
+	nodeSilenceTimeout = 2 * time.Second
+	// nodeLostTimeout is the silence after which a node that cannot be dialled is lost.
+	nodeLostTimeout = 3 * time.Second
+	// redialInterval is the wait after a failed dial, where it is not retried at once.
+	redialInterval = time.Second
+	// maxImmediateRedials is how many dials in a row may time out and be retried at once.
+	maxImmediateRedials = 3
+	// lostNodeReleaseTTL is how long the releases of a lost node's sessions wait for a connection.
+	lostNodeReleaseTTL = time.Minute
+	// releaseTTL is how long any other release waits for a connection.
+	releaseTTL = 10 * time.Second
+	// maxConnsPerNode bounds the connections to one node. It exceeds how many are opened
+	// between two closures of idle ones.
+	maxConnsPerNode = 12
+	// maxIdleConnsPerNode is how many usable connections are kept even if they are idle.
+	maxIdleConnsPerNode = 2
+	// idleConnTimeout is the idle time after which connections beyond those are retired.
+	idleConnTimeout = 2 * time.Second
+	// reusableTenths is the part of ConnIdleTimeout, in tenths, for which an idle connection
+	// is used. After that the node may be closing it.
+	reusableTenths = 9
+	// connSuspectTimeout is the silence since a set-up after which new set-ups use another connection.
+	connSuspectTimeout = 200 * time.Millisecond
+	// earlyEndTTL is how long an end is kept that arrived before its session was adopted.
+	earlyEndTTL = 5 * time.Second
+	// abandonedSetUpTTL is how long an abandoned set-up is remembered, for a late answer.
+	abandonedSetUpTTL = 10 * time.Second
 )
 
-// errConnLimit reports that no connection may be opened: the program holds as many
-// as it may.
-var errConnLimit = errors.New("media: no descriptors left")
+// errConnLimit reports that no connection may be opened, since the process holds as
+// many as its descriptors allow.
+var errConnLimit = errors.New("media: connection limit reached")
 
 // node is the actor of one media node.
 type node struct {
 	pool    *Pool
-	member  directory.Member // as the list last said; the pool's, under its lock
+	member  directory.Member // the latest entry in the list; guarded by pool.mu
 	server  control.Server
 	id      string
 	upSince time.Time
-	state   atomic.Int32 // control.State, as the list last said
+	state   atomic.Int32 // the latest control.State in the list
 	inbox   *inbox
 
 	conns                []*conn
 	dialling             bool
 	attempts             map[control.SessionID]*attempt
-	interrupted          []*attempt                           // set-ups on a connection that broke, till it is known whether the node did
-	abandonedSetUps      map[control.SessionID]abandonedSetUp // set-ups that were given up
+	interrupted          []*attempt // set-ups whose connection broke, until a dial shows whether the node is reachable
+	abandonedSetUps      map[control.SessionID]abandonedSetUp
 	established          map[control.SessionID]*establishedSession
 	earlyEnds            map[control.SessionID]earlyEnd
-	pendingReleases      map[control.SessionID]pendingRelease // releases without a connection to go on
-	sentProbes           map[uint64]pendingProbe
+	pendingReleases      map[control.SessionID]pendingRelease // releases that wait for a connection
+	pendingProbes        map[uint64]pendingProbe
 	queuedProbes         int       // probes that wait for a connection
-	setUpsHeld           bool      // set-ups wait for the list to be asked again
-	possibleLosses       int       // connections that may have taken an end of a session along
-	coveredLosses        int       // how many of these the newest connection was begun after
-	lossesAtFirstMessage int       // how many lay behind at a first word after one
-	awaitingMessage      bool      // the newest was begun after one, and no word has come since
-	lastAliveAt          time.Time // when the node last showed a sign of life
-	lastMessageAt        time.Time // when it last said anything; zero: never
-	redialAt             time.Time // when a lost node is looked at again
-	connRefused          bool      // the last connection was refused: no process is there
-	failedDials          int       // connections that failed since the last that came up
+	setUpsHeld           bool      // set-ups wait until the list has been fetched again after a process pause
+	possibleLosses       int       // events, such as broken connections, that may have lost the end of a session
+	coveredLosses        int       // possibleLosses when the newest connection was dialled: the node repeats ends on that one
+	lossesAtFirstMessage int       // possibleLosses when awaitingMessage was last cleared
+	awaitingMessage      bool      // the newest connection was dialled after a possible loss, and no message has come since
+	lastAliveAt          time.Time // last sign of life: a message or an opened connection
+	lastMessageAt        time.Time // zero: none yet
+	redialAt             time.Time // earliest time of the next dial by maintain
+	connRefused          bool      // the last dial was refused: no process listens at the address
+	failedDials          int       // since the last dial that succeeded
 	writeBuf             []byte
 }
 
-// attempt is a set-up: queued while conn is nil, else out.
+// attempt is a set-up: queued while conn is nil, otherwise sent and not answered yet.
 type attempt struct {
 	broker.Attempt
 	conn   *conn
 	sentAt time.Time // when its SETUP was written
 }
 
-// establishedSession is a session that plays.
+// establishedSession is a session that is set up and playing.
 type establishedSession struct {
-	conn             *conn     // of its set-up; nil: closed
-	withoutConnSince time.Time // since when it has none; the zero time: it has one
-	setUpSentAt      time.Time // when its set-up was written, by whose process it is told from a later one's
+	conn             *conn     // the connection of its set-up; nil: closed, or the session was adopted
+	withoutConnSince time.Time // when that connection closed; zero: not closed, or the session was adopted
+	setUpSentAt      time.Time // when its SETUP was written or it was adopted; tells sessions of successive node processes apart
 }
 
-// abandonedSetUp is a set-up that was given up, known until a time for a late answer.
+// abandonedSetUp is a set-up that was abandoned, remembered until expiresAt in case a
+// late answer arrives.
 type abandonedSetUp struct {
 	conn      *conn
 	sentAt    time.Time
 	expiresAt time.Time
 }
 
-// pendingProbe is a probe that is out.
+// pendingProbe is a probe that was sent and not answered yet.
 type pendingProbe struct {
 	conn      *conn
 	sentAt    time.Time
-	expiresAt time.Time // when it is given up
-	connCheck bool      // it asks for the connection's sake: the broker hears nothing of it
+	expiresAt time.Time // when it counts as timed out
+	connCheck bool      // it checks the connection: its result is not reported to the broker
 }
 
-// earlyEnd is an end of a session that isn't known here.
+// earlyEnd is the end of a session that is not known here, kept until expiresAt.
 type earlyEnd struct {
 	cause     int
 	expiresAt time.Time
 }
 
+// pendingRelease is a release that waits for a connection until expiresAt.
 type pendingRelease struct {
 	cause     int
 	expiresAt time.Time
 }
 
+// newNode returns the actor of m. Its run method has to be started.
 func newNode(p *Pool, m directory.Member) *node {
 	return &node{
 		pool: p, member: m, server: m.Server, id: m.ID, upSince: m.Up,
@@ -135,12 +156,13 @@
 		established:     make(map[control.SessionID]*establishedSession),
 		earlyEnds:       make(map[control.SessionID]earlyEnd),
 		pendingReleases: make(map[control.SessionID]pendingRelease),
-		sentProbes:      make(map[uint64]pendingProbe),
+		pendingProbes:   make(map[uint64]pendingProbe),
 		lastAliveAt:     time.Now(),
 	}
 }
 
-// run is the actor's loop.
+// run is the actor's loop. It returns when the pool's context ends, or when the node is
+// off the list and nothing of it is left.
 func (n *node) run() error {
 	var batch []any
 	tick := time.NewTicker(tickInterval)
@@ -156,7 +178,7 @@
 			return nil
 		case <-tick.C:
 			if now := time.Now(); !n.pool.checkPause(now) && n.setUpsHeld {
-				n.handle(resumeSetUps{}) // the list could not be asked
+				n.handle(resumeSetUps{}) // no fresh list has come within the time that set-ups are held
 			}
 			n.maintain(time.Now())
 			if n.finished() && n.pool.remove(n) {
@@ -171,20 +193,23 @@
 	}
 }
 
+// finished reports whether the node is off the list and nothing of it is left to do.
 func (n *node) finished() bool {
 	return n.listedState() == control.Gone && len(n.attempts)+len(n.interrupted)+len(n.established)+len(n.pendingReleases) == 0 && !n.dialling
 }
 
-// listedAddr is where the list says that it is: at once, as its state binds. One that is gone
-// may have none.
+// listedAddr returns the node's latest address in the list. Like the state, it applies as
+// soon as Pool.Apply returns. A node that is off the list may have none.
 func (n *node) listedAddr() string {
 	n.pool.mu.RLock()
 	defer n.pool.mu.RUnlock()
 	return n.member.Addr
 }
 
+// listedState returns the node's latest state in the list.
 func (n *node) listedState() control.State { return control.State(n.state.Load()) }
 
+// handle processes one message from the actor's inbox.
 func (n *node) handle(m any) {
 	switch m := m.(type) {
 	case setUpRequest:
@@ -215,22 +240,25 @@
 	}
 }
 
+// report completes r with the node and passes it to the broker.
 func (n *node) report(r broker.Report) {
 	r.Server, r.Down = n.server, n.connRefused
 	n.pool.cfg.Report(r)
 }
 
+// endAttempt removes a and reports that it ended with status.
 func (n *node) endAttempt(a *attempt, status control.Status) {
 	n.removeAttempt(a)
 	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: status})
 }
 
-// endReset ends a set-up that went down with its connection. confined: the node
-// was heard of or reached since, so the fault was the connection's alone.
-func (n *node) endReset(a *attempt, nodeReachable bool) {
+// reportReset reports that a set-up ended because its connection broke. nodeReachable says
+// that the node was heard from or reached since, so only the connection was at fault.
+func (n *node) reportReset(a *attempt, nodeReachable bool) {
 	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.Reset, Confined: nodeReachable})
 }
 
+// removeAttempt removes a from the actor's attempts and from its connection's count.
 func (n *node) removeAttempt(a *attempt) {
 	delete(n.attempts, a.ID)
 	if a.conn != nil {
@@ -240,10 +268,11 @@
 
 // Connections.
 
-// connForSetUp returns a connection for a new set-up. One that has long been idle
-// may be closing at the node: what is written there may or may not have run.
-// One that has carried something goes before one that was opened for a look:
-// the first use of each is a handshake's work to the node.
+// connForSetUp returns a connection for a new set-up, or nil. Connections that have long
+// been idle are passed over: the node may be closing them, and it would stay unknown
+// whether a SETUP written there has run. Connections that have carried messages are
+// preferred to those opened only to check the node, since the first use of a connection
+// costs the node a handshake.
 func (n *node) connForSetUp() (best *conn) {
 	now := time.Now()
 	for i := len(n.conns) - 1; i >= 0; i-- {
@@ -256,11 +285,14 @@
 	return best
 }
 
+// canSendOn reports whether c may carry another message: it is usable, and not idle for
+// so long that the node may be closing it.
 func (n *node) canSendOn(c *conn) bool {
 	return !c.unusable && (c.openSetUps > 0 || time.Since(c.lastUsedAt) < n.pool.cfg.ConnIdleTimeout*reusableTenths/10)
 }
 
-// connForMessage returns any connection that can carry a message on a session.
+// connForMessage returns a connection for a message about a session: preferred, or else
+// any that can carry one, or nil.
 func (n *node) connForMessage(preferred *conn) *conn {
 	if preferred != nil && n.canSendOn(preferred) {
 		return preferred
@@ -273,7 +305,8 @@
 	return nil
 }
 
-// startDial begins to open a connection, if none is being opened.
+// startDial begins to open a connection, unless one is being opened. The inbox receives
+// a dialResult, and later, if the dial succeeded, the messages read and a connClosed.
 func (n *node) startDial() {
 	if n.dialling {
 		return
@@ -284,7 +317,7 @@
 		n.inbox.Force(dialResult{err: errConnLimit})
 		return
 	}
-	addr, timeout, possibleLosses := n.listedAddr(), n.pool.cfg.ConnectTimeout, n.possibleLosses
+	addr, timeout, lossesAtDial := n.listedAddr(), n.pool.cfg.ConnectTimeout, n.possibleLosses
 	n.pool.group.Go(func() error {
 		nc, err := (&net.Dialer{Timeout: timeout}).DialContext(n.pool.ctx, "tcp", addr)
 		if err != nil {
@@ -293,10 +326,10 @@
 			return nil
 		}
 		c := &conn{Conn: nc, lastUsedAt: time.Now()}
-		// The actor may have ended by now, and would not close it.
+		// The actor may have ended by now, and would then not close the connection.
 		defer context.AfterFunc(n.pool.ctx, func() { nc.Close() })()
-		n.inbox.Force(dialResult{conn: c, addr: addr, possibleLosses: possibleLosses})
-		// Reading waits for nothing: the actor has been told of c before.
+		n.inbox.Force(dialResult{conn: c, addr: addr, lossesAtDial: lossesAtDial})
+		// Reading can start at once: the dialResult is in the inbox ahead of all messages.
 		err = c.readMessages(n.pool.cfg.LoadFields, func(m message) bool { return n.inbox.Put(received{c, m}) })
 		c.Close()
 		n.pool.openConns.Add(-1)
@@ -305,6 +338,8 @@
 	})
 }
 
+// handleDialResult takes a new connection into use: it sends what waited for one. If the
+// dial failed, what waited for it ends.
 func (n *node) handleDialResult(m dialResult) {
 	n.dialling = false
 	if m.err != nil {
@@ -312,26 +347,28 @@
 		return
 	}
 	if m.addr != n.listedAddr() {
-		// Guard: the list names another address by now, and this one may be another node's.
+		// Guard: the node's address in the list has changed since, and the one that was
+		// dialled may be another node's by now.
 		n.closeConn(m.conn)
 		n.startDial()
 		return
 	}
 	n.lastAliveAt, n.failedDials, n.redialAt, n.connRefused = time.Now(), 0, time.Time{}, false
 	n.conns = append(n.conns, m.conn)
-	if n.coveredLosses < m.possibleLosses {
-		n.coveredLosses, n.awaitingMessage = m.possibleLosses, m.possibleLosses > n.lossesAtFirstMessage
+	if n.coveredLosses < m.lossesAtDial {
+		n.coveredLosses, n.awaitingMessage = m.lossesAtDial, m.lossesAtDial > n.lossesAtFirstMessage
 	}
 	n.trimConns()
 	n.resolveInterrupted(true)
 	n.sendQueued()
-	for id, o := range n.pendingReleases {
-		if n.sendTearDown(m.conn, id, o.cause) {
+	for id, r := range n.pendingReleases {
+		if n.sendTearDown(m.conn, id, r.cause) {
 			delete(n.pendingReleases, id)
 		}
 	}
-	// Guard: where the set-ups that waited fill the connection at once, a probe goes
-	// on waiting. Counted down while they are counted up again, this never ended.
+	// Guard: if the queued set-ups fill the connection, probe queues each probe again.
+	// The loop counts a copy: counting queuedProbes itself down while probe counts it up
+	// never ended.
 	queued := n.queuedProbes
 	n.queuedProbes = 0
 	for range queued {
@@ -339,7 +376,7 @@
 	}
 }
 
-// sendQueued sends the set-ups that waited.
+// sendQueued sends the set-ups that are queued, or ends those that may not be sent any more.
 func (n *node) sendQueued() {
 	for _, a := range n.attempts {
 		if a.conn == nil {
@@ -348,24 +385,26 @@
 	}
 }
 
-// resolveInterrupted ends the set-ups whose connection broke, by whether the node can be
-// reached since.
+// resolveInterrupted ends the set-ups whose connection broke, now that it is known
+// whether the node is reachable.
 func (n *node) resolveInterrupted(nodeReachable bool) {
 	for _, a := range n.interrupted {
-		n.endReset(a, nodeReachable)
+		n.reportReset(a, nodeReachable)
 	}
 	n.interrupted = nil
 }
 
-// canRetireConns tells whether connections may be given back at all.
+// canRetireConns reports whether idle connections may be retired, that is half-closed.
 //
-// Guard: not while a session stands. A node resets what is half closed, within 0.2 ms,
-// and the end of a session whose own connection is gone goes down with it if the node has
-// just said it there. That is one retired connection in tens of thousands; a soak had six
-// thousand. What is left idle the node closes itself, after what it said.
+// Guard: not while a session is established. A node resets a half-closed connection
+// within 0.2 ms. If it has just sent the end of a session there whose own connection is
+// gone, the end is lost with the reset. That happens to one retired connection in tens of
+// thousands; a soak test retired six thousand. Connections left idle are closed by the
+// node itself, after everything that it sent on them.
 func (n *node) canRetireConns() bool { return len(n.established) == 0 }
 
-// trimConns retires the oldest connection that no set-up needs.
+// trimConns retires the oldest connection without an open set-up if there are more than
+// maxConnsPerNode.
 func (n *node) trimConns() {
 	if !n.canRetireConns() {
 		return
@@ -384,8 +423,9 @@
 	}
 }
 
-// handleDialFailure ends what waited for the connection: nothing of it ran. Guard: the
-// program's own want of descriptors is not held against the node.
+// handleDialFailure ends what waited for the connection: nothing of it has run.
+//
+// Guard: reaching the process's own connection limit does not count against the node.
 func (n *node) handleDialFailure(err error) {
 	atLimit := errors.Is(err, errConnLimit)
 	n.connRefused = errors.Is(err, syscall.ECONNREFUSED)
@@ -405,27 +445,30 @@
 	if atLimit {
 		return
 	}
-	// Guard: it may have been open at the node, which then has said ends on it.
+	// Guard: the connection may have been open at the node's side, and the node may have
+	// sent ends of sessions on it.
 	if !n.connRefused {
 		n.countPossibleLoss(nil)
 	}
-	// Guard: the caller is owed an end within a second of when the node said it, and what
-	// was said may have gone down with a connection. So one that never came up is followed
-	// by the next at once; what fails in no time, or goes on failing, is not.
+	// Guard: a viewer must be told of the end of a session within a second of the node
+	// sending it, and the end may have been lost with a connection. So a dial that timed
+	// out is retried at once. A dial that failed at once, or that keeps timing out, is
+	// retried after redialInterval.
 	var netErr net.Error
 	redial := errors.As(err, &netErr) && netErr.Timeout() && n.failedDials < maxImmediateRedials
 	n.failedDials++
 	if n.endMayBeLost() && !redial {
 		n.redialAt = time.Now().Add(redialInterval)
 	}
-	why := fmt.Sprint("no connection: ", err)
+	why := fmt.Sprint("cannot connect: ", err)
 	switch {
 	case n.connRefused && len(n.conns) == 0:
 		n.endProcess(why, time.Now())
 		clear(n.pendingReleases)
 	case time.Since(n.lastAliveAt) > nodeLostTimeout:
 		n.redialAt = time.Now().Add(redialInterval)
-		// The node may hold its sessions still: it is told when it can be.
+		// The node may still be playing its sessions: their releases are sent once it can
+		// be reached.
 		until := time.Now().Add(lostNodeReleaseTTL)
 		for id := range n.established {
 			n.pendingReleases[id] = pendingRelease{broker.CauseCut, until}
@@ -438,14 +481,15 @@
 	}
 }
 
-// endProcess ends what stood at a process that is gone, by when the next one came. What is open
-// ends with its connection, behind what was said on it.
+// endProcess ends the established sessions of a node process that is gone and closes its
+// connections. Only what is older than nextStart, when the next process started, belongs to
+// it. Open set-ups end with their connection, after the messages already received on it.
 func (n *node) endProcess(why string, nextStart time.Time) {
 	n.cutSessions(why, nextStart)
 	n.closeUnusedSince(nextStart)
 }
 
-// closeUnusedSince closes what has carried nothing since a time.
+// closeUnusedSince closes the connections that have carried nothing since the given time.
 func (n *node) closeUnusedSince(since time.Time) {
 	for _, c := range n.conns {
 		if c.lastUsedAt.Before(since) {
@@ -454,11 +498,11 @@
 	}
 }
 
-// cutSessions ends the sessions that stood before a time. Their node says nothing, and
-// their viewers must hear of it within seconds.
+// cutSessions ends the sessions that were set up before the given time. Their node sends no
+// end for them, and their viewers must be told within seconds.
 func (n *node) cutSessions(why string, before time.Time) {
 	if len(n.established) > 0 {
-		withoutConn := time.Duration(0) // for how long the first of them has had no connection
+		withoutConn := time.Duration(0) // the longest time that any of them has been without its connection
 		for _, s := range n.established {
 			if !s.withoutConnSince.IsZero() {
 				withoutConn = max(withoutConn, time.Since(s.withoutConnSince))
@@ -475,18 +519,19 @@
 	}
 }
 
-// closeConn gives a connection up; its reader tells when it is gone. What the node
-// had sent and nobody has read goes with it.
+// closeConn closes a connection; its reader then posts connClosed. What the node has sent
+// and was not read yet is lost.
 func (n *node) closeConn(c *conn) {
 	n.countBreak(c)
 	c.unusable = true
 	c.Close()
 }
 
-// handleWriteError takes a connection on which a write failed.
+// handleWriteError handles a failed write on c.
 //
-// Guard: what the node has closed it closed behind its last words, such as a 453 or a 200.
-// They are read to the end. Only where it reads nothing the close has to tell it.
+// Guard: a node that closed the connection did so after its last messages, such as a 453
+// or a 200, so these are still read. Only if the write timed out is the
+// connection closed at once: the node reads nothing, so the close has to tell it.
 func (n *node) handleWriteError(c *conn, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		n.closeConn(c)
@@ -496,13 +541,13 @@
 	c.unusable, c.closeAt = true, time.Now().Add(connSuspectTimeout)
 }
 
-// countBreak counts a connection that ends otherwise than by the node's own close, if
-// it may take along what the node said last.
+// countBreak counts, once, a connection that ended in another way than by the node's own
+// close, if the last messages that the node sent on it may be lost.
 //
-// Guard: a node sends the end of a session on the connection of its set-up, or on
-// any where that is gone, and once more on the next connection that opens. One
-// that is lost with its connection is said again only if another is opened, also
-// where others are open and busy. An end on another connection that lives is safe.
+// Guard: a node sends the end of a session on the connection of its set-up, or on any
+// other if that one is gone, and once more on the next connection that opens. An end that
+// was lost with its connection is repeated only if another connection is opened, even
+// where others are open and busy. An end sent on another connection that works is safe.
 func (n *node) countBreak(c *conn) {
 	if c.breakCounted {
 		return
@@ -511,16 +556,17 @@
 	n.countPossibleLoss(c)
 }
 
-// countPossibleLoss counts a break of c, or with none of any that has closed, if a session stands
-// whose end may have gone with it.
+// countPossibleLoss counts a break of c, or if c is nil of some connection that has closed, if
+// the end of an established session may have been lost with it.
 func (n *node) countPossibleLoss(c *conn) {
 	if n.mayCarryEnds(c) {
 		n.possibleLosses++
 	}
 }
 
-// mayCarryEnds tells whether the node may say the end of a session on c, or with none on
-// any connection: it is the session's own, or the session has none left.
+// mayCarryEnds reports whether the node may send the end of an established session on c: it
+// is the connection of the session's set-up, or that one is gone. A nil c stands for a
+// connection on which none of the sessions was set up.
 func (n *node) mayCarryEnds(c *conn) bool {
 	for _, s := range n.established {
 		if s.conn == nil || s.conn == c || s.conn.unusable {
@@ -530,14 +576,14 @@
 	return false
 }
 
-// endMayBeLost tells whether the end of a session may have been lost, and no
-// connection has been opened since.
+// endMayBeLost reports whether the end of an established session may have been lost with no
+// connection dialled and opened since, on which the node would repeat it.
 func (n *node) endMayBeLost() bool {
 	return n.coveredLosses < n.possibleLosses && len(n.established) > 0
 }
 
-// handleClosed ends what was open on a connection. A byte of each SETUP has left, so
-// each may have run.
+// handleClosed ends the set-ups that were open on a connection. At least a byte of each
+// SETUP has been written, so each may have run.
 func (n *node) handleClosed(m connClosed) {
 	if m.err != io.EOF {
 		n.countBreak(m.conn)
@@ -549,8 +595,8 @@
 			break
 		}
 	}
-	// What a node spoilt, it sent. Else a new connection tells whether the node is
-	// there still: a dying process resets its connections too.
+	// An invalid or incomplete message shows that the node runs. Otherwise only a new
+	// connection shows it: a dying process resets its connections too.
 	nodeReachable := errors.Is(m.err, errInvalidMessage) || errors.Is(m.err, rtsp.ErrSyntax) || errors.Is(m.err, os.ErrDeadlineExceeded)
 	for _, a := range n.attempts {
 		if a.conn != m.conn {
@@ -559,7 +605,7 @@
 		n.removeAttempt(a)
 		n.rememberAbandoned(a)
 		if nodeReachable || n.listedState() == control.Gone {
-			n.endReset(a, nodeReachable)
+			n.reportReset(a, nodeReachable)
 		} else {
 			n.interrupted = append(n.interrupted, a)
 			n.startDial()
@@ -577,20 +623,21 @@
 			zap.Int("standing", orphans), zap.Int("conns", len(n.conns)), zap.Bool("live", n.connForMessage(nil) != nil))
 	}
 	if len(n.established) > 0 && (len(n.conns) == 0 || n.endMayBeLost()) {
-		n.startDial() // releases come on the next connection that opens
+		n.startDial() // the node repeats ends of sessions on the next connection that opens
 	}
 }
 
-// rememberAbandoned notes a set-up that nobody waits for any more.
+// rememberAbandoned keeps a set-up that nobody waits for any more, in case a late answer arrives.
 func (n *node) rememberAbandoned(a *attempt) {
 	n.abandonedSetUps[a.ID] = abandonedSetUp{a.conn, a.sentAt, time.Now().Add(abandonedSetUpTTL)}
 }
 
-// maintain gives up late probes and looks after silent nodes.
+// maintain runs on each tick. It drops what has expired, closes or retires connections,
+// checks suspect ones, and dials a silent node.
 func (n *node) maintain(now time.Time) {
-	for id, p := range n.sentProbes {
+	for id, p := range n.pendingProbes {
 		if now.After(p.expiresAt) {
-			delete(n.sentProbes, id)
+			delete(n.pendingProbes, id)
 			if p.connCheck {
 				if p.conn.checkPending && !p.conn.unusable {
 					p.conn.markUnresponsive(now, n.pool.cfg.ConnIdleTimeout)
@@ -600,21 +647,22 @@
 			n.report(broker.Report{Kind: broker.Probed, Status: control.TimedOut})
 		}
 	}
-	for id, o := range n.pendingReleases {
-		if now.After(o.expiresAt) {
+	for id, r := range n.pendingReleases {
+		if now.After(r.expiresAt) {
 			delete(n.pendingReleases, id)
 		}
 	}
 	for id, e := range n.earlyEnds {
-		// Guard: the process that hands the session over may live on for long.
+		// Guard: the other process of this manager may run on for long and still hand the
+		// session over.
 		if n.pool.cfg.upgrading() && len(n.earlyEnds) <= inboxLimit {
 			n.earlyEnds[id] = earlyEnd{e.cause, now.Add(earlyEndTTL)}
 		} else if now.After(e.expiresAt) {
 			delete(n.earlyEnds, id)
 		}
 	}
-	for id, g := range n.abandonedSetUps {
-		if now.After(g.expiresAt) {
+	for id, a := range n.abandonedSetUps {
+		if now.After(a.expiresAt) {
 			delete(n.abandonedSetUps, id)
 		}
 	}
@@ -624,21 +672,22 @@
 			excess++
 		}
 	}
-	for _, used := range []bool{false, true} { // what was opened for a look first, then the oldest
+	for _, used := range []bool{false, true} { // those opened only for a check first, then the oldest
 		for _, c := range n.conns {
 			switch {
 			case !c.closeAt.IsZero() && now.After(c.closeAt):
 				n.closeConn(c)
 			case !c.unresponsiveSince.IsZero() && c.openSetUps == 0 && c.closeAt.Sub(now) > connSuspectTimeout && n.lastMessageAt.After(c.unresponsiveSince) && n.mayCarryEnds(c):
-				// Guard: what a node says on a mute connection is lost for as long as
-				// the node takes it for open. No set-up waits on this one any more. But
-				// while the node stands still it is not closed: the node may take it for
-				// newly opened when it goes on, and say there what it says only once more.
-				// What it then has to say first on this one has time to come.
+				// Guard: ends that the node sends on an unresponsive connection are lost for
+				// as long as the node takes it for open, so it is closed once no set-up is open
+				// on it. It stays open while the node is stalled: when the node resumes, it may
+				// see this connection as newly opened, and repeat ends here that it repeats only
+				// once. The delay leaves time for what it then sends first on this connection.
 				c.closeAt = now.Add(connSuspectTimeout)
 			case c.openSetUps == 0 && !c.unusable && !c.checkPending && c.suspect(now) && n.mayCarryEnds(c):
-				// Guard: a set-up on it was cancelled before any word came. Nothing waits
-				// on it that could time out, so nothing else tells.
+				// Guard: a set-up on this connection was cancelled before any message came.
+				// Nothing is left on it that could time out, so only a check shows whether
+				// the connection works.
 				if !n.pool.cfg.DisableProbes {
 					c.checkPending = n.sendProbe(c, true, nodeSilenceTimeout)
 				} else if now.Sub(c.unconfirmedSince) > nodeSilenceTimeout {
@@ -650,14 +699,16 @@
 			}
 		}
 	}
-	// A machine that is cut off keeps its connections open and silent: only a
-	// new one tells. It also brings releases that found no connection.
+	// Connections to a machine that is cut off stay open and silent: only a new one shows
+	// the failure. A new connection also carries the releases that found none.
 	nodeSilent := now.Sub(n.lastAliveAt) > nodeSilenceTimeout
 	if now.After(n.redialAt) && (len(n.pendingReleases) > 0 || n.endMayBeLost() || len(n.established) > 0 && (nodeSilent || len(n.conns) == 0)) {
 		n.startDial()
 	}
 }
 
+// handleListChange applies a change of the node's entry in the list: a node that is off the
+// list or has restarted has lost its sessions.
 func (n *node) handleListChange(m listChange) {
 	switch {
 	case n.listedState() == control.Gone:
@@ -668,18 +719,19 @@
 		n.upSince = m.member.Up
 		n.endProcess("restarted", n.upSince)
 	}
-	n.sendQueued() // or ends them, where the node takes nothing new
+	n.sendQueued() // or ends them, if the node takes no new ones
 }
 
 // Attempts and sessions.
 
-// sendSetUp writes a SETUP, or has it wait for a connection.
+// sendSetUp writes a SETUP, or leaves it queued until there is a connection.
 func (n *node) sendSetUp(a *attempt) {
 	for {
-		// Guard: the list binds up to the first byte. Nothing that was queued or
-		// waited for a connection goes to a node that drains or is gone.
+		// Guard: the state in the list applies until the first byte is written. Nothing
+		// that was queued or waited for a connection goes to a node that drains or is
+		// off the list.
 		now := time.Now()
-		// Nor does anything begin for a client that has gone meanwhile.
+		// Nor is a set-up begun for a client that is gone by now.
 		if n.listedState() != control.Ready || now.After(a.Deadline) || a.Client.Gone(a.ID) {
 			n.endAttempt(a, control.Moot)
 			return
@@ -716,32 +768,32 @@
 			return
 		}
 		n.handleWriteError(c, err)
-		if written > 0 { // a part has left: it may have run
+		if written > 0 { // a part was written, so it may have run
 			n.removeAttempt(a)
-			n.endReset(a, false)
+			n.reportReset(a, false)
 			return
 		}
 	}
 }
 
-// abandon ends an attempt. It is out until its TEARDOWN is written, or until its
-// connection, whose end gives it up too, is closed.
+// abandon ends an attempt that nobody waits for any more. If it was sent it stays open until
+// its TEARDOWN is written or until its connection closes, which ends it at the node too.
 func (n *node) abandon(m abandonRequest) {
 	for i, a := range n.interrupted {
 		if a.ID == m.id && a.Number == m.number {
 			n.interrupted = slices.Delete(n.interrupted, i, i+1)
-			n.endReset(a, false)
+			n.reportReset(a, false)
 			return
 		}
 	}
 	a := n.attempts[m.id]
 	if a == nil || a.Number != m.number {
-		return // its end or answer is on its way to the broker
+		return // its end or its answer is already reported
 	}
 	status := control.Cancelled
 	switch {
 	case m.timedOut && a.conn == nil:
-		status = control.ConnectFailed // not a byte has left
+		status = control.ConnectFailed // not a byte was written
 	case m.timedOut:
 		status = control.TimedOut
 	}
@@ -752,13 +804,15 @@
 	}
 	n.endAttempt(a, status)
 	if status == control.TimedOut && !c.unconfirmedSince.IsZero() && !a.sentAt.Before(c.unconfirmedSince) && !c.unusable {
-		// Guard: nothing later has come since this set-up left, nor may anything more.
-		// The others on it keep their chance; no new one is put there.
+		// Guard: no message known to be later than this set-up has come, and perhaps
+		// none will. The other set-ups on the connection may still be answered; no new one
+		// is sent there.
 		c.markUnresponsive(time.Now(), n.pool.cfg.ConnIdleTimeout)
 	}
 }
 
-// sendTearDown writes a TEARDOWN on c, or closes c, which says as much.
+// sendTearDown writes a TEARDOWN on c and reports whether that succeeded. Otherwise c is
+// closed, at once or soon, which tells the node as much.
 func (n *node) sendTearDown(c *conn, id control.SessionID, cause int) bool {
 	session := formatSessionID(id)
 	b := rtsp.AppendRequest(n.writeBuf[:0], "TEARDOWN", "rtsp://media/"+session)
@@ -770,6 +824,7 @@
 	return n.write(c, rtsp.AppendBody(b, nil))
 }
 
+// write writes one message on c and reports whether that succeeded.
 func (n *node) write(c *conn, b []byte) bool {
 	n.writeBuf = b
 	if _, err := c.writeMessage(b); err != nil {
@@ -779,7 +834,8 @@
 	return true
 }
 
-// release ends a session that stands, on any connection or the next that opens.
+// release ends an established session: its TEARDOWN goes on any usable connection, or on
+// the next that opens.
 func (n *node) release(m releaseRequest) {
 	s := n.established[m.id]
 	if s == nil {
@@ -797,11 +853,12 @@
 	}
 }
 
+// setRung moves a set-up or an established session to another rung.
 func (n *node) setRung(m setRungRequest) {
 	var preferred *conn
 	if a := n.attempts[m.id]; a != nil {
 		if a.Rung = m.rung; a.conn == nil {
-			return // its SETUP will say so
+			return // its SETUP will carry the rung
 		}
 		preferred = a.conn
 	} else if s := n.established[m.id]; s != nil {
@@ -822,6 +879,7 @@
 	n.write(c, rtsp.AppendBody(b, nil))
 }
 
+// probe asks the node for its load, or queues the request until there is a connection.
 func (n *node) probe() {
 	c := n.connForSetUp()
 	if c == nil {
@@ -834,7 +892,7 @@
 	}
 }
 
-// sendProbe writes a probe on c, or closes c.
+// sendProbe writes a probe on c and reports whether that succeeded.
 func (n *node) sendProbe(c *conn, connCheck bool, timeout time.Duration) bool {
 	id := rand.Uint64()
 	b := rtsp.AppendRequest(n.writeBuf[:0], "OPTIONS", "rtsp://media/load")
@@ -843,20 +901,21 @@
 	if !n.write(c, rtsp.AppendBody(b, nil)) {
 		return false
 	}
-	n.sentProbes[id] = pendingProbe{c, c.lastUsedAt, c.lastUsedAt.Add(timeout), connCheck}
+	n.pendingProbes[id] = pendingProbe{c, c.lastUsedAt, c.lastUsedAt.Add(timeout), connCheck}
 	return true
 }
 
-// handleMessage takes one message of the node.
+// handleMessage handles one message from the node.
 func (n *node) handleMessage(m received) {
 	now := time.Now()
 	n.lastAliveAt, n.lastMessageAt, m.conn.lastUsedAt = now, now, now
 	n.clearSuspicion(m)
-	m.conn.lastMessageAt = now
+	m.conn.lastReceivedAt = now
 	if n.awaitingMessage {
-		// Guard: a connection opens also to a node that stands still. When it goes on it
-		// may say ends first on those that closed meanwhile, and know of the new one by
-		// then: only one that opens after its first word tells.
+		// Guard: a connection can be opened to a stalled node too. When the node resumes, it
+		// may send ends first on connections that closed meanwhile, and by then know the new
+		// one, so that it does not repeat them there. Only a connection that is opened after
+		// the node's first message shows such ends.
 		n.awaitingMessage = false
 		n.countPossibleLoss(nil)
 		n.lossesAtFirstMessage = n.possibleLosses
@@ -865,8 +924,8 @@
 	case kindSetUpAnswer:
 		n.handleSetUpAnswer(m)
 	case kindProbeAnswer:
-		p, ok := n.sentProbes[uint64(m.id)]
-		delete(n.sentProbes, uint64(m.id))
+		p, ok := n.pendingProbes[uint64(m.id)]
+		delete(n.pendingProbes, uint64(m.id))
 		if ok && !p.connCheck {
 			status := control.OK
 			if m.status != 200 {
@@ -879,24 +938,25 @@
 	case kindAnnounce:
 		n.report(broker.Report{Kind: broker.Noted, ID: m.id, Note: m.note, Value: m.value})
 	}
-	if n.dialling { // what waits may have a place by now
+	if n.dialling { // an answer may have made room for a queued set-up
 		n.sendQueued()
 	}
 }
 
-// clearSuspicion clears the suspicion of set-ups that a word is known to be later than.
+// clearSuspicion clears the suspicion that set-ups on m's connection raised, as far as m is
+// known to be later than their SETUP.
 //
-// Guard: a word may have been under way when a SETUP was written, such as the 200 to an
-// earlier message. Taken for a sign of life, a connection that has fallen mute gets the
-// next set-ups, and keeps the ends that the node says on it. What answers a message is
-// later than that; a second word is taken for later than what was written before the
-// first came.
+// Guard: a message may have been on its way when a SETUP was written, such as the 200 to an
+// earlier request. If it were taken for a sign of life, an unresponsive connection would get
+// the next set-ups, and the ends that the node sends on it would stay lost. An answer is
+// later than its request. A second message is taken to be later than what was written before
+// the first one came.
 func (n *node) clearSuspicion(m received) {
 	c := m.conn
 	if c.unconfirmedSince.IsZero() {
 		return
 	}
-	seenUntil := c.lastMessageAt.Add(-1) // what was written in the same instant may be later
+	seenUntil := c.lastReceivedAt.Add(-1) // a request written in the same instant may be later
 	if requestSentAt := n.answeredRequestSentAt(m); requestSentAt.After(seenUntil) {
 		seenUntil = requestSentAt
 	}
@@ -912,8 +972,8 @@
 	c.markResponsive()
 }
 
-// answeredRequestSentAt returns when that was written which a word answers, on its connection; zero: it
-// is not known.
+// answeredRequestSentAt returns when the request was written that m answers, if that was on
+// m's connection. Zero: not known.
 func (n *node) answeredRequestSentAt(m received) time.Time {
 	if m.status == 0 {
 		return time.Time{}
@@ -924,19 +984,19 @@
 	if g := n.abandonedSetUps[m.id]; g.conn == m.conn {
 		return g.sentAt
 	}
-	if p := n.sentProbes[uint64(m.id)]; p.conn == m.conn {
+	if p := n.pendingProbes[uint64(m.id)]; p.conn == m.conn {
 		return p.sentAt
 	}
 	return time.Time{}
 }
 
-// handleSetUpAnswer takes a final answer to a SETUP.
+// handleSetUpAnswer handles a final answer to a SETUP.
 func (n *node) handleSetUpAnswer(m received) {
 	a := n.attempts[m.id]
 	if a == nil || a.conn == nil {
 		if _, wasAbandoned := n.abandonedSetUps[m.id]; wasAbandoned && m.status == 200 {
-			// Guard: a late 200 to a set-up that was given up is torn down. A second
-			// copy of an answer, or one to an id never asked for, does nothing.
+			// Guard: a late 200 to an abandoned set-up is answered by a TEARDOWN. A second
+			// copy of an answer, or one to an id that was never sent, does nothing.
 			n.established[m.id] = &establishedSession{conn: m.conn}
 			n.release(releaseRequest{m.id, 0})
 		}
@@ -944,9 +1004,9 @@
 	}
 	n.removeAttempt(a)
 	if listed := n.listedState() != control.Gone; m.status == 200 && (!listed || a.sentAt.Before(n.upSince)) {
-		// Guard: it lay behind the word that its process is gone. Nobody would say the
-		// session's end where another process answers by now.
-		n.endReset(a, listed)
+		// Guard: the answer was handled after the news that its process is gone. Nobody
+		// would send the session's end if another process answers at the address by now.
+		n.reportReset(a, listed)
 		return
 	}
 	if m.status == 200 {
@@ -966,11 +1026,11 @@
 	n.report(broker.Report{Kind: broker.Ended, ID: m.id, Number: a.Number, Status: status, Load: m.load})
 }
 
-// handleTearDown takes a node's TEARDOWN of a session or of a set-up.
+// handleTearDown handles the node's TEARDOWN of a session or of a set-up.
 func (n *node) handleTearDown(m received) {
 	if a := n.attempts[m.id]; a != nil {
 		n.removeAttempt(a)
-		n.endReset(a, true)
+		n.reportReset(a, true)
 		return
 	}
 	if n.established[m.id] == nil {
@@ -980,11 +1040,12 @@
 	n.endSession(m.id, m.cause, m.load)
 }
 
-// adopt takes a session that played before this program started.
+// adopt takes over a session that was established before this process started.
 //
-// Guard: the node says what ended meanwhile on the first connection that opens, which may
-// be a set-up's, before the viewer names the session here. And a connection that is being
-// opened may have been open there before the end was said on one that closed since.
+// Guard: the node sends the ends that occurred meanwhile on the first connection that opens,
+// which may be a set-up's, before the viewer names the session to this process. And a
+// connection that is being opened may have been open at the node before it sent the end on
+// one that has closed since.
 func (n *node) adopt(m adoptRequest) {
 	if e, ok := n.earlyEnds[m.id]; ok {
 		n.endSession(m.id, e.cause, nil)
@@ -994,10 +1055,10 @@
 	if n.dialling {
 		n.countPossibleLoss(nil)
 	}
-	n.startDial() // notes on it need a connection
+	n.startDial() // the node's ANNOUNCEs about it need a connection
 }
 
-// endSession ends a session that stood.
+// endSession removes an established session and reports its end.
 func (n *node) endSession(id control.SessionID, cause int, load []float64) {
 	delete(n.established, id)
 	status := control.Reset
@@ -1010,6 +1071,7 @@
 	n.report(broker.Report{Kind: broker.Ended, ID: id, Status: status, Cause: cause, Load: load})
 }
 
+// formatSessionID returns id as the 16 hexadecimal digits of the Session header.
 func formatSessionID(id control.SessionID) string {
 	const digits = "0123456789abcdef"
 	var b [16]byte
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -1,6 +1,6 @@
-// Package media carries attempts to media nodes over RTSP. Each node has an
-// actor with a mailbox, which owns the node's connections, attempts, standing
-// sessions and probes.
+// Package media sends session set-ups to media nodes over RTSP. Each node has an actor
+// with an inbox, which owns the node's connections, attempts, established sessions and
+// probes.
 package media
 
 import (
@@ -20,29 +20,30 @@
 	"millethinge/internal/stall"
 )
 
-// inboxLimit bounds the attempts and probes that wait before one node. Ends,
-// releases and rungs are bounded by the sessions and always pass.
+// inboxLimit bounds the set-ups, probes and received messages that wait in one node's inbox.
+// Releases, rungs and abandoned attempts are bounded by the number of sessions and are
+// always taken.
 const inboxLimit = 1024
 
-// Config is what a Pool needs.
+// Config holds the settings and callbacks of a Pool.
 type Config struct {
-	ClassNames        []string // names by class
-	LoadFields        []string // of load reports
-	ConnectTimeout    time.Duration
-	ConnIdleTimeout   time.Duration // after which nodes close a connection
-	StreamsPerConn    int           // set-ups open on one connection
-	MaxConns          int           // connections to all nodes
-	DrainGrace        time.Duration // after which nothing goes to a node that drains
-	DisableProbes     bool          // nodes may not be tested
-	MaxConnsInUpgrade int           // of them while Shared says so
-	UpgradeInProgress func() bool   // another process has its half of the descriptors; nil: none ever has
-	OnSetUpSent       func()        // told of each SETUP that is written whole; nil: nobody
-	Report            func(broker.Report)
-	OnPause           func(time.Duration) // told when the program has stood still; Fresh is to follow; nil: nobody
+	ClassNames        []string            // by class
+	LoadFields        []string            // names of the fields of load reports
+	ConnectTimeout    time.Duration       // of a dial
+	ConnIdleTimeout   time.Duration       // idle time after which nodes close a connection
+	StreamsPerConn    int                 // maximum of open set-ups on one connection
+	MaxConns          int                 // maximum of connections to all nodes
+	DrainGrace        time.Duration       // time after which nothing may be sent to a node that drains
+	DisableProbes     bool                // no probes are sent to nodes
+	MaxConnsInUpgrade int                 // replaces MaxConns while UpgradeInProgress reports true
+	UpgradeInProgress func() bool         // reports whether another process of this manager has its half of the descriptors; nil: never
+	OnSetUpSent       func()              // called for each SETUP that is written whole; may be nil
+	Report            func(broker.Report) // called with each report to the broker
+	OnPause           func(time.Duration) // called after a process pause, and to be followed by Pool.ListRefreshed; may be nil
 	Log               *zap.Logger
 }
 
-// Pool is the nodes of the list.
+// Pool holds an actor for each media node in the list. It implements broker.Nodes.
 type Pool struct {
 	cfg        Config
 	group      *errgroup.Group
@@ -54,9 +55,10 @@
 	nodes map[control.Server]*node
 }
 
+// upgrading reports whether another process of this manager runs beside this one.
 func (c *Config) upgrading() bool { return c.UpgradeInProgress != nil && c.UpgradeInProgress() }
 
-// connLimit is how many connections may be open now.
+// connLimit returns how many connections may be open now.
 func (c *Config) connLimit() int64 {
 	if c.upgrading() {
 		return int64(c.MaxConnsInUpgrade)
@@ -70,8 +72,8 @@
 		pauseWatch: stall.Watch{After: stall.Within(cfg.DrainGrace)}}
 }
 
-// Apply takes a change to the list. A node's state binds its next SETUP as soon
-// as Apply returns, before the module hears of it.
+// Apply applies a change of the list. A node's new state holds for its next SETUP as soon
+// as Apply returns, before the decision module is told of it.
 func (p *Pool) Apply(change directory.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +89,7 @@
 				continue
 			}
 			if len(p.nodes) == 0 {
-				p.pauseWatch.Start(time.Now()) // nodes' ticks are its beats
+				p.pauseWatch.Start(time.Now()) // from now on the nodes' ticks call checkPause
 			}
 			n = newNode(p, m)
 			p.nodes[m.Server] = n
@@ -101,14 +103,15 @@
 	}
 }
 
-// checkPause notes that the program runs, and tells whether set-ups are held back.
+// checkPause notes that the process runs, detects process pauses, and reports whether set-ups
+// are held back.
 //
-// Guard: a program that was stopped and goes on believes a list that may be older
-// than a drain's grace: what drained meanwhile would get what had been queued, and what was
-// read first. Nothing is sent until the list has been asked again, or can't be.
+// Guard: after a process pause the known list may be older than a drain's grace. Set-ups that
+// were queued, or that are read first, would go to nodes that have been drained meanwhile.
+// Nothing is sent until the list has been fetched again, or that has taken too long.
 func (p *Pool) checkPause(now time.Time) (held bool) {
 	if pause := p.pauseWatch.Beat(now); pause > 0 {
-		p.cfg.Log.Warn("the program stood still; the list is asked again", zap.Duration("for", pause))
+		p.cfg.Log.Warn("process was paused; fetching the list again", zap.Duration("for", pause))
 		if p.cfg.OnPause != nil {
 			p.cfg.OnPause(pause)
 		}
@@ -116,8 +119,9 @@
 	return p.pauseWatch.Held(now)
 }
 
-// ListRefreshed tells that the list has answered what was asked at a time, and that Apply
-// has been told of it.
+// ListRefreshed is called once Apply has received the answer to a request for the list that
+// was made at the time asked. Set-ups that were held back are sent if that time is later than
+// the end of the last process pause.
 func (p *Pool) ListRefreshed(asked time.Time) {
 	if !p.pauseWatch.Held(time.Now()) {
 		return
@@ -130,9 +134,11 @@
 	}
 }
 
-// markAddrOwnerGone takes a new node's address from whichever had it, but for those that
-// the same change names. Guard: the old one's process is gone before the list
-// says so, and what is meant for it must not reach its successor.
+// markAddrOwnerGone marks as gone the node that had a new node's address, unless the same
+// change names that node too.
+//
+// Guard: the old node's process is gone before the list says so, and what is meant for it
+// must not reach the new node.
 func (p *Pool) markAddrOwnerGone(addr string, changed []directory.Member) {
 	for _, n := range p.nodes {
 		same := func(m directory.Member) bool { return m.Server == n.server }
@@ -143,7 +149,8 @@
 	}
 }
 
-// remove drops a node that is gone and has nothing left to do.
+// remove removes a node that is off the list and reports whether it did. A node with
+// messages in its inbox stays.
 func (p *Pool) remove(n *node) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,7 +161,8 @@
 	return true
 }
 
-// post hands a message to a node's actor.
+// post puts a message into the inbox of a node's actor and reports whether it was taken. It is
+// not if the list has no such node or, if bounded is set, if the inbox is full.
 func (p *Pool) post(s control.Server, m any, bounded bool) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -169,28 +177,32 @@
 	return true
 }
 
-// The calls of broker.Nodes.
-
+// SetUp implements broker.Nodes.
 func (p *Pool) SetUp(s control.Server, a broker.Attempt) bool {
 	return p.post(s, setUpRequest{a}, true)
 }
 
+// GiveUp implements broker.Nodes.
 func (p *Pool) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
 	p.post(s, abandonRequest{id, number, timedOut}, false)
 }
 
+// Stands implements broker.Nodes.
 func (p *Pool) Stands(s control.Server, id control.SessionID) bool {
 	return p.post(s, adoptRequest{id}, false)
 }
 
+// Release implements broker.Nodes.
 func (p *Pool) Release(s control.Server, id control.SessionID, cause int) {
 	p.post(s, releaseRequest{id, cause}, false)
 }
 
+// SetRung implements broker.Nodes.
 func (p *Pool) SetRung(s control.Server, id control.SessionID, rung int) {
 	p.post(s, setRungRequest{id, rung}, false)
 }
 
+// Probe implements broker.Nodes. A probe that cannot be sent is reported as moot.
 func (p *Pool) Probe(s control.Server) {
 	if p.cfg.DisableProbes || !p.post(s, probeRequest{}, true) {
 		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
@@ -215,13 +227,13 @@
 		rung int
 	}
 	probeRequest struct{}
-	resumeSetUps struct{} // what was held back may be sent
+	resumeSetUps struct{} // set-ups that were held back may be sent
 	listChange   struct{ member directory.Member }
 	dialResult   struct {
-		conn           *conn
-		err            error
-		addr           string
-		possibleLosses int // node.breaks when it was begun
+		conn         *conn
+		err          error
+		addr         string
+		lossesAtDial int // node.possibleLosses when the dial was begun
 	}
 	connClosed struct {
 		conn *conn
@@ -235,5 +247,5 @@
 
 var _ broker.Nodes = (*Pool)(nil)
 
-// inbox is a node's mailbox.
+// inbox is the mailbox of a node's actor.
 type inbox = mailbox.Box[any]
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -1,9 +1,9 @@
 // Package rtsp reads and writes the RTSP/1.0 messages (RFC 2326) that session
 // managers and media nodes exchange.
 //
-// Its parser is the project's own, as the operators' brief asks of the nodes' wire.
-// A message is slices of the read buffer; docs/libraries.md has what net/textproto
-// would cost.
+// The parser is hand-written, as the operators' brief requires for the protocol of the media
+// nodes. A parsed message consists of slices of the read buffer; docs/libraries.md says what
+// net/textproto would cost in comparison.
 package rtsp
 
 import (
@@ -14,10 +14,10 @@
 	"millethinge/internal/header"
 )
 
-// MaxMessageSize is the longest message, head and body.
+// MaxMessageSize is the maximum size of a message with its body, in bytes.
 const MaxMessageSize = 16 << 10
 
-// ErrSyntax reports bytes that are no RTSP message.
+// ErrSyntax reports input that is not an RTSP message.
 var ErrSyntax = errors.New("rtsp: malformed message")
 
 var (
@@ -26,21 +26,20 @@
 	headerEnd = []byte("\r\n\r\n")
 )
 
-// Message is a request, which has a Method, or a response, which has a Status.
-// Its slices are those of the buffer that was parsed.
+// Message is a request or a response. Its slices refer to the buffer that was parsed.
 type Message struct {
-	Method  []byte
-	URI     []byte
-	Status  int
+	Method  []byte // nil in a response
+	URI     []byte // nil in a response
+	Status  int    // 0 in a request
 	Headers header.Fields
 	Body    []byte
 }
 
-// Get returns the value of a header, or nil.
+// Get returns the value of the first header field of that name, or nil.
 func (m *Message) Get(name string) []byte { return m.Headers.Get(name) }
 
-// Parse reads one message from the start of b into m, whose header list it
-// reuses. It returns the message's length, or 0 if b ends before it does.
+// Parse parses one message from the start of b into m, reusing the storage of m.Headers. It
+// returns the message's length, or 0 if b does not hold all of the message yet.
 func Parse(b []byte, m *Message) (int, error) {
 	headers := m.Headers[:0]
 	*m = Message{}
@@ -74,6 +73,7 @@
 	return total, nil
 }
 
+// parseStartLine parses a request line or a status line.
 func (m *Message) parseStartLine(line []byte) error {
 	first, rest, ok := bytes.Cut(line, []byte(" "))
 	if !ok || len(first) == 0 {
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// AppendRequest starts a request; headers and Finish follow.
+// AppendRequest appends the request line of a request. Calls of AppendHeader and one of
+// AppendBody complete it.
 func AppendRequest(b []byte, method, uri string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -104,7 +105,8 @@
 	return append(b, " RTSP/1.0\r\n"...)
 }
 
-// AppendResponse starts a response.
+// AppendResponse appends the status line of a response. Calls of AppendHeader and one of
+// AppendBody complete it.
 func AppendResponse(b []byte, code int, reason string) []byte {
 	b = append(b, "RTSP/1.0 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
@@ -113,8 +115,8 @@
 	return append(b, crlf...)
 }
 
-// AppendHeader adds a header line. It drops line ends, so that a value can't
-// begin a line of its own.
+// AppendHeader appends a header line. It drops CR and LF from the value, so that a value
+// can't inject another header line.
 func AppendHeader(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -126,7 +128,8 @@
 	return append(b, crlf...)
 }
 
-// AppendBody adds the body's length, the end of the head, and the body.
+// AppendBody appends the Content-Length header, the empty line that ends the header, and
+// the body.
 func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
--- a/internal/rtsp/rtsp_test.go
+++ b/internal/rtsp/rtsp_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%d of %d bytes, %v", n, len(in), err)
 		}
 		if n > 0 && !bytes.HasSuffix(in[:n], m.Body) {
-			t.Error("the body is not the message's end")
+			t.Error("the message does not end with its body")
 		}
 	})
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream reads messages off a byte stream. A message is a slice of
-// the buffer that it was read into, valid until the next one is asked for.
+// Package stream splits a byte stream into messages. A message is a slice of the read
+// buffer and is valid until the next one is read.
 package stream
 
 import (
@@ -7,25 +7,26 @@
 	"io"
 )
 
-// ErrTooLong reports a message that does not end within the buffer.
+// ErrTooLong reports a message that exceeds the maximum size.
 var ErrTooLong = errors.New("stream: message too long")
 
-// Reader cuts a stream into messages.
+// Reader splits a stream into messages.
 type Reader struct {
 	src        io.Reader
 	buf        []byte
 	maxSize    int
-	start, end int
+	start, end int // of the data in buf that is not consumed yet
 }
 
-// NewReader returns a Reader for messages of at most size bytes. The buffer
-// starts small: most connections carry short messages only.
+// NewReader returns a Reader for messages of at most maxSize bytes. The buffer starts
+// smaller, since most connections carry only short messages.
 func NewReader(src io.Reader, maxSize int) *Reader {
 	return &Reader{src: src, buf: make([]byte, min(maxSize, 2048)), maxSize: maxSize}
 }
 
-// Next calls parse on what has been read, reading on until parse consumes
-// something: it returns how many bytes it took, 0 if it needs more.
+// Next passes the buffered data to parse and reads more until parse consumes some of it.
+// parse returns how many bytes it consumed, or 0 if it needs more. Next returns the first
+// error of parse or of reading: io.EOF only if no data is left over.
 func (r *Reader) Next(parse func([]byte) (int, error)) error {
 	for {
 		if r.start < r.end {
@@ -44,9 +45,10 @@
 	}
 }
 
-// Buffered is how many bytes have been read and not been taken.
+// Buffered returns how many bytes have been read and not consumed yet.
 func (r *Reader) Buffered() int { return r.end - r.start }
 
+// fill reads more data into the buffer, which it compacts or grows as needed.
 func (r *Reader) fill() error {
 	if r.start > 0 {
 		r.end = copy(r.buf, r.buf[r.start:r.end])
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -9,6 +9,7 @@
 	"testing/iotest"
 )
 
+// readLines reads lines until an error and returns them without their line ends.
 func readLines(r *Reader) (out []string, err error) {
 	for {
 		var line string
