--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -262,7 +262,7 @@
 }
 
 func rung(m *rtsp.Message) int {
-	v, ok := header.ParseUint(m.Get("X-Quality"))
+	v, ok := header.ParseDecimal(m.Get("X-Quality"))
 	if !ok {
 		return -1
 	}
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -45,7 +45,7 @@
 		if !bytes.EqualFold(f.Name, []byte("Content-Length")) {
 			continue
 		}
-		n, ok := ParseUint(f.Value)
+		n, ok := ParseDecimal(f.Value)
 		if !ok || found && int(n) != length {
 			return 0, false
 		}
@@ -54,8 +54,8 @@
 	return length, true
 }
 
-// ParseUint parses a decimal number of at most 9 digits. It reports whether b is one.
-func ParseUint(b []byte) (uint64, bool) {
+// ParseDecimal parses a decimal number of at most 9 digits. It reports whether b is one.
+func ParseDecimal(b []byte) (uint64, bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -163,7 +163,7 @@
 	m.id, m.status = control.SessionID(id), raw.Status
 	m.load = parseLoad(raw.Get("Link-State"), fields)
 	if raw.Status != 0 {
-		cseq, ok := header.ParseUint(raw.Get("CSeq"))
+		cseq, ok := header.ParseDecimal(raw.Get("CSeq"))
 		switch {
 		case !ok:
 			return m, false
@@ -209,7 +209,7 @@
 // parseCause parses "cause=N". Without it the cause is 16, an ordinary end.
 func parseCause(b []byte) int {
 	_, v, _ := strings.Cut(string(b), "cause=")
-	if n, ok := header.ParseUint([]byte(strings.TrimSpace(v))); ok {
+	if n, ok := header.ParseDecimal([]byte(strings.TrimSpace(v))); ok {
 		return int(n)
 	}
 	return 16
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -81,7 +81,7 @@
 	}
 	if bytes.Equal(first, version) {
 		code, _, _ := bytes.Cut(rest, []byte(" "))
-		n, ok := header.ParseUint(code)
+		n, ok := header.ParseDecimal(code)
 		if !ok || n < 100 || n > 599 {
 			return ErrSyntax
 		}
