--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -74,7 +74,7 @@
 }
 
 // retire closes the writing side. What the node has sent, or sends until it sees the
-// half-close, is still read, so a release that crosses it is not lost. The connection is
+// half-close, is still read, so a TEARDOWN by the node that crosses it is not lost. The connection is
 // closed after closeAfter at the latest.
 func (c *conn) retire(closeAfter time.Duration) {
 	c.unusable = true
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -642,7 +642,7 @@
 	}
 }
 
-// A retired connection is still read, since a release may cross the half-close.
+// A retired connection is still read, since a TEARDOWN by the node may cross the half-close.
 func TestRetiredConnectionIsRead(t *testing.T) {
 	near, far := tcpPair(t)
 	n, _, _, _ := newTestNode(t)
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -519,8 +519,8 @@
 	}
 }
 
-// closeConn closes a connection; its reader then posts connClosed. What the node has sent
-// and was not read yet is lost.
+// closeConn closes a connection; its reader then posts connClosed. Messages from the node that
+// were not read yet are lost.
 func (n *node) closeConn(c *conn) {
 	n.countBreak(c)
 	c.unusable = true
@@ -700,7 +700,7 @@
 		}
 	}
 	// Connections to a machine that is cut off stay open and silent: only a new one shows
-	// the failure. A new connection also carries the releases that found none.
+	// the failure. A new connection also carries the ends and releases that found none.
 	nodeSilent := now.Sub(n.lastAliveAt) > nodeSilenceTimeout
 	if now.After(n.redialAt) && (len(n.pendingReleases) > 0 || n.endMayBeLost() || len(n.established) > 0 && (nodeSilent || len(n.conns) == 0)) {
 		n.startDial()
