--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -1,23 +1,23 @@
-// Package header reads RTSP's header lines. It is by hand, as its parser is: its
-// fields are slices of the read buffer.
+// Package header parses the header lines of RTSP messages. Like the parser in package rtsp it
+// is hand-written: the fields are slices of the read buffer.
 package header
 
 import "bytes"
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
-// Field is one header line. Its slices are those of the buffer parsed.
+// Field is one header line. Its slices refer to the buffer that was parsed.
 type Field struct{ Name, Value []byte }
 
-// List is a message's header.
-type List []Field
+// Fields is the header of a message, in the order of its lines.
+type Fields []Field
 
-// Parse adds the lines of b, each ending in CRLF, to l. It tells whether all
-// are well formed.
-func (l List) Parse(b []byte) (List, bool) {
+// Parse appends the header lines in b, each of which ends in CRLF, to l. It reports whether
+// all of them are well-formed.
+func (l Fields) Parse(b []byte) (Fields, bool) {
 	for len(b) > 0 {
 		var line []byte
-		line, b, _ = bytes.Cut(b, lineEnd)
+		line, b, _ = bytes.Cut(b, crlf)
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
 			return l, false
@@ -28,7 +28,7 @@
 }
 
 // Get returns the value of the first field of that name, or nil.
-func (l List) Get(name string) []byte {
+func (l Fields) Get(name string) []byte {
 	for _, f := range l {
 		if len(f.Name) == len(name) && bytes.EqualFold(f.Name, []byte(name)) {
 			return f.Value
@@ -37,24 +37,25 @@
 	return nil
 }
 
-// Length reads Content-Length: 0 if there is none. Several must agree.
-func (l List) Length() (int, bool) {
-	length, seen := 0, false
+// ContentLength returns the value of Content-Length, or 0 if there is none. It reports whether
+// the value is valid; if the field occurs several times, the values must agree.
+func (l Fields) ContentLength() (int, bool) {
+	length, found := 0, false
 	for _, f := range l {
 		if !bytes.EqualFold(f.Name, []byte("Content-Length")) {
 			continue
 		}
-		n, ok := Uint(f.Value)
-		if !ok || seen && int(n) != length {
+		n, ok := ParseDecimal(f.Value)
+		if !ok || found && int(n) != length {
 			return 0, false
 		}
-		length, seen = int(n), true
+		length, found = int(n), true
 	}
 	return length, true
 }
 
-// Uint reads a decimal number of at most 9 digits.
-func Uint(b []byte) (uint64, bool) {
+// ParseDecimal parses a decimal number of at most 9 digits. It reports whether b is one.
+func ParseDecimal(b []byte) (uint64, bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -15,131 +15,134 @@
 	"millethinge/internal/stream"
 )
 
-// writeTime bounds a write. Messages are short: only a node that has long read
-// nothing makes one wait.
-const writeTime = 200 * time.Millisecond
+// writeTimeout bounds a write. Messages are short: a write blocks only if the node has
+// read nothing for long.
+const writeTimeout = 200 * time.Millisecond
 
-// partTime bounds how long a message may take to come whole.
-const partTime = 250 * time.Millisecond
+// partialMessageTimeout bounds the time from the first part of a message to the last.
+const partialMessageTimeout = 250 * time.Millisecond
 
-// errSpoilt reports a message that is well formed and still not what a node
-// means to send.
-var errSpoilt = errors.New("media: spoilt message")
+// errInvalidMessage reports a message that is well-formed RTSP and still no valid message
+// of a node.
+var errInvalidMessage = errors.New("media: invalid message")
 
 // conn is one connection to a node. The node's actor writes, a goroutine reads.
 type conn struct {
 	net.Conn
-	open    int       // set-ups open on it
-	touched time.Time // when it last carried anything
-	asked   time.Time // when the first set-up was written that no word is known to be later than; zero: none
-	heardAt time.Time // when the last word came; zero: none
-	used    bool      // it has carried a message
-	tested  bool      // a test asks whether it is mute
-	dead    bool      // nothing more is written on it
-	muteAt  time.Time // dead since then, for a set-up that timed out with no later word; zero: it isn't mute
-	broke   bool      // it is counted as broken
-	closeAt time.Time // when a dead one is closed; zero: by whoever made it dead
+	openSetUps        int       // set-ups sent on it that have not ended
+	lastUsedAt        time.Time // when it last carried a message, or was opened
+	unconfirmedSince  time.Time // when the first SETUP was written that no message is known to be later than; zero: none
+	lastReceivedAt    time.Time // when the last message came; zero: none yet
+	carriedMessage    bool      // a message was written on it
+	checkPending      bool      // a probe was sent to check whether it is unresponsive
+	unusable          bool      // nothing more is written on it
+	unresponsiveSince time.Time // when it was marked unresponsive, and with that unusable; zero: it is not
+	breakCounted      bool      // countBreak has counted it
+	closeAt           time.Time // when it is closed if it is unusable; zero: whoever made it unusable closes it
 }
 
-// write sends one message. It returns how many of its bytes left.
-func (c *conn) write(b []byte) (int, error) {
-	c.touched, c.used = time.Now(), true
-	if err := c.SetWriteDeadline(c.touched.Add(writeTime)); err != nil {
+// writeMessage writes one message. It returns how many of its bytes were written.
+func (c *conn) writeMessage(b []byte) (int, error) {
+	c.lastUsedAt, c.carriedMessage = time.Now(), true
+	if err := c.SetWriteDeadline(c.lastUsedAt.Add(writeTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Write(b)
 }
 
-// suspect tells whether a connection has been silent for so long, with a set-up that no
-// word is known to be later than, that it may be of no use any more.
+// suspect reports whether the connection may have failed: a SETUP was written that no message
+// is known to be later than, and nothing has come for longer than connSuspectTimeout.
 func (c *conn) suspect(now time.Time) bool {
-	silent := c.asked
-	if c.heardAt.After(silent) {
-		silent = c.heardAt
+	silentSince := c.unconfirmedSince
+	if c.lastReceivedAt.After(silentSince) {
+		silentSince = c.lastReceivedAt
 	}
-	return !c.asked.IsZero() && now.Sub(silent) > suspectTime
+	return !c.unconfirmedSince.IsZero() && now.Sub(silentSince) > connSuspectTimeout
 }
 
-// mute takes a connection for one that nothing more comes on, unless something does.
-func (c *conn) mute(now time.Time, within time.Duration) {
-	c.dead, c.muteAt, c.closeAt = true, now, now.Add(within)
+// markUnresponsive stops the use of a connection on which nothing more is expected. It is
+// used again if a message does come, and otherwise closed after closeAfter.
+func (c *conn) markUnresponsive(now time.Time, closeAfter time.Duration) {
+	c.unusable, c.unresponsiveSince, c.closeAt = true, now, now.Add(closeAfter)
 }
 
-// speak takes a mute one in use again.
-func (c *conn) speak() {
-	if !c.muteAt.IsZero() && !c.broke {
-		c.dead, c.muteAt, c.closeAt = false, time.Time{}, time.Time{}
+// markResponsive takes an unresponsive connection into use again.
+func (c *conn) markResponsive() {
+	if !c.unresponsiveSince.IsZero() && !c.breakCounted {
+		c.unusable, c.unresponsiveSince, c.closeAt = false, time.Time{}, time.Time{}
 	}
 }
 
-// retire ends the writing side. What the node has sent, or sends until it has
-// seen the end, is still read: a release that crosses the close is not lost.
-func (c *conn) retire(within time.Duration) {
-	c.dead = true
-	c.closeAt = time.Now().Add(within)
+// retire closes the writing side. What the node has sent, or sends until it sees the
+// half-close, is still read, so a TEARDOWN by the node that crosses it is not lost. The connection is
+// closed after closeAfter at the latest.
+func (c *conn) retire(closeAfter time.Duration) {
+	c.unusable = true
+	c.closeAt = time.Now().Add(closeAfter)
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		half.CloseWrite()
 	}
 }
 
+// messageKind is what a message means to the actor.
 type messageKind uint8
 
 const (
-	other    messageKind = iota
-	answered             // a final answer to SETUP, by status
-	tested               // an answer to OPTIONS
-	ended                // the node's TEARDOWN, by cause
-	noted                // ANNOUNCE
+	kindOther       messageKind = iota // shows only that the node is alive
+	kindSetUpAnswer                    // a final answer to SETUP
+	kindProbeAnswer                    // an answer to OPTIONS
+	kindTearDown                       // the node's TEARDOWN
+	kindAnnounce                       // the node's ANNOUNCE
 )
 
-// message is what the actor needs of one RTSP message.
+// message holds what the actor needs from one RTSP message.
 type message struct {
 	kind        messageKind
 	id          control.SessionID
-	status      int
-	cause       int
-	load        []float64
-	note        control.NoteKind
+	status      int              // of an answer; 0: a request
+	cause       int              // of a TEARDOWN
+	load        []float64        // of a load report, in the order of Config.LoadFields; nil: none
+	note        control.NoteKind // of an ANNOUNCE, with value
 	value       float64
-	description []byte
+	description []byte // the body of an answer to SETUP
 }
 
-// read passes what the node sends to post until the connection ends. post
-// returns false when the mailbox takes no more.
+// readMessages passes the messages that the node sends to post until the connection ends.
+// post returns false if the inbox is full.
 //
-// Guard: after what is spoilt nothing on a connection can be told apart, so it
-// ends there. That is what can't be parsed, does not come whole in time, lacks
-// what each message has, or is followed by what begins no message.
-func (c *conn) read(fields []string, post func(message) bool) error {
-	in := stream.NewReader(c, rtsp.MaxMessage)
+// Guard: after an invalid message the following ones cannot be told apart, so reading ends
+// there. Invalid is what cannot be parsed, is not complete in time, lacks what every
+// message has, or is followed by bytes that begin no message.
+func (c *conn) readMessages(fields []string, post func(message) bool) error {
+	reader := stream.NewReader(c, rtsp.MaxMessageSize)
 	var raw rtsp.Message
-	part := false
+	partial := false
 	for {
-		spoilt := false
-		err := in.Next(func(b []byte) (int, error) {
+		invalid := false
+		err := reader.Next(func(b []byte) (int, error) {
 			n, err := rtsp.Parse(b, &raw)
 			if err != nil {
 				return 0, err
 			}
-			if (n == 0) != part {
-				part = n == 0
-				var until time.Time
-				if part {
-					until = time.Now().Add(partTime)
+			if (n == 0) != partial {
+				partial = n == 0
+				var deadline time.Time
+				if partial {
+					deadline = time.Now().Add(partialMessageTimeout)
 				}
-				if err := c.SetReadDeadline(until); err != nil {
+				if err := c.SetReadDeadline(deadline); err != nil {
 					return 0, err
 				}
 			}
-			spoilt = !begins(b[n:])
+			invalid = !startsMessage(b[n:])
 			return n, nil
 		})
 		if err != nil {
 			return err
 		}
-		m, ok := understand(&raw, fields)
-		if !ok || spoilt {
-			return errSpoilt
+		m, ok := decode(&raw, fields)
+		if !ok || invalid {
+			return errInvalidMessage
 		}
 		if !post(m) {
 			return net.ErrClosed
@@ -147,12 +150,12 @@
 	}
 }
 
-// begins tells whether b can be the start of a message.
-func begins(b []byte) bool { return len(b) == 0 || b[0] >= 'A' && b[0] <= 'Z' }
+// startsMessage reports whether b is empty or can be the start of a message.
+func startsMessage(b []byte) bool { return len(b) == 0 || b[0] >= 'A' && b[0] <= 'Z' }
 
-// understand takes what the actor needs from one message. It tells whether the
-// message has what all of its kind have.
-func understand(raw *rtsp.Message, fields []string) (m message, ok bool) {
+// decode extracts what the actor needs from one message. It reports whether the message
+// has what every message of its kind has. fields names the fields of load reports.
+func decode(raw *rtsp.Message, fields []string) (m message, ok bool) {
 	id, err := strconv.ParseUint(string(raw.Get("Session")), 16, 64)
 	if err != nil || raw.Get("Content-Length") == nil {
 		return m, false
@@ -160,59 +163,60 @@
 	m.id, m.status = control.SessionID(id), raw.Status
 	m.load = parseLoad(raw.Get("Link-State"), fields)
 	if raw.Status != 0 {
-		seq, ok := header.Uint(raw.Get("CSeq"))
+		cseq, ok := header.ParseDecimal(raw.Get("CSeq"))
 		switch {
 		case !ok:
 			return m, false
 		case raw.Status < 200:
-		case seq == seqSetUp:
-			m.kind = answered
-			// Guard: a length that is too long swallows the next message's start.
+		case cseq == cseqSetUp:
+			m.kind = kindSetUpAnswer
+			// Guard: a Content-Length that is too long takes in the start of the next message.
 			if bytes.Contains(raw.Body, []byte("RTSP/1.0")) {
 				return m, false
 			}
-			// it outlives the read buffer: it goes on to the viewer
+			// copied, since it goes on to the viewer and outlives the read buffer
 			m.description = bytes.Clone(raw.Body)
-		case seq == seqTest:
-			m.kind = tested
+		case cseq == cseqProbe:
+			m.kind = kindProbeAnswer
 		}
 		return m, true
 	}
 	switch string(raw.Method) {
 	case "TEARDOWN":
-		m.kind, m.cause = ended, parseCause(raw.Get("Reason"))
+		m.kind, m.cause = kindTearDown, parseCause(raw.Get("Reason"))
 	case "ANNOUNCE":
-		m.kind, m.note = noted, notes[string(raw.Get("Fail-Word"))]
-		v, ok := number(raw.Get("X-Reading"))
+		m.kind, m.note = kindAnnounce, noteKinds[string(raw.Get("Fail-Word"))]
+		v, ok := parseNonNegative(raw.Get("X-Reading"))
 		if m.value = v; !ok || m.note == 0 {
-			m.kind = other
+			m.kind = kindOther
 		}
 	}
 	return m, true
 }
 
-// number reads a figure that can be reckoned with.
-func number(b []byte) (float64, bool) {
+// parseNonNegative parses a finite number that is not negative.
+func parseNonNegative(b []byte) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	return v, err == nil && v >= 0 && !math.IsInf(v, 0)
 }
 
-var notes = map[string]control.NoteKind{
+// noteKinds maps the values of an ANNOUNCE's Fail-Word header to kinds of notes.
+var noteKinds = map[string]control.NoteKind{
 	"delivered": control.NoteShare, "rung": control.NoteRung,
 	"link": control.NoteLink, "uplink": control.NoteUplink,
 }
 
-// parseCause reads "cause=N"; without it the end is an ordinary one.
+// parseCause parses "cause=N". Without it the cause is 16, an ordinary end.
 func parseCause(b []byte) int {
 	_, v, _ := strings.Cut(string(b), "cause=")
-	if n, ok := header.Uint([]byte(strings.TrimSpace(v))); ok {
+	if n, ok := header.ParseDecimal([]byte(strings.TrimSpace(v))); ok {
 		return int(n)
 	}
 	return 16
 }
 
-// parseLoad reads "name:value;…" into the order of the settings' fields. A
-// report that lacks one is no report.
+// parseLoad parses a load report, "name:value;…", and returns the values in the order of
+// fields. It returns nil if a field is missing or invalid.
 func parseLoad(b []byte, fields []string) []float64 {
 	if len(b) == 0 || len(fields) == 0 {
 		return nil
@@ -225,7 +229,7 @@
 			if string(bytes.TrimSpace(name)) != f {
 				continue
 			}
-			v, ok := number(bytes.TrimSpace(value))
+			v, ok := parseNonNegative(bytes.TrimSpace(value))
 			if !ok {
 				return nil
 			}
