--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -33,14 +33,14 @@
 	if set == nil {
 		return fmt.Errorf("the operator's file has no rules")
 	}
-	from := message.Origin{Front: v.Front, Came: time.Now()}
+	from := message.Origin{Front: v.Front, Received: time.Now()}
 	if v.Client != "" {
 		if from.Client, err = netip.ParseAddr(v.Client); err != nil {
 			return fmt.Errorf("--client: %w", err)
 		}
 	}
 	if v.At != "" {
-		if from.Came, err = time.Parse(time.RFC3339, v.At); err != nil {
+		if from.Received, err = time.Parse(time.RFC3339, v.At); err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
 	}
@@ -81,20 +81,20 @@
 // mostExplained is how much of a file is read.
 const mostExplained = 16 << 20
 
-func (v explainCmd) explain(out io.Writer, cfg *config.Config, catalog *message.Catalog, set *route.Set, line []byte, from message.Origin) error {
-	if len(line) > message.Max {
-		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.Max)
+func (v explainCmd) explain(out io.Writer, cfg *config.Config, catalog *message.SetupDecoder, set *route.Set, line []byte, from message.Origin) error {
+	if len(line) > message.MaxSize {
+		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.MaxSize)
 	}
 	var m message.Message
 	if err := message.Parse(line, &m); err != nil {
 		return err
 	}
-	r, err := catalog.Read(&m, from)
+	r, err := catalog.DecodeUnrouted(&m, from)
 	if err != nil {
 		return err
 	}
 	teams := cfg.Teams()
-	e := set.Explain(message.Routed(&m, &r, from))
+	e := set.Explain(message.RouteRequest(&m, &r, from))
 	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(r.ID), name(cfg.Classes, r.Class), name(teams, r.Team))
 	for i, s := range e.Steps {
 		if !s.Match && !v.All {
--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -414,7 +414,7 @@
 				t.Fatal(err)
 			}
 			defer asks.Close()
-			for range min(2*cfg.NodeConns(), peer.DefaultOpen) { // each takes a connection and keeps it, since its session stands
+			for range min(2*cfg.NodeConns(), peer.DefaultMaxSetups) { // each takes a connection and keeps it, since its session stands
 				c.ids++
 				fmt.Fprintf(asks, setUpLine, c.ids)
 			}
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -59,14 +59,14 @@
 	}
 	for front, lines := range map[string]bool{"lines": true, "frames": false} {
 		taken := core{make(chan broker.Request, 1), make(chan bool, 1)}
-		catalog := message.Catalog{Classes: []string{"feed"}, Cells: 1, MostLeft: time.Second}
+		catalog := message.SetupDecoder{Classes: []string{"feed"}, Cells: 1, MaxTimeLeft: time.Second}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		serve := (&websocket.Front{Core: taken, Catalog: catalog, Path: "/", Limits: peer.Limits{Most: 9}, Log: zap.NewNop()}).Serve
+		serve := (&websocket.Front{Broker: taken, Decoder: catalog, Path: "/", Limits: peer.Limits{MaxConns: 9}, Log: zap.NewNop()}).Serve
 		if lines {
-			serve = (&jsonl.Front{Core: taken, Catalog: catalog, Limits: peer.Limits{Most: 9}, Log: zap.NewNop()}).Serve
+			serve = (&jsonl.Front{Broker: taken, Decoder: catalog, Limits: peer.Limits{MaxConns: 9}, Log: zap.NewNop()}).Serve
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
--- a/internal/front/jsonl/ends.go
+++ b/internal/front/jsonl/ends.go
@@ -88,7 +88,7 @@
 	for _, o := range f.conns {
 		switch {
 		case o.Host != e.host || !o.sendEnd(e):
-		case o.Known():
+		case o.HadSession():
 			sent = true
 		default:
 			strangers++
@@ -102,7 +102,7 @@
 		if sent {
 			return
 		}
-		sent = o.Known() && o.sendEnd(e)
+		sent = o.HadSession() && o.sendEnd(e)
 	}
 	if sent {
 		return
@@ -127,13 +127,13 @@
 		}
 		f.Log.Info("end of a session sent late", zap.Uint64("session", uint64(e.reply.ID)),
 			zap.Duration("after", keepEnd-e.until.Sub(now)))
-		return c.Known()
+		return c.HadSession()
 	})
 }
 
-// Viewer returns a client that only carries ends of sessions, to a viewer at a host whose
+// InheritedClient returns a client that only carries ends of sessions, to a viewer at a host whose
 // connections an older process of this manager has.
-func (f *Front) Viewer(host string) broker.Client { return viewer{f, host} }
+func (f *Front) InheritedClient(host string) broker.Client { return viewer{f, host} }
 
 type viewer struct {
 	front *Front
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -22,12 +22,12 @@
 
 // Front serves viewers on one address.
 type Front struct {
-	Core    message.Core
-	Catalog message.Catalog
-	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
-	Reasons bool           // failures and refusals say why; the platform's protocol has no field for it
-	Log     *zap.Logger
+	Broker      message.Broker
+	Decoder     message.SetupDecoder
+	Limits      peer.Limits
+	Counts      *broker.Counts // nil: nobody asks
+	SendReasons bool           // failures and refusals say why; the platform's protocol has no field for it
+	Log         *zap.Logger
 
 	mu     sync.Mutex
 	conns  []*conn
@@ -64,15 +64,15 @@
 // carries tells whether the end of a session whose set-up came from a host may
 // be sent on c. Guard: an unknown host's connection may be anybody's, and its
 // client would take no notice.
-func (c *conn) carries(host string) bool { return c.Host == host || c.Known() }
+func (c *conn) carries(host string) bool { return c.Host == host || c.HadSession() }
 
 func (f *Front) remove(c *conn) {
-	c.Leave()
+	c.MarkReadEnded()
 	f.mu.Lock()
 	f.conns = slices.DeleteFunc(f.conns, func(o *conn) bool { return o == c })
 	f.mu.Unlock()
 	f.sendAgain(c.leave())
-	f.Core.Lost(c)
+	f.Broker.Lost(c)
 }
 
 // From tells where the viewer is.
@@ -83,23 +83,23 @@
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
 	case broker.Closed: // its set-up was answered; one that is open under that id is another
-		c.Fell()
+		c.SessionEnded()
 		return true
 	case broker.Over, broker.Moved: // likewise
-		c.Fell()
+		c.SessionEnded()
 		e := &end{reply: r, host: c.Host, until: time.Now().Add(keepEnd)}
 		if !c.sendEnd(e) {
 			c.front.sendEnd(e)
 		}
 		return true
 	}
-	defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+	defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	switch r.Kind {
 	case broker.GivenUp:
 		return true
 	case broker.Served:
 		c.know()
-		c.Stands()
+		c.SessionEstablished()
 	}
 	return c.send(r)
 }
@@ -109,27 +109,27 @@
 
 // know marks c as a connection of viewers who have had a session.
 func (c *conn) know() {
-	if c.Known() {
+	if c.HadSession() {
 		return
 	}
-	c.Know()
+	c.MarkHadSession()
 	c.front.mu.Lock()
 	c.front.flush(c)
 	c.front.mu.Unlock()
 }
 
 func (c *conn) send(r broker.Reply) bool {
-	if !c.front.Reasons {
+	if !c.front.SendReasons {
 		r.Reason = ""
 	}
-	return c.Put(append(message.AppendReply(nil, r), '\n'))
+	return c.Send(append(message.AppendReply(nil, r), '\n'))
 }
 
 // read handles lines until the connection ends or sends what is no message.
 func (c *conn) read() {
-	in := stream.NewReader(c, message.Max)
+	in := stream.NewReader(c, message.MaxSize)
 	var m message.Message
-	for c.Pace() {
+	for c.Throttle() {
 		var line []byte
 		err := in.Next(func(b []byte) (int, error) {
 			i := bytes.IndexByte(b, '\n')
@@ -139,7 +139,7 @@
 		if err != nil {
 			return
 		}
-		c.Whole(in.Buffered() > 0)
+		c.MessageRead(in.Buffered() > 0)
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
@@ -163,22 +163,22 @@
 		if err != nil {
 			return false
 		}
-		c.Answered(uint64(id)) // first: an attempt that is under way in the broker is not begun
-		return c.front.Core.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c})
+		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		return c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c})
 	case "released":
 		if id, err := message.ParseID(m.ID); err == nil {
 			c.heard(id)
 		}
 	case "ping":
-		return c.Put(append(message.AppendPong(nil, m.ID, c.Takes()), '\n'))
+		return c.Send(append(message.AppendPong(nil, m.ID, c.AcceptsClients()), '\n'))
 	}
 	return true // progress means nothing
 }
 
 func (c *conn) setUp(m *message.Message) bool {
-	r, err := c.front.Catalog.Setup(m, message.Origin{Front: "jsonl", Client: c.Addr, Came: time.Now()})
+	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "jsonl", Client: c.Addr, Received: time.Now()})
 	r.Client = c
-	if at := m.At(); at != nil {
+	if at := m.CurrentNode(); at != nil {
 		return c.stands(m, r, directory.ServerOf(string(at)), err)
 	}
 	switch {
@@ -187,7 +187,7 @@
 	case err != nil:
 		c.front.Log.Info("set-up not understood", zap.Error(err))
 		return c.send(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
-	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
+	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many wait, on this connection or before the module, or clients are
 		// sent away. Nothing has been tried.
 		c.front.Counts.Answered(r.Class, broker.Refused)
@@ -201,8 +201,8 @@
 // where it can't be held.
 func (c *conn) stands(m *message.Message, r broker.Request, at control.Server, err error) bool {
 	r.Playing = at
-	c.Stands()
-	if err == nil && c.front.Core.Submit(r) {
+	c.SessionEstablished()
+	if err == nil && c.front.Broker.Submit(r) {
 		c.know()
 		return true
 	}
--- a/internal/front/jsonl/jsonl_test.go
+++ b/internal/front/jsonl/jsonl_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	c := core{make(chan broker.Client, 9)}
-	f := &Front{Core: c, Catalog: message.Catalog{Classes: []string{"feed"}, Cells: 1, MostLeft: time.Second}, Limits: peer.Limits{Most: 4}, Log: zap.NewNop()}
+	f := &Front{Broker: c, Decoder: message.SetupDecoder{Classes: []string{"feed"}, Cells: 1, MaxTimeLeft: time.Second}, Limits: peer.Limits{MaxConns: 4}, Log: zap.NewNop()}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- f.Serve(ctx, l) }()
@@ -157,7 +157,7 @@
 func atHost(t *testing.T, play func(t *testing.T, h host)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := host{t, taker{core{make(chan broker.Client, 9)}, make(chan broker.Client, 9)}, make(pipes)}
-		f := &Front{Core: h.core, Catalog: message.Catalog{Classes: []string{"feed"}, Cells: 1, MostLeft: time.Second}, Limits: peer.Limits{Most: 9}, Log: zap.NewNop()}
+		f := &Front{Broker: h.core, Decoder: message.SetupDecoder{Classes: []string{"feed"}, Cells: 1, MaxTimeLeft: time.Second}, Limits: peer.Limits{MaxConns: 9}, Log: zap.NewNop()}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- f.Serve(ctx, h.l) }()
@@ -266,6 +266,6 @@
 func TestLongMessage(t *testing.T) {
 	_, dial := serve(t)
 	v, in := dial()
-	v.Write(make([]byte, message.Max+1))
+	v.Write(make([]byte, message.MaxSize+1))
 	hear(t, in, "")
 }
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -21,8 +21,8 @@
 	"millethinge/internal/route"
 )
 
-// Max is the longest message.
-const Max = 16 << 10
+// MaxSize is the longest message.
+const MaxSize = 16 << 10
 
 // ReasonBusy is told where too many set-ups wait already, on one connection or
 // before the module.
@@ -358,21 +358,21 @@
 	return b
 }
 
-// Core is the broker, as fronts see it.
-type Core interface {
+// Broker is the broker, as fronts see it.
+type Broker interface {
 	Submit(broker.Request) bool
 	End(broker.ViewerEnd) bool
 	Lost(broker.Client)
 }
 
-// Catalog is what a set-up's names mean at this deployment.
-type Catalog struct {
-	Routes   *route.Live // nil, or without a set: requests keep what they name
-	Classes  []string
-	Teams    []string // by tenant number
-	Cells    int
-	MaxRung  int
-	MostLeft time.Duration // the longest that a viewer waits
+// SetupDecoder is what a set-up's names mean at this deployment.
+type SetupDecoder struct {
+	Routes      *route.Live // nil, or without a set: requests keep what they name
+	Classes     []string
+	Teams       []string // by tenant number
+	Cells       int
+	MaxRung     int
+	MaxTimeLeft time.Duration // the longest that a viewer waits
 }
 
 // roomOnWire is what a set-up takes up beside its description on the way to a
@@ -381,9 +381,9 @@
 
 // Origin is where a message came from.
 type Origin struct {
-	Front  string
-	Client netip.Addr
-	Came   time.Time
+	Front    string
+	Client   netip.Addr
+	Received time.Time
 }
 
 // Field returns a field's value, or nil.
@@ -392,9 +392,9 @@
 // Extra returns one of the figures in extras, or nil.
 func (m *Message) Extra(name string) []byte { return extra(m.Get("extras"), name) }
 
-// Setup understands a set-up, and has it routed.
-func (c *Catalog) Setup(m *Message, from Origin) (broker.Request, error) {
-	r, err := c.Read(m, from)
+// Decode understands a set-up, and has it routed.
+func (c *SetupDecoder) Decode(m *Message, from Origin) (broker.Request, error) {
+	r, err := c.DecodeUnrouted(m, from)
 	if err != nil {
 		return r, err
 	}
@@ -403,7 +403,7 @@
 		routes = c.Routes.Load()
 	}
 	if routes != nil {
-		r.Route = routes.Route(Routed(m, &r, from))
+		r.Route = routes.Route(RouteRequest(m, &r, from))
 		r.Class, r.Team = r.Route.Class, r.Route.Team
 	}
 	if r.Class < 0 {
@@ -414,21 +414,21 @@
 	return r, nil
 }
 
-// Routed is a set-up as rules look at it.
-func Routed(m *Message, r *broker.Request, from Origin) *route.Request {
+// RouteRequest is a set-up as rules look at it.
+func RouteRequest(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
 		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Span, Top: r.MaxRung, Left: r.Left,
 		Retry: string(m.Get("retry")) == "1", Again: string(m.Extra("again")) == "1",
-		Front: from.Front, Client: from.Client, Came: from.Came, Texts: m,
+		Front: from.Front, Client: from.Client, Came: from.Received, Texts: m,
 	}
 }
 
-// Read understands what a set-up names, but for its description. It may name no
+// DecodeUnrouted understands what a set-up names, but for its description. It may name no
 // class. What lacks a figure that it needs, or has one that is out of range, is an
 // error: a node could not use it either, and an error of a node's counts against
 // the node.
-func (c *Catalog) Read(m *Message, from Origin) (broker.Request, error) {
-	r := broker.Request{Came: from.Came, Class: -1, Team: -1}
+func (c *SetupDecoder) DecodeUnrouted(m *Message, from Origin) (broker.Request, error) {
+	r := broker.Request{Came: from.Received, Class: -1, Team: -1}
 	var err error
 	if r.ID, err = ParseID(m.ID); err != nil {
 		return r, err
@@ -448,7 +448,7 @@
 	}
 	left, ok := figure(m.Get("left"), 1, float64(math.MaxInt32))
 	r.Left = time.Duration(left) * time.Millisecond
-	if !ok || r.Left > c.MostLeft && m.At() == nil {
+	if !ok || r.Left > c.MaxTimeLeft && m.CurrentNode() == nil {
 		return r, errors.New("left is out of range")
 	}
 	extras := m.Get("extras")
@@ -459,7 +459,7 @@
 		return r, errors.New("home, copies or top is missing or out of range")
 	}
 	r.Home, r.Span, r.MaxRung = int(home), int(span), top
-	if len(m.SDP) > Max-roomOnWire {
+	if len(m.SDP) > MaxSize-roomOnWire {
 		return r, errors.New("description too long")
 	}
 	r.Named.Class, r.Named.Team = r.Class, r.Team
@@ -483,8 +483,8 @@
 	return nil
 }
 
-// At returns the node that a set-up says it plays at already, or nil.
-func (m *Message) At() []byte { return extra(m.Get("extras"), "at") }
+// CurrentNode returns the node that a set-up says it plays at already, or nil.
+func (m *Message) CurrentNode() []byte { return extra(m.Get("extras"), "at") }
 
 // ParseID reads a session's name of 16 hexadecimal digits.
 func ParseID(b []byte) (control.SessionID, error) {
--- a/internal/front/message/message_test.go
+++ b/internal/front/message/message_test.go
@@ -14,17 +14,17 @@
 const setUp = `{"type":"setup", "id":"9b1f03aa5c7e2d41","fields":{"class":"feed","left":1500,"key":"7f3a9c21e0b4d655",` +
 	`"extras":"home:4;copies:3;top:2;at:s-1"},"sdp":"a\r\n\u00e9\ud83d\ude00\"\/","other":[1,{"x":null}],"cause":3}`
 
-var catalog = Catalog{Classes: []string{"clip", "feed"}, Teams: []string{"a", "b"}, Cells: 8, MaxRung: 3, MostLeft: 2 * time.Second}
+var catalog = SetupDecoder{Classes: []string{"clip", "feed"}, Teams: []string{"a", "b"}, Cells: 8, MaxRung: 3, MaxTimeLeft: 2 * time.Second}
 
 func TestSetup(t *testing.T) {
 	var m Message
 	if err := Parse([]byte(setUp), &m); err != nil {
 		t.Fatal(err)
 	}
-	r, err := catalog.Setup(&m, Origin{Came: time.Unix(9, 0)})
+	r, err := catalog.Decode(&m, Origin{Received: time.Unix(9, 0)})
 	if err != nil || r.ID != 0x9b1f03aa5c7e2d41 || r.Class != 1 || r.Left != 1500*time.Millisecond || r.Team != -1 ||
 		r.Title != 0x7f3a9c21e0b4d655 || r.Home != 4 || r.Span != 3 || r.MaxRung != 2 || m.Cause != 3 ||
-		string(r.Description) != "a\r\né😀\"/" || string(m.At()) != "s-1" {
+		string(r.Description) != "a\r\né😀\"/" || string(m.CurrentNode()) != "s-1" {
 		t.Errorf("%+v, %v", r, err)
 	}
 	for _, change := range [][2]string{
@@ -33,13 +33,13 @@
 		{"1500", `"NaN"`}, {"1500", `"-5"`}, {"1500", `"soon"`}, {"1500", `""`}, {"1500", `"99999999999999999999999"`}, {"1500", "2001"},
 		{"home:4", "home:8"}, {"home:4", "home:-1"}, {"home:4;", ""}, {"copies:3", "copies:0"}, {"copies:3", "copies:NaN"},
 		{"copies:3", "copies:9"}, {"copies:3;", ""}, {"top:2", "top:99"}, {"top:2", "top:Inf"}, {"top:2", "x"},
-		{`a\r`, strings.Repeat("a", Max-roomOnWire)},
+		{`a\r`, strings.Repeat("a", MaxSize-roomOnWire)},
 	} {
 		text := strings.Replace(strings.Replace(setUp, ";at:s-1", "", 1), change[0], change[1], 1)
 		if err := Parse([]byte(text), &m); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := catalog.Setup(&m, Origin{}); err == nil {
+		if _, err := catalog.Decode(&m, Origin{}); err == nil {
 			t.Errorf("no error for %s", change[1])
 		}
 	}
@@ -85,7 +85,7 @@
 		if Parse(in, &m) != nil {
 			return
 		}
-		if r, err := catalog.Setup(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= catalog.Cells ||
+		if r, err := catalog.Decode(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= catalog.Cells ||
 			r.Span < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.Left <= 0) {
 			t.Errorf("%q: taken as %+v", keep, r)
 		}
@@ -101,7 +101,7 @@
 
 // BenchmarkParse reads a set-up and understands what it names.
 func BenchmarkParse(b *testing.B) {
-	catalog := Catalog{Classes: []string{"clip", "feed"}, Cells: 16, MaxRung: 3, MostLeft: time.Minute}
+	catalog := SetupDecoder{Classes: []string{"clip", "feed"}, Cells: 16, MaxRung: 3, MaxTimeLeft: time.Minute}
 	line := []byte(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"clip","left":"1500","key":"7f3a9c21e0b4d655","extras":"home:4;copies:3;top:3;viewer:00000000b4d65521"},"sdp":"9d41c07a5be2f318 c=IN IP4 10.4.7.9 m=audio 31000 RTP/AVP 0 8 101"}`)
 	var m Message
 	b.ReportAllocs()
@@ -109,7 +109,7 @@
 		if err := Parse(line, &m); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := catalog.Setup(&m, Origin{}); err != nil {
+		if _, err := catalog.Decode(&m, Origin{}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -133,8 +133,8 @@
 	if err := Parse([]byte(text), &m); err != nil {
 		t.Fatal(err)
 	}
-	r, err := catalog.Read(&m, Origin{})
-	if routed := Routed(&m, &r, Origin{}); err != nil || r.Class != 1 || routed.Class != 1 || string(routed.Texts.Field("shop")) != "a" || routed.Texts.Field("none") != nil {
+	r, err := catalog.DecodeUnrouted(&m, Origin{})
+	if routed := RouteRequest(&m, &r, Origin{}); err != nil || r.Class != 1 || routed.Class != 1 || string(routed.Texts.Field("shop")) != "a" || routed.Texts.Field("none") != nil {
 		t.Errorf("%+v, %v", routed, err)
 	}
 }
--- a/internal/front/peer/ends_test.go
+++ b/internal/front/peer/ends_test.go
@@ -40,14 +40,14 @@
 				t.Errorf("%s: its place is free before its descriptor", name)
 			default:
 			}
-			if c.Opened(1) {
+			if c.OpenSetup(1) {
 				t.Errorf("%s: a set-up opens", name)
 			}
-			if c.Put([]byte("x")) {
+			if c.Send([]byte("x")) {
 				t.Errorf("%s: an answer is taken", name)
 			}
 		}}
-		r := &room{Limits: Limits{Most: 1}, all: map[*Conn]bool{c: true}}
+		r := &room{Limits: Limits{MaxConns: 1}, all: map[*Conn]bool{c: true}}
 		if end(r, c); !told {
 			t.Errorf("%s: not closed", name)
 		}
@@ -59,18 +59,18 @@
 // nor over an answer that is not written.
 func TestNothingOwedIsClosed(t *testing.T) {
 	owes, answered, idle := at(0), at(0), at(0)
-	owes.Opened(1)
+	owes.OpenSetup(1)
 	answered.waiting.Store(1)
 	for name, c := range map[string]*Conn{"owes": owes, "answered": answered} {
-		if c.shut() || !c.Opened(2) {
+		if c.shut() || !c.OpenSetup(2) {
 			t.Errorf("%s: shut", name)
 		}
-		c.Answered(2)
+		c.CloseSetup(2)
 	}
-	if !idle.shut() || idle.Opened(1) {
+	if !idle.shut() || idle.OpenSetup(1) {
 		t.Error("a set-up opens on what is to be closed")
 	}
-	r := &room{Limits: Limits{Most: 2}, all: map[*Conn]bool{owes: true, answered: true}}
+	r := &room{Limits: Limits{MaxConns: 2}, all: map[*Conn]bool{owes: true, answered: true}}
 	if r.enter(at(0)) || len(r.all) != 2 {
 		t.Error("a place that is owed something is given away")
 	}
@@ -79,7 +79,7 @@
 // A room that another process gets half of gives its part up when the next one comes.
 func TestHalfRoom(t *testing.T) {
 	shared := false
-	r := &room{Limits: Limits{Most: 6, Half: 3, Shared: func() bool { return shared }}, all: map[*Conn]bool{}}
+	r := &room{Limits: Limits{MaxConns: 6, MaxConnsInUpgrade: 3, UpgradeInProgress: func() bool { return shared }}, all: map[*Conn]bool{}}
 	for range 7 {
 		r.enter(at(wordTime))
 	}
@@ -124,7 +124,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		l, done := script(), make(chan error)
 		go func() {
-			done <- Serve(ctx, l, Limits{Most: most}, log, func(_ context.Context, c *Conn) { handle(c) })
+			done <- Serve(ctx, l, Limits{MaxConns: most}, log, func(_ context.Context, c *Conn) { handle(c) })
 		}()
 		play(l)
 		cancel()
@@ -142,8 +142,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			l, opened, done := script(), make(chan *Conn), make(chan error)
 			go func() {
-				done <- Serve(ctx, l, Limits{Most: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
-					c.Opened(1)
+				done <- Serve(ctx, l, Limits{MaxConns: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
+					c.OpenSetup(1)
 					opened <- c
 					c.Read(make([]byte, 1))
 				})
@@ -152,15 +152,15 @@
 			c := <-opened
 			cancel()
 			synctest.Wait()
-			if c.Opened(2) {
+			if c.OpenSetup(2) {
 				t.Error("a set-up opens at the end")
 			}
 			want := ""
 			if answered {
 				want = "last"
 				go func() {
-					c.Put([]byte(want))
-					c.Answered(1)
+					c.Send([]byte(want))
+					c.CloseSetup(1)
 				}()
 			}
 			if got, _ := io.ReadAll(far); string(got) != want {
@@ -179,7 +179,7 @@
 	core, seen := observer.New(zap.WarnLevel)
 	played(t, 9, zap.New(core), func(c *Conn) {
 		c.Read(make([]byte, 1))
-		c.Put([]byte("served"))
+		c.Send([]byte("served"))
 	}, func(l *scripted) {
 		begun, idle := time.Now(), l.dial()
 		synctest.Wait()
@@ -205,9 +205,9 @@
 func TestFirstRequestIsRead(t *testing.T) {
 	played(t, 1, zap.NewNop(), func(c *Conn) {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			c.Opened(1)
-			c.Put([]byte("served"))
-			c.Answered(1)
+			c.OpenSetup(1)
+			c.Send([]byte("served"))
+			c.CloseSetup(1)
 		}
 	}, func(l *scripted) {
 		for range 3 {
--- a/internal/front/peer/peer.go
+++ b/internal/front/peer/peer.go
@@ -52,8 +52,8 @@
 	acceptAfter = 10 * time.Millisecond // an error of the listener's
 )
 
-// DefaultOpen is how many set-ups may be open on one connection.
-const DefaultOpen = 128
+// DefaultMaxSetups is how many set-ups may be open on one connection.
+const DefaultMaxSetups = 128
 
 // Conn is one connection. Its owner reads; what is Put is written by an actor.
 type Conn struct {
@@ -96,18 +96,18 @@
 // Gate tells whether clients are taken. All connections ask it, at any time.
 type Gate interface {
 	// Takes tells what a test is answered.
-	Takes() bool
+	AcceptsClients() bool
 	// LetsGo tells whether a connection is closed that is owed nothing and has sent
 	// nothing for a time. holds: sessions that were set up on it stand.
-	LetsGo(now time.Time, idle time.Duration, holds bool) bool
+	ClosesIdle(now time.Time, idle time.Duration, holds bool) bool
 	// Refuses tells whether a new request is refused unheard.
-	Refuses(now time.Time) bool
+	RefusesSetups(now time.Time) bool
 }
 
 func newConn(nc net.Conn, open int, gate Gate, log *zap.Logger) *Conn {
 	host, _, _ := net.SplitHostPort(nc.RemoteAddr().String())
 	if open <= 0 {
-		open = DefaultOpen
+		open = DefaultMaxSetups
 	}
 	var addr netip.Addr
 	if tcp, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
@@ -123,9 +123,9 @@
 	return c
 }
 
-// Whole tells that a message has been read, and whether a part of the next one
+// MessageRead tells that a message has been read, and whether a part of the next one
 // has come with it.
-func (c *Conn) Whole(more bool) {
+func (c *Conn) MessageRead(more bool) {
 	now := int64(time.Since(c.came)) + 1
 	c.whole.Store(now)
 	if !more {
@@ -171,14 +171,14 @@
 	return c.until.Sub(c.since) > behindTime && now.Sub(c.until) <= behindTime
 }
 
-// Leave notes that its owner reads no more, whatever ended that. The owner calls it before
+// MarkReadEnded notes that its owner reads no more, whatever ended that. The owner calls it before
 // it tells others, who may ask Gone.
-func (c *Conn) Leave() { c.left.Store(true) }
+func (c *Conn) MarkReadEnded() { c.left.Store(true) }
 
-// Pace waits until the reader of what was Put has caught up. The owner calls it
+// Throttle waits until the reader of what was Put has caught up. The owner calls it
 // before it reads on, so that what waits for a connection is bounded by what it
 // is sent, and not by what it sends. False: the connection is gone.
-func (c *Conn) Pace() bool {
+func (c *Conn) Throttle() bool {
 	if c.waiting.Load() <= paceBytes {
 		return true
 	}
@@ -199,19 +199,19 @@
 	return true
 }
 
-// Takes tells what a test on this connection is answered.
-func (c *Conn) Takes() bool { return c.gate == nil || c.gate.Takes() }
+// AcceptsClients tells what a test on this connection is answered.
+func (c *Conn) AcceptsClients() bool { return c.gate == nil || c.gate.AcceptsClients() }
 
-// Opened counts a set-up as open until Answered. False: too many are, the
+// OpenSetup counts a set-up as open until Answered. False: too many are, the
 // connection is about to close and could not carry the answer, or clients have been
 // sent away for so long that no more are heard.
-func (c *Conn) Opened(id uint64) bool {
+func (c *Conn) OpenSetup(id uint64) bool {
 	select {
 	case <-c.finish:
 		return false
 	default:
 	}
-	if c.gate != nil && c.gate.Refuses(time.Now()) {
+	if c.gate != nil && c.gate.RefusesSetups(time.Now()) {
 		return false
 	}
 	c.mu.Lock()
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Answered ends what Opened began: the set-up is owed no answer any more, whether it has
+// CloseSetup ends what Opened began: the set-up is owed no answer any more, whether it has
 // had it or its client has cancelled it.
-func (c *Conn) Answered(id uint64) {
+func (c *Conn) CloseSetup(id uint64) {
 	c.mu.Lock()
 	delete(c.open, id)
 	c.mu.Unlock()
@@ -274,16 +274,16 @@
 	return len(c.open) > 0
 }
 
-// Know marks a connection whose client has had a session.
-func (c *Conn) Know() { c.known.Store(true) }
+// MarkHadSession marks a connection whose client has had a session.
+func (c *Conn) MarkHadSession() { c.known.Store(true) }
 
-// Stands counts a session that stands by a set-up on this connection, and Fell one that
+// SessionEstablished counts a session that stands by a set-up on this connection, and Fell one that
 // no longer does.
-func (c *Conn) Stands() { c.standing.Add(1) }
-func (c *Conn) Fell()   { c.standing.Add(-1) }
+func (c *Conn) SessionEstablished() { c.standing.Add(1) }
+func (c *Conn) SessionEnded()       { c.standing.Add(-1) }
 
-// Known tells whether its client has had a session.
-func (c *Conn) Known() bool { return c.known.Load() }
+// HadSession tells whether its client has had a session.
+func (c *Conn) HadSession() bool { return c.known.Load() }
 
 // drips is why a connection is closed also where set-ups are open on it.
 const drips = "no whole message"
@@ -299,9 +299,9 @@
 		return drips
 	case c.owes():
 		return ""
-	case begun == 0 && c.gate != nil && c.gate.LetsGo(now, age-whole, c.standing.Load() > 0):
+	case begun == 0 && c.gate != nil && c.gate.ClosesIdle(now, age-whole, c.standing.Load() > 0):
 		return "clients are sent away"
-	case !c.told.Load() && !c.Known() && age > wordTime:
+	case !c.told.Load() && !c.HadSession() && age > wordTime:
 		return "nothing to answer"
 	case age-whole > idleTime && c.standing.Load() <= 0:
 		return "idle"
@@ -309,8 +309,8 @@
 	return ""
 }
 
-// Put queues bytes. A reader that lets too many wait loses its connection.
-func (c *Conn) Put(b []byte) bool {
+// Send queues bytes. A reader that lets too many wait loses its connection.
+func (c *Conn) Send(b []byte) bool {
 	select {
 	case <-c.gone:
 		return false
@@ -336,11 +336,11 @@
 	})
 }
 
-// Farewell sets what is written last when the program ends.
-func (c *Conn) Farewell(b []byte) { c.bye.Store(&b) }
+// SetFarewell sets what is written last when the program ends.
+func (c *Conn) SetFarewell(b []byte) { c.bye.Store(&b) }
 
-// Finish closes the connection once what is queued is written.
-func (c *Conn) Finish() { c.ending.Do(func() { close(c.finish) }) }
+// CloseAfterWrites closes the connection once what is queued is written.
+func (c *Conn) CloseAfterWrites() { c.ending.Do(func() { close(c.finish) }) }
 
 // Close ends the connection at once.
 func (c *Conn) Close() error {
@@ -350,7 +350,7 @@
 
 // end takes nothing more, closes the descriptor, and tells that it is free.
 func (c *Conn) end() {
-	c.Finish()
+	c.CloseAfterWrites()
 	c.Conn.Close()
 	close(c.gone)
 }
@@ -443,18 +443,18 @@
 
 // Limits is what one listener's connections may take up.
 type Limits struct {
-	Most   int         // connections at once
-	Half   int         // of them while Shared says so
-	Shared func() bool // another process has its half of the descriptors; nil: none ever has
-	Open   int         // set-ups open on each; 0: DefaultOpen
-	Gate   Gate        // nil: clients are always taken
+	MaxConns          int         // connections at once
+	MaxConnsInUpgrade int         // of them while Shared says so
+	UpgradeInProgress func() bool // another process has its half of the descriptors; nil: none ever has
+	MaxSetups         int         // set-ups open on each; 0: DefaultOpen
+	Gate              Gate        // nil: clients are always taken
 }
 
 // full tells whether there is no place for one more.
 func (r *room) full() bool {
-	most := r.Most
-	if r.Shared != nil && r.Shared() {
-		most = r.Half
+	most := r.MaxConns
+	if r.UpgradeInProgress != nil && r.UpgradeInProgress() {
+		most = r.MaxConnsInUpgrade
 	}
 	return len(r.all) >= most
 }
@@ -540,7 +540,7 @@
 	if h := c.standing.Load() > 0; h != (o.standing.Load() > 0) {
 		return !h
 	}
-	if k := c.Known(); k != o.Known() {
+	if k := c.HadSession(); k != o.HadSession() {
 		return !k
 	}
 	return c.last().Before(o.last())
@@ -568,7 +568,7 @@
 			for c := range r.all {
 				if why := c.overdue(now); why == drips || why != "" && c.shut() {
 					log.Debug("viewer's connection closed", zap.String("from", c.Host), zap.String("why", why))
-					c.Finish()
+					c.CloseAfterWrites()
 				}
 			}
 			r.mu.Unlock()
@@ -610,7 +610,7 @@
 			continue
 		}
 		said = ""
-		c := newConn(nc, limits.Open, limits.Gate, log)
+		c := newConn(nc, limits.MaxSetups, limits.Gate, log)
 		// Guard: descriptors beyond the viewers' part are not held, and those who
 		// say nothing or stay for good lock nobody out.
 		if !r.enter(c) {
@@ -621,7 +621,7 @@
 		group.Go(func() error {
 			// It takes up its place until its last answers are out as well.
 			defer func() { <-c.gone; r.leave(c) }()
-			defer c.Finish()
+			defer c.CloseAfterWrites()
 			defer close(c.unread)
 			defer func() {
 				// Guard: what one peer sends costs at most its connection.
--- a/internal/front/peer/peer_test.go
+++ b/internal/front/peer/peer_test.go
@@ -22,7 +22,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		done <- Serve(ctx, l, Limits{Most: 2}, zap.NewNop(), func(_ context.Context, c *Conn) { handle(c) })
+		done <- Serve(ctx, l, Limits{MaxConns: 2}, zap.NewNop(), func(_ context.Context, c *Conn) { handle(c) })
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -52,11 +52,11 @@
 		case "flood\n":
 			ok := true
 			for range 1 << 16 {
-				ok = ok && c.Put(make([]byte, 1<<16))
+				ok = ok && c.Send(make([]byte, 1<<16))
 			}
 			slow <- ok
 		default:
-			c.Put([]byte("served\n"))
+			c.Send([]byte("served\n"))
 		}
 	})
 	for _, word := range []string{"panic", "flood", "a", "b", "c"} {
@@ -85,8 +85,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() {
-		done <- Serve(ctx, l, Limits{Most: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
-			c.Farewell([]byte("bye\n"))
+		done <- Serve(ctx, l, Limits{MaxConns: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
+			c.SetFarewell([]byte("bye\n"))
 			ready <- c
 			c.Read(make([]byte, 1))
 		})
@@ -96,7 +96,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	(<-ready).Put([]byte("last\n"))
+	(<-ready).Send([]byte("last\n"))
 	cancel()
 	in := bufio.NewReader(c)
 	for _, want := range []string{"last\n", "bye\n", ""} {
@@ -129,17 +129,23 @@
 		"new":               {wordTime / 2, func(c *Conn) {}, ""},
 		"silent":            {wordTime * 2, func(c *Conn) {}, "no whole message"},
 		"drips":             {ever, func(c *Conn) { c.whole.Store(int64(ever - 3*wordTime)); c.begun.Store(int64(ever - 2*wordTime)) }, "no whole message"},
-		"half the next":     {ever, func(c *Conn) { c.Put(nil); c.Whole(true) }, ""},
-		"drips on a set-up": {ever, func(c *Conn) { c.Opened(1); c.begun.Store(1) }, "no whole message"},
-		"takes all back":    {wordTime * 2, func(c *Conn) { c.Whole(false); c.Opened(1); c.Answered(1) }, "nothing to answer"},
-		"waits":             {wordTime * 2, func(c *Conn) { c.Whole(false); c.Opened(1) }, ""},
-		"waits for long":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Opened(1) }, ""},
-		"is told":           {wordTime * 2, func(c *Conn) { c.Whole(false); c.Put(nil) }, ""},
-		"stays for good":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Put(nil) }, "idle"},
-		"with a session":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Put(nil); c.Stands() }, ""},
-		"which has ended":   {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Put(nil); c.Stands(); c.Fell() }, "idle"},
-		"in use":            {ever, func(c *Conn) { c.Put(nil); c.Whole(false) }, ""},
-		"has its session":   {wordTime * 2, func(c *Conn) { c.Whole(false); c.Know() }, ""},
+		"half the next":     {ever, func(c *Conn) { c.Send(nil); c.MessageRead(true) }, ""},
+		"drips on a set-up": {ever, func(c *Conn) { c.OpenSetup(1); c.begun.Store(1) }, "no whole message"},
+		"takes all back":    {wordTime * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1); c.CloseSetup(1) }, "nothing to answer"},
+		"waits":             {wordTime * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1) }, ""},
+		"waits for long":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.OpenSetup(1) }, ""},
+		"is told":           {wordTime * 2, func(c *Conn) { c.MessageRead(false); c.Send(nil) }, ""},
+		"stays for good":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Send(nil) }, "idle"},
+		"with a session":    {ever, func(c *Conn) { c.whole.Store(1); c.begun.Store(0); c.Send(nil); c.SessionEstablished() }, ""},
+		"which has ended": {ever, func(c *Conn) {
+			c.whole.Store(1)
+			c.begun.Store(0)
+			c.Send(nil)
+			c.SessionEstablished()
+			c.SessionEnded()
+		}, "idle"},
+		"in use":          {ever, func(c *Conn) { c.Send(nil); c.MessageRead(false) }, ""},
+		"has its session": {wordTime * 2, func(c *Conn) { c.MessageRead(false); c.MarkHadSession() }, ""},
 	} {
 		c := at(e.age)
 		e.do(c)
@@ -152,17 +158,17 @@
 // A full room goes on taking connections: the one that is missed least goes.
 func TestFullRoom(t *testing.T) {
 	holds, known, busy, asked, idle, fresh := at(9*time.Hour), at(9*time.Hour), at(9*time.Hour), at(8*time.Hour), at(7*time.Hour), at(0)
-	holds.Know()
-	holds.Stands()
-	known.Know()
+	holds.MarkHadSession()
+	holds.SessionEstablished()
+	known.MarkHadSession()
 	known.whole.Store(int64(time.Hour)) // idle for less long than holds
-	busy.Opened(1)
+	busy.OpenSetup(1)
 	asked.whole.Store(int64(7 * time.Hour))
 	idle.whole.Store(int64(time.Hour))
-	r := &room{Limits: Limits{Most: 6}, all: map[*Conn]bool{holds: true, known: true, busy: true, asked: true, idle: true, fresh: true}}
+	r := &room{Limits: Limits{MaxConns: 6}, all: map[*Conn]bool{holds: true, known: true, busy: true, asked: true, idle: true, fresh: true}}
 	for i, gone := range []*Conn{idle, asked, fresh, known, holds} {
 		c := at(0)
-		c.Opened(1)
+		c.OpenSetup(1)
 		if !r.enter(c) || r.all[gone] || len(r.all) != 6 {
 			t.Errorf("%d: the wrong one went", i)
 		}
@@ -174,15 +180,15 @@
 
 func TestMostOpen(t *testing.T) {
 	c := at(0)
-	for id := range uint64(DefaultOpen) {
-		if !c.Opened(id) {
+	for id := range uint64(DefaultMaxSetups) {
+		if !c.OpenSetup(id) {
 			t.Fatal(id)
 		}
 	}
-	if c.Opened(DefaultOpen) {
+	if c.OpenSetup(DefaultMaxSetups) {
 		t.Error("no limit")
 	}
-	if c.Answered(1); !c.Opened(DefaultOpen) {
+	if c.CloseSetup(1); !c.OpenSetup(DefaultMaxSetups) {
 		t.Error("an answered set-up is still counted")
 	}
 }
@@ -202,10 +208,10 @@
 	defer far.Close()
 	defer near.Close()
 	c := newConn(near, 1, nil, zap.NewNop())
-	if !c.Opened(1) || !c.Opened(1) || c.Opened(2) || c.Gone(1) || !c.Gone(2) {
+	if !c.OpenSetup(1) || !c.OpenSetup(1) || c.OpenSetup(2) || c.Gone(1) || !c.Gone(2) {
 		t.Error("the same id takes a second place, or another one none")
 	}
-	if c.Answered(1); !c.Gone(1) || !c.Opened(2) {
+	if c.CloseSetup(1); !c.Gone(1) || !c.OpenSetup(2) {
 		t.Error("an answer frees no place")
 	}
 }
@@ -217,8 +223,8 @@
 		c, far := piped(0)
 		defer far.Close()
 		start, most := time.Now(), int64(0)
-		for c.Pace() {
-			c.Put(make([]byte, 1000))
+		for c.Throttle() {
+			c.Send(make([]byte, 1000))
 			most = max(most, c.waiting.Load())
 		}
 		if took := time.Since(start); took != writeTime || most > paceBytes+1000 {
@@ -250,10 +256,10 @@
 		say := func(s string) { go far.Write([]byte(s)) }
 		buf := make([]byte, 4)
 		read, look := func() { c.Read(buf) }, func() {}
-		c.Opened(1)
-		step("slow, and read from", 9*behindTime, false, func() { c.Put(make([]byte, paceBytes+1)); read() })
+		c.OpenSetup(1)
+		step("slow, and read from", 9*behindTime, false, func() { c.Send(make([]byte, paceBytes+1)); read() })
 		say("ask") // all of it is read before the pause
-		step("not read from for a moment", behindTime, false, func() { c.Pace() })
+		step("not read from for a moment", behindTime, false, func() { c.Throttle() })
 		step("for long", 1, true, look)
 		time.Sleep(9 * behindTime)
 		io.ReadFull(far, make([]byte, paceBytes+1))
@@ -283,18 +289,18 @@
 func TestSlowReaderStays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, far := piped(0)
-		c.Whole(true) // more has come than was read
+		c.MessageRead(true) // more has come than was read
 		const n = 600
 		go func() {
 			for i := range n {
-				if !c.Pace() || !c.Put([]byte(strings.Repeat(string(rune('a'+i%26)), 1000))) {
+				if !c.Throttle() || !c.Send([]byte(strings.Repeat(string(rune('a'+i%26)), 1000))) {
 					t.Error("closed at", i)
 					break
 				}
-				c.Whole(true)
+				c.MessageRead(true)
 			}
 			close(c.unread)
-			c.Finish()
+			c.CloseAfterWrites()
 		}()
 		go func() {
 			for range 100 {
@@ -330,7 +336,7 @@
 		c, far := piped(0)
 		defer far.Close()
 		n := 0
-		for c.Put(make([]byte, 1<<10)) {
+		for c.Send(make([]byte, 1<<10)) {
 			n++
 		}
 		if n != mostBytes>>10 {
@@ -343,7 +349,7 @@
 func TestLastAnswerArrives(t *testing.T) {
 	dial := serve(t, func(c *Conn) {
 		bufio.NewReader(c).ReadString('\n')
-		c.Put([]byte("last\n"))
+		c.Send([]byte("last\n"))
 	})
 	c := dial()
 	c.Write(append([]byte("word\n"), make([]byte, lingerBytes/2)...))
@@ -356,8 +362,8 @@
 // A connection that is about to close takes no set-up that it can't answer.
 func TestNothingOpensAtTheEnd(t *testing.T) {
 	c := at(0)
-	c.Finish()
-	if c.Opened(1) {
+	c.CloseAfterWrites()
+	if c.OpenSetup(1) {
 		t.Error("a set-up opened")
 	}
 }
--- a/internal/front/websocket/frame.go
+++ b/internal/front/websocket/frame.go
@@ -80,7 +80,7 @@
 			return 0, closeError(closeProtocol)
 		}
 	}
-	if size > message.Max {
+	if size > message.MaxSize {
 		return 0, closeError(closeTooBig)
 	}
 	end := at + 4 + int(size)
--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -28,13 +28,13 @@
 	pingTime = 10 * time.Second // between pings
 	deadTime = 25 * time.Second // without a byte, after which a socket is lost
 	// readSize holds the longest frame with its header.
-	readSize = message.Max + 14
+	readSize = message.MaxSize + 14
 )
 
 // Front serves players on one address.
 type Front struct {
-	Core    message.Core
-	Catalog message.Catalog
+	Broker  message.Broker
+	Decoder message.SetupDecoder
 	Path    string
 	Grace   time.Duration // for a player whose socket is lost to come back
 	Limits  peer.Limits
@@ -49,16 +49,16 @@
 		if !c.open() {
 			return
 		}
-		c.Farewell(appendClose(nil, closeAway))
+		c.SetFarewell(appendClose(nil, closeAway))
 		alive := make(chan struct{})
 		defer close(alive)
 		go c.keepAlive(alive)
-		defer f.Core.Lost(c)
-		defer c.Leave()
+		defer f.Broker.Lost(c)
+		defer c.MarkReadEnded()
 		err := c.serve()
 		var code closeError
 		if errors.As(err, &code) {
-			c.Put(appendClose(nil, int(code)))
+			c.Send(appendClose(nil, int(code)))
 		}
 	})
 }
@@ -77,21 +77,21 @@
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
 	case broker.Closed: // its set-up was answered; one that is open under that id is another
-		c.Fell()
+		c.SessionEnded()
 		return true
 	case broker.Over, broker.Moved: // likewise
-		c.Fell()
+		c.SessionEnded()
 	default:
-		defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+		defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	}
 	switch r.Kind {
 	case broker.GivenUp:
 		return true
 	case broker.Served:
-		c.Know()
-		c.Stands()
+		c.MarkHadSession()
+		c.SessionEstablished()
 	}
-	return c.Put(appendFrame(nil, opText, message.AppendReply(nil, r)))
+	return c.Send(appendFrame(nil, opText, message.AppendReply(nil, r)))
 }
 
 // Gone is part of broker.Client.
@@ -109,13 +109,13 @@
 	})
 	if err != nil {
 		if errors.Is(err, errRequest) {
-			c.Put(failure(http.StatusBadRequest, ""))
+			c.Send(failure(http.StatusBadRequest, ""))
 		}
 		return false
 	}
-	c.Whole(c.in.Buffered() > 0)
+	c.MessageRead(c.in.Buffered() > 0)
 	response, ok := handshake(req, c.front.Path)
-	return c.Put(response) && ok
+	return c.Send(response) && ok
 }
 
 // keepAlive pings, so that a socket whose player vanished is found out.
@@ -127,7 +127,7 @@
 		case <-done:
 			return
 		case <-tick.C:
-			if !c.Put(appendFrame(nil, opPing, nil)) {
+			if !c.Send(appendFrame(nil, opPing, nil)) {
 				return
 			}
 		}
@@ -137,7 +137,7 @@
 // serve handles frames until the socket ends. A closeError is still to be sent.
 func (c *conn) serve() error {
 	var f frame
-	for c.Pace() {
+	for c.Throttle() {
 		if err := c.SetReadDeadline(time.Now().Add(deadTime)); err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 			return err
 		}
 		if c.kind == 0 || f.fin && f.op == opContinue { // a message in parts counts when it is whole
-			c.Whole(c.in.Buffered() > 0)
+			c.MessageRead(c.in.Buffered() > 0)
 		}
 		if err := c.frame(&f); err != nil {
 			return err
@@ -162,7 +162,7 @@
 func (c *conn) frame(f *frame) error {
 	switch f.op {
 	case opPing:
-		c.Put(appendFrame(nil, opPong, f.payload))
+		c.Send(appendFrame(nil, opPong, f.payload))
 		return nil
 	case opPong:
 		return nil
@@ -185,7 +185,7 @@
 		}
 		c.kind, c.parts = f.op, c.parts[:0]
 	}
-	if len(c.parts)+len(f.payload) > message.Max {
+	if len(c.parts)+len(f.payload) > message.MaxSize {
 		return closeError(closeTooBig)
 	}
 	c.parts = append(c.parts, f.payload...)
@@ -215,25 +215,25 @@
 		return c.setUp(&m, came)
 	case "release":
 		id, err := message.ParseID(m.ID)
-		c.Answered(uint64(id)) // first: an attempt that is under way in the broker is not begun
-		if err != nil || !c.front.Core.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
+		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		if err != nil || !c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
 			return closeError(closeProtocol)
 		}
 	case "ping":
-		c.Put(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.Takes())))
+		c.Send(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.AcceptsClients())))
 	}
 	return nil // progress and released mean nothing
 }
 
 func (c *conn) setUp(m *message.Message, came time.Time) error {
-	r, err := c.front.Catalog.Setup(m, message.Origin{Front: "websocket", Client: c.Addr, Came: came})
+	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "websocket", Client: c.Addr, Received: came})
 	r.Client, r.Grace = c, c.front.Grace
 	switch {
 	case err != nil && r.ID == 0:
 		return closeError(closeProtocol)
 	case err != nil:
 		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
-	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
+	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many wait, on this socket or before the module, or clients are sent
 		// away. Nothing has been tried.
 		c.front.Counts.Answered(r.Class, broker.Refused)
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -262,7 +262,7 @@
 		if !changed {
 			return
 		}
-		o.core.Adopt(e, o.front.Viewer)
+		o.core.Adopt(e, o.front.InheritedClient)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -147,8 +147,8 @@
 	catalog := Catalog(&cfg)
 	catalog.Routes = routes
 	front := &jsonl.Front{
-		Core: core, Catalog: catalog, Counts: counts, Reasons: cfg.Operator.Viewers.Reasons, Log: log,
-		Limits: peer.Limits{Most: cfg.ViewerConns(), Half: half.ViewerConns(), Shared: hand.Shared, Open: cfg.Operator.Viewers.MostOpen, Gate: hand.Gate()},
+		Broker: core, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
+		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: half.ViewerConns(), UpgradeInProgress: hand.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: hand.Gate()},
 	}
 	// The fronts end before what answers them: a set-up that was read last is answered.
 	serving, endFronts := context.WithCancel(ctx)
@@ -163,11 +163,11 @@
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
 		// Both fronts share what viewers may hold of the descriptors.
-		front.Limits.Most, front.Limits.Half = (cfg.ViewerConns()+1)/2, (half.ViewerConns()+1)/2
+		front.Limits.MaxConns, front.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (half.ViewerConns()+1)/2
 		second := &websocket.Front{
-			Core: core, Catalog: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: front.Limits, Log: log,
+			Broker: core, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: front.Limits, Log: log,
 		}
-		second.Limits.Most, second.Limits.Half = cfg.ViewerConns()/2, half.ViewerConns()/2
+		second.Limits.MaxConns, second.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, half.ViewerConns()/2
 		serve(second.Serve, at.Players)
 	}
 	group.Go(func() error { return core.Run(ctx) })
@@ -236,10 +236,10 @@
 }
 
 // Catalog is what the names of a set-up mean by a configuration.
-func Catalog(cfg *config.Config) message.Catalog {
-	return message.Catalog{
+func Catalog(cfg *config.Config) message.SetupDecoder {
+	return message.SetupDecoder{
 		Classes: cfg.Classes, Teams: cfg.Teams(),
-		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MostLeft: cfg.MostLeft,
+		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MaxTimeLeft: cfg.MostLeft,
 	}
 }
 
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -98,7 +98,7 @@
 			}
 		}
 		o.serves()
-		if err := o.Drain(t.Context(), true); err != nil || o.Gate().Takes() || !o.Ready() || o.leave() {
+		if err := o.Drain(t.Context(), true); err != nil || o.Gate().AcceptsClients() || !o.Ready() || o.leave() {
 			t.Error(name, "an order does not count:", err)
 		}
 		o.handOver(broker.Handover{})
