--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -141,7 +141,7 @@
 		{"ends-mute-orphan", "over: not seen", []Patch{{"internal/media/node.go",
 			"if s.conn == nil || s.conn == c || s.conn.dead {", "if c != nil && s.conn == c {"}}},
 		{"ends-mute-2", "over: not seen", []Patch{{"internal/media/node.go", "case !c.muteAt.IsZero() && c.open", "case false && c.open"}}},
-		{"ends-viewer", "over: not seen", []Patch{{"internal/front/jsonl/jsonl.go", "	f.sendAgain(c.leave())\n", "	c.leave()\n"}}},
+		{"ends-viewer", "over: not seen", []Patch{{"internal/front/jsonl/jsonl.go", "	f.resendEnds(c.takeUnacknowledged())\n", "	c.takeUnacknowledged()\n"}}},
 		{"paused", `"drains" broken`, []Patch{{"internal/media/pool.go", "return p.watch.Held(now)", "return false"}}},
 		{"cold", `"cold" broken`, []Patch{
 			{"control/control.go", "func (c *Controller) paced(sv *server) bool {\n\treturn c.now < sv.coldTil",
