--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -1,4 +1,4 @@
-// Package front_test holds what all fronts have in common against each of them.
+// Package front_test tests each front for the behavior that all of them share.
 package front_test
 
 import (
@@ -18,13 +18,14 @@
 	"millethinge/internal/front/websocket"
 )
 
-// testTimeout bounds what a test waits for; nothing passes or fails by less.
+// testTimeout bounds how long a test waits. It is generous: the result of a test does not
+// depend on anything shorter.
 const testTimeout = 20 * time.Second
 
-// fakeBroker is a broker that takes set-ups and never gets round to anything.
+// fakeBroker is a broker that takes set-ups and never answers them.
 type fakeBroker struct {
 	requests     chan broker.Request
-	goneWhenLost chan bool // whether a client that is lost is seen to have gone
+	goneWhenLost chan bool // what Gone returns when Lost is called
 }
 
 func (c fakeBroker) Submit(r broker.Request) bool { c.requests <- r; return true }
@@ -38,26 +39,26 @@
 		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 )
 
-// clientFrame makes a client's frame. Its mask is of zeros, which changes nothing.
+// clientFrame encodes a frame from a client. Its mask is zero, so the payload stays as it is.
 func clientFrame(opcode byte, text string) string {
 	size := string([]byte{0x80 | byte(len(text))})
-	if len(text) > 125 { // the shortest form, else it is refused
+	if len(text) > 125 { // the length has to take the shortest form that holds it
 		size = string([]byte{0x80 | 126, byte(len(text) >> 8), byte(len(text))})
 	}
 	return string([]byte{0x80 | opcode}) + size + "\x00\x00\x00\x00" + text
 }
 
-// That a client has gone can be seen at once, by any goroutine, however long the broker's
-// mailbox is, and by the time that the broker is told of its loss at the latest.
+// Gone reports promptly that a client has gone, to any goroutine, however full the broker's
+// mailbox is, and at the latest when the front calls Lost.
 func TestGoneReportedPromptly(t *testing.T) {
 	leave := map[string]func(c *net.TCPConn, send func(string)){
 		"close":       func(c *net.TCPConn, _ func(string)) { c.Close() },
 		"reset":       func(c *net.TCPConn, _ func(string)) { c.SetLinger(0); c.Close() },
 		"half close":  func(c *net.TCPConn, _ func(string)) { c.CloseWrite() },
 		"release":     func(_ *net.TCPConn, send func(string)) { send(fmt.Sprintf(releaseMessage, 1)) },
-		"close frame": func(c *net.TCPConn, _ func(string)) { io.WriteString(c, clientFrame(8, "")+"\n") }, // no message to the other front
+		"close frame": func(c *net.TCPConn, _ func(string)) { io.WriteString(c, clientFrame(8, "")+"\n") }, // malformed input for the JSON-lines front
 	}
-	for front, isJSONL := range map[string]bool{"lines": true, "frames": false} {
+	for front, isJSONL := range map[string]bool{"jsonl": true, "websocket": false} {
 		fake := fakeBroker{make(chan broker.Request, 1), make(chan bool, 1)}
 		decoder := message.SetupDecoder{Classes: []string{"feed"}, Cells: 1, MaxTimeLeft: time.Second}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,17 +84,17 @@
 			}
 			send(setupMessage)
 			request := <-fake.requests
-			send(fmt.Sprintf(releaseMessage, 2)) // of another one
+			send(fmt.Sprintf(releaseMessage, 2)) // of another session
 			for _, kind := range []broker.ReplyKind{broker.Over, broker.Moved, broker.Closed} {
-				request.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // what stood under that id before ends
+				request.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // an earlier session with that id ends
 			}
 			if request.Client.Gone(1) {
-				t.Errorf("%s: gone before it left by %s", front, how)
+				t.Errorf("%s: gone before the client left by %s", front, how)
 			}
 			leave(nc.(*net.TCPConn), send)
 			for deadline := time.Now().Add(testTimeout); !request.Client.Gone(1); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
-					t.Errorf("%s: not gone after a %s", front, how)
+					t.Errorf("%s: not gone after %s", front, how)
 					break
 				}
 			}
@@ -101,7 +102,7 @@
 				nc.Close()
 			}
 			if !<-fake.goneWhenLost {
-				t.Errorf("%s: not gone when the broker is told of a %s", front, how)
+				t.Errorf("%s: not gone when Lost is called after %s", front, how)
 			}
 			nc.Close()
 		}
--- a/internal/front/jsonl/ends.go
+++ b/internal/front/jsonl/ends.go
@@ -11,29 +11,31 @@
 	"millethinge/internal/broker"
 )
 
-// endLifetime is how long the end of a session is brought to its viewer.
+// endLifetime is how long a front tries to deliver the end of a session to its viewer.
 const endLifetime = 8 * time.Second
 
-// sessionEnd is the end of a session that stood. No connection owns it: it goes on that of
-// the set-up, else on any open one, else on the next that opens.
+// sessionEnd is the message that an established session has ended or is to move. It is tied
+// to no connection: it is sent on that of the set-up, or else on any open one, or else on the
+// next one that opens.
 //
-// Guard: what is written on a connection that breaks at that moment is lost, though
-// the write went well. So an end that its viewer has not said to have heard by the
-// time its connection ends goes again on another one. Viewers need not say so; one who
-// has heard it knows no session of that name any more.
+// Guard: data written to a connection that breaks at that moment is lost, although the write
+// succeeded. So an end that its viewer has not acknowledged when its connection ends is sent
+// again on another one. Viewers need not acknowledge: one that has received the end before
+// knows no session of that id any more.
 type sessionEnd struct {
 	reply        broker.Reply
-	host         string // of its set-up
-	expires      time.Time
+	host         string    // where its set-up came from
+	expires      time.Time // when to stop sending it
 	acknowledged atomic.Bool
 }
 
-// settled tells whether e goes on no connection any more.
+// settled reports whether e need not be sent any more.
 func (e *sessionEnd) settled(now time.Time) bool {
 	return e.acknowledged.Load() || now.After(e.expires)
 }
 
-// sendEnd sends e on c and keeps it until it is heard. False: c can't carry it.
+// sendEnd sends e on c and keeps it until it is acknowledged or expires. It reports whether c
+// could carry e.
 func (c *conn) sendEnd(e *sessionEnd) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -51,7 +53,7 @@
 	return true
 }
 
-// acknowledgeEnd takes a viewer's word that it heard the end of a session.
+// acknowledgeEnd records that the viewer has received the end of the session of that id.
 func (c *conn) acknowledgeEnd(id control.SessionID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +63,8 @@
 	}
 }
 
-// takeUnacknowledged has no more ends go on c, and returns those that may not have been heard.
+// takeUnacknowledged has no more ends sent on c, and returns those that the viewer may not
+// have received.
 func (c *conn) takeUnacknowledged() []*sessionEnd {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,19 +73,20 @@
 	return slices.DeleteFunc(c.unacknowledged, func(e *sessionEnd) bool { return e.settled(now) })
 }
 
-// resendEnds sends ends that may not have been heard.
+// resendEnds sends ends again that a viewer may not have received.
 func (f *Front) resendEnds(ends []*sessionEnd) {
 	for _, e := range ends {
-		f.Log.Info("end of a session goes again", zap.Uint64("session", uint64(e.reply.ID)), zap.String("host", e.host))
+		f.Log.Info("resending end of session", zap.Uint64("session", uint64(e.reply.ID)), zap.String("host", e.host))
 		f.routeEnd(e)
 	}
 }
 
-// routeEnd sends an end that has no connection of its own any more on those that may be
-// its viewer's, or has it wait for one.
+// routeEnd sends an end whose own connection is gone on the connections from its viewer's
+// host, or else on another one that has had a session, or keeps it until one opens.
 //
-// Guard: whoever has had no session may be anybody, also at the viewer's host, and takes
-// no notice. It is told, since it may be the viewer come back, and does not count.
+// Guard: a connection that has had no session may belong to anyone, even at the viewer's
+// host, and its client would ignore the end. The end is sent on it, since it may be the
+// viewer's new connection, but does not count as delivered.
 func (f *Front) routeEnd(e *sessionEnd) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,11 +100,11 @@
 			withoutSession++
 		}
 	}
-	if withoutSession > 0 { // rare as well, and once the way in which ends were lost
-		f.Log.Info("end of a session told to strangers too", zap.Uint64("session", uint64(e.reply.ID)),
+	if withoutSession > 0 { // logged since it is rare, and ends were once lost this way
+		f.Log.Info("end of session also sent on connections without a session", zap.Uint64("session", uint64(e.reply.ID)),
 			zap.String("host", e.host), zap.Int("strangers", withoutSession), zap.Bool("known", sent))
 	}
-	for _, c := range slices.Backward(f.conns) { // the youngest first
+	for _, c := range slices.Backward(f.conns) { // the newest first
 		if sent {
 			return
 		}
@@ -112,12 +116,12 @@
 	now := time.Now()
 	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(u *sessionEnd) bool { return u.settled(now) })
 	f.pendingEnds = append(f.pendingEnds, e)
-	// Rare, and the one way an end reaches its viewer late: worth a line.
-	f.Log.Info("end of a session waits for a connection", zap.Uint64("session", uint64(e.reply.ID)), zap.String("host", e.host))
+	// Logged since it is rare, and the only way in which an end reaches its viewer late.
+	f.Log.Info("end of session waits for a connection", zap.Uint64("session", uint64(e.reply.ID)), zap.String("host", e.host))
 }
 
-// sendPendingEnds sends c the ends that found no connection and that it may carry. f.mu is
-// held.
+// sendPendingEnds sends on c the pending ends that it may carry. An end stays pending if c
+// has had no session. f.mu is held.
 func (f *Front) sendPendingEnds(c *conn) {
 	now := time.Now()
 	f.pendingEnds = slices.DeleteFunc(f.pendingEnds, func(e *sessionEnd) bool {
@@ -127,27 +131,31 @@
 		if !c.mayCarryEnd(e.host) || !c.sendEnd(e) {
 			return false
 		}
-		f.Log.Info("end of a session sent late", zap.Uint64("session", uint64(e.reply.ID)),
+		f.Log.Info("end of session sent late", zap.Uint64("session", uint64(e.reply.ID)),
 			zap.Duration("after", endLifetime-e.expires.Sub(now)))
 		return c.HadSession()
 	})
 }
 
-// InheritedClient returns a client that only carries ends of sessions, to a viewer at a host whose
-// connections an older process of this manager has.
+// InheritedClient returns a client for a session that was taken over from the predecessor,
+// which holds the viewer's connection. It carries only the end of the session, to a
+// connection from host.
 func (f *Front) InheritedClient(host string) broker.Client { return inheritedClient{f, host} }
 
+// inheritedClient is a broker.Client without a connection of its own.
 type inheritedClient struct {
 	front *Front
 	host  string
 }
 
-// From tells where the viewer is.
+// From returns the viewer's host.
 func (c inheritedClient) From() string { return c.host }
 
-// Gone is part of broker.Client: nothing is begun for it anyway.
-func (v inheritedClient) Gone(control.SessionID) bool { return false }
+// Gone is part of broker.Client. Its answer does not matter, since no set-up is started for
+// this client.
+func (c inheritedClient) Gone(control.SessionID) bool { return false }
 
+// Deliver sends the end of a session, and ignores all other replies.
 func (c inheritedClient) Deliver(r broker.Reply) bool {
 	if r.Kind == broker.Over || r.Kind == broker.Moved {
 		c.front.routeEnd(&sessionEnd{reply: r, host: c.host, expires: time.Now().Add(endLifetime)})
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -1,5 +1,4 @@
-// Package jsonl is the platform's front: session API messages as JSON lines
-// over TCP.
+// Package jsonl is the platform's front: it serves the session API as JSON lines over TCP.
 package jsonl
 
 import (
@@ -20,31 +19,31 @@
 	"millethinge/internal/stream"
 )
 
-// Front serves viewers on one address.
+// Front serves viewers on one address. Its exported fields are set before Serve.
 type Front struct {
-	Broker      message.Broker
-	Decoder     message.SetupDecoder
-	Limits      peer.Limits
-	Counts      *broker.Counts // nil: nobody asks
-	SendReasons bool           // failures and refusals say why; the platform's protocol has no field for it
+	Broker      message.Broker       // takes the viewers' requests
+	Decoder     message.SetupDecoder // decodes their set-ups
+	Limits      peer.Limits          // limits for the connections
+	Counts      *broker.Counts       // counts refused set-ups; nil: they are not counted
+	SendReasons bool                 // send the reasons of failures and refusals; the platform's protocol has no field for them
 	Log         *zap.Logger
 
 	mu          sync.Mutex
-	conns       []*conn
-	pendingEnds []*sessionEnd // those that found no open connection of a known viewer
+	conns       []*conn       // the oldest first
+	pendingEnds []*sessionEnd // for which no connection of a viewer with a session was open
 }
 
-// conn is one viewers' connection.
+// conn is one connection, which several viewers may share.
 type conn struct {
 	*peer.Conn
 	front *Front
 
 	mu             sync.Mutex
-	unacknowledged []*sessionEnd // sent on it and not said to be heard, the oldest first
-	endsStopped    bool          // it is not read any more: no end goes on it
+	unacknowledged []*sessionEnd // sent on this connection and not acknowledged, the oldest first
+	endsStopped    bool          // the connection is not read any more, so no further ends are sent on it
 }
 
-// Serve accepts until ctx ends.
+// Serve accepts connections on l until ctx ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return peer.Serve(ctx, l, f.Limits, f.Log, func(_ context.Context, p *peer.Conn) {
 		c := &conn{Conn: p, front: f}
@@ -61,9 +60,11 @@
 	f.sendPendingEnds(c)
 }
 
-// mayCarryEnd tells whether the end of a session whose set-up came from a host may
-// be sent on c. Guard: an unknown host's connection may be anybody's, and its
-// client would take no notice.
+// mayCarryEnd reports whether the end of a session whose set-up came from host may be sent
+// on c.
+//
+// Guard: a connection from another host that has had no session may belong to anyone, and
+// its client would ignore the end.
 func (c *conn) mayCarryEnd(host string) bool { return c.Host == host || c.HadSession() }
 
 func (f *Front) remove(c *conn) {
@@ -75,14 +76,15 @@
 	f.Broker.Lost(c)
 }
 
-// From tells where the viewer is.
+// From returns the viewer's host.
 func (c *conn) From() string { return c.Host }
 
-// Deliver sends an answer on the connection of its set-up. What ends a session
-// that stood goes on any open one: none owns it.
+// Deliver sends an answer on the connection of its set-up, and reports whether it could. The
+// end of an established session is tied to no connection: if this one can't carry it, it is
+// sent on another one.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
+	case broker.Closed: // keeps the id open: its set-up was answered before, so one that is open is a later one
 		c.SessionEnded()
 		return true
 	case broker.Over, broker.Moved: // likewise
@@ -93,7 +95,7 @@
 		}
 		return true
 	}
-	defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+	defer c.CloseSetup(uint64(r.ID)) // only once the answer is queued: a connection without open set-ups may be closed
 	switch r.Kind {
 	case broker.GivenUp:
 		return true
@@ -107,7 +109,8 @@
 // Gone is part of broker.Client.
 func (c *conn) Gone(id control.SessionID) bool { return c.Conn.Gone(uint64(id)) }
 
-// markHadSession marks c as a connection of viewers who have had a session.
+// markHadSession records that a viewer on c has an established session, and sends the
+// pending ends that c may carry from now on.
 func (c *conn) markHadSession() {
 	if c.HadSession() {
 		return
@@ -125,7 +128,7 @@
 	return c.Send(append(message.AppendReply(nil, r), '\n'))
 }
 
-// readLoop handles lines until the connection ends or sends what is no message.
+// readLoop handles messages until the connection ends or a message is malformed.
 func (c *conn) readLoop() {
 	reader := stream.NewReader(c, message.MaxSize)
 	var m message.Message
@@ -144,7 +147,7 @@
 			continue
 		}
 		if err := message.Parse(line, &m); err != nil {
-			c.front.Log.Info("viewer sent what is no message", zap.Stringer("from", c.RemoteAddr()))
+			c.front.Log.Info("malformed message from viewer; closing the connection", zap.Stringer("from", c.RemoteAddr()))
 			return
 		}
 		if !c.handleMessage(&m) {
@@ -153,7 +156,7 @@
 	}
 }
 
-// handleMessage takes one message; false ends the connection.
+// handleMessage handles one message, and reports whether to keep the connection open.
 func (c *conn) handleMessage(m *message.Message) bool {
 	switch string(m.Type) {
 	case "setup":
@@ -163,7 +166,7 @@
 		if err != nil {
 			return false
 		}
-		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		c.CloseSetup(uint64(id)) // first, so that the broker drops an attempt that it is about to start
 		return c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c})
 	case "released":
 		if id, err := message.ParseID(m.ID); err == nil {
@@ -172,7 +175,7 @@
 	case "ping":
 		return c.Send(append(message.AppendPong(nil, m.ID, c.AcceptsClients()), '\n'))
 	}
-	return true // progress means nothing
+	return true // progress and unknown types are ignored
 }
 
 func (c *conn) handleSetup(m *message.Message) bool {
@@ -183,13 +186,13 @@
 	}
 	switch {
 	case err != nil && r.ID == 0:
-		return false // there is no id to answer under
+		return false // there is no id to answer to
 	case err != nil:
-		c.front.Log.Info("set-up not understood", zap.Error(err))
+		c.front.Log.Info("invalid set-up", zap.Error(err))
 		return c.sendReply(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
-		// Guard: too many wait, on this connection or before the module, or clients are
-		// sent away. Nothing has been tried.
+		// Guard: too many set-ups wait, on this connection or for the broker, or the manager
+		// drains. The answer is a refusal, since no attempt has been made.
 		c.front.Counts.Answered(r.Class, broker.Refused)
 		return c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
 			Wait: time.Second, Reason: message.ReasonBusy})
@@ -197,8 +200,8 @@
 	return true
 }
 
-// resumeSession takes a session that plays already. It is owed no answer, but an end
-// where it can't be held.
+// resumeSession takes over a session that is already playing at a media node. It is not
+// answered; if it can't be taken over, its end is sent to the viewer.
 func (c *conn) resumeSession(m *message.Message, r broker.Request, node control.Server, err error) bool {
 	r.Playing = node
 	c.SessionEstablished()
@@ -206,6 +209,6 @@
 		c.markHadSession()
 		return true
 	}
-	c.front.Log.Info("standing session not taken", zap.Error(err))
+	c.front.Log.Info("established session not taken over", zap.Error(err))
 	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.Over, ID: r.ID, Cause: broker.CauseCut})
 }
--- a/internal/front/jsonl/jsonl_test.go
+++ b/internal/front/jsonl/jsonl_test.go
@@ -25,6 +25,8 @@
 func (c fullBroker) End(broker.ViewerEnd) bool  { return true }
 func (c fullBroker) Lost(l broker.Client)       { c.lost <- l }
 
+// startFront runs a front with a full broker until the test ends, and returns that broker and
+// a function that connects to the front.
 func startFront(t *testing.T) (fullBroker, func() (net.Conn, *bufio.Reader)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-// A request that the broker's mailbox can't take is answered all the same.
+// A set-up for which the broker's mailbox has no room is answered with a refusal.
 func TestRefusedWhenBrokerIsFull(t *testing.T) {
 	_, dial := startFront(t)
 	viewer, reader := dial()
@@ -66,19 +68,19 @@
 	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{"wait":"1000"},"cause":42}`)
 }
 
-// An end that finds no open connection goes on the next one that opens.
+// An end for which no connection is open is sent on the next one that opens.
 func TestEndSentOnNextConnection(t *testing.T) {
 	full, dial := startFront(t)
 	viewer, _ := dial()
 	viewer.Close()
 	client := <-full.lost
-	client.Deliver(broker.Reply{Kind: broker.Served, ID: 1}) // is lost with its connection
+	client.Deliver(broker.Reply{Kind: broker.Served, ID: 1}) // can't be sent: the connection is closed
 	client.Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
 	_, reader := dial()
 	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`)
 }
 
-// An end is told to its viewer's host, not to whoever else is connected.
+// An end is sent to its viewer's host only, not to clients at other hosts.
 func TestEndSentToViewersHost(t *testing.T) {
 	full, dial := startFront(t)
 	viewer, _ := dial()
@@ -90,7 +92,7 @@
 	defer otherViewer.Close()
 	otherReader := bufio.NewReader(otherViewer)
 	io.WriteString(otherViewer, `{"type":"ping","id":"01"}`+"\n")
-	expectLine(t, otherReader, `{"type":"pong","id":"01","fields":{},"cause":1}`) // it is accepted
+	expectLine(t, otherReader, `{"type":"pong","id":"01","fields":{},"cause":1}`) // the connection has been accepted
 	viewer.Close()
 	(<-full.lost).Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
 	_, reader := dial()
@@ -99,13 +101,13 @@
 	expectLine(t, otherReader, `{"type":"pong","id":"02","fields":{},"cause":1}`)
 }
 
-// An end that went down with its connection goes on another one, and one that was
-// heard does not.
+// An end that was lost with its connection is sent again on another one; an acknowledged end
+// is not.
 func TestUnacknowledgedEndIsResent(t *testing.T) {
 	full, dial := startFront(t)
 	viewer, reader := dial()
 	io.WriteString(viewer, `{"type":"setup","id":"0000000000000001","fields":{"class":"feed","left":"900","key":"1","extras":"at:s-1;home:0;copies:1;top:0"},"sdp":""}`+"\n")
-	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`) // its mailbox is full: not taken
+	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`) // not taken over: the broker's mailbox is full
 	io.WriteString(viewer, `{"type":"released","id":"0000000000000001"}`+"\n"+`{"type":"ping","id":"01"}`+"\n")
 	expectLine(t, reader, `{"type":"pong","id":"01","fields":{},"cause":1}`)
 	viewer.Close()
@@ -120,10 +122,10 @@
 	expectLine(t, reader, `{"type":"release","id":"0000000000000002","fields":{},"cause":16}`)
 }
 
-// acceptingBroker is a broker that takes all requests.
+// acceptingBroker is a broker that accepts all requests.
 type acceptingBroker struct {
 	fullBroker
-	clients chan broker.Client
+	clients chan broker.Client // of the accepted requests
 }
 
 func (c acceptingBroker) Submit(r broker.Request) bool { c.clients <- r.Client; return true }
@@ -140,20 +142,21 @@
 	return nil, net.ErrClosed
 }
 
-// viewerConn is a client's end of a connection.
+// viewerConn is the viewer's side of a connection.
 type viewerConn struct {
 	net.Conn
 	reader *bufio.Reader
-	client broker.Client // of its set-up; nil: it only tests
+	client broker.Client // the front's client for its set-up; nil: it only sent a ping
 }
 
-// pipeHost is where viewers connect from, in virtual time.
+// pipeHost is the host of viewers who connect to a front by pipes, in virtual time.
 type pipeHost struct {
 	t        *testing.T
 	broker   acceptingBroker
 	listener pipeListener
 }
 
+// runAtHost runs a front and calls run with a host that can connect to it, in virtual time.
 func runAtHost(t *testing.T, run func(t *testing.T, h pipeHost)) {
 	synctest.Test(t, func(t *testing.T) {
 		h := pipeHost{t, acceptingBroker{fullBroker{make(chan broker.Client, 9)}, make(chan broker.Client, 9)}, make(pipeListener)}
@@ -169,7 +172,7 @@
 	})
 }
 
-// connect opens a connection that only tests.
+// connect opens a connection and sends only a ping on it.
 func (h pipeHost) connect() viewerConn {
 	client, server := net.Pipe()
 	h.listener <- server
@@ -180,7 +183,7 @@
 	return viewer
 }
 
-// connectWithSession opens a connection on which a session is set up.
+// connectWithSession opens a connection and sets a session up on it.
 func (h pipeHost) connectWithSession(id string) viewerConn {
 	viewer := h.connect()
 	io.WriteString(viewer, `{"type":"setup","id":"000000000000000`+id+`","fields":{"class":"feed","left":"900","key":"1","extras":"home:0;copies:1;top:0"},"sdp":""}`+"\n")
@@ -190,6 +193,7 @@
 	return viewer
 }
 
+// endMessage is end1 as it is sent.
 const endMessage = `{"type":"release","id":"0000000000000001","fields":{},"cause":16}`
 
 var (
@@ -197,10 +201,11 @@
 	end2 = broker.Reply{Kind: broker.Over, ID: 2, Cause: 17}
 )
 
-// An end whose own connection is gone goes to a viewer who has had a session, also
-// where others from its host are connected who take no notice; they don't count.
+// An end whose own connection is gone reaches a client that has had a session, even if other
+// clients from the viewer's host are connected: those ignore it, so an end that is sent to
+// them does not count as delivered.
 func TestEndReachesClientWithSession(t *testing.T) {
-	for name, reconnects := range map[string]bool{"its viewer has another": false, "its viewer comes back": true} {
+	for name, reconnects := range map[string]bool{"another connection with a session": false, "viewer reconnects": true} {
 		t.Run(name, func(t *testing.T) {
 			runAtHost(t, func(t *testing.T, h pipeHost) {
 				own, other := h.connectWithSession("1"), viewerConn{}
@@ -227,33 +232,34 @@
 	}
 }
 
-// An end counts as heard once its viewer says so, and no sooner: a connection may be
-// found to be gone long after what was written on it was lost.
+// An end counts as delivered once its viewer acknowledges it, and not before: a connection
+// may be found to be broken long after data written to it was lost. After endLifetime it is
+// not sent again.
 func TestEndKeptUntilAcknowledged(t *testing.T) {
 	for name, e := range map[string]struct {
-		after time.Duration
-		said  bool
-		again bool
+		delay        time.Duration // from the end to the loss of its connection
+		acknowledged bool
+		resent       bool // whether it is to be sent again
 	}{
-		"at once":            {again: true},
-		"noticed late":       {after: 3 * time.Second, again: true},
-		"heard":              {said: true},
-		"too late to matter": {after: endLifetime + time.Second},
+		"connection lost at once": {resent: true},
+		"connection lost later":   {delay: 3 * time.Second, resent: true},
+		"acknowledged":            {acknowledged: true},
+		"expired":                 {delay: endLifetime + time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runAtHost(t, func(t *testing.T, h pipeHost) {
 				own, other := h.connectWithSession("1"), h.connectWithSession("2")
 				own.client.Deliver(end1)
 				expectLine(t, own.reader, endMessage)
-				if e.said {
+				if e.acknowledged {
 					io.WriteString(own, `{"type":"released","id":"0000000000000001"}`+"\n")
 				}
-				time.Sleep(e.after)
+				time.Sleep(e.delay)
 				own.Close()
 				<-h.broker.lost
 				other.client.Deliver(end2)
 				want := endMessage
-				if !e.again {
+				if !e.resent {
 					want = strings.NewReplacer("01\"", "02\"", "16", "17").Replace(endMessage)
 				}
 				expectLine(t, other.reader, want)
@@ -262,7 +268,7 @@
 	}
 }
 
-// A message over 16 KiB costs its connection.
+// A message of more than 16 KiB has its connection closed.
 func TestMessageTooLong(t *testing.T) {
 	_, dial := startFront(t)
 	viewer, reader := dial()
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -1,9 +1,10 @@
-// Package message reads and writes the session API's messages, which both
-// fronts share: one flat JSON object each.
+// Package message parses and writes the messages of the session API, which both fronts
+// share: one flat JSON object each. It also decodes set-up messages into requests to the
+// broker.
 //
-// Its parser is the project's own, as the operators' brief asks of the viewers' wire.
-// What it returns are slices of the read buffer; docs/libraries.md has what
-// encoding/json would cost.
+// The JSON parser is written for this package, as the operators require for the protocol
+// with viewers. It returns slices of the read buffer; docs/libraries.md has the measured
+// cost of encoding/json.
 package message
 
 import (
@@ -21,24 +22,25 @@
 	"millethinge/internal/route"
 )
 
-// MaxSize is the longest message.
+// MaxSize is the maximum length of a message in bytes.
 const MaxSize = 16 << 10
 
-// ReasonBusy is told where too many set-ups wait already, on one connection or
-// before the module.
+// ReasonBusy is the reason given for refusing a set-up when too many are already waiting,
+// on the same connection or for the broker.
 const ReasonBusy = "too many set-ups wait"
 
-// ErrSyntax reports bytes that are no message.
+// ErrSyntax is returned for input that is not a valid message.
 var ErrSyntax = errors.New("message: malformed")
 
-// ErrNoClass reports a set-up that has no class, neither of its own nor by rules.
+// ErrNoClass is returned for a set-up that names no class and is given none by a rule.
 var ErrNoClass = errors.New("it names no class, and no rule gives it one")
 
-// Field is one of a message's fields, a string's or a number's text.
+// Field is a name and a value of a message's fields. The value is the content of a string
+// or the text of a number.
 type Field struct{ Name, Value []byte }
 
-// Message is one message. Its slices are those of the buffer that was parsed,
-// in which escapes have been resolved.
+// Message is one parsed message. Its slices point into the buffer that was parsed, in which
+// escapes have been resolved.
 type Message struct {
 	Type   []byte
 	ID     []byte
@@ -47,7 +49,7 @@
 	SDP    []byte
 }
 
-// Get returns a field's value, or nil.
+// Get returns the value of the first field of that name, or nil.
 func (m *Message) Get(name string) []byte {
 	for _, f := range m.Fields {
 		if string(f.Name) == name {
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// Parse reads one message. It writes to b where strings hold escapes.
+// Parse parses b as one message into m. It overwrites b where strings hold escapes.
 func Parse(b []byte, m *Message) error {
 	*m = Message{Fields: m.Fields[:0]}
 	if !utf8.Valid(b) {
@@ -89,7 +91,8 @@
 	return nil
 }
 
-// parser walks a JSON text. After a fault it only fails.
+// parser reads JSON from a buffer. Once failed is set, it stays set and the results are
+// meaningless.
 type parser struct {
 	buf    []byte
 	pos    int
@@ -102,7 +105,8 @@
 	}
 }
 
-// peek returns the next byte that is no space, or 0.
+// peek skips white space and returns the next byte without consuming it; 0 at the end of
+// the input or after a failure.
 func (p *parser) peek() byte {
 	p.skipSpace()
 	if p.failed || p.pos >= len(p.buf) {
@@ -141,7 +145,7 @@
 	}
 }
 
-// parseScalar returns the text of a string or a number.
+// parseScalar returns the content of a string or the text of a number.
 func (p *parser) parseScalar() []byte {
 	if p.peek() == '"' {
 		return p.parseString()
@@ -160,7 +164,7 @@
 	return c >= '0' && c <= '9' || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E'
 }
 
-// skipValue passes over a value of any kind.
+// skipValue skips a value of any type. Nesting deeper than 16 is a failure.
 func (p *parser) skipValue(depth int) {
 	if depth > 16 {
 		p.failed = true
@@ -197,8 +201,8 @@
 	}
 }
 
-// parseString reads a string and resolves its escapes in place: none is shorter than
-// what it stands for.
+// parseString reads a string and resolves its escapes in place: no escape is shorter than
+// the character that it stands for.
 func (p *parser) parseString() []byte {
 	p.expect('"')
 	start, end := p.pos, p.pos
@@ -221,7 +225,7 @@
 	return nil
 }
 
-// parseEscape resolves one escape into the empty slice into.
+// parseEscape appends the character of one escape to dst, which must be empty.
 func (p *parser) parseEscape(dst []byte) []byte {
 	if p.pos >= len(p.buf) {
 		p.failed = true
@@ -253,8 +257,8 @@
 				p.pos = saved
 			}
 		}
-		// Guard: half a surrogate pair stands for no character, and a description
-		// must pass on unchanged.
+		// Guard: an unpaired surrogate stands for no character. Replacing it would alter
+		// the description, which has to be passed on unchanged.
 		p.failed = p.failed || !utf8.ValidRune(r)
 		return utf8.AppendRune(dst, r)
 	}
@@ -262,7 +266,7 @@
 	return dst
 }
 
-// parseCodeUnit reads four hexadecimal digits.
+// parseCodeUnit reads the four hexadecimal digits of a UTF-16 code unit.
 func (p *parser) parseCodeUnit() rune {
 	if len(p.buf)-p.pos < 4 {
 		p.failed = true
@@ -274,7 +278,7 @@
 	return rune(n)
 }
 
-// appendString adds s as a JSON string.
+// appendString appends s to b as a JSON string.
 func appendString(b, s []byte) []byte {
 	const digits = "0123456789abcdef"
 	b = append(b, '"')
@@ -296,7 +300,7 @@
 	return append(b, '"')
 }
 
-// AppendReply adds a reply to a viewer, without a line end.
+// AppendReply appends the message for a reply to a viewer, without a newline.
 func AppendReply(b []byte, r broker.Reply) []byte {
 	messageType := "release"
 	switch r.Kind {
@@ -332,7 +336,8 @@
 	return append(b, '}')
 }
 
-// AppendPong adds the answer to a test.
+// AppendPong appends the answer to the ping of that id. accepting: the manager accepts
+// clients.
 func AppendPong(b, id []byte, accepting bool) []byte {
 	b = appendType(b, "pong")
 	b = append(b, `,"id":`...)
@@ -358,41 +363,48 @@
 	return b
 }
 
-// Broker is the broker, as fronts see it.
+// Broker is the part of broker.Broker that fronts use. Its methods never block.
 type Broker interface {
+	// Submit hands over a set-up request, and reports whether the broker took it: its
+	// mailbox may be full.
 	Submit(broker.Request) bool
+	// End reports that a viewer cancels a set-up or ends a session. It returns whether the
+	// broker took the message.
 	End(broker.ViewerEnd) bool
+	// Lost reports that a client's connection has ended.
 	Lost(broker.Client)
 }
 
-// SetupDecoder is what a set-up's names mean at this deployment.
+// SetupDecoder decodes set-up messages into broker requests. It holds the deployment's names
+// and limits.
 type SetupDecoder struct {
-	Routes      *route.Live // nil, or without a set: requests keep what they name
-	Classes     []string
-	Teams       []string // by tenant number
-	Cells       int
-	MaxRung     int
-	MaxTimeLeft time.Duration // the longest that a viewer waits
+	Routes      *route.Live   // routing rules; nil, or without a set: requests keep the class and team they name
+	Classes     []string      // names, by class number
+	Teams       []string      // names, by team number; empty: any tenant is accepted, and gives no team
+	Cells       int           // number of cells
+	MaxRung     int           // highest rung of the rate ladder
+	MaxTimeLeft time.Duration // longest time that a viewer may give for an answer
 }
 
-// setupOverhead is what a set-up takes up beside its description on the way to a
-// media node, where no message is longer than here.
+// setupOverhead is how many bytes a set-up takes up beside its description when it is sent
+// to a media node, where the maximum message length is MaxSize too.
 const setupOverhead = 512
 
-// Origin is where a message came from.
+// Origin is where and when a message was received.
 type Origin struct {
-	Front    string
-	Client   netip.Addr
-	Received time.Time
+	Front    string     // "jsonl" or "websocket"
+	Client   netip.Addr // the viewer's address
+	Received time.Time  // when the message was complete
 }
 
-// Field returns a field's value, or nil.
+// Field returns the value of the first field of that name, or nil. It is part of
+// route.Texts.
 func (m *Message) Field(name string) []byte { return m.Get(name) }
 
-// Extra returns one of the figures in extras, or nil.
+// Extra returns one of the values in the field extras, or nil. It is part of route.Texts.
 func (m *Message) Extra(name string) []byte { return extraValue(m.Get("extras"), name) }
 
-// Decode understands a set-up, and has it routed.
+// Decode decodes a set-up and applies the routing rules to it.
 func (d *SetupDecoder) Decode(m *Message, from Origin) (broker.Request, error) {
 	r, err := d.DecodeUnrouted(m, from)
 	if err != nil {
@@ -409,12 +421,12 @@
 	if r.Class < 0 {
 		return r, ErrNoClass
 	}
-	r.Description = bytes.Clone(m.SDP) // it outlives the read buffer
+	r.Description = bytes.Clone(m.SDP) // the request outlives the read buffer
 	r.Again = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
 	return r, nil
 }
 
-// RouteRequest is a set-up as rules look at it.
+// RouteRequest returns a set-up in the form that routing rules evaluate.
 func RouteRequest(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
 		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Span, Top: r.MaxRung, Left: r.Left,
@@ -423,10 +435,9 @@
 	}
 }
 
-// DecodeUnrouted understands what a set-up names, but for its description. It may name no
-// class. What lacks a figure that it needs, or has one that is out of range, is an
-// error: a node could not use it either, and an error of a node's counts against
-// the node.
+// DecodeUnrouted decodes a set-up without its description and without applying rules. The
+// set-up may name no class. A required value that is missing or out of range is an error: a
+// media node could not use the set-up either, and would be blamed for the failure.
 func (d *SetupDecoder) DecodeUnrouted(m *Message, from Origin) (broker.Request, error) {
 	r := broker.Request{Came: from.Received, Class: -1, Team: -1}
 	var err error
@@ -466,14 +477,14 @@
 	return r, nil
 }
 
-// parseNumber reads a number from least to most.
+// parseNumber parses a number, and reports whether it is valid and from low to high.
 func parseNumber(b []byte, low, high float64) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
 	return v, err == nil && v >= low && v <= high
 }
 
-// extraValue returns one of the figures that come with a set-up as "name:value;…",
-// or nil.
+// extraValue returns the value of a name in extras, which has the form "name:value;…", or
+// nil.
 func extraValue(extras []byte, name string) []byte {
 	for part := range bytes.SplitSeq(extras, []byte(";")) {
 		if n, v, ok := bytes.Cut(part, []byte(":")); ok && string(n) == name {
@@ -483,10 +494,11 @@
 	return nil
 }
 
-// CurrentNode returns the node that a set-up says it plays at already, or nil.
+// CurrentNode returns the media node at which a set-up's session is already playing, or nil
+// if it is a new one.
 func (m *Message) CurrentNode() []byte { return extraValue(m.Get("extras"), "at") }
 
-// ParseID reads a session's name of 16 hexadecimal digits.
+// ParseID parses a session id of 16 hexadecimal digits.
 func ParseID(b []byte) (control.SessionID, error) {
 	if len(b) != 16 {
 		return 0, errors.New("message: id is not 16 hexadecimal digits")
--- a/internal/front/message/message_test.go
+++ b/internal/front/message/message_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// What is taken is JSON, and strings come out as encoding/json reads them.
+// Parse accepts no set-up with values out of range, and reads strings as encoding/json does.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(setupMessage))
 	f.Add([]byte(`{"type":"ping","id":"\ud800\ud800x"}`))
@@ -87,11 +87,11 @@
 		}
 		if r, err := decoder.Decode(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= decoder.Cells ||
 			r.Span < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.Left <= 0) {
-			t.Errorf("%q: taken as %+v", original, r)
+			t.Errorf("%q: accepted as %+v", original, r)
 		}
 		var want map[string]any
 		if json.Unmarshal(original, &want) != nil || !utf8.Valid(original) {
-			return // laxer than JSON in numbers and bytes, which harms nobody
+			return // Parse is laxer than JSON in the syntax of numbers, which does no harm
 		}
 		if name, ok := want["type"].(string); ok && name != string(m.Type) {
 			t.Errorf("%q: type %q, want %q", original, m.Type, name)
@@ -99,7 +99,7 @@
 	})
 }
 
-// BenchmarkParse reads a set-up and understands what it names.
+// BenchmarkParse parses and decodes a set-up.
 func BenchmarkParse(b *testing.B) {
 	decoder := SetupDecoder{Classes: []string{"clip", "feed"}, Cells: 16, MaxRung: 3, MaxTimeLeft: time.Minute}
 	line := []byte(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"clip","left":"1500","key":"7f3a9c21e0b4d655","extras":"home:4;copies:3;top:3;viewer:00000000b4d65521"},"sdp":"9d41c07a5be2f318 c=IN IP4 10.4.7.9 m=audio 31000 RTP/AVP 0 8 101"}`)
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkAppendReply writes an answer.
+// BenchmarkAppendReply encodes an answer.
 func BenchmarkAppendReply(b *testing.B) {
 	r := broker.Reply{Kind: broker.Served, ID: 7, Description: []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n")}
 	var buf []byte
@@ -125,8 +125,8 @@
 	}
 }
 
-// A field that is given twice counts as first given, for rules as for all else: no
-// client can have rules look at one class and the module at another.
+// If a field occurs twice, the first one counts, for routing rules as for the request
+// itself: a client can't show one class to the rules and another to the broker.
 func TestRepeatedField(t *testing.T) {
 	var m Message
 	text := strings.Replace(setupMessage, `"class":"feed"`, `"class":"feed","class":"clip","shop":"a","shop":"b"`, 1)
--- a/internal/front/peer/ends_test.go
+++ b/internal/front/peer/ends_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// closeHook is a connection that tells when it is being closed.
+// closeHook is a connection that calls onClose when it is about to be closed.
 type closeHook struct {
 	net.Conn
 	onClose func()
@@ -24,8 +24,8 @@
 	return c.Conn.Close()
 }
 
-// What is being closed holds its place until its descriptor is free, and takes nothing
-// more meanwhile, whoever closes it.
+// A connection that is being closed counts against the limit until its descriptor is free,
+// and accepts no set-up and no output meanwhile, whatever closes it.
 func TestCountedUntilDescriptorIsFree(t *testing.T) {
 	for name, closeConn := range map[string]func(*registry, *Conn){
 		"closed":  func(_ *registry, c *Conn) { c.Close() },
@@ -37,14 +37,14 @@
 			closeCalled = true
 			select {
 			case <-c.closed:
-				t.Errorf("%s: its place is free before its descriptor", name)
+				t.Errorf("%s: signalled as closed before its descriptor is free", name)
 			default:
 			}
 			if c.OpenSetup(1) {
-				t.Errorf("%s: a set-up opens", name)
+				t.Errorf("%s: a set-up was opened while closing", name)
 			}
 			if c.Send([]byte("x")) {
-				t.Errorf("%s: an answer is taken", name)
+				t.Errorf("%s: output was accepted while closing", name)
 			}
 		}}
 		r := &registry{Limits: Limits{MaxConns: 1}, conns: map[*Conn]bool{c: true}}
@@ -55,28 +55,29 @@
 	}
 }
 
-// A connection is not closed over a set-up that opens between the choice and the close,
-// nor over an answer that is not written.
+// A connection is not evicted if a set-up opens between the choice of the connection and its
+// close, or while an answer is not written yet.
 func TestNotClosedWhileAnswersAreDue(t *testing.T) {
 	withSetup, withOutput, idle := connOfAge(0), connOfAge(0), connOfAge(0)
 	withSetup.OpenSetup(1)
 	withOutput.pendingBytes.Store(1)
-	for name, c := range map[string]*Conn{"owes": withSetup, "answered": withOutput} {
+	for name, c := range map[string]*Conn{"open set-up": withSetup, "pending output": withOutput} {
 		if c.sealIfUnused() || !c.OpenSetup(2) {
-			t.Errorf("%s: shut", name)
+			t.Errorf("%s: further set-ups are refused", name)
 		}
 		c.CloseSetup(2)
 	}
 	if !idle.sealIfUnused() || idle.OpenSetup(1) {
-		t.Error("a set-up opens on what is to be closed")
+		t.Error("a set-up was opened on a connection that is to be closed")
 	}
 	r := &registry{Limits: Limits{MaxConns: 2}, conns: map[*Conn]bool{withSetup: true, withOutput: true}}
 	if r.add(connOfAge(0)) || len(r.conns) != 2 {
-		t.Error("a place that is owed something is given away")
+		t.Error("a connection with an open set-up or pending output was evicted")
 	}
 }
 
-// A room that another process gets half of gives its part up when the next one comes.
+// When an upgrade lowers the limit, the surplus connections are evicted as soon as the next
+// one is accepted.
 func TestLimitDuringUpgrade(t *testing.T) {
 	upgrading := false
 	r := &registry{Limits: Limits{MaxConns: 6, MaxConnsInUpgrade: 3, UpgradeInProgress: func() bool { return upgrading }}, conns: map[*Conn]bool{}}
@@ -84,11 +85,11 @@
 		r.add(connOfAge(messageTimeout))
 	}
 	if upgrading = true; len(r.conns) != 6 || !r.add(connOfAge(0)) || len(r.conns) != 3 {
-		t.Errorf("%d places", len(r.conns))
+		t.Errorf("%d connections", len(r.conns))
 	}
 }
 
-// scriptedListener is a listener that a test accepts for.
+// scriptedListener is a listener whose Accept returns what the test sends to accepts.
 type scriptedListener struct {
 	accepts chan acceptResult
 	closed  chan struct{}
@@ -114,13 +115,15 @@
 	}
 }
 
+// dial has Accept return one end of a pipe, and returns the other.
 func (s *scriptedListener) dial() net.Conn {
 	server, client := net.Pipe()
 	s.accepts <- acceptResult{Conn: server}
 	return client
 }
 
-// runServe plays against Serve in a bubble's fake time, and has it end.
+// runServe runs Serve in virtual time while run is called with its listener, and then has it
+// end.
 func runServe(t *testing.T, maxConns int, log *zap.Logger, handle func(*Conn), run func(*scriptedListener)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -136,8 +139,8 @@
 	})
 }
 
-// An answer to what was read before the end is written, though it is given after; what
-// comes later is not taken. One that is never answered holds the end up for a moment only.
+// At shutdown, Serve waits for the answers to set-ups that were opened before, and refuses
+// new ones. A set-up that is never answered delays it by shutdownTimeout at most.
 func TestShutdownWaitsForAnswers(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -155,7 +158,7 @@
 			cancel()
 			synctest.Wait()
 			if c.OpenSetup(2) {
-				t.Error("a set-up opens at the end")
+				t.Error("a set-up was opened during shutdown")
 			}
 			want := ""
 			if answered {
@@ -175,8 +178,8 @@
 	}
 }
 
-// Where the machine gives no more descriptors, the connection that is missed least gives
-// way, and the log tells of it once.
+// When accept fails for lack of descriptors, the connection that is the least loss is closed,
+// and a repeated error is logged only once.
 func TestEvictsWhenOutOfDescriptors(t *testing.T) {
 	core, logs := observer.New(zap.WarnLevel)
 	runServe(t, 9, zap.New(core), func(c *Conn) {
@@ -188,8 +191,8 @@
 		for range 100 {
 			listener.accepts <- acceptResult{err: syscall.EMFILE}
 		}
-		if _, err := idle.Read(make([]byte, 1)); err != io.EOF || time.Since(start) >= messageTimeout { // by then it would be closed as silent
-			t.Error("it is kept:", err)
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF || time.Since(start) >= messageTimeout { // after messageTimeout it would be closed anyway
+			t.Error("the idle connection was not evicted:", err)
 		}
 		next := listener.dial()
 		next.Write([]byte{1})
@@ -197,13 +200,13 @@
 			t.Errorf("%q", got)
 		}
 		if logs.Len() != 1 {
-			t.Errorf("%d lines", logs.Len())
+			t.Errorf("%d log lines, want 1", logs.Len())
 		}
 	})
 }
 
-// One that has just come keeps its place until its first request can be read, however
-// many come after it.
+// A connection that has just been accepted is not evicted before its first request can be
+// read, however many connections follow it.
 func TestNewConnectionNotEvicted(t *testing.T) {
 	runServe(t, 1, zap.NewNop(), func(c *Conn) {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
@@ -216,7 +219,7 @@
 			first := listener.dial()
 			second := make(chan net.Conn, 1)
 			go func() { second <- listener.dial() }()
-			time.Sleep(newConnGrace / 2) // on its way
+			time.Sleep(newConnGrace / 2) // the first request is still in flight
 			first.Write([]byte{1})
 			if got, _ := io.ReadAll(first); string(got) != "served" {
 				t.Errorf("%q", got)
--- a/internal/front/peer/peer.go
+++ b/internal/front/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer is a viewer's connection as both fronts know it: an actor that
-// writes what is in its mailbox, and a loop that accepts within a limit and
-// closes what only takes up room.
+// Package peer holds what the fronts share about viewers' connections: the accept loop
+// with its connection limit, the time-outs, and a goroutine for each connection that
+// writes what is queued for it.
 package peer
 
 import (
@@ -23,84 +23,89 @@
 )
 
 const (
-	// throttleBytes may wait for a connection's reader before no more is read from
-	// it: a client that asks faster than it listens is slowed down, not closed.
+	// throttleBytes is how much output may be pending on a connection before reading from
+	// it pauses: a client that sends requests faster than it reads the replies is slowed
+	// down, not disconnected. It is also the most that one write call gets.
 	throttleBytes = 64 << 10
-	// maxPendingBytes bounds all that may wait, what others cause among it, such as the
-	// ends of sessions. A reader that lets more wait loses its connection.
+	// maxPendingBytes bounds all output pending on a connection, including what others
+	// cause, such as the ends of sessions. A connection that exceeds it is closed.
 	maxPendingBytes = 4 << 20
-	// writeTimeout is how long a reader may take for paceBytes.
+	// writeTimeout is how long a client may take to accept throttleBytes.
 	writeTimeout = 2 * time.Second
-	// lingerTimeout and lingerBytes bound what is still read, and thrown away, of a
-	// connection that is closed after an answer: a close over unread bytes would
-	// reset it and take the answers along that are on their way.
+	// lingerTimeout and maxLingerBytes bound how long and how much input is still read and
+	// discarded when a connection is closed after an answer: closing a socket with unread
+	// input resets the connection, and answers in flight would be lost.
 	lingerTimeout  = 200 * time.Millisecond
 	maxLingerBytes = 256 << 10
-	// messageTimeout is how long a connection may take to send a whole message, and how
-	// long one that is owed no answer may go without any word of ours.
+	// messageTimeout is how long a client may take to send a complete message. It is also
+	// how long a new connection is kept if it awaits no answer and nothing was sent on it.
 	messageTimeout = 2 * time.Second
-	idleTimeout    = 30 * time.Second // without a message, and with no set-up open and no session of its standing
+	idleTimeout    = 30 * time.Second // without a message, on a connection with no open set-up and no established session
 	watchInterval  = 100 * time.Millisecond
-	// maxInputLag is how long what a client says may wait to be handled before it is taken
-	// for one that may have gone, and how long all of it is to be handled until it isn't.
+	// maxInputLag is how long a client's input may wait to be handled before the client is
+	// treated as possibly gone. It counts as present again once no input has been waiting
+	// for as long.
 	maxInputLag = 20 * time.Millisecond
-	// newConnGrace is how long one that has sent nothing keeps its place whatever comes.
+	// newConnGrace is how long a new connection that has sent nothing is safe from eviction.
 	newConnGrace = 50 * time.Millisecond
-	// shutdownTimeout is how long answers are waited for at the end: who gives them has
-	// been asked to give them at once.
+	// shutdownTimeout is how long Serve waits at the end for answers to open set-ups: the
+	// broker has been asked to give them at once.
 	shutdownTimeout  = 500 * time.Millisecond
-	acceptRetryDelay = 10 * time.Millisecond // an error of the listener's
+	acceptRetryDelay = 10 * time.Millisecond // after an error of the listener
 )
 
-// DefaultMaxSetups is how many set-ups may be open on one connection.
+// DefaultMaxSetups is how many set-ups may be open on one connection if Limits.MaxSetups
+// is 0.
 const DefaultMaxSetups = 128
 
-// Conn is one connection. Its owner reads; what is Put is written by an actor.
+// Conn is one viewer connection. The handler given to Serve, its owner, reads from it; a
+// goroutine of its own writes what was queued with Send.
 type Conn struct {
 	net.Conn
-	Host        string // the address at the other end, without the port
-	Addr        netip.Addr
+	Host        string     // the remote address without the port
+	Addr        netip.Addr // the remote address; the zero value if it is not TCP
 	log         *zap.Logger
-	queue       *mailbox.Box[[]byte]
-	closed      chan struct{}
-	closing     chan struct{}
-	readerDone  chan struct{} // closed once nobody reads any more
-	farewell    atomic.Pointer[[]byte]
+	queue       *mailbox.Box[[]byte]   // output that is not yet written
+	closed      chan struct{}          // closed once the descriptor is free
+	closing     chan struct{}          // closed once nothing more may be queued
+	readerDone  chan struct{}          // closed once the owner has returned
+	farewell    atomic.Pointer[[]byte] // written last when the program ends; nil: nothing
 	closeOnce   sync.Once
 	closingOnce sync.Once
 
-	pendingBytes  atomic.Int64  // bytes that were put and are not written
-	writeProgress chan struct{} // receives when some have been
-	throttled     atomic.Bool   // the owner waits for that before it reads on
-	inputEmpty    bool          // the owner's: the last Read left nothing behind
+	pendingBytes  atomic.Int64  // bytes queued and not yet written
+	writeProgress chan struct{} // receives after each successful write
+	throttled     atomic.Bool   // the owner waits in Throttle
+	inputEmpty    bool          // the last Read left nothing unread in the socket; used by the owner only
 
-	acceptedAt   time.Time
-	messageStart atomic.Int64 // when the message under way began, after came; 0: none is
-	lastMessage  atomic.Int64 // when the last whole message had come, after came
-	readEnded    atomic.Bool  // its owner reads no more: its client has closed it, or it broke
-	anySent      atomic.Bool  // something was put
-	hadSession   atomic.Bool  // a session of its stands or stood
+	acceptedAt   time.Time    // when the connection was accepted
+	messageStart atomic.Int64 // when the incomplete message began, in ns after acceptedAt; 0: there is none
+	lastMessage  atomic.Int64 // when the last complete message had been read, in ns after acceptedAt
+	readEnded    atomic.Bool  // the owner reads no more: the client closed the connection, or it broke
+	anySent      atomic.Bool  // something was queued for the client
+	hadSession   atomic.Bool  // a session of this client is or was established
 
-	sessions atomic.Int32 // sessions that were set up on it and stand
+	sessions atomic.Int32 // established sessions that were set up on this connection
 
-	gate Gate // nil: clients are always taken
+	gate Gate // nil: clients are always accepted
 
 	mu         sync.Mutex
-	openSetups map[uint64]struct{} // set-ups that are owed an answer
-	maxSetups  int                 // of them at once
-	lagging    bool                // more has come than is handled
-	lagStart   time.Time           // that is so, but for moments
-	lagUpdated time.Time           // it was last so
+	openSetups map[uint64]struct{} // ids of the set-ups that await an answer
+	maxSetups  int                 // limit of openSetups
+	lagging    bool                // more input may have arrived than was handled
+	lagStart   time.Time           // since when, ignoring gaps of up to maxInputLag
+	lagUpdated time.Time           // when lagging was last set
 }
 
-// Gate tells whether clients are taken. All connections ask it, at any time.
+// Gate decides whether clients are served here or are to go elsewhere, as during a drain or
+// an upgrade. Its methods may be called by several goroutines at once.
 type Gate interface {
-	// Takes tells what a test is answered.
+	// AcceptsClients reports whether clients are accepted; pings are answered with it.
 	AcceptsClients() bool
-	// LetsGo tells whether a connection is closed that is owed nothing and has sent
-	// nothing for a time. holds: sessions that were set up on it stand.
-	ClosesIdle(now time.Time, idle time.Duration, holds bool) bool
-	// Refuses tells whether a new request is refused unheard.
+	// ClosesIdle reports whether to close a connection that awaits no answer and has sent
+	// nothing for the duration idle. hasSessions: established sessions were set up on it.
+	ClosesIdle(now time.Time, idle time.Duration, hasSessions bool) bool
+	// RefusesSetups reports whether new set-ups are refused without being looked at.
 	RefusesSetups(now time.Time) bool
 }
 
@@ -114,7 +119,7 @@
 		address = tcp.AddrPort().Addr()
 	}
 	c := &Conn{
-		Conn: nc, Host: host, Addr: address, log: log, queue: mailbox.New[[]byte](math.MaxInt), // bounded by waiting
+		Conn: nc, Host: host, Addr: address, log: log, queue: mailbox.New[[]byte](math.MaxInt), // pendingBytes bounds it
 		closed: make(chan struct{}), closing: make(chan struct{}), readerDone: make(chan struct{}), acceptedAt: time.Now(),
 		writeProgress: make(chan struct{}, 1),
 		openSetups:    make(map[uint64]struct{}), maxSetups: maxSetups, gate: gate,
@@ -123,8 +128,8 @@
 	return c
 }
 
-// MessageRead tells that a message has been read, and whether a part of the next one
-// has come with it.
+// MessageRead records that a complete message has been read. partialNext: a part of the
+// next one was read with it.
 func (c *Conn) MessageRead(partialNext bool) {
 	now := int64(time.Since(c.acceptedAt)) + 1
 	c.lastMessage.Store(now)
@@ -134,14 +139,14 @@
 	c.messageStart.Store(now)
 }
 
-// Read notes when a message begins. Its owner calls it once all that was read before is
-// handled.
+// Read reads from the connection and records when a message begins. The owner calls it
+// only once all that it has read before is handled.
 func (c *Conn) Read(b []byte) (int, error) {
-	if c.inputEmpty && c.lagging { // the owner alone changes it
+	if c.inputEmpty && c.lagging { // needs no lock: only the owner changes lagging
 		c.setLagging(false)
 	}
 	n, err := c.Conn.Read(b)
-	if c.inputEmpty = n < len(b); !c.inputEmpty { // there may be more
+	if c.inputEmpty = n < len(b); !c.inputEmpty { // the socket may hold more
 		c.setLagging(true)
 	}
 	if n > 0 {
@@ -150,7 +155,7 @@
 	return n, err
 }
 
-// setLagging notes that more may have come than is handled, or that all is.
+// setLagging records whether more input may have arrived than was handled.
 func (c *Conn) setLagging(lagging bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,9 +166,11 @@
 	c.lagging, c.lagUpdated = lagging, now
 }
 
-// inputLags tells whether its client has been behind for so long that it may have gone. Guard:
-// one that goes on sending has more under way when all that has come is handled for a
-// moment. mu is held.
+// inputLags reports whether input has waited for so long that the client may have gone.
+// mu is held.
+//
+// Guard: that all input is handled for a moment does not end a lag: a client that goes on
+// sending has more in flight.
 func (c *Conn) inputLags(now time.Time) bool {
 	if c.lagging {
 		return now.Sub(c.lagStart) > maxInputLag
@@ -171,13 +178,13 @@
 	return c.lagUpdated.Sub(c.lagStart) > maxInputLag && now.Sub(c.lagUpdated) <= maxInputLag
 }
 
-// MarkReadEnded notes that its owner reads no more, whatever ended that. The owner calls it before
-// it tells others, who may ask Gone.
+// MarkReadEnded records that the owner reads no more, for whatever reason. The owner calls
+// it before it notifies others, who may call Gone.
 func (c *Conn) MarkReadEnded() { c.readEnded.Store(true) }
 
-// Throttle waits until the reader of what was Put has caught up. The owner calls it
-// before it reads on, so that what waits for a connection is bounded by what it
-// is sent, and not by what it sends. False: the connection is gone.
+// Throttle blocks while more than throttleBytes of output are pending, and reports whether
+// the connection is still open. The owner calls it before each read, so that a client can't
+// make its pending output grow by sending requests and not reading the replies.
 func (c *Conn) Throttle() bool {
 	if c.pendingBytes.Load() <= throttleBytes {
 		return true
@@ -192,19 +199,19 @@
 			return false
 		}
 	}
-	if c.messageStart.Load() > 0 { // what is here already did not come slowly
+	if c.messageStart.Load() > 0 { // the client did not send slowly: its message waited unread
 		c.messageStart.Store(int64(time.Since(c.acceptedAt)) + 1)
 	}
 	c.throttled.Store(false)
 	return true
 }
 
-// AcceptsClients tells what a test on this connection is answered.
+// AcceptsClients reports whether clients are accepted; pings are answered with it.
 func (c *Conn) AcceptsClients() bool { return c.gate == nil || c.gate.AcceptsClients() }
 
-// OpenSetup counts a set-up as open until Answered. False: too many are, the
-// connection is about to close and could not carry the answer, or clients have been
-// sent away for so long that no more are heard.
+// OpenSetup counts a set-up as open until CloseSetup, and reports whether it may be. It may
+// not if too many are open, if the connection is closing and could not carry the answer, or
+// if the Gate refuses set-ups.
 func (c *Conn) OpenSetup(id uint64) bool {
 	select {
 	case <-c.closing:
@@ -223,17 +230,19 @@
 	return true
 }
 
-// CloseSetup ends what Opened began: the set-up is owed no answer any more, whether it has
-// had it or its client has cancelled it.
+// CloseSetup ends what OpenSetup began: the set-up awaits no answer any more, because it was
+// answered or its client cancelled it.
 func (c *Conn) CloseSetup(id uint64) {
 	c.mu.Lock()
 	delete(c.openSetups, id)
 	c.mu.Unlock()
 }
 
-// Gone tells whether the client has closed the connection, or waits no more for a set-up
-// of that id. Guard: nor is anything begun for one that may have: while the connection is
-// not read from, or more comes than is handled, a release may be among it.
+// Gone reports whether the client has closed the connection or no longer awaits an answer
+// to the set-up of that id, or may have done so.
+//
+// Guard: nothing is started for a client that may be gone. While the connection is not read
+// from, or input arrives faster than it is handled, a release may be in the unread input.
 func (c *Conn) Gone(id uint64) bool {
 	select {
 	case <-c.closed:
@@ -246,16 +255,18 @@
 	return c.readEnded.Load() || !open || c.inputLags(time.Now())
 }
 
-// hasOpenSetups tells whether a set-up is open.
+// hasOpenSetups reports whether a set-up awaits an answer.
 func (c *Conn) hasOpenSetups() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.openSetups) > 0
 }
 
-// sealIfUnused lets no more set-ups open if nothing is owed: none is open, and all answers are
-// written. Guard: between a look at a connection and its close a set-up may open, which
-// would go down with it.
+// sealIfUnused has further set-ups refused if none is open and all output is written, and
+// reports whether it did so.
+//
+// Guard: a set-up may open between the decision to close a connection and the close, and
+// would be lost with it.
 func (c *Conn) sealIfUnused() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -266,7 +277,7 @@
 	return true
 }
 
-// seal lets no more set-ups open, and tells whether any is.
+// seal has further set-ups refused, and reports whether any is still open.
 func (c *Conn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -274,42 +285,45 @@
 	return len(c.openSetups) > 0
 }
 
-// MarkHadSession marks a connection whose client has had a session.
+// MarkHadSession records that the client has, or has had, an established session.
 func (c *Conn) MarkHadSession() { c.hadSession.Store(true) }
 
-// SessionEstablished counts a session that stands by a set-up on this connection, and Fell one that
-// no longer does.
+// SessionEstablished counts a session that was set up on this connection.
 func (c *Conn) SessionEstablished() { c.sessions.Add(1) }
-func (c *Conn) SessionEnded()       { c.sessions.Add(-1) }
 
-// HadSession tells whether its client has had a session.
+// SessionEnded records that a session counted by SessionEstablished has ended.
+func (c *Conn) SessionEnded() { c.sessions.Add(-1) }
+
+// HadSession reports whether the client has, or has had, an established session.
 func (c *Conn) HadSession() bool { return c.hadSession.Load() }
 
-// reasonIncomplete is why a connection is closed also where set-ups are open on it.
-const reasonIncomplete = "no whole message"
+// reasonIncomplete is the one reason for which a connection is closed even while set-ups
+// are open on it.
+const reasonIncomplete = "no complete message in time"
 
-// closeReason tells why a connection is to be closed by now.
+// closeReason returns why the connection is due to be closed, or "" if it isn't.
 func (c *Conn) closeReason(now time.Time) string {
 	age := now.Sub(c.acceptedAt)
 	messageStart, lastMessage := time.Duration(c.messageStart.Load()), time.Duration(c.lastMessage.Load())
 	switch {
-	case c.throttled.Load(): // nothing is read of it: the writer's time counts
+	case c.throttled.Load(): // reading is paused; writeTimeout applies instead
 		return ""
 	case messageStart > 0 && age-messageStart > messageTimeout:
 		return reasonIncomplete
 	case c.hasOpenSetups():
 		return ""
 	case messageStart == 0 && c.gate != nil && c.gate.ClosesIdle(now, age-lastMessage, c.sessions.Load() > 0):
-		return "clients are sent away"
+		return "idle during drain or upgrade"
 	case !c.anySent.Load() && !c.HadSession() && age > messageTimeout:
-		return "nothing to answer"
+		return "no request to answer"
 	case age-lastMessage > idleTimeout && c.sessions.Load() <= 0:
 		return "idle"
 	}
 	return ""
 }
 
-// Send queues bytes. A reader that lets too many wait loses its connection.
+// Send queues b for writing, and reports whether it did so. It never blocks. If more than
+// maxPendingBytes are pending, it closes the connection.
 func (c *Conn) Send(b []byte) bool {
 	select {
 	case <-c.closed:
@@ -319,7 +333,7 @@
 	default:
 	}
 	if n := c.pendingBytes.Add(int64(len(b))); n > maxPendingBytes {
-		c.closeSlowReader("too much waits for it")
+		c.closeSlowReader("too much output pending")
 		return false
 	}
 	c.anySent.Store(true)
@@ -327,35 +341,36 @@
 	return true
 }
 
-// closeSlowReader closes the connection of a reader that does not keep up.
+// closeSlowReader closes the connection because its client does not read fast enough.
 func (c *Conn) closeSlowReader(reason string) {
 	c.closeOnce.Do(func() {
-		c.log.Info("connection closed: its reader is slow", zap.String("from", c.Host),
+		c.log.Info("connection closed: client reads too slowly", zap.String("from", c.Host),
 			zap.String("why", reason), zap.Int64("bytes_waiting", c.pendingBytes.Load()))
 		c.shutDown()
 	})
 }
 
-// SetFarewell sets what is written last when the program ends.
+// SetFarewell sets the bytes that are written last when the program ends.
 func (c *Conn) SetFarewell(b []byte) { c.farewell.Store(&b) }
 
-// CloseAfterWrites closes the connection once what is queued is written.
+// CloseAfterWrites has the connection closed once all that is queued is written.
 func (c *Conn) CloseAfterWrites() { c.closingOnce.Do(func() { close(c.closing) }) }
 
-// Close ends the connection at once.
+// Close closes the connection at once; pending output is discarded.
 func (c *Conn) Close() error {
 	c.closeOnce.Do(c.shutDown)
 	return nil
 }
 
-// shutDown takes nothing more, closes the descriptor, and tells that it is free.
+// shutDown has further output refused, closes the descriptor, and then signals by closed
+// that it is free.
 func (c *Conn) shutDown() {
 	c.CloseAfterWrites()
 	c.Conn.Close()
 	close(c.closed)
 }
 
-// writeLoop is the actor that writes what was Put.
+// writeLoop writes what was queued, until the connection is closed or ctx ends.
 func (c *Conn) writeLoop(ctx context.Context) {
 	defer c.Close()
 	var batch [][]byte
@@ -390,13 +405,14 @@
 			joined = joined[:0]
 		}
 		if cap(joined) > 2*throttleBytes {
-			joined = nil // one long burst is no reason to keep its room
+			joined = nil // don't keep the memory of a single burst
 		}
 	}
 	c.linger()
 }
 
-// writeChunks writes b in pieces, each within writeTime.
+// writeChunks writes b in pieces of up to throttleBytes, each within writeTimeout, and
+// reports whether all was written.
 func (c *Conn) writeChunks(b []byte) bool {
 	for len(b) > 0 {
 		piece := b[:min(len(b), throttleBytes)]
@@ -405,7 +421,7 @@
 		}
 		if _, err := c.Conn.Write(piece); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				c.closeSlowReader("it took nothing in time")
+				c.closeSlowReader("write timed out")
 			}
 			return false
 		}
@@ -419,14 +435,14 @@
 	return true
 }
 
-// linger closes for writing and reads on for a moment, so that the last answers
-// arrive. A connection that was told nothing has none.
+// linger closes the write side and discards input for a moment, so that the last answers
+// arrive. A connection on which nothing was sent has no answers in flight and needs none.
 func (c *Conn) linger() {
 	halfCloser, ok := c.Conn.(interface{ CloseWrite() error })
 	select {
 	case <-c.readerDone:
 	default:
-		return // its owner reads still
+		return // the owner still reads
 	}
 	if !ok || !c.anySent.Load() || halfCloser.CloseWrite() != nil || c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
@@ -434,23 +450,23 @@
 	io.CopyN(io.Discard, c.Conn, maxLingerBytes)
 }
 
-// registry is the connections that are open on one listener.
+// registry holds the open connections of one listener and enforces its limits.
 type registry struct {
 	Limits
 	mu    sync.Mutex
 	conns map[*Conn]bool
 }
 
-// Limits is what one listener's connections may take up.
+// Limits bounds what the connections of one listener may take up.
 type Limits struct {
-	MaxConns          int         // connections at once
-	MaxConnsInUpgrade int         // of them while Shared says so
-	UpgradeInProgress func() bool // another process has its half of the descriptors; nil: none ever has
-	MaxSetups         int         // set-ups open on each; 0: DefaultOpen
-	Gate              Gate        // nil: clients are always taken
+	MaxConns          int         // open connections
+	MaxConnsInUpgrade int         // open connections while UpgradeInProgress returns true
+	UpgradeInProgress func() bool // reports whether another process uses half of the descriptors; nil: never
+	MaxSetups         int         // open set-ups on each connection; 0: DefaultMaxSetups
+	Gate              Gate        // nil: clients are always accepted
 }
 
-// full tells whether there is no place for one more.
+// full reports whether no further connection may be added.
 func (r *registry) full() bool {
 	limit := r.MaxConns
 	if r.UpgradeInProgress != nil && r.UpgradeInProgress() {
@@ -459,8 +475,9 @@
 	return len(r.conns) >= limit
 }
 
-// add makes room for c. A full room loses the connections that are missed
-// least; if all are owed something, c can't enter.
+// add adds c, and reports whether it could. If the limit is reached, it evicts the
+// connection that is the least loss; it fails if all await an answer or have output
+// pending.
 func (r *registry) add(c *Conn) bool {
 	for {
 		added, wait := r.tryAdd(c)
@@ -471,11 +488,12 @@
 	}
 }
 
-// tryAdd enters c, or tells for how long it has to wait.
+// tryAdd adds c, or returns how long to wait before the next try; 0 if there is no use in
+// another one.
 func (r *registry) tryAdd(c *Conn) (added bool, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.full() { // by more than one once another process has half
+	for r.full() { // possibly by more than one, once an upgrade has lowered the limit
 		if evicted, wait := r.evictOne(); !evicted {
 			return false, wait
 		}
@@ -484,9 +502,12 @@
 	return true, 0
 }
 
-// evictOne closes the connection that is missed least. False: all are owed something, or
-// it has just come. Guard: in a rush each would otherwise lose its place to the next
-// before its first request is read.
+// evictOne closes the connection that is the least loss, and reports whether it did so. It
+// does not if all connections await an answer or have output pending, or if the candidate
+// has just been accepted; for the latter it returns how long to wait.
+//
+// Guard: without that wait, in a burst of new connections each would be evicted for the
+// next one before its first request is read.
 func (r *registry) evictOne() (evicted bool, wait time.Duration) {
 	for {
 		var candidate *Conn
@@ -501,7 +522,7 @@
 		if wait := newConnGrace - time.Since(candidate.acceptedAt); candidate.lastMessage.Load() == 0 && wait > 0 {
 			return false, wait
 		}
-		if candidate.sealIfUnused() { // else a set-up has just come
+		if candidate.sealIfUnused() { // false: a set-up has just arrived
 			delete(r.conns, candidate)
 			candidate.Close()
 			return true, 0
@@ -509,21 +530,22 @@
 	}
 }
 
-// freeDescriptor makes room where the machine gives no more descriptors.
+// freeDescriptor evicts a connection when the operating system has no descriptor left.
 func (r *registry) freeDescriptor() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evictOne()
 }
 
-// waitForAnswers waits until no set-up is open, for settleTime at most.
+// waitForAnswers has new set-ups refused and waits until none is open, for shutdownTimeout
+// at most.
 func (r *registry) waitForAnswers() {
 	for deadline := time.Now().Add(shutdownTimeout); time.Now().Before(deadline) && r.sealAll(); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// sealAll lets no more set-ups open, and tells whether any is.
+// sealAll seals all connections, and reports whether any set-up is still open.
 func (r *registry) sealAll() (anyOpen bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -533,9 +555,11 @@
 	return anyOpen
 }
 
-// evictBefore tells whether c is missed less than o: no session of its client's stands, or it
-// has had none, or it has been idle for longer. Guard: one that has just come is missed
-// most of these, since its first request is on its way.
+// evictBefore reports whether to evict c rather than other: in this order, because it has no
+// established session, because it never had one, or because it has been idle for longer.
+//
+// Guard: a connection that has just been accepted counts as active, since its first request
+// is probably in flight: it is the last to be evicted among its equals.
 func (c *Conn) evictBefore(other *Conn) bool {
 	if active := c.sessions.Load() > 0; active != (other.sessions.Load() > 0) {
 		return !active
@@ -546,7 +570,8 @@
 	return c.lastActivity().Before(other.lastActivity())
 }
 
-// lastActivity is when it last sent a whole message, or came.
+// lastActivity returns when the last complete message was read; before the first one, when
+// the connection was accepted.
 func (c *Conn) lastActivity() time.Time { return c.acceptedAt.Add(time.Duration(c.lastMessage.Load())) }
 
 func (r *registry) remove(c *Conn) {
@@ -555,7 +580,7 @@
 	r.mu.Unlock()
 }
 
-// closeOverdue closes what is overdue, until ctx ends.
+// closeOverdue closes connections whose time-out has passed, until ctx ends.
 func (r *registry) closeOverdue(ctx context.Context, log *zap.Logger) error {
 	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
@@ -576,9 +601,10 @@
 	}
 }
 
-// Serve accepts until ctx ends and handles each connection until handle returns. Then
-// it waits for the answers to the set-ups that are open, so whoever gives them is to
-// end later.
+// Serve accepts connections on l until ctx ends, and calls handle for each in a goroutine of
+// its own; a connection is closed once handle returns and its output is written. After ctx
+// has ended, Serve waits for the answers to open set-ups, so the broker that gives them has
+// to stop after Serve has returned.
 func Serve(ctx context.Context, l net.Listener, limits Limits, log *zap.Logger, handle func(context.Context, *Conn)) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
@@ -599,8 +625,8 @@
 			return group.Wait()
 		}
 		if err != nil {
-			if message := err.Error(); message != lastError { // it may go on for long
-				log.Warn("accept", zap.Error(err))
+			if message := err.Error(); message != lastError { // log a repeated error only once
+				log.Warn("accept failed", zap.Error(err))
 				lastError = message
 			}
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
@@ -611,22 +637,22 @@
 		}
 		lastError = ""
 		c := newConn(nc, limits.MaxSetups, limits.Gate, log)
-		// Guard: descriptors beyond the viewers' part are not held, and those who
-		// say nothing or stay for good lock nobody out.
+		// Guard: viewers' connections never use more than their share of the descriptors,
+		// and silent or permanent connections can't keep new ones out.
 		if !r.add(c) {
 			nc.Close()
 			continue
 		}
 		group.Go(func() error { c.writeLoop(connCtx); return nil })
 		group.Go(func() error {
-			// It takes up its place until its last answers are out as well.
+			// The connection counts against the limit until its last answers are written.
 			defer func() { <-c.closed; r.remove(c) }()
 			defer c.CloseAfterWrites()
 			defer close(c.readerDone)
 			defer func() {
-				// Guard: what one peer sends costs at most its connection.
+				// Guard: input from one client costs at most that client's connection.
 				if p := recover(); p != nil {
-					log.Error("connection handler", zap.Any("panic", p), zap.Stack("stack"))
+					log.Error("connection handler panicked", zap.Any("panic", p), zap.Stack("stack"))
 				}
 			}()
 			handle(connCtx, c)
--- a/internal/front/peer/peer_test.go
+++ b/internal/front/peer/peer_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 )
 
-// startServe runs Serve until the test ends, and returns where to connect.
+// startServe runs Serve until the test ends, and returns a function that connects to it.
 func startServe(t *testing.T, handle func(*Conn)) func() net.Conn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// A fault in handling one connection costs that one; so does a reader that
-// takes nothing. The next ones are served, within the limit of two.
+// A panic while handling a connection, or a client that reads nothing, costs only that
+// connection. The next ones are served, although the limit is two.
 func TestFaultCostsOneConnection(t *testing.T) {
 	slow := make(chan bool, 1)
 	dial := startServe(t, func(c *Conn) {
@@ -65,7 +65,7 @@
 		switch command {
 		case "flood":
 			if <-slow {
-				t.Error("a reader that takes nothing holds its connection")
+				t.Error("a client that reads nothing keeps its connection")
 			}
 		default:
 			got, _ := bufio.NewReader(c).ReadString('\n')
@@ -109,7 +109,7 @@
 	}
 }
 
-// connOfAge makes a connection that is as old as age.
+// connOfAge returns a connection that was accepted that long ago.
 func connOfAge(age time.Duration) *Conn {
 	server, _ := net.Pipe()
 	c := newConn(server, 0, nil, zap.NewNop())
@@ -117,8 +117,8 @@
 	return c
 }
 
-// What says nothing, drips, or stays for good is closed; what is owed an answer
-// or is in use is not.
+// Connections are due to be closed if they are silent, send a message too slowly, or are idle
+// for too long; not if they await an answer or are in use.
 func TestCloseReason(t *testing.T) {
 	long := 9 * idleTimeout
 	for name, e := range map[string]struct {
@@ -127,28 +127,28 @@
 		want string
 	}{
 		"new":    {messageTimeout / 2, func(c *Conn) {}, ""},
-		"silent": {messageTimeout * 2, func(c *Conn) {}, "no whole message"},
-		"drips": {long, func(c *Conn) {
+		"silent": {messageTimeout * 2, func(c *Conn) {}, "no complete message in time"},
+		"slow message": {long, func(c *Conn) {
 			c.lastMessage.Store(int64(long - 3*messageTimeout))
 			c.messageStart.Store(int64(long - 2*messageTimeout))
-		}, "no whole message"},
-		"half the next":     {long, func(c *Conn) { c.Send(nil); c.MessageRead(true) }, ""},
-		"drips on a set-up": {long, func(c *Conn) { c.OpenSetup(1); c.messageStart.Store(1) }, "no whole message"},
-		"takes all back":    {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1); c.CloseSetup(1) }, "nothing to answer"},
-		"waits":             {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1) }, ""},
-		"waits for long":    {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.OpenSetup(1) }, ""},
-		"is told":           {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.Send(nil) }, ""},
-		"stays for good":    {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.Send(nil) }, "idle"},
-		"with a session":    {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.Send(nil); c.SessionEstablished() }, ""},
-		"which has ended": {long, func(c *Conn) {
+		}, "no complete message in time"},
+		"next message begun":               {long, func(c *Conn) { c.Send(nil); c.MessageRead(true) }, ""},
+		"slow message with an open set-up": {long, func(c *Conn) { c.OpenSetup(1); c.messageStart.Store(1) }, "no complete message in time"},
+		"set-up cancelled":                 {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1); c.CloseSetup(1) }, "no request to answer"},
+		"awaits an answer":                 {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.OpenSetup(1) }, ""},
+		"awaits an answer for long":        {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.OpenSetup(1) }, ""},
+		"answered":                         {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.Send(nil) }, ""},
+		"idle for long":                    {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.Send(nil) }, "idle"},
+		"idle with a session":              {long, func(c *Conn) { c.lastMessage.Store(1); c.messageStart.Store(0); c.Send(nil); c.SessionEstablished() }, ""},
+		"idle after its session": {long, func(c *Conn) {
 			c.lastMessage.Store(1)
 			c.messageStart.Store(0)
 			c.Send(nil)
 			c.SessionEstablished()
 			c.SessionEnded()
 		}, "idle"},
-		"in use":          {long, func(c *Conn) { c.Send(nil); c.MessageRead(false) }, ""},
-		"has its session": {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.MarkHadSession() }, ""},
+		"in use":        {long, func(c *Conn) { c.Send(nil); c.MessageRead(false) }, ""},
+		"had a session": {messageTimeout * 2, func(c *Conn) { c.MessageRead(false); c.MarkHadSession() }, ""},
 	} {
 		c := connOfAge(e.age)
 		e.do(c)
@@ -158,13 +158,14 @@
 	}
 }
 
-// A full room goes on taking connections: the one that is missed least goes.
+// When the limit is reached, new connections are still accepted, and the connection that is
+// the least loss is evicted: one without a session before one with, then one idle for longer.
 func TestEvictionOrder(t *testing.T) {
 	withSession, hadSession, withSetup, recent, idle, justAccepted := connOfAge(9*time.Hour), connOfAge(9*time.Hour), connOfAge(9*time.Hour), connOfAge(8*time.Hour), connOfAge(7*time.Hour), connOfAge(0)
 	withSession.MarkHadSession()
 	withSession.SessionEstablished()
 	hadSession.MarkHadSession()
-	hadSession.lastMessage.Store(int64(time.Hour)) // idle for less long than holds
+	hadSession.lastMessage.Store(int64(time.Hour)) // not idle for as long as withSession
 	withSetup.OpenSetup(1)
 	recent.lastMessage.Store(int64(7 * time.Hour))
 	idle.lastMessage.Store(int64(time.Hour))
@@ -173,11 +174,11 @@
 		c := connOfAge(0)
 		c.OpenSetup(1)
 		if !r.add(c) || r.conns[evicted] || len(r.conns) != 6 {
-			t.Errorf("%d: the wrong one went", i)
+			t.Errorf("%d: the wrong connection was evicted", i)
 		}
 	}
 	if r.add(connOfAge(0)) {
-		t.Error("a set-up lost its connection")
+		t.Error("a connection with an open set-up was evicted")
 	}
 }
 
@@ -189,14 +190,15 @@
 		}
 	}
 	if c.OpenSetup(DefaultMaxSetups) {
-		t.Error("no limit")
+		t.Error("more than DefaultMaxSetups were opened")
 	}
 	if c.CloseSetup(1); !c.OpenSetup(DefaultMaxSetups) {
 		t.Error("an answered set-up is still counted")
 	}
 }
 
-// newPipedConn runs a connection's writer at one end of a pipe, in a bubble's fake time.
+// newPipedConn returns a connection over a pipe whose output is being written, and the
+// client's end of the pipe.
 func newPipedConn(maxSetups int) (c *Conn, client net.Conn) {
 	server, client := net.Pipe()
 	c = newConn(server, maxSetups, nil, zap.NewNop())
@@ -204,23 +206,24 @@
 	return c, client
 }
 
-// A set-up that comes again under the id of an open one needs no second place: refused, it
-// would end the first one's too, and look as if its client had gone.
+// A set-up with the id of an open one does not count against the limit again: its refusal
+// would end the first one too, and make its client look gone.
 func TestRepeatedIDCountsOnce(t *testing.T) {
 	server, client := net.Pipe()
 	defer client.Close()
 	defer server.Close()
 	c := newConn(server, 1, nil, zap.NewNop())
-	if !c.OpenSetup(1) || !c.OpenSetup(1) || c.OpenSetup(2) || c.Gone(1) || !c.Gone(2) {
-		t.Error("the same id takes a second place, or another one none")
+	opened, openedAgain := c.OpenSetup(1), c.OpenSetup(1)
+	if !opened || !openedAgain || c.OpenSetup(2) || c.Gone(1) || !c.Gone(2) {
+		t.Error("a repeated id was counted again, or another one was not counted")
 	}
 	if c.CloseSetup(1); !c.Gone(1) || !c.OpenSetup(2) {
-		t.Error("an answer frees no place")
+		t.Error("an answered set-up is still counted, or its client does not count as gone")
 	}
 }
 
-// A client that asks and never listens is no longer read from, and loses its
-// connection once the writer's time is up: not sooner, not later.
+// A client that sends requests and never reads is no longer read from, and its connection is
+// closed after exactly writeTimeout.
 func TestClientThatNeverReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newPipedConn(0)
@@ -231,13 +234,14 @@
 			maxPending = max(maxPending, c.pendingBytes.Load())
 		}
 		if elapsed := time.Since(start); elapsed != writeTimeout || maxPending > throttleBytes+1000 {
-			t.Errorf("closed after %v with %d bytes waiting", elapsed, maxPending)
+			t.Errorf("closed after %v with up to %d bytes pending", elapsed, maxPending)
 		}
 	})
 }
 
-// While a connection is not read from for long, or more comes than is handled, its client
-// may have cancelled what it asked for, and so it may until all has been handled.
+// While a connection has not been read for longer than maxInputLag, or more input arrives
+// than is handled, its client may have cancelled the set-up: Gone returns true until all
+// input has been handled.
 func TestGoneWhileInputLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newPipedConn(0)
@@ -253,46 +257,47 @@
 			owner <- do
 			synctest.Wait()
 			if time.Sleep(wait); c.Gone(1) != gone {
-				t.Errorf("%s: gone %v", name, !gone)
+				t.Errorf("%s: Gone returned %v", name, !gone)
 			}
 		}
 		write := func(s string) { go client.Write([]byte(s)) }
 		buf := make([]byte, 4)
 		read, doNothing := func() { c.Read(buf) }, func() {}
 		c.OpenSetup(1)
-		step("slow, and read from", 9*maxInputLag, false, func() { c.Send(make([]byte, throttleBytes+1)); read() })
-		write("ask") // all of it is read before the pause
-		step("not read from for a moment", maxInputLag, false, func() { c.Throttle() })
-		step("for long", 1, true, doNothing)
+		step("read while output is pending", 9*maxInputLag, false, func() { c.Send(make([]byte, throttleBytes+1)); read() })
+		write("ask") // all of it is read before reading pauses
+		step("reading paused for a moment", maxInputLag, false, func() { c.Throttle() })
+		step("reading paused for longer", 1, true, doNothing)
 		time.Sleep(9 * maxInputLag)
 		io.ReadFull(client, make([]byte, throttleBytes+1))
-		step("read from again", 1, true, doNothing)
+		step("reading resumed", 1, true, doNothing)
 		write("0123456789")
-		step("a part of it", 1, true, read)
-		step("more", 1, true, read)
-		step("the rest, which may hold a release", 9*maxInputLag, true, read)
-		step("handled, and more may be under way", maxInputLag, true, read)
-		step("none is", 1, false, doNothing)
+		step("a part of the input read", 1, true, read)
+		step("more of it read", 1, true, read)
+		step("all read, but the rest may hold a release", 9*maxInputLag, true, read)
+		step("all handled, but more may be in flight", maxInputLag, true, read)
+		step("nothing more was in flight", 1, false, doNothing)
 		write("0123456789")
-		step("more than is handled", maxInputLag, false, doNothing)
-		step("for long", 1, true, doNothing)
+		step("input unread for a moment", maxInputLag, false, doNothing)
+		step("input unread for longer", 1, true, doNothing)
 		write("0123456789")
-		step("all, and more at once", maxInputLag, true, func() { read(); read(); read(); read() })
-		step("all of that", 9*maxInputLag, false, func() { read(); read(); read() })
+		step("all read, and more arrived at once", maxInputLag, true, func() { read(); read(); read(); read() })
+		step("all of that handled", 9*maxInputLag, false, func() { read(); read(); read() })
 		write("0123456789")
-		step("a burst", 1, false, func() { read(); read() })
-		step("is no more", maxInputLag, false, doNothing)
+		step("a short burst", 1, false, func() { read(); read() })
+		step("a moment after the burst", maxInputLag, false, doNothing)
 		c.Close()
 		close(owner)
 	})
 }
 
-// A slow reader that keeps up with the stated pace stays, gets all of it in
-// order, and is not blamed for what it sent and we did not read.
+// A client that reads slowly, but takes throttleBytes within writeTimeout, keeps its
+// connection, receives all output in order, and is not blamed for input that is left unread
+// meanwhile.
 func TestSlowReaderIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newPipedConn(0)
-		c.MessageRead(true) // more has come than was read
+		c.MessageRead(true) // the next message has begun
 		const n = 600
 		go func() {
 			for i := range n {
@@ -309,7 +314,7 @@
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
 				if reason := c.closeReason(time.Now()); reason != "" && c.pendingBytes.Load() > throttleBytes {
-					t.Error("to be closed:", reason)
+					t.Error("due to be closed:", reason)
 				}
 			}
 		}()
@@ -327,13 +332,14 @@
 			got++
 		}
 		if got != n {
-			t.Errorf("%d of %d", got, n)
+			t.Errorf("received %d of %d messages", got, n)
 		}
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// What others cause to be sent is bounded too.
+// Output that is queued without a call of Throttle, such as the ends of sessions, is bounded
+// too.
 func TestMaxPendingBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, client := newPipedConn(0)
@@ -343,12 +349,12 @@
 			n++
 		}
 		if n != maxPendingBytes>>10 {
-			t.Errorf("%d KiB", n)
+			t.Errorf("%d KiB were queued", n)
 		}
 	})
 }
 
-// A close over unread bytes must not take the last answer along.
+// Closing a connection with unread input must not lose the last answer.
 func TestLingerDeliversLastAnswer(t *testing.T) {
 	dial := startServe(t, func(c *Conn) {
 		bufio.NewReader(c).ReadString('\n')
@@ -362,11 +368,11 @@
 	}
 }
 
-// A connection that is about to close takes no set-up that it can't answer.
+// A connection that is closing accepts no set-up, since it could not carry the answer.
 func TestNoSetupWhileClosing(t *testing.T) {
 	c := connOfAge(0)
 	c.CloseAfterWrites()
 	if c.OpenSetup(1) {
-		t.Error("a set-up opened")
+		t.Error("a set-up was opened on a closing connection")
 	}
 }
--- a/internal/front/websocket/frame.go
+++ b/internal/front/websocket/frame.go
@@ -8,7 +8,7 @@
 	"millethinge/internal/front/message"
 )
 
-// Opcodes (RFC 6455, section 5.2).
+// Frame opcodes (RFC 6455, section 5.2).
 const (
 	opContinuation = 0
 	opText         = 1
@@ -18,40 +18,42 @@
 	opPong         = 10
 )
 
-// Close codes (section 7.4.1).
+// Close codes (RFC 6455, section 7.4.1).
 const (
 	closeNormal          = 1000
 	closeGoingAway       = 1001
 	closeProtocol        = 1002
 	closeUnsupportedData = 1003
-	closeNoStatus        = 1005 // stands for a close frame without one; never sent
+	closeNoStatus        = 1005 // stands for a close frame without a code; never sent
 	closeInvalidPayload  = 1007
 	closeTooBig          = 1009
 )
 
-// closeError ends a connection with a close code.
+// closeError is an error that ends a connection; its value is the close code to send.
 type closeError int
 
-func (e closeError) Error() string { return fmt.Sprintf("websocket: closing with %d", int(e)) }
+func (e closeError) Error() string { return fmt.Sprintf("websocket: closing with code %d", int(e)) }
 
-// frame is one frame of a client. Its payload is a slice of the buffer that
-// was parsed, unmasked in place.
+// frame is one frame from a client. Its payload is a slice of the parsed buffer, unmasked in
+// place.
 type frame struct {
 	fin     bool
 	opcode  byte
 	payload []byte
 }
 
+// maxControlPayload is the longest payload of a control frame in bytes (RFC 6455, section
+// 5.5).
 const maxControlPayload = 125
 
-// parseFrame reads one masked frame from the start of b. It returns the frame's
-// length, or 0 if b ends before it does; only then is b left as it was.
+// parseFrame parses one masked frame at the start of b. It returns the frame's length, or 0
+// if b does not hold the complete frame yet. A complete frame is unmasked in b.
 func parseFrame(b []byte, f *frame) (int, error) {
 	if len(b) < 2 {
 		return 0, nil
 	}
 	f.fin, f.opcode = b[0]&0x80 != 0, b[0]&0x0f
-	if b[0]&0x70 != 0 || b[1]&0x80 == 0 { // no extensions; clients mask
+	if b[0]&0x70 != 0 || b[1]&0x80 == 0 { // no extension is in use, and clients must mask
 		return 0, closeError(closeProtocol)
 	}
 	size, offset := uint64(b[1]&0x7f), 2
@@ -95,7 +97,7 @@
 	return end, nil
 }
 
-// appendFrame adds one unmasked frame of a server.
+// appendFrame appends one frame from the server, which is not masked.
 func appendFrame(b []byte, opcode byte, payload []byte) []byte {
 	b = append(b, 0x80|opcode)
 	switch n := len(payload); {
@@ -111,7 +113,7 @@
 	return append(b, payload...)
 }
 
-// appendClose adds a close frame.
+// appendClose appends a close frame.
 func appendClose(b []byte, code int) []byte {
 	if code == closeNoStatus {
 		return appendFrame(b, opClose, nil)
@@ -119,7 +121,7 @@
 	return appendFrame(b, opClose, binary.BigEndian.AppendUint16(nil, uint16(code)))
 }
 
-// parseCloseCode reads a close frame's payload.
+// parseCloseCode returns the close code in the payload of a close frame.
 func parseCloseCode(payload []byte) (int, error) {
 	if len(payload) == 0 {
 		return closeNoStatus, nil
--- a/internal/front/websocket/frame_test.go
+++ b/internal/front/websocket/frame_test.go
@@ -35,7 +35,7 @@
 		"reserved bit":       {[]byte{0xc1, 0x85}, closeProtocol},
 		"unknown opcode":     {[]byte{0x83, 0x85}, closeProtocol},
 		"unknown control":    {[]byte{0x8b, 0x80}, closeProtocol},
-		"control in parts":   {[]byte{0x09, 0x80}, closeProtocol},
+		"fragmented control": {[]byte{0x09, 0x80}, closeProtocol},
 		"long control":       {[]byte{0x89, 0xfe}, closeProtocol},
 		"length not minimal": {[]byte{0x81, 0xfe, 0, 1}, closeProtocol},
 		"length too large":   {[]byte{0x81, 0xff, 0, 0, 0, 0, 0, 1, 0, 0}, closeTooBig},
--- a/internal/front/websocket/handshake.go
+++ b/internal/front/websocket/handshake.go
@@ -12,19 +12,21 @@
 )
 
 const (
+	// acceptGUID is the constant of the opening handshake (RFC 6455, section 1.3).
 	acceptGUID      = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
-	maxRequestBytes = 8 << 10 // bytes of an opening request
+	maxRequestBytes = 8 << 10 // limit for the request of the opening handshake
 )
 
 var (
 	headerEnd = []byte("\r\n\r\n")
 
-	errBadRequest = errors.New("websocket: no opening request")
+	errBadRequest = errors.New("websocket: malformed handshake request")
 )
 
-// parseRequest reads an opening request from the start of b and returns its length,
-// or 0 if b ends before it does. net/http reads what is whole and short, so that a
-// client can have no more kept of it than its bytes.
+// parseRequest parses the request of an opening handshake at the start of b. It returns the
+// request's length, or 0 if b does not hold the complete request yet. net/http gets only
+// complete requests of limited length, so that a client can't make the server hold more
+// memory than the bytes it has sent.
 func parseRequest(b []byte) (*http.Request, int, error) {
 	end := bytes.Index(b, headerEnd) + len(headerEnd)
 	if end < len(headerEnd) {
@@ -37,14 +39,14 @@
 		return nil, 0, errBadRequest
 	}
 	req, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(b[:end]), end))
-	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength != 0 { // Guard: a body would be taken for frames
+	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength != 0 { // Guard: a body would be parsed as frames
 		return nil, 0, errBadRequest
 	}
 	return req, end, nil
 }
 
-// handshakeResponse answers an opening request (RFC 6455, section 4.2). ok: the
-// connection is a WebSocket from here on.
+// handshakeResponse returns the response to the request of an opening handshake (RFC 6455, section
+// 4.2). ok: the request was accepted, and WebSocket frames follow.
 func handshakeResponse(req *http.Request, path string) (response []byte, ok bool) {
 	switch {
 	case req.URL.Path != path:
@@ -63,8 +65,8 @@
 		"Sec-WebSocket-Accept: " + acceptKey(key) + "\r\n\r\n"), true
 }
 
-// hasToken tells whether a header's comma-separated list has a token, in any of its
-// lines and whatever the case.
+// hasToken reports whether the comma-separated values of a header contain a token. Letter
+// case is ignored, and the header may occur several times.
 func hasToken(h http.Header, name, token string) bool {
 	for _, line := range h.Values(name) {
 		for t := range strings.SplitSeq(line, ",") {
--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -1,9 +1,10 @@
-// Package websocket is the players' front: the session API over WebSocket
-// (RFC 6455), one message in each text message.
+// Package websocket is the players' front: it serves the session API over WebSocket (RFC
+// 6455), with one API message in each text message.
 //
-// net/http reads the opening request. Frames are read by hand: they are slices of the
-// read buffer, and what is written goes through the connection's actor, which never
-// waits, where a library's connection would own both ways.
+// net/http parses the request of the opening handshake. Frames are parsed here rather than
+// by a WebSocket library: they are slices of the read buffer, and output goes through the
+// queue of a peer.Conn, so that sending never blocks. A library's connection would take over
+// both reading and writing.
 package websocket
 
 import (
@@ -24,25 +25,25 @@
 )
 
 const (
-	handshakeTimeout = 2 * time.Second  // for the opening handshake
-	pingInterval     = 10 * time.Second // between pings
-	readTimeout      = 25 * time.Second // without a byte, after which a socket is lost
-	// readBufferSize holds the longest frame with its header.
+	handshakeTimeout = 2 * time.Second  // for the request of the opening handshake to arrive
+	pingInterval     = 10 * time.Second // between pings to the player
+	readTimeout      = 25 * time.Second // for the next complete frame; a socket without one counts as lost
+	// readBufferSize is the length of the longest frame with its header of 14 bytes.
 	readBufferSize = message.MaxSize + 14
 )
 
-// Front serves players on one address.
+// Front serves players on one address. Its fields are set before Serve.
 type Front struct {
-	Broker  message.Broker
-	Decoder message.SetupDecoder
-	Path    string
-	Grace   time.Duration // for a player whose socket is lost to come back
-	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
+	Broker  message.Broker       // takes the players' requests
+	Decoder message.SetupDecoder // decodes their set-ups
+	Path    string               // URL path of the WebSocket
+	Grace   time.Duration        // how long a player whose socket is lost may take to reconnect
+	Limits  peer.Limits          // limits for the connections
+	Counts  *broker.Counts       // counts refused set-ups; nil: they are not counted
 	Log     *zap.Logger
 }
 
-// Serve accepts until ctx ends.
+// Serve accepts connections on l until ctx ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return peer.Serve(ctx, l, f.Limits, f.Log, func(_ context.Context, p *peer.Conn) {
 		c := &conn{Conn: p, front: f, reader: stream.NewReader(p, readBufferSize)}
@@ -63,26 +64,26 @@
 	})
 }
 
-// conn is one player's socket.
+// conn is one player's WebSocket connection.
 type conn struct {
 	*peer.Conn
 	front          *Front
 	reader         *stream.Reader
-	fragments      []byte // of a message in several frames
-	fragmentOpcode byte   // of that message; 0: none is open
+	fragments      []byte // payload so far of a message sent in several frames
+	fragmentOpcode byte   // opcode of that message; 0: there is none
 }
 
-// Deliver sends a reply on this socket. If it is lost, the broker keeps the
-// reply for the player to come back.
+// Deliver sends a reply on this socket, and reports whether it could. If the socket is lost,
+// the broker keeps the reply until the player reconnects.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
+	case broker.Closed: // keeps the id open: its set-up was answered before, so one that is open is a later one
 		c.SessionEnded()
 		return true
 	case broker.Over, broker.Moved: // likewise
 		c.SessionEnded()
 	default:
-		defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+		defer c.CloseSetup(uint64(r.ID)) // only once the answer is queued: a connection without open set-ups may be closed
 	}
 	switch r.Kind {
 	case broker.GivenUp:
@@ -97,7 +98,7 @@
 // Gone is part of broker.Client.
 func (c *conn) Gone(id control.SessionID) bool { return c.Conn.Gone(uint64(id)) }
 
-// acceptHandshake does the opening handshake.
+// acceptHandshake performs the opening handshake, and reports whether it succeeded.
 func (c *conn) acceptHandshake() bool {
 	if err := c.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return false
@@ -118,7 +119,8 @@
 	return c.Send(response) && ok
 }
 
-// keepAlive pings, so that a socket whose player vanished is found out.
+// keepAlive sends pings until done is closed. The player's pongs let the read time-out detect
+// a player that has vanished.
 func (c *conn) keepAlive(done <-chan struct{}) {
 	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
@@ -134,7 +136,8 @@
 	}
 }
 
-// readLoop handles frames until the socket ends. A closeError is still to be sent.
+// readLoop handles frames until the socket ends, and returns why. If that is a closeError,
+// its close frame is still to be sent.
 func (c *conn) readLoop() error {
 	var f frame
 	for c.Throttle() {
@@ -148,7 +151,7 @@
 			}
 			return err
 		}
-		if c.fragmentOpcode == 0 || f.fin && f.opcode == opContinuation { // a message in parts counts when it is whole
+		if c.fragmentOpcode == 0 || f.fin && f.opcode == opContinuation { // a fragmented message counts once it is complete
 			c.MessageRead(c.reader.Buffered() > 0)
 		}
 		if err := c.handleFrame(&f); err != nil {
@@ -158,7 +161,8 @@
 	return net.ErrClosed
 }
 
-// handleFrame takes one frame.
+// handleFrame handles one frame and assembles fragmented messages. An error ends the
+// connection.
 func (c *conn) handleFrame(f *frame) error {
 	switch f.opcode {
 	case opPing:
@@ -171,7 +175,7 @@
 		if err != nil {
 			return err
 		}
-		return closeError(code) // the closing handshake's answer
+		return closeError(code) // echoes the code, as the closing handshake demands
 	case opContinuation:
 		if c.fragmentOpcode == 0 {
 			return closeError(closeProtocol)
@@ -197,7 +201,7 @@
 	return c.handleMessage(opcode, c.fragments)
 }
 
-// handleMessage takes one whole message.
+// handleMessage handles one complete message. An error ends the connection.
 func (c *conn) handleMessage(opcode byte, payload []byte) error {
 	received := time.Now()
 	if opcode != opText {
@@ -215,14 +219,14 @@
 		return c.handleSetup(&m, received)
 	case "release":
 		id, err := message.ParseID(m.ID)
-		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		c.CloseSetup(uint64(id)) // first, so that the broker drops an attempt that it is about to start
 		if err != nil || !c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
 			return closeError(closeProtocol)
 		}
 	case "ping":
 		c.Send(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.AcceptsClients())))
 	}
-	return nil // progress and released mean nothing
+	return nil // progress, released and unknown types are ignored
 }
 
 func (c *conn) handleSetup(m *message.Message, received time.Time) error {
@@ -234,8 +238,8 @@
 	case err != nil:
 		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
-		// Guard: too many wait, on this socket or before the module, or clients are sent
-		// away. Nothing has been tried.
+		// Guard: too many set-ups wait, on this socket or for the broker, or the manager
+		// drains. The answer is a refusal, since no attempt has been made.
 		c.front.Counts.Answered(r.Class, broker.Refused)
 		c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
 			Wait: time.Second, Reason: message.ReasonBusy})
--- a/internal/front/websocket/websocket_test.go
+++ b/internal/front/websocket/websocket_test.go
@@ -50,14 +50,15 @@
 	}
 }
 
-// The costliest request that a client can send within the limit.
+// BenchmarkParseRequest parses an ordinary handshake request, and the costliest one that fits
+// the limit: one with as many headers as possible.
 func BenchmarkParseRequest(b *testing.B) {
 	var many strings.Builder
 	many.WriteString(strings.TrimSuffix(handshakeRequest, "\r\n"))
 	for i := 0; many.Len() < maxRequestBytes-12; i++ {
 		fmt.Fprintf(&many, "%c%c%c:\r\n", 'a'+i%26, 'a'+i/26%26, 'a'+i/26/26)
 	}
-	for name, text := range map[string]string{"opening": handshakeRequest, "headers": many.String() + "\r\n"} {
+	for name, text := range map[string]string{"ordinary": handshakeRequest, "many headers": many.String() + "\r\n"} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,7 +70,8 @@
 	}
 }
 
-// A message in parts: control frames may come between, a second message not.
+// The frames of a message may be interleaved with control frames, but not with another
+// message.
 func TestFragmentedMessages(t *testing.T) {
 	newFrame := func(fin bool, op byte, text string) frame { return frame{fin, op, []byte(text)} }
 	for name, e := range map[string]struct {
@@ -80,9 +82,9 @@
 		"text within text":  {[]frame{newFrame(false, opText, "{"), newFrame(true, opText, "}")}, closeError(closeProtocol)},
 		"binary":            {[]frame{newFrame(true, opBinary, "x")}, closeError(closeUnsupportedData)},
 		"not UTF-8":         {[]frame{newFrame(false, opText, "\xc3"), newFrame(true, opContinuation, "(")}, closeError(closeInvalidPayload)},
-		"no message":        {[]frame{newFrame(true, opText, "{}")}, closeError(closeProtocol)},
+		"malformed":         {[]frame{newFrame(true, opText, "{}")}, closeError(closeProtocol)},
 		"too long":          {[]frame{newFrame(false, opText, strings.Repeat("x", 10000)), newFrame(true, opContinuation, strings.Repeat("x", 10000))}, closeError(closeTooBig)},
-		"in parts":          {[]frame{newFrame(false, opText, `{"type":`), newFrame(true, opPong, ""), newFrame(true, opContinuation, `"progress"}`)}, nil},
+		"fragmented":        {[]frame{newFrame(false, opText, `{"type":`), newFrame(true, opPong, ""), newFrame(true, opContinuation, `"progress"}`)}, nil},
 	} {
 		c := &conn{front: &Front{}}
 		var err error
