--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -207,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &actor{c, bufio.NewReaderSize(c, rtsp.MaxMessage)}
+	return &actor{c, bufio.NewReaderSize(c, rtsp.MaxMessageSize)}
 }
 
 func enter(t *testing.T, name string, p *program, servers map[string]net.Listener) *actor {
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -34,7 +34,7 @@
 		}
 		go func() {
 			defer c.Close()
-			in := stream.NewReader(c, rtsp.MaxMessage)
+			in := stream.NewReader(c, rtsp.MaxMessageSize)
 			var mu sync.Mutex
 			var m rtsp.Message
 			for in.Next(func(t []byte) (int, error) { return rtsp.Parse(t, &m) }) == nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,14 +93,14 @@
 	var core *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
-		Classes: cfg.Classes, Fields: cfg.Settings.Fields,
-		ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle,
-		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), HalfConns: half.NodeConns(),
-		DrainGrace: cfg.DrainGrace,
-		NoProbes:   !cfg.Settings.Probes,
-		Shared:     hand.Shared, Tried: counts.Tried,
+		ClassNames: cfg.Classes, LoadFields: cfg.Settings.Fields,
+		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
+		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: half.NodeConns(),
+		DrainGrace:        cfg.DrainGrace,
+		DisableProbes:     !cfg.Settings.Probes,
+		UpgradeInProgress: hand.Shared, OnSetUpSent: counts.Tried,
 		Report: func(r broker.Report) { core.Report(r) }, Log: log,
-		Stalled: func(d time.Duration) {
+		OnPause: func(d time.Duration) {
 			coordinator.Ask()
 			core.Stalled(d)
 		},
@@ -118,7 +118,7 @@
 	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodes.Source("coordinator"), log)
 	coordinator.Heard = func(asked time.Time) {
 		nodes.After(func() {
-			pool.Fresh(asked)
+			pool.ListRefreshed(asked)
 			hand.listed()
 		})
 	}
