--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -1,9 +1,10 @@
-// Package websocket is the players' front: the session API over WebSocket
-// (RFC 6455), one message in each text message.
+// Package websocket is the players' front: it serves the session API over WebSocket (RFC
+// 6455), with one API message in each text message.
 //
-// net/http reads the opening request. Frames are read by hand: they are slices of the
-// read buffer, and what is written goes through the connection's actor, which never
-// waits, where a library's connection would own both ways.
+// net/http parses the request of the opening handshake. Frames are parsed here rather than
+// by a WebSocket library: they are slices of the read buffer, and output goes through the
+// queue of a peer.Conn, so that sending never blocks. A library's connection would take over
+// both reading and writing.
 package websocket
 
 import (
@@ -24,218 +25,221 @@
 )
 
 const (
-	openTime = 2 * time.Second  // for the opening handshake
-	pingTime = 10 * time.Second // between pings
-	deadTime = 25 * time.Second // without a byte, after which a socket is lost
-	// readSize holds the longest frame with its header.
-	readSize = message.Max + 14
+	handshakeTimeout = 2 * time.Second  // for the request of the opening handshake to arrive
+	pingInterval     = 10 * time.Second // between pings to the player
+	readTimeout      = 25 * time.Second // for the next complete frame; a socket without one counts as lost
+	// readBufferSize is the length of the longest frame with its header of 14 bytes.
+	readBufferSize = message.MaxSize + 14
 )
 
-// Front serves players on one address.
+// Front serves players on one address. Its fields are set before Serve.
 type Front struct {
-	Core    message.Core
-	Catalog message.Catalog
-	Path    string
-	Grace   time.Duration // for a player whose socket is lost to come back
-	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
+	Broker  message.Broker       // takes the players' requests
+	Decoder message.SetupDecoder // decodes their set-ups
+	Path    string               // URL path of the WebSocket
+	Grace   time.Duration        // how long a player whose socket is lost may take to reconnect
+	Limits  peer.Limits          // limits for the connections
+	Counts  *broker.Counts       // counts refused set-ups; nil: they are not counted
 	Log     *zap.Logger
 }
 
-// Serve accepts until ctx ends.
+// Serve accepts connections on l until ctx ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return peer.Serve(ctx, l, f.Limits, f.Log, func(_ context.Context, p *peer.Conn) {
-		c := &conn{Conn: p, front: f, in: stream.NewReader(p, readSize)}
-		if !c.open() {
+		c := &conn{Conn: p, front: f, reader: stream.NewReader(p, readBufferSize)}
+		if !c.acceptHandshake() {
 			return
 		}
-		c.Farewell(appendClose(nil, closeAway))
-		alive := make(chan struct{})
-		defer close(alive)
-		go c.keepAlive(alive)
-		defer f.Core.Lost(c)
-		defer c.Leave()
-		err := c.serve()
-		var code closeError
-		if errors.As(err, &code) {
-			c.Put(appendClose(nil, int(code)))
+		c.SetFarewell(appendClose(nil, closeGoingAway))
+		done := make(chan struct{})
+		defer close(done)
+		go c.keepAlive(done)
+		defer f.Broker.Lost(c)
+		defer c.MarkReadEnded()
+		err := c.readLoop()
+		var closeErr closeError
+		if errors.As(err, &closeErr) {
+			c.Send(appendClose(nil, int(closeErr)))
 		}
 	})
 }
 
-// conn is one player's socket.
+// conn is one player's WebSocket connection.
 type conn struct {
 	*peer.Conn
-	front *Front
-	in    *stream.Reader
-	parts []byte // of a message in several frames
-	kind  byte   // of that message; 0: none is open
+	front          *Front
+	reader         *stream.Reader
+	fragments      []byte // payload so far of a message sent in several frames
+	fragmentOpcode byte   // opcode of that message; 0: there is none
 }
 
-// Deliver sends a reply on this socket. If it is lost, the broker keeps the
-// reply for the player to come back.
+// Deliver sends a reply on this socket, and reports whether it could. If the socket is lost,
+// the broker keeps the reply until the player reconnects.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
-		c.Fell()
+	case broker.Closed: // keeps the id open: its set-up was answered before, so one that is open is a later one
+		c.SessionEnded()
 		return true
 	case broker.Over, broker.Moved: // likewise
-		c.Fell()
+		c.SessionEnded()
 	default:
-		defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+		defer c.CloseSetup(uint64(r.ID)) // only once the answer is queued: a connection without open set-ups may be closed
 	}
 	switch r.Kind {
 	case broker.GivenUp:
 		return true
 	case broker.Served:
-		c.Know()
-		c.Stands()
+		c.MarkHadSession()
+		c.SessionEstablished()
 	}
-	return c.Put(appendFrame(nil, opText, message.AppendReply(nil, r)))
+	return c.Send(appendFrame(nil, opText, message.AppendReply(nil, r)))
 }
 
 // Gone is part of broker.Client.
 func (c *conn) Gone(id control.SessionID) bool { return c.Conn.Gone(uint64(id)) }
 
-// open does the opening handshake.
-func (c *conn) open() bool {
-	if err := c.SetReadDeadline(time.Now().Add(openTime)); err != nil {
+// acceptHandshake performs the opening handshake, and reports whether it succeeded.
+func (c *conn) acceptHandshake() bool {
+	if err := c.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return false
 	}
 	var req *http.Request
-	err := c.in.Next(func(b []byte) (n int, err error) {
+	err := c.reader.Next(func(b []byte) (n int, err error) {
 		req, n, err = parseRequest(b)
 		return n, err
 	})
 	if err != nil {
-		if errors.Is(err, errRequest) {
-			c.Put(failure(http.StatusBadRequest, ""))
+		if errors.Is(err, errBadRequest) {
+			c.Send(errorResponse(http.StatusBadRequest, ""))
 		}
 		return false
 	}
-	c.Whole(c.in.Buffered() > 0)
-	response, ok := handshake(req, c.front.Path)
-	return c.Put(response) && ok
+	c.MessageRead(c.reader.Buffered() > 0)
+	response, ok := handshakeResponse(req, c.front.Path)
+	return c.Send(response) && ok
 }
 
-// keepAlive pings, so that a socket whose player vanished is found out.
+// keepAlive sends pings until done is closed. The player's pongs let the read time-out detect
+// a player that has vanished.
 func (c *conn) keepAlive(done <-chan struct{}) {
-	tick := time.NewTicker(pingTime)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-tick.C:
-			if !c.Put(appendFrame(nil, opPing, nil)) {
+			if !c.Send(appendFrame(nil, opPing, nil)) {
 				return
 			}
 		}
 	}
 }
 
-// serve handles frames until the socket ends. A closeError is still to be sent.
-func (c *conn) serve() error {
+// readLoop handles frames until the socket ends, and returns why. If that is a closeError,
+// its close frame is still to be sent.
+func (c *conn) readLoop() error {
 	var f frame
-	for c.Pace() {
-		if err := c.SetReadDeadline(time.Now().Add(deadTime)); err != nil {
+	for c.Throttle() {
+		if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return err
 		}
-		err := c.in.Next(func(b []byte) (int, error) { return parseFrame(b, &f) })
+		err := c.reader.Next(func(b []byte) (int, error) { return parseFrame(b, &f) })
 		if err != nil {
 			if errors.Is(err, stream.ErrTooLong) {
 				return closeError(closeTooBig)
 			}
 			return err
 		}
-		if c.kind == 0 || f.fin && f.op == opContinue { // a message in parts counts when it is whole
-			c.Whole(c.in.Buffered() > 0)
+		if c.fragmentOpcode == 0 || f.fin && f.opcode == opContinuation { // a fragmented message counts once it is complete
+			c.MessageRead(c.reader.Buffered() > 0)
 		}
-		if err := c.frame(&f); err != nil {
+		if err := c.handleFrame(&f); err != nil {
 			return err
 		}
 	}
 	return net.ErrClosed
 }
 
-// frame takes one frame.
-func (c *conn) frame(f *frame) error {
-	switch f.op {
+// handleFrame handles one frame and assembles fragmented messages. An error ends the
+// connection.
+func (c *conn) handleFrame(f *frame) error {
+	switch f.opcode {
 	case opPing:
-		c.Put(appendFrame(nil, opPong, f.payload))
+		c.Send(appendFrame(nil, opPong, f.payload))
 		return nil
 	case opPong:
 		return nil
 	case opClose:
-		code, err := closeCode(f.payload)
+		code, err := parseCloseCode(f.payload)
 		if err != nil {
 			return err
 		}
-		return closeError(code) // the closing handshake's answer
-	case opContinue:
-		if c.kind == 0 {
+		return closeError(code) // echoes the code, as the closing handshake demands
+	case opContinuation:
+		if c.fragmentOpcode == 0 {
 			return closeError(closeProtocol)
 		}
 	default:
-		if c.kind != 0 {
+		if c.fragmentOpcode != 0 {
 			return closeError(closeProtocol)
 		}
 		if f.fin {
-			return c.message(f.op, f.payload)
+			return c.handleMessage(f.opcode, f.payload)
 		}
-		c.kind, c.parts = f.op, c.parts[:0]
+		c.fragmentOpcode, c.fragments = f.opcode, c.fragments[:0]
 	}
-	if len(c.parts)+len(f.payload) > message.Max {
+	if len(c.fragments)+len(f.payload) > message.MaxSize {
 		return closeError(closeTooBig)
 	}
-	c.parts = append(c.parts, f.payload...)
+	c.fragments = append(c.fragments, f.payload...)
 	if !f.fin {
 		return nil
 	}
-	kind := c.kind
-	c.kind = 0
-	return c.message(kind, c.parts)
+	opcode := c.fragmentOpcode
+	c.fragmentOpcode = 0
+	return c.handleMessage(opcode, c.fragments)
 }
 
-// message takes one whole message.
-func (c *conn) message(kind byte, text []byte) error {
-	came := time.Now()
-	if kind != opText {
-		return closeError(closeKind)
+// handleMessage handles one complete message. An error ends the connection.
+func (c *conn) handleMessage(opcode byte, payload []byte) error {
+	received := time.Now()
+	if opcode != opText {
+		return closeError(closeUnsupportedData)
 	}
-	if !utf8.Valid(text) {
-		return closeError(closeInvalid)
+	if !utf8.Valid(payload) {
+		return closeError(closeInvalidPayload)
 	}
 	var m message.Message
-	if err := message.Parse(text, &m); err != nil {
+	if err := message.Parse(payload, &m); err != nil {
 		return closeError(closeProtocol)
 	}
 	switch string(m.Type) {
 	case "setup":
-		return c.setUp(&m, came)
+		return c.handleSetup(&m, received)
 	case "release":
 		id, err := message.ParseID(m.ID)
-		c.Answered(uint64(id)) // first: an attempt that is under way in the broker is not begun
-		if err != nil || !c.front.Core.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
+		c.CloseSetup(uint64(id)) // first, so that the broker drops an attempt that it is about to start
+		if err != nil || !c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
 			return closeError(closeProtocol)
 		}
 	case "ping":
-		c.Put(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.Takes())))
+		c.Send(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.AcceptsClients())))
 	}
-	return nil // progress and released mean nothing
+	return nil // progress, released and unknown types are ignored
 }
 
-func (c *conn) setUp(m *message.Message, came time.Time) error {
-	r, err := c.front.Catalog.Setup(m, message.Origin{Front: "websocket", Client: c.Addr, Came: came})
+func (c *conn) handleSetup(m *message.Message, received time.Time) error {
+	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "websocket", Client: c.Addr, Received: received})
 	r.Client, r.Grace = c, c.front.Grace
 	switch {
 	case err != nil && r.ID == 0:
 		return closeError(closeProtocol)
 	case err != nil:
 		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
-	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
-		// Guard: too many wait, on this socket or before the module, or clients are sent
-		// away. Nothing has been tried.
+	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
+		// Guard: too many set-ups wait, on this socket or for the broker, or the manager
+		// drains. The answer is a refusal, since no attempt has been made.
 		c.front.Counts.Answered(r.Class, broker.Refused)
 		c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
 			Wait: time.Second, Reason: message.ReasonBusy})
