--- a/internal/media/ends_test.go
+++ b/internal/media/ends_test.go
@@ -199,7 +199,7 @@
 	for grace, held := range map[time.Duration]bool{600 * time.Millisecond: true, time.Hour: false} {
 		p := NewPool(t.Context(), new(errgroup.Group), Config{DrainGrace: grace, Log: zap.NewNop()})
 		now := time.Now()
-		p.watch.Start(now)
+		p.watch.Reset(now)
 		if p.beat(now.Add(500*time.Millisecond)) != held {
 			t.Errorf("half a second's stand with a grace of %v: held is %v", grace, !held)
 		}
@@ -209,7 +209,7 @@
 		n, _, _, reports := bed(t)
 		n.pool.cfg.Stalled = func(time.Duration) { stood++ }
 		n.conns = []*conn{stub()}
-		n.pool.watch.Start(time.Now().Add(-6 * time.Second))
+		n.pool.watch.Reset(time.Now().Add(-6 * time.Second))
 		n.handle(try(1))
 		if n.attempts[1].conn != nil || stood == 0 {
 			t.Fatalf("%s: sent by an old list, told of %d stands", name, stood)
@@ -221,7 +221,7 @@
 		if drained {
 			n.state.Store(int32(control.Draining))
 		}
-		n.pool.watch.Fresh(time.Now())
+		n.pool.watch.Refreshed(time.Now())
 		n.handle(goOn{})
 		if drained {
 			status(t, reports, control.Moot)
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -86,10 +86,10 @@
 		},
 		"for the list, after a stand": func(n *node, c *conn, queued setUp, leave func()) {
 			n.conns = []*conn{c}
-			n.pool.watch.Start(time.Now().Add(-time.Minute))
+			n.pool.watch.Reset(time.Now().Add(-time.Minute))
 			n.handle(queued)
 			leave()
-			n.pool.watch.Start(time.Now())
+			n.pool.watch.Reset(time.Now())
 			n.handle(goOn{})
 		},
 		"in the mailbox": func(n *node, c *conn, queued setUp, leave func()) {
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -48,7 +48,7 @@
 	group *errgroup.Group
 	ctx   context.Context
 	conns atomic.Int64
-	watch stall.Watch
+	watch stall.Detector
 
 	mu    sync.RWMutex
 	nodes map[control.Server]*node
@@ -67,7 +67,7 @@
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
 	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.Server]*node),
-		watch: stall.Watch{After: stall.Within(cfg.DrainGrace)}}
+		watch: stall.Detector{Threshold: stall.ThresholdForGrace(cfg.DrainGrace)}}
 }
 
 // Apply takes a change to the list. A node's state binds its next SETUP as soon
@@ -87,7 +87,7 @@
 				continue
 			}
 			if len(p.nodes) == 0 {
-				p.watch.Start(time.Now()) // nodes' ticks are its beats
+				p.watch.Reset(time.Now()) // nodes' ticks are its beats
 			}
 			n = newNode(p, m)
 			p.nodes[m.Server] = n
@@ -107,22 +107,22 @@
 // than a drain's grace: what drained meanwhile would get what had been queued, and what was
 // read first. Nothing is sent until the list has been asked again, or can't be.
 func (p *Pool) beat(now time.Time) (held bool) {
-	if stood := p.watch.Beat(now); stood > 0 {
+	if stood := p.watch.Heartbeat(now); stood > 0 {
 		p.cfg.Log.Warn("the program stood still; the list is asked again", zap.Duration("for", stood))
 		if p.cfg.Stalled != nil {
 			p.cfg.Stalled(stood)
 		}
 	}
-	return p.watch.Held(now)
+	return p.watch.Stale(now)
 }
 
 // Fresh tells that the list has answered what was asked at a time, and that Apply
 // has been told of it.
 func (p *Pool) Fresh(asked time.Time) {
-	if !p.watch.Held(time.Now()) {
+	if !p.watch.Stale(time.Now()) {
 		return
 	}
-	p.watch.Fresh(asked)
+	p.watch.Refreshed(asked)
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, n := range p.nodes {
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// Hand returns what takes what stands once a younger process takes over; nil where none
+// HandoverFunc returns what takes what stands once a younger process takes over; nil where none
 // ever does. It does not wait: the disk may.
-func (o *operation) Hand() func(broker.Handover) {
+func (o *operation) HandoverFunc() func(broker.Handover) {
 	if o == nil || o.folder == nil {
 		return nil
 	}
--- a/internal/server/operation_test.go
+++ b/internal/server/operation_test.go
@@ -19,7 +19,7 @@
 func TestNothingByHandWithoutAdmin(t *testing.T) {
 	temp := t.TempDir()
 	p := startWith(t, "127.0.0.1:1", member("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) { cfg.Temp = temp })
-	if p.at.Calls != nil {
+	if p.at.Operators != nil {
 		t.Error("it listens for calls")
 	}
 	if _, err := Listen(config.Config{Listen: p.at.Viewers.Addr().String()}); err == nil {
@@ -33,7 +33,7 @@
 	hand.over(func(directory.Change) { told++ })(directory.Change{})
 	hand.settle()
 	hand.close()
-	if hand != nil || hand.Gate() != nil || hand.Counts() != nil || hand.Hand() != nil || hand.Shared() || hand.leave() || told != 1 {
+	if hand != nil || hand.Gate() != nil || hand.Counts() != nil || hand.HandoverFunc() != nil || hand.Shared() || hand.leave() || told != 1 {
 		t.Error("something is run by hand")
 	}
 }
@@ -48,7 +48,7 @@
 	}
 	call := func(p *program, method, path string) (int, string) {
 		t.Helper()
-		req, _ := http.NewRequest(method, "http://"+p.at.Calls.Addr().String()+path, nil)
+		req, _ := http.NewRequest(method, "http://"+p.at.Operators.Addr().String()+path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/server/rate_test.go
+++ b/internal/server/rate_test.go
@@ -117,7 +117,7 @@
 		defer close(called)
 		for range int(rateFor.Seconds() * 100) {
 			began := time.Now()
-			if res, err := http.Get("http://" + p.at.Calls.Addr().String() + "/metrics"); err != nil {
+			if res, err := http.Get("http://" + p.at.Operators.Addr().String() + "/metrics"); err != nil {
 				t.Error(err)
 			} else {
 				io.Copy(io.Discard, res.Body)
@@ -184,7 +184,7 @@
 	for in.Scan() {
 		var viewers, players, calls string
 		if n, _ := fmt.Sscanf(in.Text(), "listening %s %s %s", &viewers, &players, &calls); n == 3 {
-			p.at = Listeners{Viewers: listenerAt(viewers), Players: listenerAt(players), Calls: listenerAt(calls)}
+			p.at = Listeners{Viewers: listenerAt(viewers), Players: listenerAt(players), Operators: listenerAt(calls)}
 			break
 		}
 	}
@@ -231,7 +231,7 @@
 	})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM)
-	fmt.Println("listening", p.at.Viewers.Addr(), p.at.Players.Addr(), p.at.Calls.Addr())
+	fmt.Println("listening", p.at.Viewers.Addr(), p.at.Players.Addr(), p.at.Operators.Addr())
 	<-signals
 	var used syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &used)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -31,9 +31,9 @@
 
 // Listeners are the fronts' sockets.
 type Listeners struct {
-	Viewers net.Listener
-	Players net.Listener // nil: there is no second front
-	Calls   net.Listener // nil: operators don't call
+	Viewers   net.Listener
+	Players   net.Listener // nil: there is no second front
+	Operators net.Listener // nil: operators don't call
 }
 
 // Listen opens the sockets that a configuration names.
@@ -45,11 +45,11 @@
 		}
 		var e error
 		if *to, e = open(addr); e != nil {
-			err = &NoListener{whose, addr, e}
+			err = &ListenError{whose, addr, e}
 		}
 	}
 	if cfg.Admin != "" {
-		listen(&at.Calls, "operators'", cfg.Admin)
+		listen(&at.Operators, "operators'", cfg.Admin)
 		open = handover.Listen // beside another process of this manager
 	}
 	listen(&at.Viewers, "viewers'", cfg.Listen)
@@ -59,19 +59,19 @@
 	return at, err
 }
 
-// NoListener tells that an address can't be listened at.
-type NoListener struct {
-	Whose string
-	Addr  string
-	Err   error
+// ListenError tells that an address can't be listened at.
+type ListenError struct {
+	Clients string
+	Addr    string
+	Err     error
 }
 
-func (e *NoListener) Error() string {
-	return fmt.Sprintf("%s address %s: %v", e.Whose, e.Addr, e.Err)
+func (e *ListenError) Error() string {
+	return fmt.Sprintf("%s address %s: %v", e.Clients, e.Addr, e.Err)
 }
-func (e *NoListener) Unwrap() error { return e.Err }
-func (e *NoListener) Code() string  { return "start-address" }
-func (e *NoListener) Remedy() string {
+func (e *ListenError) Unwrap() error { return e.Err }
+func (e *ListenError) Code() string  { return "start-address" }
+func (e *ListenError) Remedy() string {
 	return "is it this machine's, and does another program, or another manager without `admin`, listen there?"
 }
 
@@ -106,7 +106,7 @@
 		},
 	})
 	core, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: hand.Hand(), Log: log,
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: hand.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 	})
 	if hand != nil {
 		hand.nodes, hand.core, hand.front = nodes, core, front
-		group.Go(func() error { return hand.run(ctx, at.Calls) })
+		group.Go(func() error { return hand.run(ctx, at.Operators) })
 	}
 	log.Info("serving", zap.Stringer("listen", at.Viewers.Addr()))
 	return group.Wait()
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -19,36 +19,36 @@
 	usualAfter = 800 * time.Millisecond
 	// beats is what passes between two at most, twice.
 	beats = 200 * time.Millisecond
-	// Most is how long anything is held back: where nobody can be asked, the old
+	// MaxStale is how long anything is held back: where nobody can be asked, the old
 	// word is all there is.
-	Most = time.Second
+	MaxStale = time.Second
 )
 
-// Watch is a program's pulse. It is safe for use by many goroutines.
-type Watch struct {
+// Detector is a program's pulse. It is safe for use by many goroutines.
+type Detector struct {
 	// After is the time without a beat after which the program is taken to have
 	// stood; not to be changed once it beats. 0: 800 ms.
-	After time.Duration
+	Threshold time.Duration
 
 	mu   sync.Mutex
 	beat time.Time
 	from time.Time // when the last stand was noticed; zero: nothing is held back
 }
 
-// Within returns the After of a Watch whose program must not act on what has been
+// ThresholdForGrace returns the After of a Watch whose program must not act on what has been
 // untrue for longer than grace: whatever stood for less still hears of it in time.
-func Within(grace time.Duration) time.Duration { return max(grace-beats, beats) }
+func ThresholdForGrace(grace time.Duration) time.Duration { return max(grace-beats, beats) }
 
-// Start begins anew at a time, after which beats come.
-func (w *Watch) Start(now time.Time) {
+// Reset begins anew at a time, after which beats come.
+func (w *Detector) Reset(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.beat, w.from = now, time.Time{}
 }
 
-// Beat notes that the program runs. If it has stood still, it tells for how long,
+// Heartbeat notes that the program runs. If it has stood still, it tells for how long,
 // once: whoever hears that has the world asked again.
-func (w *Watch) Beat(now time.Time) (stood time.Duration) {
+func (w *Detector) Heartbeat(now time.Time) (stood time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	gap := now.Sub(w.beat)
@@ -57,27 +57,27 @@
 	}
 	first := w.beat.IsZero()
 	w.beat = now
-	if first || gap <= cmp.Or(w.After, usualAfter) {
+	if first || gap <= cmp.Or(w.Threshold, usualAfter) {
 		return 0
 	}
 	w.from = now
 	return gap
 }
 
-// Held tells whether what depends on the world's state is to wait. It is to be asked
+// Stale tells whether what depends on the world's state is to wait. It is to be asked
 // after Beat, with the same time.
-func (w *Watch) Held(now time.Time) bool {
+func (w *Detector) Stale(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !w.from.IsZero() && now.Sub(w.from) > Most {
+	if !w.from.IsZero() && now.Sub(w.from) > MaxStale {
 		w.from = time.Time{}
 	}
 	return !w.from.IsZero()
 }
 
-// Fresh tells that the world has answered a question that was asked at a time. An
+// Refreshed tells that the world has answered a question that was asked at a time. An
 // answer to one from before the end of the stand may be as old as that.
-func (w *Watch) Fresh(asked time.Time) {
+func (w *Detector) Refreshed(asked time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !asked.Before(w.from) {
