--- a/internal/server/operation_test.go
+++ b/internal/server/operation_test.go
@@ -28,12 +28,12 @@
 	if files, err := os.ReadDir(temp); err != nil || len(files) > 0 {
 		t.Errorf("files: %v, %v", files, err)
 	}
-	hand := newOperation(&config.Config{Temp: temp}, zap.NewNop())
+	hand := newAdminService(&config.Config{Temp: temp}, zap.NewNop())
 	told := 0
-	hand.over(func(directory.Change) { told++ })(directory.Change{})
-	hand.settle()
+	hand.withOverrides(func(directory.Change) { told++ })(directory.Change{})
+	hand.restoreOverrides()
 	hand.close()
-	if hand != nil || hand.Gate() != nil || hand.Counts() != nil || hand.HandoverFunc() != nil || hand.Shared() || hand.leave() || told != 1 {
+	if hand != nil || hand.Gate() != nil || hand.Counts() != nil || hand.HandoverFunc() != nil || hand.Shared() || hand.leaveToSuccessor() || told != 1 {
 		t.Error("something is run by hand")
 	}
 }
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -53,15 +53,15 @@
 	}
 	defer old.Leave()
 	for name, e := range map[string]struct {
-		steps []func(*operation)
+		steps []func(*adminService)
 		want  bool
 	}{
 		"starts":             {nil, false},
-		"serves":             {[]func(*operation){(*operation).serves}, true},
-		"served":             {[]func(*operation){(*operation).serves, ends}, false},
-		"ends before serves": {[]func(*operation){ends, (*operation).serves}, false},
+		"serves":             {[]func(*adminService){(*adminService).markReady}, true},
+		"served":             {[]func(*adminService){(*adminService).markReady, ends}, false},
+		"ends before serves": {[]func(*adminService){ends, (*adminService).markReady}, false},
 	} {
-		o := newOperation(&cfg, zap.NewNop())
+		o := newAdminService(&cfg, zap.NewNop())
 		for _, do := range e.steps {
 			do(o)
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-func ends(o *operation) { o.leave([]net.Listener(nil)...) }
+func ends(o *adminService) { o.leaveToSuccessor([]net.Listener(nil)...) }
 
 // A folder that can't be used costs what would be handed over, is told with its code, and
 // nothing else.
@@ -90,15 +90,15 @@
 			cfg.Temp = filepath.Join(cfg.Temp, "file")
 			os.WriteFile(cfg.Temp, nil, 0o600)
 		}
-		o := newOperation(&cfg, zap.New(core))
+		o := newAdminService(&cfg, zap.New(core))
 		if spoil != nil {
 			folders, _ := filepath.Glob(filepath.Join(cfg.Temp, "*"))
 			if err := spoil(folders[0]); err != nil {
 				t.Fatal(err)
 			}
 		}
-		o.serves()
-		if err := o.Drain(t.Context(), true); err != nil || o.Gate().Takes() || !o.Ready() || o.leave() {
+		o.markReady()
+		if err := o.Drain(t.Context(), true); err != nil || o.Gate().Takes() || !o.Ready() || o.leaveToSuccessor() {
 			t.Error(name, "an order does not count:", err)
 		}
 		o.handOver(broker.Handover{})
@@ -117,9 +117,9 @@
 // before the last word, or two hand over at once.
 func TestOneSuccessor(t *testing.T) {
 	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
-	var all [4]*operation
+	var all [4]*adminService
 	for i := range all {
-		all[i] = newOperation(&cfg, zap.NewNop())
+		all[i] = newAdminService(&cfg, zap.NewNop())
 		defer all[i].close()
 	}
 	hand := func(from, n int, last bool) {
@@ -129,7 +129,7 @@
 		t.Helper()
 		var took []string
 		for i, o := range all {
-			for e, changed, err := o.self.Handover(); changed || err != nil; e, changed, err = o.self.Handover() {
+			for e, changed, err := o.process.Handover(); changed || err != nil; e, changed, err = o.process.Handover() {
 				took = append(took, fmt.Sprint(i, " takes ", len(e.Standing)))
 			}
 		}
@@ -137,13 +137,13 @@
 			t.Errorf("%s; want %s", have, want)
 		}
 	}
-	all[0].serves()
-	all[1].serves()
-	all[2].serves()
+	all[0].markReady()
+	all[1].markReady()
+	all[2].markReady()
 	ends(all[0])
 	hand(0, 1, false)
 	got("2 takes 1") // not 1 as well
-	all[3].serves()
+	all[3].markReady()
 	ends(all[1])
 	hand(1, 2, false)
 	hand(0, 3, true)
@@ -160,14 +160,14 @@
 // The watch and a signal may look for other processes at once (for the race detector).
 func TestLooksAtOnce(t *testing.T) {
 	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
-	one, two := newOperation(&cfg, zap.NewNop()), newOperation(&cfg, zap.NewNop())
+	one, two := newAdminService(&cfg, zap.NewNop()), newAdminService(&cfg, zap.NewNop())
 	defer one.close()
 	defer two.close()
 	var both sync.WaitGroup
 	for range 2 {
 		both.Go(func() {
 			for range 20 {
-				one.look()
+				one.checkProcesses()
 			}
 		})
 	}
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -15,10 +15,10 @@
 
 // Figures of a Watch.
 const (
-	// usualAfter is Watch.After where nothing else is said.
-	usualAfter = 800 * time.Millisecond
-	// beats is what passes between two at most, twice.
-	beats = 200 * time.Millisecond
+	// defaultThreshold is Watch.After where nothing else is said.
+	defaultThreshold = 800 * time.Millisecond
+	// heartbeatMargin is what passes between two at most, twice.
+	heartbeatMargin = 200 * time.Millisecond
 	// MaxStale is how long anything is held back: where nobody can be asked, the old
 	// word is all there is.
 	MaxStale = time.Second
@@ -30,57 +30,59 @@
 	// stood; not to be changed once it beats. 0: 800 ms.
 	Threshold time.Duration
 
-	mu   sync.Mutex
-	beat time.Time
-	from time.Time // when the last stand was noticed; zero: nothing is held back
+	mu            sync.Mutex
+	lastHeartbeat time.Time
+	pauseEnd      time.Time // when the last stand was noticed; zero: nothing is held back
 }
 
 // ThresholdForGrace returns the After of a Watch whose program must not act on what has been
 // untrue for longer than grace: whatever stood for less still hears of it in time.
-func ThresholdForGrace(grace time.Duration) time.Duration { return max(grace-beats, beats) }
+func ThresholdForGrace(grace time.Duration) time.Duration {
+	return max(grace-heartbeatMargin, heartbeatMargin)
+}
 
 // Reset begins anew at a time, after which beats come.
-func (w *Detector) Reset(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.beat, w.from = now, time.Time{}
+func (d *Detector) Reset(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastHeartbeat, d.pauseEnd = now, time.Time{}
 }
 
 // Heartbeat notes that the program runs. If it has stood still, it tells for how long,
 // once: whoever hears that has the world asked again.
-func (w *Detector) Heartbeat(now time.Time) (stood time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	gap := now.Sub(w.beat)
+func (d *Detector) Heartbeat(now time.Time) (paused time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	gap := now.Sub(d.lastHeartbeat)
 	if gap < 0 {
 		return 0 // another goroutine was ahead
 	}
-	first := w.beat.IsZero()
-	w.beat = now
-	if first || gap <= cmp.Or(w.Threshold, usualAfter) {
+	first := d.lastHeartbeat.IsZero()
+	d.lastHeartbeat = now
+	if first || gap <= cmp.Or(d.Threshold, defaultThreshold) {
 		return 0
 	}
-	w.from = now
+	d.pauseEnd = now
 	return gap
 }
 
 // Stale tells whether what depends on the world's state is to wait. It is to be asked
 // after Beat, with the same time.
-func (w *Detector) Stale(now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.from.IsZero() && now.Sub(w.from) > MaxStale {
-		w.from = time.Time{}
+func (d *Detector) Stale(now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.pauseEnd.IsZero() && now.Sub(d.pauseEnd) > MaxStale {
+		d.pauseEnd = time.Time{}
 	}
-	return !w.from.IsZero()
+	return !d.pauseEnd.IsZero()
 }
 
 // Refreshed tells that the world has answered a question that was asked at a time. An
 // answer to one from before the end of the stand may be as old as that.
-func (w *Detector) Refreshed(asked time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !asked.Before(w.from) {
-		w.from = time.Time{}
+func (d *Detector) Refreshed(requested time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !requested.Before(d.pauseEnd) {
+		d.pauseEnd = time.Time{}
 	}
 }
