--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -39,7 +39,7 @@
 	os.Exit(m.Run())
 }
 
-const defaultSockets = 128
+const sockets = 128
 
 // platformJSON is the program's configuration, by its addresses, the coordinator's and node a's.
 const platformJSON = `{"name": "n0", "listen": %q, "admin": %q, "seed": "1f", "coordinator": %q, "limits": {"cores": 1, "memory_mb": 192, "sockets": %d},
@@ -93,7 +93,7 @@
 }
 
 func newChild(t *testing.T, members string) *child {
-	c := &child{t: t, sockets: defaultSockets, temp: t.TempDir(), viewers: unusedAddr(t), players: unusedAddr(t), admin: unusedAddr(t), members: members, config: filepath.Join(t.TempDir(), "config")}
+	c := &child{t: t, sockets: sockets, temp: t.TempDir(), viewers: unusedAddr(t), players: unusedAddr(t), admin: unusedAddr(t), members: members, config: filepath.Join(t.TempDir(), "config")}
 	c.operator = writeTempFile(t, "operator.conf", "websocket {\n listen "+c.players+"\n}\n")
 	t.Cleanup(c.kill)
 	return c
@@ -252,7 +252,7 @@
 type coordinator struct {
 	net.Listener
 	unavailable, hasUpdate atomic.Bool
-	updateMembers          string // of its second event
+	members                string // of its second event
 	polls                  chan string
 
 	mu    sync.Mutex
@@ -260,7 +260,7 @@
 }
 
 func startCoordinator(t *testing.T, members string) *coordinator {
-	c := &coordinator{Listener: loopback(t), updateMembers: members, polls: make(chan string, 1<<10)}
+	c := &coordinator{Listener: loopback(t), members: members, polls: make(chan string, 1<<10)}
 	go func() {
 		for {
 			conn, err := c.Accept()
@@ -290,7 +290,7 @@
 		}
 		c.polls <- req.FormValue("follow")
 		if req.FormValue("follow") == "1" && c.hasUpdate.Load() {
-			text := fmt.Sprintf(`{"index":2,"updates":[{"index":2,"endpoints":{"revision":2,"members":[%s]}}]}`, c.updateMembers)
+			text := fmt.Sprintf(`{"index":2,"updates":[{"index":2,"endpoints":{"revision":2,"members":[%s]}}]}`, c.members)
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 		}
 	}
@@ -324,10 +324,10 @@
 			waitFor(c, first.polls, "poll")
 			c.fillWithIdleClients()
 			descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
-			if err != nil || len(descriptors) < defaultSockets/2 {
+			if err != nil || len(descriptors) < sockets/2 {
 				t.Errorf("%d descriptors, %v", len(descriptors), err)
 			}
-			t.Log("descriptors held:", len(descriptors), "of", defaultSockets)
+			t.Log("descriptors held:", len(descriptors), "of", sockets)
 			first.stop()
 			next := first
 			if elsewhere {
@@ -378,7 +378,7 @@
 // wanted: the coordinator is followed elsewhere, the files are read again, and a new client
 // and a caller are answered.
 func TestAllConnectionLimitsReached(t *testing.T) {
-	for _, n := range []int{64, 96, defaultSockets, 256} {
+	for _, n := range []int{64, 96, sockets, 256} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			node, release := &countingListener{Listener: loopback(t)}, make(chan struct{})
 			go (&standin.Node{Bill: standin.NewBill(), Decide: func(id string, _ int) standin.Verdict {
@@ -461,7 +461,7 @@
 				begin := time.Now()
 				c.start()
 				var clients sync.WaitGroup
-				for range defaultSockets {
+				for range sockets {
 					clients.Go(func() {
 						for time.Since(begin) < testTimeout {
 							if conn, _, err := dialViewer(c.viewers); err == nil {
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -184,7 +184,7 @@
 			name, anyConn := strings.CutSuffix(name, "*")
 			part := participants[name]
 			if anyConn {
-				part = part.nextOnAnyConn(t, backends[name])
+				part = part.anyConn(t, backends[name])
 				defer part.Close()
 			}
 			if part == nil {
@@ -225,9 +225,9 @@
 	return &participant{conn, bufio.NewReader(conn)}
 }
 
-// nextOnAnyConn is a part that reads what comes on a, or on a connection that opens, by whichever
+// anyConn is a part that reads what comes on a, or on a connection that opens, by whichever
 // is first. The program may look at a node by a new connection at any time.
-func (p *participant) nextOnAnyConn(t *testing.T, l net.Listener) *participant {
+func (p *participant) anyConn(t *testing.T, l net.Listener) *participant {
 	r, w := io.Pipe()
 	copyMessage := func(from io.Reader) {
 		if message, err := readMessage(bufio.NewReader(from)); err == nil {
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -91,12 +91,12 @@
 }
 
 // withOverrides lays the orders over the list, on its way to sink.
-func (s *adminService) withOverrides(sink directory.Sink) directory.Sink {
+func (s *adminService) withOverrides(listSink directory.Sink) directory.Sink {
 	if s == nil {
-		return sink
+		return listSink
 	}
-	s.listSink = sink
-	return func(c directory.Change) { sink(s.overrides.Listed(c)) }
+	s.listSink = listSink
+	return func(c directory.Change) { listSink(s.overrides.Listed(c)) }
 }
 
 // Gate is nil where nothing is run by hand.
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -104,26 +104,26 @@
 		t.Fatal(err)
 	}
 	receive(conn, `"answer"`)
-	reloadAndWait(prog, "operator rules {\n route all when class == none set class = feed\n}")
+	reload(prog, "operator rules {\n route all when class == none set class = feed\n}")
 	secondConn := connect(t, prog, true)
 	if err := secondConn.send(setUp(2000, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, `"answer"`)
-	reloadAndWait(prog, "operator rules {\n otherwise set class = clip\n}") // a feed would become a clip: the last set stays
+	reload(prog, "operator rules {\n otherwise set class = clip\n}") // a feed would become a clip: the last set stays
 	if err := secondConn.send(setUp(2001, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, `"answer"`)
-	reloadAndWait(prog, "operator ") // no rules any more
+	reload(prog, "operator ") // no rules any more
 	if err := secondConn.send(setUp(2002, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, "no rule gives it one")
 }
 
-// reloadAndWait has the program read a file, and waits until it has.
-func reloadAndWait(prog *program, text string) {
+// reload has the program read a file, and waits until it has.
+func reload(prog *program, text string) {
 	prog.signals <- syscall.SIGHUP
 	prog.reload <- text
 	prog.signals <- syscall.SIGHUP // the second is read once the first has been dealt with
