--- a/cmd/millethinge/command.go
+++ b/cmd/millethinge/command.go
@@ -13,8 +13,8 @@
 	"millethinge/internal/remedy"
 )
 
-// cli is the command line. Each command has a Run method in a file of its own,
-// but for the small ones here.
+// cli is the command line, from which kong derives commands and flags. The Run
+// methods of larger commands are in files of their own.
 type cli struct {
 	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: ${enum}."`
 	LogFormat string `enum:"json,console" default:"json" help:"Form of the log on standard error: ${enum}."`
@@ -41,26 +41,27 @@
   millethinge convert operator.json > operator.conf
   source <(millethinge completion bash)`
 
-// exitStatus ends a command with an exit status and no further message.
+// exitStatus is an error that ends a command with an exit status and no further message.
 type exitStatus int
 
+// Error names the exit status.
 func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
-// parser builds the command line, whose commands use a.
+// parser builds the parser of the command line. The commands' Run methods get a and c.
 func (a *app) parser(c *cli, exit func(int)) (*kong.Kong, error) {
 	return kong.New(c, kong.Name("millethinge"), kong.Description(description),
 		kong.Writers(a.out, a.err), kong.Exit(exit), kong.Bind(a, c),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 }
 
-// command runs what the arguments ask for and returns the exit status.
+// command runs the command that args name and returns the exit status.
 func (a *app) command(args []string) (code int) {
 	var c cli
 	type exited struct{ code int }
 	defer func() {
 		switch e := recover().(type) {
 		case nil:
-		case exited: // kong has printed its help
+		case exited: // after kong has printed the help
 			code = e.code
 		default:
 			panic(e)
@@ -76,7 +77,7 @@
 		fmt.Fprintf(a.err, "millethinge: %v\n", err)
 		return statusUsage
 	}
-	// The flags stand for the environment that configuration is read from.
+	// The flags override the environment variables that name the configuration's files.
 	env := a.getenv
 	a.getenv = func(name string) string {
 		switch {
@@ -98,8 +99,10 @@
 	return statusOK
 }
 
+// serveCmd runs the session manager.
 type serveCmd struct{}
 
+// Run serves until a signal ends the manager.
 func (serveCmd) Run(a *app, c *cli) error {
 	if code := a.serve(logOptions{c.LogLevel, c.LogFormat}); code != statusOK {
 		return exitStatus(code)
@@ -107,8 +110,10 @@
 	return nil
 }
 
+// checkCmd checks the configuration.
 type checkCmd struct{}
 
+// Run prints all faults of the configuration, or its warnings and a summary.
 func (checkCmd) Run(a *app) error {
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
@@ -122,25 +127,29 @@
 	return nil
 }
 
+// convertCmd converts an operator's file from its older JSON form.
 type convertCmd struct {
 	File string `arg:"" type:"existingfile" help:"The JSON file."`
 }
 
-func (v convertCmd) Run(a *app) error {
-	text, err := os.ReadFile(v.File)
+// Run prints the converted file.
+func (cmd convertCmd) Run(a *app) error {
+	text, err := os.ReadFile(cmd.File)
 	if err != nil {
 		return err
 	}
 	out, err := config.Convert(text)
 	if err != nil {
-		return fmt.Errorf("%s: %w", v.File, err)
+		return fmt.Errorf("%s: %w", cmd.File, err)
 	}
 	_, err = a.out.Write(out)
 	return err
 }
 
+// versionCmd prints the version.
 type versionCmd struct{}
 
+// Run prints the version and revision of the build.
 func (versionCmd) Run(a *app) error {
 	version, revision := "(devel)", "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/millethinge/command_test.go
+++ b/cmd/millethinge/command_test.go
@@ -18,7 +18,7 @@
 	return a.command(args), out.String(), errs.String()
 }
 
-// writeTempFile is a file of a test's own.
+// writeTempFile writes a temporary file and returns its path.
 func writeTempFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -46,7 +46,7 @@
 			t.Errorf("no %q in\n%s", want, errs)
 		}
 	}
-	// Of the platform's file, too, all faults are told.
+	// All faults of the platform's file are reported as well.
 	text, err := os.ReadFile(exampleConfig)
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	}
 }
 
-// The shell's script offers the commands, and their own words after them.
+// The bash script completes commands, and after a command its flags and arguments.
 func TestCompletion(t *testing.T) {
 	bash, err := exec.LookPath("bash")
 	if err != nil {
@@ -110,8 +110,8 @@
 	}
 }
 
-// A part of a core still runs one thread, and no number of cores costs memory for more
-// than the machine has.
+// A fraction of a core gives one thread, and no number of cores gives more threads than the
+// machine has processors, since each costs memory.
 func TestMaxProcs(t *testing.T) {
 	for cores, want := range map[float64]int{0.05: 1, 1: 1, 1.4: 1, 1e300: runtime.NumCPU()} {
 		if got := maxProcs(cores); got != want {
@@ -120,7 +120,7 @@
 	}
 }
 
-// A level that is asked for is the least one logged.
+// The configured level is the lowest one that is logged.
 func TestLogger(t *testing.T) {
 	for level, enabled := range map[string]bool{"": true, "info": true, "warn": false} {
 		log, err := logOptions{level: level, format: "console"}.logger()
@@ -129,12 +129,12 @@
 		}
 	}
 	if _, err := (logOptions{level: "loud"}).logger(); err == nil {
-		t.Error("no error")
+		t.Error("unknown level accepted")
 	}
 }
 
-// explain tells which rule matched, with which values, what came out and what it
-// cost; a message that is none fails alone.
+// The explain command prints which rule matched with which values, the resulting route
+// and the cost. A malformed message does not affect the messages after it.
 func TestExplain(t *testing.T) {
 	env := map[string]string{"BALANCER_CONFIG": exampleConfig, "MILLETHINGE_OPERATOR": "../../example/operator.conf"}
 	at := []string{"explain", "--at", "2026-05-15T19:00:00-06:00", "--client", "10.4.7.9"}
--- a/cmd/millethinge/completion.go
+++ b/cmd/millethinge/completion.go
@@ -7,19 +7,20 @@
 	"github.com/alecthomas/kong"
 )
 
+// completionCmd prints a completion script for a shell.
 type completionCmd struct {
 	Shell string `arg:"" enum:"bash,zsh,fish" help:"The shell: ${enum}."`
 }
 
-// Run writes the script from the model of the command line, so that none of it
-// is to be kept in step by hand.
-func (v completionCmd) Run(a *app) error {
+// Run derives the script from kong's model of the command line, so that the two
+// can't differ.
+func (cmd completionCmd) Run(a *app) error {
 	k, err := a.parser(new(cli), func(int) {})
 	if err != nil {
 		return err
 	}
 	var commands, flags []string
-	commandWords := map[string][]string{} // flags and words by command
+	commandWords := map[string][]string{} // flags and argument values by command
 	for _, f := range k.Model.Flags {
 		flags = append(flags, flagNames(f)...)
 	}
@@ -38,7 +39,7 @@
 			}
 		}
 	}
-	switch v.Shell {
+	switch cmd.Shell {
 	case "fish":
 		for _, c := range commands {
 			fmt.Fprintf(a.out, "complete -c millethinge -n __fish_use_subcommand -f -a %s -d %s\n", c, shellQuote(commandHelp[c]))
@@ -65,6 +66,7 @@
 	return nil
 }
 
+// flagNames returns the flag as it is typed, or nothing if it is hidden.
 func flagNames(f *kong.Flag) []string {
 	if f.Hidden {
 		return nil
@@ -72,5 +74,5 @@
 	return []string{"--" + f.Name}
 }
 
-// shellQuote is a word for a shell.
+// shellQuote quotes s as one word for a shell.
 func shellQuote(s string) string { return "'" + strings.ReplaceAll(s, "'", `'\''`) + "'" }
--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -14,6 +14,7 @@
 	"millethinge/internal/server"
 )
 
+// explainCmd explains how the rules route set-up messages.
 type explainCmd struct {
 	File   string `arg:"" optional:"" default:"-" help:"Set-up messages, one a line; - is standard input."`
 	Front  string `enum:"jsonl,websocket" default:"jsonl" help:"The front that they came by: ${enum}."`
@@ -22,9 +23,9 @@
 	All    bool   `help:"Also tell of the rules that did not match."`
 }
 
-// Run tells of each message which rule matched at which step, with which values,
-// what came out and what it cost.
-func (v explainCmd) Run(a *app) error {
+// Run prints for each message which rules were evaluated with which values, the
+// resulting route, and the cost of the evaluation.
+func (cmd explainCmd) Run(a *app) error {
 	cfg, err := config.LoadTraced(a.getenv)
 	if err != nil {
 		return err
@@ -33,20 +34,20 @@
 	if rules == nil {
 		return fmt.Errorf("the operator's file has no rules")
 	}
-	origin := message.Origin{Front: v.Front, Came: time.Now()}
-	if v.Client != "" {
-		if origin.Client, err = netip.ParseAddr(v.Client); err != nil {
+	origin := message.Origin{Front: cmd.Front, Came: time.Now()}
+	if cmd.Client != "" {
+		if origin.Client, err = netip.ParseAddr(cmd.Client); err != nil {
 			return fmt.Errorf("--client: %w", err)
 		}
 	}
-	if v.At != "" {
-		if origin.Came, err = time.Parse(time.RFC3339, v.At); err != nil {
+	if cmd.At != "" {
+		if origin.Came, err = time.Parse(time.RFC3339, cmd.At); err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
 	}
 	in := a.in
-	if v.File != "-" {
-		f, err := os.Open(v.File)
+	if cmd.File != "-" {
+		f, err := os.Open(cmd.File)
 		if err != nil {
 			return err
 		}
@@ -64,7 +65,7 @@
 			continue
 		}
 		n++
-		if err := v.explainMessage(a.out, &cfg, &catalog, rules, line, origin); err != nil {
+		if err := cmd.explainMessage(a.out, &cfg, &catalog, rules, line, origin); err != nil {
 			fmt.Fprintf(a.out, "message %d: %v\n", n, err)
 			failed++
 		}
@@ -78,10 +79,11 @@
 	return nil
 }
 
-// maxExplainInput is how much of a file is read.
+// maxExplainInput bounds the bytes that are read of a file.
 const maxExplainInput = 16 << 20
 
-func (v explainCmd) explainMessage(out io.Writer, cfg *config.Config, catalog *message.Catalog, rules *route.Set, line []byte, origin message.Origin) error {
+// explainMessage prints the explanation for the message on one line.
+func (cmd explainCmd) explainMessage(out io.Writer, cfg *config.Config, catalog *message.Catalog, rules *route.Set, line []byte, origin message.Origin) error {
 	if len(line) > message.Max {
 		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.Max)
 	}
@@ -97,7 +99,7 @@
 	explanation := rules.Explain(message.Routed(&m, &request, origin))
 	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.Classes, request.Class), nameAt(teams, request.Team))
 	for i, s := range explanation.Steps {
-		if !s.Match && !v.All {
+		if !s.Match && !cmd.All {
 			continue
 		}
 		verdict := "does not match"
@@ -132,6 +134,7 @@
 	return nil
 }
 
+// nameAt returns the ith name, or "none" if there is none.
 func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return "none"
--- a/cmd/millethinge/main.go
+++ b/cmd/millethinge/main.go
@@ -1,4 +1,4 @@
-// Command millethinge is the session manager, with the tools of those who run it.
+// Command millethinge is the session manager, with commands for its operators.
 package main
 
 import (
@@ -21,11 +21,11 @@
 // Exit statuses.
 const (
 	statusOK     = 0
-	statusFailed = 1 // it ran and failed, or what was checked is bad
-	statusUsage  = 2 // it could not begin: bad arguments, or configuration
+	statusFailed = 1 // the command failed, or the checked input has faults
+	statusUsage  = 2 // the command could not start: bad arguments or configuration
 )
 
-// app is the process as the commands see it.
+// app holds what the commands use of the process: environment and standard streams.
 type app struct {
 	getenv   func(string) string
 	in       io.Reader
@@ -35,7 +35,7 @@
 func main() {
 	a := &app{os.Getenv, os.Stdin, os.Stdout, os.Stderr}
 	if len(os.Args) == 1 {
-		// As the platform starts it: nothing of the command line is built.
+		// The platform starts the program so; the command line need not be built.
 		os.Exit(a.serve(logOptions{}))
 	}
 	os.Exit(a.command(os.Args[1:]))
@@ -43,8 +43,9 @@
 
 // serve runs the session manager until a signal ends it.
 func (a *app) serve(options logOptions) int {
-	// Guard: first of all. It asks for a look at the files, and is not to end a process
-	// that is still at its first one; what ends one that has taken nothing may do so.
+	// Guard: SIGHUP must be caught before anything else. It asks for a reload of the files
+	// and must not end a process that is still reading them for the first time. The signals
+	// that ask for the end may end a process that has accepted nothing yet.
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGHUP)
 	cfg, err := config.Load(a.getenv)
@@ -73,20 +74,21 @@
 	return statusOK
 }
 
-// maxProcs is how many threads may run Go code at once. Guard: each costs memory, so what is
-// allowed beyond the machine's processors buys nothing.
+// maxProcs returns GOMAXPROCS for a number of cores. Guard: each P costs memory, and more of
+// them than the machine has processors gain nothing.
 func maxProcs(cores float64) int {
 	return int(min(max(math.Round(cores), 1), float64(runtime.NumCPU())))
 }
 
-// logOptions is how the log is written. The zero value is the platform's.
+// logOptions holds the level and format of the log. The zero value is for a manager that the
+// platform starts.
 type logOptions struct{ level, format string }
 
-// logger writes to standard error. Of equal lines in a second only the first
-// hundred and each hundredth more are written, so that a storm of them can't
-// fill a disk.
+// logger returns a logger that writes to standard error. Of equal lines in one
+// second, only the first hundred and then every hundredth are written, so that a
+// burst of them can't fill a disk.
 func (o logOptions) logger() (*zap.Logger, error) {
-	c := zap.NewProductionConfig() // this has the sampling
+	c := zap.NewProductionConfig() // includes the sampling
 	if o.format == "console" {
 		c.Encoding = "console"
 		c.EncoderConfig = zap.NewDevelopmentEncoderConfig()
--- a/cmd/millethinge/peaks.go
+++ b/cmd/millethinge/peaks.go
@@ -9,14 +9,15 @@
 	"millethinge/internal/peaks"
 )
 
+// peaksCmd lists announced peaks.
 type peaksCmd struct {
 	From string `placeholder:"TIME" help:"From when on, as in 2026-05-15T00:00:00-06:00 (default: now)."`
 	Days int    `default:"31" help:"For how many days."`
 }
 
-// Run lists the coming peaks with what would be held for them, and when, if what
-// comes ordinarily is as the operator's file says.
-func (v peaksCmd) Run(a *app) error {
+// Run lists the coming peaks, and which slots would be held for them and when, if the
+// ordinary load is as the operator's file says.
+func (cmd peaksCmd) Run(a *app) error {
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
 		return err
@@ -24,18 +25,18 @@
 	if len(cfg.Operator.Peaks) == 0 {
 		return fmt.Errorf("the operator's file announces no peak")
 	}
-	if v.Days < 1 || v.Days > 3660 {
+	if cmd.Days < 1 || cmd.Days > 3660 {
 		return fmt.Errorf("--days: from 1 to 3660")
 	}
 	from := time.Now()
-	if v.From != "" {
-		if from, err = time.Parse(time.RFC3339, v.From); err != nil {
+	if cmd.From != "" {
+		if from, err = time.Parse(time.RFC3339, cmd.From); err != nil {
 			return fmt.Errorf("--from: %w", err)
 		}
 	}
 	classes, room := cfg.PlannedClasses()
 	calendar := peaks.Calendar{Peaks: cfg.Operator.Peaks}
-	occurrences := calendar.Between(from, from.AddDate(0, 0, v.Days))
+	occurrences := calendar.Between(from, from.AddDate(0, 0, cmd.Days))
 	for _, o := range occurrences {
 		_, until := o.Window()
 		size := fmt.Sprintf("%g times", o.Peak.Factor)
@@ -66,7 +67,7 @@
 			plan.From.Format("15:04:05"), o.Begin.Format("15:04:05"), 100*(plan.Earned/plan.Without-1), 100*plan.Lost)
 	}
 	if len(occurrences) == 0 {
-		fmt.Fprintf(a.out, "none within %d days\n", v.Days)
+		fmt.Fprintf(a.out, "none within %d days\n", cmd.Days)
 	}
 	if classes == nil {
 		fmt.Fprintln(a.out, "what would be held is told if an ordinary block says what comes")
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// selectNames are the names that are set.
+// selectNames returns the names whose entry in selected is true.
 func selectNames(names []string, selected []bool) (out []string) {
 	for i, n := range names {
 		if i < len(selected) && selected[i] {
--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -23,10 +23,11 @@
 	"millethinge/internal/standin"
 )
 
-// testTimeout bounds what a test waits for; nothing passes or fails by less.
+// testTimeout bounds each wait in these tests; no result depends on a shorter time.
 const testTimeout = 20 * time.Second
 
-// serveEnv has the test's binary be the program, with so many descriptors.
+// serveEnv is the environment variable that has the test binary run as the manager. Its value is
+// the limit on file descriptors.
 const serveEnv = "MILLETHINGE_TEST_SERVES"
 
 func TestMain(m *testing.M) {
@@ -39,9 +40,11 @@
 	os.Exit(m.Run())
 }
 
+// sockets is the default limit on a child's file descriptors.
 const sockets = 128
 
-// platformJSON is the program's configuration, by its addresses, the coordinator's and node a's.
+// platformJSON is a format for the platform's configuration file: the viewers' address, the admin
+// address, the coordinator's address, the limit on descriptors, and the members of the list.
 const platformJSON = `{"name": "n0", "listen": %q, "admin": %q, "seed": "1f", "coordinator": %q, "limits": {"cores": 1, "memory_mb": 192, "sockets": %d},
 	"known": {"index": 1, "updates": [{"index": 1, "endpoints": {"revision": 1, "complete": true, "members": [%s]}}]},
 	"settings": {"balancers": 1, "localities": ["east"], "flavors": ["std"], "weights": "rough", "discovery": "automatic",
@@ -50,28 +53,30 @@
 	"ladderWorth": [0.2, 0.5, 0.8, 1], "places": 2, "groups": 1, "kbPerWeight": 1e9, "rackLinkKb": 1e12, "kindStreams": [1000000]},
 	"feedback": {"fields": ["load_share", "x1"], "via": "none"}, "policyLimits": {"attemptsCap": 4, "probes": true, "streamsPerConn": 1}}}`
 
+// memberJSON returns one member of a list of media nodes.
 func memberJSON(id, addr, phase string) string {
 	return fmt.Sprintf(`{"id": %q, "host_port": %q, "locality": "east", "flavor": "std", "cell": 0, "phase": %q, "size": 1}`, id, addr, phase)
 }
 
-// child is a process of the program. Its addresses stay over its starts.
+// child is a manager that runs in a process of its own. It keeps its addresses when it is started
+// again.
 type child struct {
 	t                       *testing.T
-	viewers, players, admin string
-	config, operator        string
-	members                 string
-	sockets                 int
-	temp                    string
+	viewers, players, admin string // addresses
+	config, operator        string // files
+	members                 string // of the list in its configuration
+	sockets                 int    // limit on file descriptors
+	temp                    string // directory
 	cmd                     *exec.Cmd
-	serving                 chan struct{}
-	lastID                  int
+	serving                 chan struct{} // closed when it logs that it serves
+	lastID                  int           // of the sessions that were set up
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// unusedAddr is an address that nobody listens at. Guard: no connection of the tests' own is
-// from its host, so that none takes the port.
+// unusedAddr returns an address at which no one listens. Guard: its host is one from which the
+// tests open no connections, since such a connection could take the port.
 func unusedAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.2:0", 1+os.Getpid()>>8&0x7f, os.Getpid()&0xff))
@@ -99,7 +104,7 @@
 	return c
 }
 
-// configText is its configuration with a coordinator.
+// configText returns the child's configuration with the coordinator at an address.
 func (c *child) configText(coordinator string) []byte {
 	return fmt.Appendf(nil, platformJSON, c.viewers, c.admin, coordinator, c.sockets, c.members)
 }
@@ -155,18 +160,19 @@
 	return c.log.String()
 }
 
-// waitFor waits for what comes.
+// waitFor returns the next value from a channel.
 func waitFor[T any](c *child, from <-chan T, what string) (v T) {
 	c.t.Helper()
 	select {
 	case v = <-from:
 	case <-time.After(testTimeout):
-		c.t.Fatalf("no %s; it said:\n%s", what, c.logged())
+		c.t.Fatalf("no %s; log:\n%s", what, c.logged())
 	}
 	return v
 }
 
-// dialViewer is a connection to it, on which a line is sent and one is read.
+// dialViewer connects as a viewer. The returned function sends a line and returns the line that
+// answers it.
 func dialViewer(addr string) (net.Conn, func(line string) (string, error), error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -182,8 +188,8 @@
 	}, nil
 }
 
-// fillWithIdleClients fills its places: for viewers with clients that had a word and say no more, for
-// players and callers with such that say nothing.
+// fillWithIdleClients opens connections up to the limits of all listeners and leaves them idle:
+// viewers after one ping, players and operators without sending anything.
 func (c *child) fillWithIdleClients() {
 	c.t.Helper()
 	for range c.sockets / 2 {
@@ -202,10 +208,11 @@
 	}
 }
 
+// setUpLine is a format for a set-up message: the session's id.
 const setUpLine = `{"type":"setup","id":"%016x","fields":{"class":"feed","left":"15000","key":"01","extras":"home:0;copies:1;top:3"},"sdp":"x"}` + "\n"
 
-// setUp has a new client set a session up. Where others rush in, its connection may be
-// closed before its request is read; then it goes again, as clients do.
+// setUp has a new client set up a session. With retry, it tries again if the connection is closed
+// before the answer, as may happen while many others connect.
 func (c *child) setUp(retry bool) {
 	c.t.Helper()
 	for begin := time.Now(); ; {
@@ -220,13 +227,13 @@
 			return
 		}
 		if !retry || got != "" || time.Since(begin) > testTimeout {
-			c.t.Fatalf("%q, %v; it said:\n%s", got, err, c.logged())
+			c.t.Fatalf("%q, %v; log:\n%s", got, err, c.logged())
 		}
-		c.t.Log("goes again:", err)
+		c.t.Log("trying again:", err)
 	}
 }
 
-// isReady tells whether a caller hears that it serves.
+// isReady reports whether the child says that it is ready.
 func (c *child) isReady() bool {
 	res, err := (&http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Get("http://" + c.admin + "/ready")
 	if err != nil {
@@ -236,7 +243,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// unreachableAddr is an address on loopback that nothing is heard from.
+// unreachableAddr returns an address on loopback that does not answer attempts to connect.
 func unreachableAddr(t *testing.T) string {
 	l := loopback(t)
 	closeFill, err := standin.Shy(l.(*net.TCPListener))
@@ -247,13 +254,13 @@
 	return l.Addr().String()
 }
 
-// coordinator is a coordinator that holds polls. Away, it ends whoever comes; it has news or
-// none.
+// coordinator is a stand-in for the coordinator. It leaves a poll unanswered unless it has an
+// update for it.
 type coordinator struct {
 	net.Listener
-	unavailable, hasUpdate atomic.Bool
-	members                string // of its second event
-	polls                  chan string
+	unavailable, hasUpdate atomic.Bool // unavailable: it closes each new connection
+	members                string      // of the list in its update
+	polls                  chan string // the index that each poll follows
 
 	mu    sync.Mutex
 	conns []net.Conn
@@ -306,11 +313,11 @@
 	c.conns = nil
 }
 
-// With all places taken by clients that say nothing more, and no more descriptors than
-// the platform gives, a coordinator that was away is followed again when it is back,
-// there or elsewhere, and a new client is served by the list that it then tells.
-func TestServesWithAllClientPlacesIdle(t *testing.T) {
-	for name, elsewhere := range map[string]bool{"there": false, "elsewhere": true} {
+// Idle clients on all client connections, under the platform's limit on file descriptors, must
+// not keep the manager from reconnecting to a coordinator that was unavailable, at the same or
+// at another address, nor from serving a new client with the list that it then gets.
+func TestServesWithIdleClientsAtLimits(t *testing.T) {
+	for name, elsewhere := range map[string]bool{"same address": false, "other address": true} {
 		t.Run(name, func(t *testing.T) {
 			unusedNode := loopback(t).Addr().String()
 			node := loopback(t)
@@ -325,9 +332,9 @@
 			c.fillWithIdleClients()
 			descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
 			if err != nil || len(descriptors) < sockets/2 {
-				t.Errorf("%d descriptors, %v", len(descriptors), err)
+				t.Errorf("%d file descriptors open, %v", len(descriptors), err)
 			}
-			t.Log("descriptors held:", len(descriptors), "of", sockets)
+			t.Log("file descriptors open:", len(descriptors), "of", sockets)
 			first.stop()
 			next := first
 			if elsewhere {
@@ -337,27 +344,28 @@
 			}
 			next.hasUpdate.Store(true)
 			next.unavailable.Store(false)
-			for waitFor(c, next.polls, "poll after the list's change") != "2" {
+			for waitFor(c, next.polls, "poll after the list's update") != "2" {
 			}
 			c.setUp(false)
 			c.fillWithIdleClients()
 			c.setUp(false)
 			if !c.isReady() {
-				t.Error("a caller is kept out")
+				t.Error("an operator's call is not answered")
 			}
 			if strings.Contains(c.logged(), "too many open files") {
-				t.Errorf("want of descriptors:\n%s", c.logged())
+				t.Errorf("out of file descriptors:\n%s", c.logged())
 			}
 		})
 	}
 }
 
-// countingListener is a listener that knows how many connections are open.
+// countingListener counts its open connections.
 type countingListener struct {
 	net.Listener
-	n atomic.Int32
+	n atomic.Int32 // open connections
 }
 
+// countingConn is a connection of a countingListener.
 type countingConn struct {
 	net.Conn
 	listener *countingListener
@@ -374,22 +382,22 @@
 	return c.Conn.Close()
 }
 
-// With all places for viewers, players, callers and nodes taken at once no descriptor is
-// wanted: the coordinator is followed elsewhere, the files are read again, and a new client
-// and a caller are answered.
+// With the connections of viewers, players, operators and media nodes all at their limits, the
+// manager must not run out of file descriptors: it follows a coordinator at another address,
+// reads its files again, and answers a new client and a new operator.
 func TestAllConnectionLimitsReached(t *testing.T) {
 	for _, n := range []int{64, 96, sockets, 256} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			node, release := &countingListener{Listener: loopback(t)}, make(chan struct{})
 			go (&standin.Node{Bill: standin.NewBill(), Decide: func(id string, _ int) standin.Verdict {
-				if id != fmt.Sprintf("%016x", 1) { // the first one stands, so that no connection is given back
+				if id != fmt.Sprintf("%016x", 1) { // the first session is established at once, so that no connection is closed
 					<-release
 				}
 				return standin.Verdict{Status: 200}
 			}}).Serve(node)
 			list := memberJSON("a", node.Addr().String(), "in_service")
 			first := startCoordinator(t, list)
-			first.hasUpdate.Store(true) // so that it is ready
+			first.hasUpdate.Store(true) // readiness waits for its answer
 			c := newChild(t, list)
 			c.sockets = n
 			c.writeConfig(first.Addr().String())
@@ -414,42 +422,42 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			for range min(2*cfg.NodeConns(), peer.DefaultOpen) { // each takes a connection and keeps it, since its session stands
+			for range min(2*cfg.NodeConns(), peer.DefaultOpen) { // each keeps a connection to the node for its established session
 				c.lastID++
 				fmt.Fprintf(conn, setUpLine, c.lastID)
 			}
 			for begin := time.Now(); int(node.n.Load()) < cfg.NodeConns(); time.Sleep(time.Millisecond) {
 				if time.Since(begin) > testTimeout {
-					t.Fatalf("%d of %d connections to the node; it said:\n%s", node.n.Load(), cfg.NodeConns(), c.logged())
+					t.Fatalf("%d of %d connections to the node; log:\n%s", node.n.Load(), cfg.NodeConns(), c.logged())
 				}
 			}
 			close(release)
 			c.fillWithIdleClients()
 			descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
-			t.Logf("descriptors held: %d of %d; viewers' %d, nodes' %d, %v", len(descriptors), n, cfg.ViewerConns(), cfg.NodeConns(), err)
+			t.Logf("file descriptors open: %d of %d; limits on connections: viewers %d, nodes %d; error: %v", len(descriptors), n, cfg.ViewerConns(), cfg.NodeConns(), err)
 			first.stop()
 			next := startCoordinator(t, "")
 			c.writeConfig(next.Addr().String())
 			c.cmd.Process.Signal(syscall.SIGHUP)
-			waitFor(c, next.polls, "poll elsewhere")
+			waitFor(c, next.polls, "poll at the other address")
 			c.setUp(false)
 			if !c.isReady() {
-				t.Error("a caller is kept out")
+				t.Error("an operator's call is not answered")
 			}
 			if strings.Contains(c.logged(), "too many open files") {
-				t.Errorf("want of descriptors:\n%.400s", c.logged())
+				t.Errorf("out of file descriptors:\n%.400s", c.logged())
 			}
 		})
 	}
 }
 
-// Killed and started anew while the coordinator is silent, away or can't be reached, and
-// with clients coming at the same instant, the program serves and says that it is ready.
+// A manager that was killed and is started again must serve and become ready although the
+// coordinator does not answer or can't be reached and many clients connect at the same moment.
 func TestReadyWithoutCoordinator(t *testing.T) {
 	silent, unavailable := startCoordinator(t, ""), startCoordinator(t, "")
 	unavailable.unavailable.Store(true)
 	for name, coordinator := range map[string]string{
-		"silent": silent.Addr().String(), "away": unavailable.Addr().String(), "refuses": unusedAddr(t), "unreachable": unreachableAddr(t),
+		"no answer": silent.Addr().String(), "closes connections": unavailable.Addr().String(), "refuses connections": unusedAddr(t), "unreachable": unreachableAddr(t),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -477,7 +485,7 @@
 				served := time.Since(begin)
 				for !c.isReady() {
 					if time.Since(begin) > testTimeout {
-						t.Fatalf("never ready; it said:\n%s", c.logged())
+						t.Fatalf("not ready in time; its log:\n%s", c.logged())
 					}
 					time.Sleep(time.Millisecond)
 				}
@@ -489,7 +497,7 @@
 	}
 }
 
-// SIGHUP while the first configuration is still read does not end the process.
+// SIGHUP must not end a process that is still reading its configuration for the first time.
 func TestHangupDuringFirstConfigRead(t *testing.T) {
 	c := newChild(t, memberJSON("a", "127.0.0.1:1", "in_service"))
 	if err := syscall.Mkfifo(c.config, 0o600); err != nil {
@@ -497,19 +505,19 @@
 	}
 	source := startCoordinator(t, "")
 	c.start()
-	pipe, err := os.OpenFile(c.config, os.O_WRONLY, 0) // goes on once the process reads it
+	pipe, err := os.OpenFile(c.config, os.O_WRONLY, 0) // blocks until the process opens it
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.cmd.Process.Signal(syscall.SIGHUP)
 	pipe.Write(c.configText(source.Addr().String()))
-	pipe.Close() // the second look at it waits for good
+	pipe.Close() // the second read of the file blocks forever
 	waitFor(c, c.serving, "service")
 	waitFor(c, source.polls, "poll")
 }
 
-// Three processes of one manager: of two younger ones one takes what stands, also where
-// an older one and the one between end at the same time, and what stands is cut by nobody.
+// If a manager has three processes and the two older ones end at the same time, exactly one
+// process must take over the established session, and none of the two may tear it down.
 func TestThreeProcesses(t *testing.T) {
 	node, bill := loopback(t), standin.NewBill()
 	go (&standin.Node{Bill: bill, Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}).Serve(node)
@@ -527,7 +535,7 @@
 		waitFor(c, c.serving, "service")
 		for begin := time.Now(); !c.isReady(); time.Sleep(time.Millisecond) {
 			if time.Since(begin) > testTimeout {
-				t.Fatalf("%d is never ready; it said:\n%s", i, c.logged())
+				t.Fatalf("process %d not ready in time; its log:\n%s", i, c.logged())
 			}
 		}
 		if children[i] = c; i == 0 {
@@ -544,11 +552,11 @@
 		}
 		c.cmd.Wait()
 		if got := strings.Count(c.logged(), `"sessions taken over","name":"n0","sessions":1`); got != want {
-			t.Errorf("%d takes it %d times; it said:\n%s", i, got, c.logged())
+			t.Errorf("process %d takes the session over %d times; its log:\n%s", i, got, c.logged())
 		}
 		bill.Read(func(b *standin.Bill) {
 			if b.Ended["0000000000000001"] != want {
-				t.Errorf("after the end of %d it is cut %d times", i, b.Ended["0000000000000001"])
+				t.Errorf("after the end of process %d the session has been torn down %d times", i, b.Ended["0000000000000001"])
 			}
 		})
 	}
--- a/cmd/millethinge/sites.go
+++ b/cmd/millethinge/sites.go
@@ -13,20 +13,21 @@
 	"millethinge/internal/site"
 )
 
+// sitesCmd plans for the loss of sites.
 type sitesCmd struct {
 	Lost   []string `placeholder:"SITE" help:"Only the loss of these, together (default: each, and each pair where there are more than two)."`
 	Record string   `type:"existingfile" placeholder:"LOG" help:"Take what comes from the last 'site demand' line of a running manager's log, not from the ordinary block."`
 }
 
-// Run tells what the loss of each site would mean, by the configuration's list and
-// what the operator's file says comes ordinarily.
-func (v sitesCmd) Run(a *app) error {
+// Run prints what the loss of each site would cause, by the configuration's list of
+// media nodes and the ordinary load in the operator's file or the recorded demand.
+func (cmd sitesCmd) Run(a *app) error {
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
 		return err
 	}
-	if v.Record != "" {
-		if err := v.loadDemand(&cfg); err != nil {
+	if cmd.Record != "" {
+		if err := cmd.loadDemand(&cfg); err != nil {
 			return fmt.Errorf("--record: %w", err)
 		}
 	}
@@ -39,9 +40,9 @@
 		fmt.Fprintf(a.out, "%s: %d nodes, room for %.0f kB a second and %.0f streams\n", sites.Names[i], sites.Nodes[i], kb, places)
 	}
 	var plans []site.Plan
-	if len(v.Lost) > 0 {
+	if len(cmd.Lost) > 0 {
 		var lost []int
-		for _, name := range v.Lost {
+		for _, name := range cmd.Lost {
 			i := slices.Index(sites.Names, name)
 			if i < 0 {
 				return fmt.Errorf("--lost: %q is no site; there are: %s", name, strings.Join(sites.Names, ", "))
@@ -57,14 +58,15 @@
 		return err
 	}
 	for i := range plans {
-		v.printPlan(a, sites, &plans[i])
+		cmd.printPlan(a, sites, &plans[i])
 	}
 	return nil
 }
 
-// loadDemand takes what comes from the last line of a log that tells it.
-func (v sitesCmd) loadDemand(cfg *config.Config) error {
-	file, err := os.Open(v.Record)
+// loadDemand replaces the ordinary load by the demand that the last such line of a
+// manager's log records.
+func (cmd sitesCmd) loadDemand(cfg *config.Config) error {
+	file, err := os.Open(cmd.Record)
 	if err != nil {
 		return err
 	}
@@ -72,7 +74,7 @@
 	type demandRecord struct {
 		Msg   string    `json:"msg"`
 		Rates []float64 `json:"rates"`
-		Lasts []float64 `json:"lasts"` // s
+		Lasts []float64 `json:"lasts"` // in seconds
 	}
 	var last demandRecord
 	found := false
@@ -86,27 +88,27 @@
 	}
 	switch {
 	case lines.Err() != nil:
-		return fmt.Errorf("%s: %w", v.Record, lines.Err())
+		return fmt.Errorf("%s: %w", cmd.Record, lines.Err())
 	case !found:
-		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", v.Record, broker.DemandLine)
+		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", cmd.Record, broker.DemandLine)
 	case len(last.Rates) != len(cfg.Classes) || len(last.Lasts) != len(cfg.Classes):
-		return fmt.Errorf("%s tells of %d classes, this deployment has %d", v.Record, len(last.Rates), len(cfg.Classes))
+		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.Classes))
 	}
 	cfg.Operator.Ordinary = nil
 	for k := range last.Rates {
 		if !(last.Rates[k] >= 0) || !(last.Lasts[k] > 0) {
-			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", v.Record, cfg.Classes[k], last.Rates[k], last.Lasts[k])
+			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", cmd.Record, cfg.Classes[k], last.Rates[k], last.Lasts[k])
 		}
 		cfg.Operator.Ordinary = append(cfg.Operator.Ordinary, config.Ordinary{Rate: last.Rates[k], Lasts: config.Seconds(last.Lasts[k])})
 	}
 	return nil
 }
 
-// maxLogLine is the longest line of a log that is read.
+// maxLogLine is the length in bytes of the longest log line that can be read.
 const maxLogLine = 1 << 20
 
-// printPlan prints one loss.
-func (v sitesCmd) printPlan(a *app, sites *config.SitePlan, plan *site.Plan) {
+// printPlan prints what the loss of one or more sites causes.
+func (cmd sitesCmd) printPlan(a *app, sites *config.SitePlan, plan *site.Plan) {
 	var names []string
 	for _, i := range plan.Lost {
 		names = append(names, sites.Names[i])
@@ -149,13 +151,14 @@
 		}
 		fmt.Fprintf(a.out, "    %s: %.1f sessions: %s; %.1f cross sites\n", c.Name, total, strings.Join(parts, ", "), crossing)
 	}
-	fmt.Fprintf(a.out, "    given up, the first first: %s\n", strings.Join(v.degradationOrder(sites, plan), ", "))
+	fmt.Fprintf(a.out, "    given up, the first first: %s\n", strings.Join(cmd.degradationOrder(sites, plan), ", "))
 	for _, i := range plan.Lost {
-		v.printRecovery(a, sites, i)
+		cmd.printRecovery(a, sites, i)
 	}
 }
 
-// degradationOrder words what is given up, class by class: sites and viewers alike don't matter.
+// degradationOrder describes by class, in order, what is given up first. Steps that differ
+// only in site or viewers are described once.
 func (sitesCmd) degradationOrder(sites *config.SitePlan, plan *site.Plan) (words []string) {
 	for _, step := range plan.Order {
 		name := sites.Fleet.Classes[sites.Fleet.Demands[step.Demand].Class].Name
@@ -170,7 +173,8 @@
 	return words
 }
 
-// printRecovery tells how long a site takes to carry its load again after it has come back cold.
+// printRecovery prints how long a site that returns cold takes until 90% of its load plays
+// there again.
 func (sitesCmd) printRecovery(a *app, sites *config.SitePlan, i int) {
 	recovery := sites.Returns[i]
 	if recovery.Warm <= 0 || recovery.Places <= 0 {
--- a/cmd/millethinge/sites_test.go
+++ b/cmd/millethinge/sites_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	if strings.Contains(out, "clip from rung 1") {
-		t.Error("clip goes to the lowest rung")
+		t.Error("a clip goes from rung 1 to a lower one")
 	}
 	if code, out, _ := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", twoHallsSites, "sites", "--lost", "hall-a,hall-b"); code != 0 ||
 		!strings.Contains(out, "without hall-a and hall-b: 0.0% of the worth is kept") {
@@ -61,8 +61,8 @@
 	}
 }
 
-// check tells of a site whose loss the rest can't carry for what is to be kept, and of
-// what is wrong with a site block.
+// The check command warns of a site whose sessions that are to be kept the other sites
+// can't carry, and reports faults in a site block.
 func TestCheckSites(t *testing.T) {
 	heavy := writeTempFile(t, "op.conf", "ordinary {\n    clip 3 45s\n    feed 1 35s\n}\nsite hall-a {\n    zones hall-a\n    keep clip\n}\n")
 	code, _, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", heavy, "check")
--- a/cmd/millethinge/terms_test.go
+++ b/cmd/millethinge/terms_test.go
@@ -17,7 +17,7 @@
 // and the starting of other programs. These tests build the program as
 // deploy/balancer.toml says and read the binary, so that a change of build
 // flags, of the run line or of an import that starts programs fails here,
-// without the platform's bench.
+// without a run on the platform.
 
 // deploySettings returns the key = "value" lines of deploy/balancer.toml.
 func deploySettings(t *testing.T) (root string, settings map[string]string) {
@@ -51,11 +51,11 @@
 	// exec replaces the shell, so that the platform's signals reach the
 	// manager and the process it watches is the manager itself.
 	if !strings.HasPrefix(run, "exec ") {
-		t.Fatalf("run = %q: it must end in one process, by exec", run)
+		t.Fatalf("run = %q: the shell must be replaced by exec", run)
 	}
 	for _, sep := range []string{";", "&", "|", "\n", "$(", "`"} {
 		if strings.Contains(run, sep) {
-			t.Fatalf("run = %q holds %q: a second process or a pipeline", run, sep)
+			t.Fatalf("run = %q contains %q, which starts a second process or a pipeline", run, sep)
 		}
 	}
 	if f := strings.Fields(run); len(f) < 2 || f[1] != "bin/millethinge" {
@@ -74,7 +74,7 @@
 			t.Fatalf("build = %q lacks %q", build, want)
 		}
 	}
-	// The same line, writing elsewhere than the work tree's bin/.
+	// The same command, but its output goes to a temporary directory.
 	out := t.TempDir()
 	cmd := exec.Command("sh", "-c", strings.ReplaceAll(build, "bin/", out+"/"))
 	cmd.Dir = root
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -150,13 +150,13 @@
 		}},
 		{"site-like", "logged before the mark", []Patch{{"internal/site/watch.go", "r.signs >= signs && r.ways > 0", "r.signs >= signs"}}},
 		{"ops-ban", `"bans" broken`, []Patch{{"internal/duty/duty.go", "if n.order.Out && m.State == control.Ready", "if false && m.State == control.Ready"}}},
-		{"ops-ban", "sent to a1 by m2", []Patch{{"internal/server/operation.go", "		o.orders.Take(o.state.Nodes)\n", ""}}},
-		{"ops-ban", "a1 is left unused", []Patch{{"internal/server/operation.go", "		c, known := o.orders.Give(member, order)\n",
-			"		c, known := o.orders.Give(member, order)\n		if known && !out {\n			c.Members = nil\n		}\n"}}},
+		{"ops-ban", "sent to a1 by m2", []Patch{{"internal/server/operation.go", "		s.overrides.Take(s.overrideState.Nodes)\n", ""}}},
+		{"ops-ban", "a1 is left unused", []Patch{{"internal/server/operation.go", "		c, known := s.overrides.Give(member, override)\n",
+			"		c, known := s.overrides.Give(member, override)\n		if known && !disable {\n			c.Members = nil\n		}\n"}}},
 		{"ops-drain", "after the call, m1: ready true", []Patch{{"internal/duty/gate.go", "return g == nil || g.shut.Load() == 0", "return true"}}},
 		{"ops-drain", `"drained" broken`, []Patch{{"internal/duty/gate.go", "!holds && past(&g.shut, now, LetGo)", "false"}}},
-		{"ops-upgrade", `"one answer" broken`, []Patch{{"internal/server/server.go", "case <-core.Drained():\n				hand.last(core)", "case <-map[bool]<-chan time.Time{true: time.After(0)}[draining]:"},
-			{"internal/server/server.go", "				endFronts()\n				fronts.Wait()\n", ""}}}, // the fronts wait, too
+		{"ops-upgrade", `"one answer" broken`, []Patch{{"internal/server/server.go", "case <-sessionBroker.Drained():\n				service.handOverRemaining(sessionBroker)", "case <-map[bool]<-chan time.Time{true: time.After(0)}[draining]:"},
+			{"internal/server/server.go", "				stopFronts()\n				fronts.Wait()\n", ""}}}, // the fronts wait, too
 		{"ops-callers", `"calls" broken`, []Patch{{"internal/admin/places.go", "graceTime - time.Since(o.came)", "4*time.Second - time.Since(o.came)"}}},
 		{"ops-figures", "figures\" broken:  tries", []Patch{{"internal/broker/counts.go", "		c.Tries.Add(1)\n", "		c.Tries.Add(1 - c.Tries.Load()%5/4)\n"}}},
 		{"ops-figures", "figures\" broken:  shed", []Patch{{"internal/broker/counts.go", "		c.Refused[class].Add(1)\n", ""}}},
--- a/internal/server/burst_test.go
+++ b/internal/server/burst_test.go
@@ -10,15 +10,15 @@
 	"millethinge/internal/standin"
 )
 
-// burstSize is a gateway's set-ups, sent at once on one connection.
+// burstSize is the number of set-ups that a gateway sends at once on one connection.
 const burstSize = 10000
 
-// TestBurst sends them without waiting and expects an answer to each, on both
-// fronts: played, or refused with a time to stay away.
+// TestBurst sends burstSize set-ups on one connection of each front without waiting
+// for answers. Each must be answered once: served, or refused with a time to wait.
 func TestBurst(t *testing.T) {
-	prog := startBurstProgram(t, "")
+	mgr := startBurstManager(t, "")
 	for _, player := range []bool{false, true} {
-		conn := connect(t, prog, player)
+		conn := connect(t, mgr, player)
 		go func() {
 			for n := range burstSize {
 				if err := conn.send(burstSetUp(n, player)); err != nil {
@@ -40,7 +40,7 @@
 			seen[answer.ID] = true
 			causes[fmt.Sprint(answer.Type, " ", answer.Cause)]++
 			if answer.Cause == 42 && answer.Fields["wait"] == "" {
-				t.Fatalf("no advice: %q", line)
+				t.Fatalf("refused without a time to wait: %q", line)
 			}
 		}
 		if causes["answer 0"] == 0 || causes["answer 0"]+causes["release 42"] != burstSize {
@@ -50,22 +50,22 @@
 	}
 }
 
-// TestBurstFromClientThatNeverReads has a client send without end and never listen: it loses its
-// connection, and the next one is served.
+// TestBurstFromClientThatNeverReads has a client send messages without end and read none of
+// the answers. Its connection must be closed, and the next client must be served.
 func TestBurstFromClientThatNeverReads(t *testing.T) {
-	prog := startBurstProgram(t, "")
+	mgr := startBurstManager(t, "")
 	for _, player := range []bool{false, true} {
-		conn := connect(t, prog, player)
+		conn := connect(t, mgr, player)
 		for n := 0; ; n++ {
 			err := conn.send(strings.Replace(`{"type":"ping","id":"`+strings.Repeat("x", 4000)+`"}`, "x", fmt.Sprint(n%10), 1))
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatal("it is kept")
+				t.Fatal("the connection is not closed")
 			}
 			if err != nil {
 				break
 			}
 		}
-		next := connect(t, prog, player)
+		next := connect(t, mgr, player)
 		if err := next.send(burstSetUp(1, player)); err != nil {
 			t.Fatal(err)
 		}
@@ -75,17 +75,19 @@
 	}
 }
 
-func startBurstProgram(t *testing.T, operator string) *program {
+// startBurstManager starts a manager with both fronts and one node that serves every set-up.
+func startBurstManager(t *testing.T, operator string) *manager {
 	node, listener := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict {
 		return standin.Verdict{Status: 200}
 	}}, loopback(t)
 	go node.Serve(listener)
-	return startProgram(t, "127.0.0.1:1", memberJSON("s-0", listener.Addr().String(), 0), 1, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
+	return startManager(t, "127.0.0.1:1", memberJSON("s-0", listener.Addr().String(), 0), 1, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
 }
 
+// burstSetUp returns the nth set-up message of a client on a front.
 func burstSetUp(n int, player bool) string {
 	if player {
-		n += 1 << 20 // ids of its own
+		n += 1 << 20 // ids that the other front does not use
 	}
 	return fmt.Sprintf(`{"type":"setup","id":"%016x","fields":{"class":"feed","left":"%d","key":"1","extras":"home:0;copies:1;top:0"},"sdp":"d"}`,
 		n+1, testTimeout.Milliseconds())
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -10,7 +10,7 @@
 	"millethinge/internal/standin"
 )
 
-// TestSessionOnDiscoveredNode has the program find its only node by DNS-SD.
+// A manager must serve a session on a node that it knows only by DNS-SD.
 func TestSessionOnDiscoveredNode(t *testing.T) {
 	listener := loopback(t)
 	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
@@ -24,8 +24,8 @@
 	const service = "_rtsp._tcp.media.example"
 	server.Set(false, standin.Instance(service, "one", 60, netip.MustParseAddrPort(listener.Addr().String()).Port(), "zone=east", "kind=std", "cell=0")...)
 	go server.Serve(udp, loopback(t))
-	prog := startProgram(t, "127.0.0.1:1", "", 2, fmt.Sprintf("dns-sd {\n server %s\n service %s\n}", udp.LocalAddr(), service))
-	conn := connect(t, prog, false)
+	mgr := startManager(t, "127.0.0.1:1", "", 2, fmt.Sprintf("dns-sd {\n server %s\n service %s\n}", udp.LocalAddr(), service))
+	conn := connect(t, mgr, false)
 	for n, deadline := 1, time.Now().Add(testTimeout); ; n++ {
 		if err := conn.send(setUpLine(n)); err != nil {
 			t.Fatal(err)
@@ -40,6 +40,6 @@
 			}
 			return
 		}
-		time.Sleep(10 * time.Millisecond) // the first answers of the DNS are still to come
+		time.Sleep(10 * time.Millisecond) // DNS answers may not have arrived yet
 	}
 }
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -23,12 +23,15 @@
 	"millethinge/internal/rtsp"
 )
 
-// testTimeout bounds what a test waits for; nothing passes or fails by less.
+// testTimeout bounds each wait in these tests; no result depends on a shorter time.
 const testTimeout = 20 * time.Second
 
+// classesJSON is the key lanes of platformJSON.
 const classesJSON = `"lanes": [{"name": "clip", "effect": "at_most_once", "goalTimeS": 30, "worth": 2},
 	{"name": "feed", "effect": "idempotent", "goalTimeS": 30, "worth": 1}]`
 
+// platformJSON is a format for the platform's configuration file: the coordinator's address, the
+// members of the list, and the number of cells.
 const platformJSON = `{"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": "%s",
 	"known": {"index": 1, "updates": [{"index": 1, "endpoints": {"revision": 1, "complete": true, "members": [%s]}}]},
 	"settings": {"balancers": 1, ` + classesJSON + `, "localities": ["east"], "flavors": ["std"], "weights": "rough", "discovery": "automatic",
@@ -36,26 +39,27 @@
 	"ladderWorth": [0.2, 0.5, 0.8, 1], "places": %d, "groups": 1, "kbPerWeight": 1e9, "rackLinkKb": 1e12, "kindStreams": [1000000]},
 	"feedback": {"fields": ["load_share", "x1"], "via": "none"}, "policyLimits": {"attemptsCap": 4, "probes": true}}}`
 
-// memberJSON is one line of the list.
+// memberJSON returns one member of a list of media nodes.
 func memberJSON(id, addr string, cell int) string {
 	return fmt.Sprintf(`{"id": %q, "host_port": %q, "locality": "east", "flavor": "std", "cell": %d, "phase": "in_service", "size": 1}`, id, addr, cell)
 }
 
-// program is a running session manager.
-type program struct {
+// manager is a session manager that runs in the test's process.
+type manager struct {
 	listeners Listeners
 	signals   chan os.Signal
-	reload    chan string // what the next reload reads
+	reload    chan string // coordinator, or "operator " and the operator's file, that the next reload reads
 	done      chan error
 }
 
-func startProgram(t *testing.T, coordinator, members string, cells int, operator string) *program {
+// startManager starts a manager and stops it at the end of the test.
+func startManager(t *testing.T, coordinator, members string, cells int, operator string) *manager {
 	t.Helper()
-	return startProgramWith(t, coordinator, members, cells, operator, func(*config.Config) {})
+	return startManagerWith(t, coordinator, members, cells, operator, func(*config.Config) {})
 }
 
-// startProgramWith lets a test change the configuration that was read.
-func startProgramWith(t *testing.T, coordinator, members string, cells int, operator string, modify func(*config.Config)) *program {
+// startManagerWith is startManager, but modify changes the configuration first.
+func startManagerWith(t *testing.T, coordinator, members string, cells int, operator string, modify func(*config.Config)) *manager {
 	t.Helper()
 	cfg, err := config.Parse(fmt.Appendf(nil, platformJSON, coordinator, members, cells))
 	if err == nil && operator != "" {
@@ -65,14 +69,14 @@
 		t.Fatal(err)
 	}
 	modify(&cfg)
-	cfg.Drain = broker.Drain{Take: testTimeout, Stay: 900 * time.Millisecond} // whatever the machine's pace
-	prog := &program{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
-	if prog.listeners, err = Listen(cfg); err != nil {
+	cfg.Drain = broker.Drain{Take: testTimeout, Stay: 900 * time.Millisecond} // long enough on a slow machine
+	mgr := &manager{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
+	if mgr.listeners, err = Listen(cfg); err != nil {
 		t.Fatal(err)
 	}
 	reload := func(running *config.Config) (config.Config, error) {
-		input := <-prog.reload
-		if rules, ok := strings.CutPrefix(input, "operator "); ok { // the operator's file has changed
+		input := <-mgr.reload
+		if rules, ok := strings.CutPrefix(input, "operator "); ok { // a new operator's file
 			next := *running
 			var err error
 			next.Operator, err = config.ParseOperator("operator", []byte(rules), nil, running.InUse())
@@ -80,19 +84,19 @@
 		}
 		return config.Parse(fmt.Appendf(nil, platformJSON, input, members, cells))
 	}
-	go func() { prog.done <- Run(cfg, prog.listeners, prog.signals, reload, zap.NewNop()) }()
+	go func() { mgr.done <- Run(cfg, mgr.listeners, mgr.signals, reload, zap.NewNop()) }()
 	t.Cleanup(func() {
-		prog.signals <- syscall.SIGTERM
+		mgr.signals <- syscall.SIGTERM
 		select {
-		case err := <-prog.done:
+		case err := <-mgr.done:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(testTimeout):
-			t.Error("no end after SIGTERM")
+			t.Error("the manager does not end after SIGTERM")
 		}
 	})
-	return prog
+	return mgr
 }
 
 func loopback(t *testing.T) net.Listener {
@@ -105,25 +109,28 @@
 	return l
 }
 
-// participant plays one part of an exchange.
+// participant is the connection of one participant in an exchange.
 type participant struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// TestExchanges plays the files of testdata against the program. A line is
-// "NAME> bytes" for what a part sends and "NAME< bytes" for what it must
-// receive next. Parts: v… viewers, w… players, a to e media nodes, k the
-// coordinator. In node's, player's and coordinator's bytes | is a line end; * in
-// what is received stands for digits. "w1+ text" and "w1- text" are text frames;
-// "v1 close" closes, "v1 eof" waits for
-// the program to close, "a open" waits for a connection; "a*< bytes" is what node a
-// receives next on that one or on any that opens. {a} is node a's address; l is a second
-// coordinator.
+// TestExchanges plays the files of testdata against a manager. In "NAME> bytes" the
+// participant NAME sends bytes; in "NAME< bytes" it must receive them next. Participants
+// are viewers (v…), players (w…), media nodes (a to e), the coordinator (k) and a second
+// coordinator (l). In bytes of nodes, players and coordinators, | is a line end, and * in
+// expected bytes stands for a number or an address. {a} is the address of node a.
+//
+// "w1+ text" and "w1- text" send and expect a WebSocket text frame. "v1 close" closes the
+// connection, "v1 eof" waits until the manager closes it, and "a open" waits for a new
+// connection. "a*< bytes" is expected next on the connection of node a or on any new
+// connection to it. "node NAME CELL" and "operator TEXT" come first: they add a node to
+// the list and a line to the operator's file. "sigterm" and "sighup TEXT" send a signal;
+// after the latter the manager reads TEXT as the address of its coordinator.
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no exchanges", err)
+		t.Fatal("no files in testdata", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -137,6 +144,7 @@
 	}
 }
 
+// playExchange plays the text of one file against a manager of its own.
 func playExchange(t *testing.T, text string) {
 	participants := map[string]*participant{}
 	backends := map[string]net.Listener{"k": loopback(t)}
@@ -145,7 +153,7 @@
 		backends[name] = loopback(t)
 		addressVars = append(addressVars, "{"+name+"}", backends[name].Addr().String())
 	}
-	var prog *program
+	var mgr *manager
 	for i, line := range strings.Split(text, "\n") {
 		line = strings.NewReplacer(addressVars...).Replace(line)
 		keyword, rest, _ := strings.Cut(line, " ")
@@ -160,19 +168,19 @@
 		case keyword == "operator":
 			operator = append(operator, rest)
 			continue
-		case prog == nil:
-			prog = startProgram(t, backends["k"].Addr().String(), strings.Join(members, ","), 4, strings.Join(operator, "\n"))
+		case mgr == nil:
+			mgr = startManager(t, backends["k"].Addr().String(), strings.Join(members, ","), 4, strings.Join(operator, "\n"))
 		}
 		switch {
 		case keyword == "sigterm":
-			prog.signals <- syscall.SIGTERM
-		case keyword == "sighup": // with the coordinator that the file names by then
-			prog.reload <- rest
-			prog.signals <- syscall.SIGHUP
+			mgr.signals <- syscall.SIGTERM
+		case keyword == "sighup": // the rest names the coordinator in the new configuration
+			mgr.reload <- rest
+			mgr.signals <- syscall.SIGHUP
 		case rest == "close":
 			participants[keyword].Close()
 			delete(participants, keyword)
-		case rest == "eof": // the program has closed it
+		case rest == "eof": // the manager must have closed the connection
 			participants[keyword].SetDeadline(time.Now().Add(testTimeout))
 			if b, err := participants[keyword].reader.ReadByte(); err != io.EOF {
 				t.Fatalf("line %d: %s\ngot %q, %v", i+1, line, b, err)
@@ -188,7 +196,7 @@
 				defer part.Close()
 			}
 			if part == nil {
-				part = connectParticipant(t, name, prog, backends)
+				part = connectParticipant(t, name, mgr, backends)
 				participants[name] = part
 			}
 			if err := part.exchange(name[0], direction, rest); err != nil {
@@ -201,6 +209,7 @@
 	}
 }
 
+// accept waits for a connection of the manager.
 func accept(t *testing.T, listener net.Listener) *participant {
 	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	conn, err := listener.Accept()
@@ -210,13 +219,15 @@
 	return &participant{conn, bufio.NewReaderSize(conn, rtsp.MaxMessage)}
 }
 
-func connectParticipant(t *testing.T, name string, prog *program, backends map[string]net.Listener) *participant {
+// connectParticipant connects a viewer or player to the manager, or waits for the manager to
+// connect to any other participant.
+func connectParticipant(t *testing.T, name string, mgr *manager, backends map[string]net.Listener) *participant {
 	if listener := backends[name]; listener != nil {
 		return accept(t, listener)
 	}
-	addr := prog.listeners.Viewers.Addr()
+	addr := mgr.listeners.Viewers.Addr()
 	if name[0] == 'w' {
-		addr = prog.listeners.Players.Addr()
+		addr = mgr.listeners.Players.Addr()
 	}
 	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
@@ -225,8 +236,8 @@
 	return &participant{conn, bufio.NewReader(conn)}
 }
 
-// anyConn is a part that reads what comes on a, or on a connection that opens, by whichever
-// is first. The program may look at a node by a new connection at any time.
+// anyConn returns a participant that reads the next message that arrives on p's connection or on
+// any new connection, since the manager may open a connection to probe a node at any time.
 func (p *participant) anyConn(t *testing.T, l net.Listener) *participant {
 	r, w := io.Pipe()
 	copyMessage := func(from io.Reader) {
@@ -251,6 +262,7 @@
 
 var escapePattern = regexp.MustCompile(`\\x[0-9a-f]{2}`)
 
+// unescape replaces each \xNN by the byte.
 func unescape(s string) []byte {
 	return escapePattern.ReplaceAllFunc([]byte(s), func(b []byte) []byte {
 		n, _ := strconv.ParseUint(string(b[2:]), 16, 8)
@@ -258,6 +270,7 @@
 	})
 }
 
+// exchange sends text, or checks that it is received next, as direction says.
 func (p *participant) exchange(role, direction byte, text string) error {
 	if err := p.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		return err
@@ -267,7 +280,7 @@
 	} else if direction == '<' || direction == '>' {
 		head, body, _ := strings.Cut(text, "||")
 		text = strings.ReplaceAll(strings.ReplaceAll(text, "{len}", strconv.Itoa(len(body))), "|", "\r\n")
-		if role == 'k' || role == 'l' { // JSON may hold no |, but the body must stay as it is
+		if role == 'k' || role == 'l' { // the body may contain |, which stays
 			text = strings.ReplaceAll(strings.ReplaceAll(head, "{len}", strconv.Itoa(len(body)))+"||", "|", "\r\n") + body
 		}
 	}
@@ -297,7 +310,8 @@
 	return matchPattern(text, got, err)
 }
 
-// matchPattern holds what came against what is wanted, in which * stands for digits.
+// matchPattern compares received bytes with those that are expected, in which * stands for a
+// number or an address.
 func matchPattern(want string, got []byte, err error) error {
 	pattern := strings.ReplaceAll(regexp.QuoteMeta(strconv.QuoteToASCII(want)), `\*`, `[0-9a-f.:]+`)
 	if err != nil || !regexp.MustCompile("^"+pattern+"$").MatchString(strconv.QuoteToASCII(string(got))) {
@@ -325,7 +339,7 @@
 	return message, nil
 }
 
-// maskedTextFrame makes a client's text frame.
+// maskedTextFrame returns a WebSocket text frame as clients send it.
 func maskedTextFrame(text []byte) []byte {
 	mask := []byte{0x37, 0xfa, 0x21, 0x3d}
 	frame := []byte{0x81, 0x80 | 126, byte(len(text) >> 8), byte(len(text))}
@@ -339,7 +353,7 @@
 	return frame
 }
 
-// readTextFrame reads a server's text frame, past pings.
+// readTextFrame reads a WebSocket text frame of a server and skips pings.
 func readTextFrame(reader *bufio.Reader) ([]byte, error) {
 	for {
 		var header [2]byte
@@ -363,12 +377,12 @@
 			return payload, nil
 		case 0x89:
 		default:
-			return payload, fmt.Errorf("frame %#x", header[0])
+			return payload, fmt.Errorf("frame of unexpected type %#x", header[0])
 		}
 	}
 }
 
-// reply is a message to a viewer, for comparing.
+// reply is a decoded message to a viewer.
 type reply struct {
 	Type   string            `json:"type"`
 	ID     string            `json:"id"`
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -12,8 +12,9 @@
 	members "millethinge/internal/member"
 )
 
-// joinFleet has this manager take part in the fleet of the operator's file, and
-// returns what has it leave. Without a fleet block it starts nothing.
+// joinFleet starts this manager's membership in the fleet that the operator's file
+// names, and returns a function that leaves it. Without a fleet block in the file, it
+// starts nothing.
 func joinFleet(ctx context.Context, group *errgroup.Group, cfg *config.Config, log *zap.Logger) (leave func(), err error) {
 	c, ok := cfg.Membership()
 	if !ok {
@@ -42,8 +43,8 @@
 	return fleet.Leave, nil
 }
 
-// logFleetEvents logs what happened, one line an event. What somebody is to look at is a
-// warning.
+// logFleetEvents logs one line per event. Events that an operator should look into are
+// logged as warnings.
 func logFleetEvents(log *zap.Logger, v members.View, events []members.Event) {
 	for _, e := range events {
 		fields := []zap.Field{zap.String("what", string(e.What)), zap.String("member", e.Member.Name), zap.String("site", e.Member.Site), zap.String("address", e.Member.Address)}
@@ -51,13 +52,13 @@
 		switch e.What {
 		case members.Twin:
 			fields = append(fields, zap.String("refused", e.Other.Address),
-				zap.String("do", "two managers have one name: give the one that started later, at the address that is refused, a name of its own"))
+				zap.String("do", "two managers have the same name: give the one that started later, at the refused address, a name of its own"))
 			logEvent = log.Warn
 		case members.Stranger:
-			fields = append(fields, zap.String("do", "it is not let in: name it by fleet.members, or end it"))
+			fields = append(fields, zap.String("do", "it is not admitted to the fleet: add it to fleet.members, or stop it"))
 			logEvent = log.Warn
 		case members.IsAlone:
-			fields = append(fields, zap.String("do", "no majority of the fleet is in view: this may be the part that is cut off; look at the network and at the other managers"))
+			fields = append(fields, zap.String("do", "no majority of the fleet can be reached: this manager may be in the smaller part of a network partition; check the network and the other managers"))
 			logEvent = log.Warn
 		case members.WasLost, members.WasRefused, members.Stood:
 			logEvent = log.Warn
@@ -66,14 +67,15 @@
 	}
 }
 
-// viewFields are a view in a line of the log.
+// viewFields returns the log fields of a view.
 func viewFields(v members.View) zap.Field {
 	return zap.Inline(viewMarshaler(v))
 }
 
+// viewMarshaler writes a view as fields of a log line.
 type viewMarshaler members.View
 
-// MarshalLogObject writes the view's fields.
+// MarshalLogObject implements zapcore.ObjectMarshaler.
 func (m viewMarshaler) MarshalLogObject(e zapcore.ObjectEncoder) error {
 	v := members.View(m)
 	e.AddInt64("view", v.Number)
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -15,7 +15,8 @@
 	members "millethinge/internal/member"
 )
 
-// membershipResources is what this process has of a membership: goroutines, and sockets for datagrams.
+// membershipResources counts the goroutines of the fleet membership, and the UDP sockets, of this
+// process.
 func membershipResources(t *testing.T) (goroutines, datagrams int) {
 	t.Helper()
 	stacks := make([]byte, 4<<20)
@@ -40,24 +41,24 @@
 	return goroutines, datagrams
 }
 
-// Without a fleet block, and with one that listens nowhere, a manager has no socket for
-// it and sends nothing; without one it has no goroutine either. With one it meets the
-// others, and its drain is a leave.
+// Without a fleet block, or with one that has no listen address, a manager must have no socket
+// for fleet membership; without a block it must have no goroutine for it either. With a listen
+// address it must join the fleet, and leave it when it drains.
 func TestFleet(t *testing.T) {
-	waitUntilServing := func(prog *program) { // it serves: all is started by then
-		s := connect(t, prog, false)
+	waitUntilServing := func(mgr *manager) { // everything has been started by then
+		s := connect(t, mgr, false)
 		if err := s.send("{}\n"); err != nil {
 			t.Fatal(err)
 		}
 		s.receive()
 	}
-	waitUntilServing(startProgram(t, "127.0.0.1:1", "", 1, ""))
+	waitUntilServing(startManager(t, "127.0.0.1:1", "", 1, ""))
 	if g, d := membershipResources(t); g != 0 || d != 0 {
-		t.Errorf("without a block: %d goroutines, %d sockets", g, d)
+		t.Errorf("without a fleet block: %d goroutines, %d sockets", g, d)
 	}
-	waitUntilServing(startProgram(t, "127.0.0.1:1", "", 1, "fleet {\n members n0 east n1 east\n}\n"))
+	waitUntilServing(startManager(t, "127.0.0.1:1", "", 1, "fleet {\n members n0 east n1 east\n}\n"))
 	if g, d := membershipResources(t); g != 1 || d != 0 {
-		t.Errorf("without listen: %d goroutines, %d sockets", g, d)
+		t.Errorf("without a listen address: %d goroutines, %d sockets", g, d)
 	}
 	other, err := members.NewSwim(members.Config{Self: members.Meta{Name: "n1"}, Named: []members.Named{{Name: "n0"}, {Name: "n1"}}, Listen: "127.0.0.1:0"})
 	if err != nil {
@@ -72,19 +73,19 @@
 			t.Error(err)
 		}
 	}()
-	prog := startProgram(t, "127.0.0.1:1", "", 1, fmt.Sprintf("fleet {\n members n0 east n1 east\n listen 127.0.0.1:0\n join %s\n}\n", other.Addr()))
+	mgr := startManager(t, "127.0.0.1:1", "", 1, fmt.Sprintf("fleet {\n members n0 east n1 east\n listen 127.0.0.1:0\n join %s\n}\n", other.Addr()))
 	waitForStatus := func(s members.Status) {
 		t.Helper()
 		for deadline := time.Now().Add(testTimeout); other.View().Find("n0").Status != s; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%v, not %v", other.View().Find("n0").Status, s)
+				t.Fatalf("status %v, want %v", other.View().Find("n0").Status, s)
 			}
 		}
 	}
 	waitForStatus(members.Here)
 	if g, d := membershipResources(t); g < 10 || d != 2 {
-		t.Errorf("two members here: %d goroutines, %d sockets", g, d)
+		t.Errorf("with two members in this process: %d goroutines, %d sockets", g, d)
 	}
-	prog.signals <- syscall.SIGTERM
+	mgr.signals <- syscall.SIGTERM
 	waitForStatus(members.Gone)
 }
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -17,10 +17,10 @@
 	"millethinge/internal/stream"
 )
 
-var measureLeavers = flag.Bool("leavers", false, "measure when attempts begin whose clients have gone")
+var measureLeavers = flag.Bool("leavers", false, "run the measurement of attempts that begin after their client has left")
 
-// setUpTimes notes when the last SETUP of each session came to any of some nodes, each of which
-// answers after a time drawn for it that it never ran there.
+// setUpTimes records when the last SETUP of each session arrived at any node. Its nodes answer
+// every SETUP after a random time with 454, which says that the session never started there.
 type setUpTimes struct {
 	mu        sync.Mutex
 	lastSetUp map[string]time.Time
@@ -55,7 +55,7 @@
 	}
 }
 
-// fullListener is a listener whose queue is full.
+// fullListener returns a listener whose accept queue is full.
 func fullListener(t *testing.T) net.Listener {
 	listener := loopback(t)
 	closeFill, err := standin.Shy(listener.(*net.TCPListener))
@@ -66,16 +66,17 @@
 	return listener
 }
 
-// TestAttemptsAfterClientLeft measures the longest time from a client's leaving to the last attempt begun
-// for it, as nodes saw it, where both fall together by chance. It is no part of CI.
+// TestAttemptsAfterClientLeft measures the longest time from the moment a client leaves to the
+// last attempt that begins for it, as the nodes see it, with clients that leave at random times.
+// It does not run in CI.
 func TestAttemptsAfterClientLeft(t *testing.T) {
 	if !*measureLeavers {
-		t.Skip("a measurement: -leavers")
+		t.Skip("a measurement; run with -leavers")
 	}
-	const sessionsPerCase, sessionsUnread = 60, 12 // sessions a case
+	const sessionsPerCase, sessionsUnread = 60, 12 // sessionsUnread: where clients do not read
 	ping := `{"type":"ping","id":"` + strings.Repeat("0", 15<<10) + `"}`
-	ways := []string{"close", "reset", "half close", "release", "release, unread"}
-	for _, stage := range []string{"attempt out or between two", "slow dial", "an old process that drains"} {
+	ways := []string{"close", "reset", "half close", "release", "release without reading"}
+	for _, stage := range []string{"during or between attempts", "slow dial", "manager drains"} {
 		for _, player := range []bool{false, true} {
 			for _, grace := range []string{"1ms", "3s"} {
 				for _, way := range ways {
@@ -98,18 +99,18 @@
 							go times.serve(listener)
 						}
 					}
-					prog := startProgramWith(t, "127.0.0.1:1", strings.Join(members, ","), 6, "websocket {\n listen 127.0.0.1:0\n grace "+grace+"\n}\n",
+					mgr := startManagerWith(t, "127.0.0.1:1", strings.Join(members, ","), 6, "websocket {\n listen 127.0.0.1:0\n grace "+grace+"\n}\n",
 						func(c *config.Config) { c.ConnectTimeout = 5 * time.Second })
 					left := map[string]time.Time{}
 					var mu sync.Mutex
 					var clients sync.WaitGroup
-					unread := way == "release, unread" // it asks and does not listen, so it is not read from
+					unread := way == "release without reading" // the client reads no answers, so the manager stops reading from it
 					sessions := sessionsPerCase
 					if unread {
 						sessions = sessionsUnread
 					}
 					for n := range sessions {
-						client := connect(t, prog, player)
+						client := connect(t, mgr, player)
 						id := fmt.Sprintf("%016x", n+1)
 						clients.Go(func() {
 							client.send(fmt.Sprintf(`{"type":"setup","id":"%s","fields":{"class":"clip","left":9000,"key":"1","extras":"home:0;copies:6;top:3"},"sdp":"x"}`, id))
@@ -135,15 +136,15 @@
 								c.Close()
 							case "half close":
 								c.CloseWrite()
-							case "release", "release, unread":
+							case "release", "release without reading":
 								client.send(fmt.Sprintf(`{"type":"release","id":"%s","fields":{},"cause":16}`, id))
 							}
 							mu.Lock()
 							left[id] = when
 							mu.Unlock()
 						})
-						if stage == "an old process that drains" && n == sessions/2 {
-							prog.signals <- syscall.SIGTERM
+						if stage == "manager drains" && n == sessions/2 {
+							mgr.signals <- syscall.SIGTERM
 						}
 					}
 					clients.Wait()
@@ -163,13 +164,13 @@
 							longest = max(longest, delay)
 						}
 					}
-					front := "lines"
+					front := "JSON lines"
 					if player {
-						front = "frames, grace " + grace
+						front = "WebSocket, grace " + grace
 					}
-					t.Logf("%s | %s | %s | begun at all %d of %d | after leaving %d, at most %v", stage, front, way, len(times.lastSetUp), sessions, lateAttempts, longest)
+					t.Logf("%s | %s | %s | sessions with an attempt %d of %d | attempts after leaving %d, latest by %v", stage, front, way, len(times.lastSetUp), sessions, lateAttempts, longest)
 					if longest > 100*time.Millisecond {
-						t.Errorf("%s, %s, %s: %v", stage, front, way, longest)
+						t.Errorf("%s, %s, %s: an attempt begins %v after the client left", stage, front, way, longest)
 					}
 					times.mu.Unlock()
 				}
--- a/internal/server/mixed_test.go
+++ b/internal/server/mixed_test.go
@@ -15,32 +15,34 @@
 )
 
 const (
-	mixedSessions   = 10000 // sessions over each transport
-	mixedConns      = 16    // connections, each with one session at a time
-	specialInterval = 100   // one session in so many has nodes of its own
+	mixedSessions   = 10000 // over each transport
+	mixedConns      = 16    // each has one session at a time
+	specialInterval = 100   // one of so many sessions has nodes that no other session uses
 )
 
-// behavior is what becomes of a session, by its number alone. Fates that make the
-// module rest a node have nodes of their own, so that no other session notices.
+// behavior is how media nodes treat a session; it depends on the session's number alone.
+// Sessions with a behavior that has the controller avoid a node use nodes of their own, so
+// that they do not affect other sessions.
 type behavior int
 
 const (
 	answered           behavior = iota
 	endedByNode                 // served, then ended by the node
-	notFoundOnce                // 454 first: it never left, and goes to another node
+	notFoundOnce                // first 454, so it did not start there: tried on another node
 	notFoundEverywhere          // 454 at every node: refused
-	capacityErrorOnce           // 453 first: a retry on the next node
-	serverErrorOnce             // 500: a clip fails; a feed is retried elsewhere
-	neverAnswered               // no answer, ever
+	capacityErrorOnce           // first 453: tried on the next node
+	serverErrorOnce             // first 500: a clip fails; a feed is tried on another node
+	neverAnswered               // no SETUP is ever answered
 	unreachableNode             // its only node refuses connections: refused
 	behaviorCount
 )
 
+// behaviorOf returns the behavior for the nth session.
 func behaviorOf(n int) behavior {
 	if n%specialInterval == 0 {
 		b := capacityErrorOnce + behavior(n/specialInterval)%(behaviorCount-capacityErrorOnce)
 		if b == neverAnswered && n%3 != 0 {
-			return answered // how often a feed is tried again there is a matter of time
+			return answered // how often a feed would be tried again depends on timing
 		}
 		return b
 	}
@@ -55,6 +57,7 @@
 	return answered
 }
 
+// nodeVerdict decides the nth SETUP of a session.
 func nodeVerdict(session string, nth int) standin.Verdict {
 	var n int
 	fmt.Sscanf(session, "%x", &n)
@@ -74,6 +77,7 @@
 	return verdict
 }
 
+// setUpLine returns the set-up message of the nth session.
 func setUpLine(n int) string {
 	class, left, home, copies := "feed", 40000, 0, 2
 	if n%3 == 0 {
@@ -92,7 +96,7 @@
 		n, class, left, n%50+1, home, copies, n)
 }
 
-// run of the sessions over one transport: what each was told, and the bill.
+// outcome is the result of a run of all sessions over one transport.
 type outcome struct {
 	responses       map[int]string
 	setUps          map[string]int
@@ -100,17 +104,19 @@
 	sessionsByClass map[string]int
 }
 
-// messageConn sends and receives session messages on one transport.
+// messageConn sends and receives session messages over one transport.
 type messageConn interface {
 	send(string) error
 	receive() ([]byte, error)
 }
 
+// lineConn is a connection to the JSON lines front.
 type lineConn struct{ *participant }
 
 func (c lineConn) send(message string) error { _, err := c.Write([]byte(message + "\n")); return err }
 func (c lineConn) receive() ([]byte, error)  { return c.reader.ReadBytes('\n') }
 
+// frameConn is a connection to the WebSocket front.
 type frameConn struct{ *participant }
 
 func (c frameConn) send(message string) error {
@@ -119,10 +125,11 @@
 }
 func (c frameConn) receive() ([]byte, error) { return readTextFrame(c.reader) }
 
-func connect(t *testing.T, prog *program, player bool) messageConn {
-	addr := prog.listeners.Viewers.Addr()
+// connect opens a connection to the WebSocket front for a player, otherwise to the JSON lines front.
+func connect(t *testing.T, mgr *manager, player bool) messageConn {
+	addr := mgr.listeners.Viewers.Addr()
 	if player {
-		addr = prog.listeners.Players.Addr()
+		addr = mgr.listeners.Players.Addr()
 	}
 	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
@@ -144,7 +151,7 @@
 	return frameConn{part}
 }
 
-// runViewer has one session after another, and notes all that each was told.
+// runViewer plays one session after another on conn and records all messages of each.
 func runViewer(conn messageConn, setUp func(int) string, numbers <-chan int, record func(int, string)) error {
 	for n := range numbers {
 		if err := conn.send(setUp(n)); err != nil {
@@ -161,7 +168,7 @@
 			}
 			received += fmt.Sprintf("%s %d %v %q;", answer.Type, answer.Cause, answer.Fields, answer.SDP)
 			if answer.Type == "answer" && behaviorOf(n) == endedByNode {
-				continue // its end is still to come
+				continue // the node's release follows
 			}
 			if answer.Type == "answer" {
 				err = conn.send(fmt.Sprintf(`{"type":"release","id":"%016x","fields":{},"cause":16}`, n))
@@ -176,9 +183,9 @@
 	return nil
 }
 
-// runSessions runs them against a program of its own. meanwhile, if any, runs beside
-// them, until done is closed.
-func runSessions(t *testing.T, player bool, operator string, setUp func(int) string, concurrently func(prog *program, done <-chan struct{})) outcome {
+// runSessions runs all sessions over one transport against a manager of its own. If concurrently
+// is not nil, it runs at the same time; done is closed when the sessions have ended.
+func runSessions(t *testing.T, player bool, operator string, setUp func(int) string, concurrently func(mgr *manager, done <-chan struct{})) outcome {
 	bill := standin.NewBill()
 	node := &standin.Node{Decide: nodeVerdict, Bill: bill}
 	listener, closedListener := loopback(t), loopback(t)
@@ -195,14 +202,14 @@
 		members = append(members, memberJSON(fmt.Sprint("s-", cells), addr, cells), memberJSON(fmt.Sprint("s-", cells+1), second, cells+1))
 		cells += 2
 	}
-	prog := startProgram(t, "127.0.0.1:1", strings.Join(members, ","), cells, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
+	mgr := startManager(t, "127.0.0.1:1", strings.Join(members, ","), cells, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
 
 	result := outcome{responses: make(map[int]string)}
 	var mu sync.Mutex
 	var viewers sync.WaitGroup
 	numbers := make(chan int)
 	for range mixedConns {
-		conn := connect(t, prog, player)
+		conn := connect(t, mgr, player)
 		if conn == nil {
 			t.FailNow()
 		}
@@ -222,7 +229,7 @@
 	done := make(chan struct{})
 	var background sync.WaitGroup
 	if concurrently != nil {
-		background.Go(func() { concurrently(prog, done) })
+		background.Go(func() { concurrently(mgr, done) })
 	}
 	for n := range mixedSessions {
 		numbers <- n
@@ -237,50 +244,49 @@
 	return result
 }
 
-// TestTransportsAgree runs the same sessions over JSON lines and WebSocket: the
-// answers and the bill must be the same, and no paid session set up twice.
+// TestTransportsAgree runs the same sessions over JSON lines and WebSocket. Answers and
+// the nodes' counts must be the same, and no session of a billed class may start twice.
 func TestTransportsAgree(t *testing.T) {
 	lines, frames := runSessions(t, false, "", setUpLine, nil), runSessions(t, true, "", setUpLine, nil)
 	compareOutcomes(t, lines, frames)
 }
 
-// compareOutcomes holds what two runs of the sessions were told and billed against each
-// other.
-func compareOutcomes(t *testing.T, lines, frames outcome) {
+// compareOutcomes fails the test if the messages or the nodes' counts of two runs differ.
+func compareOutcomes(t *testing.T, first, second outcome) {
 	t.Helper()
-	if len(lines.responses) != mixedSessions || !reflect.DeepEqual(lines.responses, frames.responses) {
+	if len(first.responses) != mixedSessions || !reflect.DeepEqual(first.responses, second.responses) {
 		differences := 0
-		for n, received := range lines.responses {
-			if frames.responses[n] != received {
+		for n, received := range first.responses {
+			if second.responses[n] != received {
 				if differences++; differences < 5 {
-					t.Errorf("session %d, fate %d: %q over lines, %q over frames", n, behaviorOf(n), received, frames.responses[n])
+					t.Errorf("session %d, behavior %d: %q in the first run, %q in the second", n, behaviorOf(n), received, second.responses[n])
 				}
 			}
 		}
-		t.Errorf("%d and %d sessions, %d differ", len(lines.responses), len(frames.responses), differences)
+		t.Errorf("%d and %d sessions, %d differ", len(first.responses), len(second.responses), differences)
 	}
 	for name, pair := range map[string][2]map[string]int{
-		"set-ups": {lines.setUps, frames.setUps}, "sessions": {lines.runs, frames.runs}, "classes": {lines.sessionsByClass, frames.sessionsByClass},
+		"set-ups": {first.setUps, second.setUps}, "sessions": {first.runs, second.runs}, "classes": {first.sessionsByClass, second.sessionsByClass},
 	} {
 		if len(pair[0]) == 0 || !reflect.DeepEqual(pair[0], pair[1]) {
-			t.Errorf("%s differ on the bills", name)
+			t.Errorf("the nodes' counts of %s differ or are empty", name)
 		}
 	}
 	kinds := map[string]int{}
-	for n, received := range lines.responses {
+	for n, received := range first.responses {
 		id := fmt.Sprintf("%016x", n)
-		if n%3 == 0 && lines.runs[id] > 1 {
-			t.Errorf("paid session %d was set up %d times", n, lines.runs[id])
+		if n%3 == 0 && first.runs[id] > 1 {
+			t.Errorf("billed session %d started %d times", n, first.runs[id])
 		}
 		kind, _, _ := strings.Cut(received, " map")
-		if lines.setUps[id] > 1 {
+		if first.setUps[id] > 1 {
 			kind += " retried"
 		}
 		kinds[kind]++
 	}
 	for _, kind := range []string{"answer 0", "answer 0 retried", "release 42", "release 42 retried", "release 38"} {
 		if kinds[kind] == 0 {
-			t.Errorf("no session was told %s: %v", kind, kinds)
+			t.Errorf("no session got %s: %v", kind, kinds)
 		}
 	}
 	t.Log(kinds)
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -21,41 +21,43 @@
 	"millethinge/internal/remedy"
 )
 
-// processCheckInterval is between two looks for another process of this manager and its orders. A
-// look costs some microseconds.
+// processCheckInterval is the time between two checks for other processes of this manager
+// and for operator overrides that they stored. A check takes a few microseconds.
 const processCheckInterval = 50 * time.Millisecond
 
-// coordinatorTimeout is how long readiness waits for the coordinator's first answer.
+// coordinatorTimeout bounds the time that readiness waits for the coordinator's first
+// answer.
 const coordinatorTimeout = 2 * time.Second
 
-// adminService is how the program is run by hand: calls, orders, and the process that
-// replaces this one. It exists only where the configuration gives an address for calls.
+// adminService answers operators' calls, keeps operator overrides, and hands over to and
+// from other processes of this manager in an upgrade. It exists only where an admin address
+// is configured; a nil adminService stands for none, and most methods accept it.
 type adminService struct {
 	cfg           *config.Config
 	gate          *duty.Gate
 	counts        *broker.Counts
 	nodeList      *directory.List
-	listSink      directory.Sink // of nodes, with the orders laid over
+	listSink      directory.Sink // takes list changes to which the overrides have been applied
 	sessionBroker *broker.Broker
 	linesFront    *jsonl.Front
 	log           *zap.Logger
 
-	folder              *handover.Folder // nil: there is none
+	folder              *handover.Folder // shared by the processes of this manager; nil: none
 	process             *handover.Process
-	shared              atomic.Bool // another process is alive
+	shared              atomic.Bool // whether another process of this manager is alive
 	ready               atomic.Bool
-	stopping            atomic.Bool   // it is asked to end
-	coordinatorAnswered chan struct{} // closed once the coordinator has answered since the start
-	overrides           *duty.Orders  // the list's actor owns it
+	stopping            atomic.Bool   // set once this process is asked to end
+	coordinatorAnswered chan struct{} // closed at the coordinator's first answer since the start
+	overrides           *duty.Orders  // owned by the list's actor goroutine
 
 	mu            sync.Mutex
-	overrideState handover.State // what was ordered
-	handingOver   bool           // a younger process takes over
-	successorBorn int64          // which one: when it was born
-	finalHandover bool           // it has handed over all, and takes over no more
+	overrideState handover.State // the overrides as they are stored for other processes
+	handingOver   bool           // whether this process leaves its sessions to a successor
+	successorBorn int64          // identifies the successor: the time at which it started
+	finalHandover bool           // whether this process has handed over for the last time, and adopts no more
 }
 
-// newAdminService returns nil where nothing is run by hand.
+// newAdminService returns nil where no admin address is configured.
 func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
 	if cfg.Admin == "" {
 		return nil
@@ -79,18 +81,20 @@
 	}
 	s.loadOverrides()
 	if others.Alive == 0 && s.overrideState.Away.Out {
-		// A manager that is started anew serves. Only an upgrade goes on sending clients away.
+		// A drain that an operator ordered continues through an upgrade only: a manager that
+		// starts with no other process alive accepts clients.
 		s.Drain(context.Background(), false)
 	}
 	return s
 }
 
-// warnOperator logs an error that an operator can do something about.
+// warnOperator logs an error that an operator can resolve.
 func warnOperator(log *zap.Logger, err error) {
-	log.Warn("operation", remedy.Fields(err)...)
+	log.Warn("handover folder could not be used", remedy.Fields(err)...)
 }
 
-// withOverrides lays the orders over the list, on its way to sink.
+// withOverrides returns a sink that applies the operator overrides to each change of the
+// list before it passes the change to listSink.
 func (s *adminService) withOverrides(listSink directory.Sink) directory.Sink {
 	if s == nil {
 		return listSink
@@ -99,7 +103,7 @@
 	return func(c directory.Change) { listSink(s.overrides.Listed(c)) }
 }
 
-// Gate is nil where nothing is run by hand.
+// Gate returns the gate by which a drain turns clients away, or nil for a nil s.
 func (s *adminService) Gate() *duty.Gate {
 	if s == nil {
 		return nil
@@ -107,6 +111,7 @@
 	return s.gate
 }
 
+// Counts returns the counts of results by class, or nil for a nil s.
 func (s *adminService) Counts() *broker.Counts {
 	if s == nil {
 		return nil
@@ -114,10 +119,11 @@
 	return s.counts
 }
 
-// Shared tells whether another process has half of the descriptors.
+// Shared reports whether another process of this manager is alive and has half of the file
+// descriptors.
 func (s *adminService) Shared() bool { return s != nil && s.shared.Load() }
 
-// maxCallers is how many may be connected at once.
+// maxCallers returns how many operators' connections may be open at once.
 func (s *adminService) maxCallers() int {
 	if s.Shared() {
 		return s.cfg.Half().CallerConns()
@@ -125,13 +131,15 @@
 	return s.cfg.CallerConns()
 }
 
-// run answers calls and looks after the other process, until ctx ends.
+// run answers operators' calls and watches for other processes of this manager until ctx
+// ends.
 func (s *adminService) run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		// Guard: the configuration's list may be hours old at an upgrade, and what stands
-		// at a node that is not listed can't be taken over. A coordinator that stands
-		// still keeps nobody from serving.
+		// Guard: in an upgrade, the list in the configuration may be hours old, and an
+		// established session on a node that is not listed can't be taken over. So
+		// readiness waits for the coordinator, but only for a bounded time: a
+		// coordinator that does not answer must not keep the manager from serving.
 		select {
 		case <-s.coordinatorAnswered:
 		case <-time.After(coordinatorTimeout):
@@ -147,7 +155,8 @@
 	return group.Wait()
 }
 
-// noteCoordinatorAnswer notes that the coordinator has answered. The list's actor calls it.
+// noteCoordinatorAnswer records that the coordinator has answered. It must be called only
+// from the list's actor goroutine.
 func (s *adminService) noteCoordinatorAnswer() {
 	if s == nil {
 		return
@@ -159,13 +168,15 @@
 	}
 }
 
+// markReady marks this process as ready, for operators and for the other processes.
 func (s *adminService) markReady() {
 	s.ready.Store(true)
 	s.publishReadiness()
 }
 
-// publishReadiness tells the other processes whether this one serves. Guard: an older one leaves what
-// stands to it by that, so it is not to be told by one that has been asked to end.
+// publishReadiness tells the other processes whether this one is ready. Guard: a predecessor
+// leaves its established sessions to a process that is, so a process that has been asked to
+// end must not appear ready.
 func (s *adminService) publishReadiness() {
 	if s.process == nil {
 		return
@@ -177,6 +188,8 @@
 	}
 }
 
+// watchProcesses regularly checks for other processes, loads the overrides that they stored,
+// and adopts the sessions that they hand over, until ctx ends.
 func (s *adminService) watchProcesses(ctx context.Context) error {
 	tick := time.NewTicker(processCheckInterval)
 	defer tick.Stop()
@@ -192,14 +205,15 @@
 			}
 			s.adoptSessions()
 			if wasShared && !s.shared.Load() {
-				s.folder.Forget() // what a process that was killed left is for nobody else
+				s.folder.Forget() // no process is left to use the files of one that was killed
 			}
 		}
 	}
 }
 
-// checkProcesses shares the limits while another process is alive. Guard: the watch and a signal
-// may look at once; the limits are those of who looked last.
+// checkProcesses returns the other live processes of this manager, and halves the memory
+// limit and the limits on connections while there are any. Guard: watchProcesses and the handling of a signal may call it
+// at the same time; the limits are those of the last check.
 func (s *adminService) checkProcesses() handover.Others {
 	if s.process == nil {
 		return handover.Others{}
@@ -221,14 +235,15 @@
 	return others
 }
 
-// loadOverrides takes what another process stored. It returns the orders for nodes, if any are new.
+// loadOverrides merges the overrides that another process stored. It returns those for media
+// nodes if any override is new, otherwise nil.
 func (s *adminService) loadOverrides() map[string]duty.Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loadOverridesLocked()
 }
 
-// loadOverridesLocked is take, under o.mu.
+// loadOverridesLocked is loadOverrides for callers that hold s.mu.
 func (s *adminService) loadOverridesLocked() map[string]duty.Order {
 	stored, changed, err := s.folder.Orders()
 	if err != nil {
@@ -247,7 +262,7 @@
 	return stored.Nodes
 }
 
-// adoptSessions takes what an older process hands over.
+// adoptSessions takes over the sessions that predecessors have handed over.
 func (s *adminService) adoptSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -266,8 +281,9 @@
 	}
 }
 
-// HandoverFunc returns what takes what stands once a younger process takes over; nil where none
-// ever does. It does not wait: the disk may.
+// HandoverFunc returns the function by which the broker hands its established sessions over
+// to a successor, or nil where no successor is possible. The function does not block, since
+// the write to disk may.
 func (s *adminService) HandoverFunc() func(broker.Handover) {
 	if s == nil || s.folder == nil {
 		return nil
@@ -275,13 +291,15 @@
 	return func(h broker.Handover) { go s.handOver(h) }
 }
 
-// handOverRemaining hands over what stands when the broker has ended, if it has handed over before.
+// handOverRemaining hands over the sessions that are still established once the broker has
+// ended, if this process is leaving its sessions to a successor.
 func (s *adminService) handOverRemaining(sessionBroker *broker.Broker) {
 	if s != nil && s.handingOver {
 		s.handOver(sessionBroker.Handover())
 	}
 }
 
+// handOver stores h for the successor, unless this process has handed over for the last time.
 func (s *adminService) handOver(h broker.Handover) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -289,7 +307,8 @@
 		return
 	}
 	s.finalHandover = h.Last
-	// Guard: the successor may have ended, or may end itself, since it was chosen.
+	// Guard: the successor may have ended, or may have been asked to end, since it was chosen,
+	// so it is chosen anew.
 	if others, err := s.process.Others(); err == nil {
 		s.successorBorn = others.Successor(s.successorBorn)
 	}
@@ -298,6 +317,7 @@
 	}
 }
 
+// applyDrain closes or opens the gate for clients as ordered.
 func (s *adminService) applyDrain(override duty.Order) {
 	if override.Out {
 		s.gate.Shut(override.At)
@@ -306,21 +326,22 @@
 	}
 }
 
-// applyOverrides has orders bind, on the list's actor.
+// applyOverrides puts overrides for media nodes into effect. It must be called only from the
+// list's actor goroutine.
 func (s *adminService) applyOverrides(overrides map[string]duty.Order) {
 	if c := s.overrides.Take(overrides); len(c.Members) > 0 {
 		s.listSink(c)
 	}
 }
 
-// restoreOverrides lays the orders that stand over the list of the start.
+// restoreOverrides applies the stored overrides to the initial list.
 func (s *adminService) restoreOverrides() {
 	if s != nil {
 		s.overrides.Take(s.overrideState.Nodes)
 	}
 }
 
-// storeOverrides keeps what is ordered for the next process.
+// storeOverrides merges newer overrides and stores the result for the other processes.
 func (s *adminService) storeOverrides(newer handover.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -336,7 +357,9 @@
 	}
 }
 
-// leaveToSuccessor tells whether a younger process takes over, and leads clients there.
+// leaveToSuccessor marks this process as stopping and reports whether a successor takes over.
+// If one does, new connections are directed to it, and this process's established sessions
+// are left to it.
 func (s *adminService) leaveToSuccessor(listeners ...net.Listener) bool {
 	if s == nil {
 		return false
@@ -348,7 +371,7 @@
 		return false
 	}
 	if n := len(others.Younger); n > 1 {
-		s.log.Info("several younger processes serve; the youngest takes over what stands", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
+		s.log.Info("several younger processes serve; the youngest takes over the established sessions", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
 	}
 	for _, l := range listeners {
 		if l == nil || !others.Alone {
@@ -363,16 +386,19 @@
 	return true
 }
 
+// close removes the mark of this process from the shared folder.
 func (s *adminService) close() {
 	if s != nil && s.process != nil {
 		s.process.Leave()
 	}
 }
 
-// The calls of admin.Program.
+// The following methods implement admin.Program.
 
+// Ready reports whether this process serves and has not been asked to end.
 func (s *adminService) Ready() bool { return s.ready.Load() && !s.stopping.Load() }
 
+// Figures returns the counts of results, sessions and media nodes.
 func (s *adminService) Figures(ctx context.Context) (admin.Figures, error) {
 	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
@@ -385,11 +411,11 @@
 	if err != nil {
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
-	type size struct{ listed, out int }
+	type size struct{ listed, disabled int }
 	memberCounts := make(chan size, 1)
 	s.nodeList.After(func() {
-		listed, out := s.overrides.Size()
-		memberCounts <- size{listed, out}
+		listed, disabled := s.overrides.Size()
+		memberCounts <- size{listed, disabled}
 	})
 	var members size
 	select {
@@ -399,10 +425,11 @@
 	}
 	return admin.Figures{
 		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Tries.Load(),
-		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.out + c.Avoided,
+		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.disabled + c.Avoided,
 	}, nil
 }
 
+// Out disables a media node, or enables it again.
 func (s *adminService) Out(ctx context.Context, member string, disable bool) error {
 	override := duty.Order{Out: disable, At: time.Now()}
 	done := make(chan error, 1)
@@ -427,11 +454,12 @@
 	}
 }
 
+// Drain begins or ends a drain of clients.
 func (s *adminService) Drain(_ context.Context, on bool) error {
 	override := duty.Order{Out: on, At: time.Now()}
 	s.mu.Lock()
 	if current := s.overrideState.Away; current.Out == on {
-		override = current // a call that is repeated moves no time
+		override = current // a repeated call keeps the time of the first
 	}
 	s.mu.Unlock()
 	s.applyDrain(override)
--- a/internal/server/operation_test.go
+++ b/internal/server/operation_test.go
@@ -14,16 +14,16 @@
 	"millethinge/internal/directory"
 )
 
-// Without an address for calls nothing of them is there: no listener, no file, nothing
-// over the list, and a viewers' address that nobody else may share.
+// Without an admin address there must be no listener for operators, no file for other
+// processes, no overrides of the list, and no other process may listen at the viewers' address.
 func TestNoAdminServiceWithoutAddress(t *testing.T) {
 	temp := t.TempDir()
-	prog := startProgramWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) { cfg.Temp = temp })
-	if prog.listeners.Operators != nil {
-		t.Error("it listens for calls")
+	mgr := startManagerWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) { cfg.Temp = temp })
+	if mgr.listeners.Operators != nil {
+		t.Error("the manager listens for operators' calls")
 	}
-	if _, err := Listen(config.Config{Listen: prog.listeners.Viewers.Addr().String()}); err == nil {
-		t.Error("another process may take its viewers")
+	if _, err := Listen(config.Config{Listen: mgr.listeners.Viewers.Addr().String()}); err == nil {
+		t.Error("another process may listen at the viewers' address")
 	}
 	if files, err := os.ReadDir(temp); err != nil || len(files) > 0 {
 		t.Errorf("files: %v, %v", files, err)
@@ -34,21 +34,21 @@
 	service.restoreOverrides()
 	service.close()
 	if service != nil || service.Gate() != nil || service.Counts() != nil || service.HandoverFunc() != nil || service.Shared() || service.leaveToSuccessor() || changes != 1 {
-		t.Error("something is run by hand")
+		t.Error("a manager without an admin address has an admin service")
 	}
 }
 
-// What is called takes effect in the running program, and is there again for the next one.
+// Operators' calls must take effect in the running manager and in another process of it.
 func TestOperatorCalls(t *testing.T) {
 	temp := t.TempDir()
-	startWithAdmin := func() *program {
-		return startProgramWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) {
+	startWithAdmin := func() *manager {
+		return startManagerWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) {
 			cfg.Temp, cfg.Admin = temp, "127.0.0.1:0"
 		})
 	}
-	call := func(prog *program, method, path string) (int, string) {
+	call := func(mgr *manager, method, path string) (int, string) {
 		t.Helper()
-		req, _ := http.NewRequest(method, "http://"+prog.listeners.Operators.Addr().String()+path, nil)
+		req, _ := http.NewRequest(method, "http://"+mgr.listeners.Operators.Addr().String()+path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -57,28 +57,28 @@
 		body, _ := io.ReadAll(res.Body)
 		return res.StatusCode, string(body)
 	}
-	prog := startWithAdmin()
-	if status, body := call(prog, "POST", "/media-servers/disable?member=b"); status != 404 || !strings.Contains(body, "call-unknown-member") {
-		t.Errorf("a node that was never listed: %d %s", status, body)
+	mgr := startWithAdmin()
+	if status, body := call(mgr, "POST", "/media-servers/disable?member=b"); status != 404 || !strings.Contains(body, "call-unknown-member") {
+		t.Errorf("disabling a node that was never listed: %d %s", status, body)
 	}
-	if status, body := call(prog, "POST", "/media-servers/disable?member=a"); status != 200 {
+	if status, body := call(mgr, "POST", "/media-servers/disable?member=a"); status != 200 {
 		t.Errorf("%d %s", status, body)
 	}
-	if _, body := call(prog, "GET", "/metrics"); !strings.Contains(body, `"pool_size":1,"pool_ejected":1`) {
+	if _, body := call(mgr, "GET", "/metrics"); !strings.Contains(body, `"pool_size":1,"pool_ejected":1`) {
 		t.Error(body)
 	}
-	successor := startWithAdmin() // the test's address has port 0, so that each has one of its own
+	successor := startWithAdmin() // port 0 in the test's addresses gives each process its own
 	if _, body := call(successor, "GET", "/metrics"); !strings.Contains(body, `"pool_size":1,"pool_ejected":1`) {
-		t.Error("the order is forgotten by the next process: ", body)
+		t.Error("the successor does not apply the override: ", body)
 	}
 	if status, _ := call(successor, "POST", "/media-servers/enable?member=a"); status != 200 {
-		t.Error("not put back")
+		t.Error("the successor does not enable the node")
 	}
-	for range 1000 { // the older one hears of it within 50 ms or so
-		if _, body := call(prog, "GET", "/metrics"); strings.Contains(body, `"pool_ejected":0`) {
+	for range 1000 { // the predecessor checks every 50 ms
+		if _, body := call(mgr, "GET", "/metrics"); strings.Contains(body, `"pool_ejected":0`) {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("the older process still leaves the node out")
+	t.Error("the predecessor does not enable the node")
 }
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -15,14 +15,14 @@
 	"millethinge/internal/standin"
 )
 
-// On the operators' days at size each manager runs under a system-call
-// filter: starting programs, fork, io_uring and sendfile are refused with
-// ENOSYS, splice with EINVAL, and only TCP and UDP over IPv4 are to be had.
-// TestUnderPlatformFilter plays a manager under a filter of our own that
-// refuses the same, written from seccomp(2), and shows that it starts, serves
-// and stops. The filter binds a process for good, so the test runs itself
-// again as a child and filters that.
+// In runs at full size, the platform puts each manager under a system-call filter:
+// starting programs, fork, io_uring and sendfile fail with ENOSYS, splice fails with EINVAL, and
+// only TCP and UDP over IPv4 are available. TestUnderPlatformFilter runs a
+// manager under a filter that refuses the same, written from seccomp(2), and
+// checks that it starts, serves and stops. A filter can't be removed from a
+// process, so the test runs itself again as a child and filters that.
 
+// filteredEnv is the environment variable that marks the child.
 const filteredEnv = "MILLETHINGE_TEST_FILTERED"
 
 func TestUnderPlatformFilter(t *testing.T) {
@@ -42,13 +42,13 @@
 	t.Logf("%s", out)
 }
 
-// runFiltered runs in the child, which is filtered for the rest of its life.
+// runFiltered installs the filter in the child and runs a manager there.
 func runFiltered(t *testing.T) {
 	if err := installPlatformFilter(); err != nil {
 		t.Fatalf("no filter: %v", err)
 	}
-	// The filter stands: each refusal is seen before the manager is trusted to
-	// meet none.
+	// Check that the filter refuses each call before concluding that the manager
+	// makes none of them.
 	if _, err := net.Listen("unix", "@millethinge-test"); !errors.Is(err, syscall.EAFNOSUPPORT) {
 		t.Fatalf("a Unix socket: %v, not refused", err)
 	}
@@ -65,17 +65,17 @@
 		t.Fatalf("io_uring: %v, not refused", errno)
 	}
 
-	// A node that answers, and a manager listening on every address of the
-	// machine, which has Go ask first whether IPv6 is there.
+	// The manager listens on all addresses of the machine, which has Go check
+	// first whether IPv6 is available.
 	listener := loopback(t)
 	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
 	go node.Serve(listener)
-	prog := startProgramWith(t, "127.0.0.1:1", memberJSON("a", listener.Addr().String(), 0), 2, "", func(cfg *config.Config) {
+	mgr := startManagerWith(t, "127.0.0.1:1", memberJSON("a", listener.Addr().String(), 0), 2, "", func(cfg *config.Config) {
 		cfg.Listen = "0.0.0.0:0"
 	})
-	conn := connect(t, prog, false)
+	conn := connect(t, mgr, false)
 	for n := 1; ; n++ {
-		if err := conn.send(setUpLine(3 * n)); err != nil { // clip, the paid class
+		if err := conn.send(setUpLine(3 * n)); err != nil { // clip, the billed class
 			t.Fatal(err)
 		}
 		line, err := conn.receive()
@@ -96,7 +96,7 @@
 	}
 }
 
-// System calls that package syscall doesn't name.
+// System calls and constants that package syscall lacks, and the filter's instructions.
 const (
 	sysIOURingSetup    = 425
 	sysIOURingEnter    = 426
@@ -124,7 +124,7 @@
 	retAllow             uint32 = seccompRetAllow
 )
 
-// installPlatformFilter filters every thread of the process, now and later.
+// installPlatformFilter filters all present and future threads of the process.
 func installPlatformFilter() error {
 	var instructions []syscall.SockFilter
 	emit := func(code uint16, jt, jf uint8, k uint32) {
@@ -144,8 +144,8 @@
 		emit(bpfJeq, 0, 1, nr)
 		emit(bpfRet, 0, 0, ret)
 	}
-	// clone makes threads, which stay allowed (glibc falls back to it when
-	// clone3 is refused); a clone without CLONE_THREAD is a fork.
+	// clone is allowed for threads (glibc falls back to it when clone3 is
+	// refused); without CLONE_THREAD it is a fork.
 	emit(bpfJeq, 0, 4, syscall.SYS_CLONE)
 	emit(bpfLdW, 0, 0, offsetArg0)
 	emit(bpfJset, 1, 0, cloneThread)
--- a/internal/server/rate_test.go
+++ b/internal/server/rate_test.go
@@ -26,13 +26,14 @@
 )
 
 var (
-	rateSetUps    = flag.Int("rate", 0, "set-ups a second that TestRate sends; 0: it is left out")
-	rateDuration  = flag.Duration("rate-for", 10*time.Second, "how long TestRate sends them")
-	rateCores     = flag.Int("rate-cores", 1, "GOMAXPROCS of the manager's process; the platform gives one core")
-	rateRuleCount = flag.Int("rate-rules", 200, "rules that TestRate routes by, beside those of the example")
+	rateSetUps    = flag.Int("rate", 0, "set-ups per second that TestRate sends; 0 skips the test")
+	rateDuration  = flag.Duration("rate-for", 10*time.Second, "how long TestRate sends set-ups")
+	rateCores     = flag.Int("rate-cores", 1, "GOMAXPROCS of the manager's process in TestRate; the platform gives one core")
+	rateRuleCount = flag.Int("rate-rules", 200, "number of rules in TestRate besides those of the example")
 )
 
-// rateOperatorFile are the example's, behind others that the requests pass first.
+// rateOperatorFile returns an operator's file with the example's rules after others that are
+// evaluated first.
 func rateOperatorFile(t *testing.T) string {
 	text, err := os.ReadFile(filepath.Join("..", "..", "example", "rules.conf"))
 	if err != nil {
@@ -53,14 +54,14 @@
 	return file.String()
 }
 
-// TestRate sends set-ups at a steady rate over both fronts, whatever is answered,
-// and tells how long their evaluation took, and their answers. Its figures are for
-// the design note: go test ./internal/server -run TestRate -rate 5000 -v
+// TestRate sends set-ups at a steady rate over both fronts, whatever the answers, and
+// logs how long the evaluation of the rules and the answers took. The design note quotes
+// its results: go test ./internal/server -run TestRate -rate 5000 -v
 func TestRate(t *testing.T) {
 	if *rateSetUps == 0 {
 		t.Skip("-rate is not given")
 	}
-	const nodes = 16 // as many as a site has
+	const nodes = 16 // the number of nodes of a site
 	var members []string
 	for i := range nodes {
 		node, listener := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict {
@@ -71,15 +72,15 @@
 	}
 	var answerTimes lockedHistogram
 	answerTimes.histogram = hdrhistogram.New(1, 60e9, 3)
-	prog, finish := startRateProcess(t, strings.Join(members, ","))
+	mgr, finish := startRateProcess(t, strings.Join(members, ","))
 	const conns = 32
-	var sent sync.Map // when, by id
+	var sent sync.Map // time of sending by session id
 	var served, refused, other atomic.Int64
 	var receivers sync.WaitGroup
 	clients := make([]messageConn, conns)
 	total := int(rateDuration.Seconds() * float64(*rateSetUps))
 	for i := range clients {
-		client := connect(t, prog, i%2 == 0)
+		client := connect(t, mgr, i%2 == 0)
 		if client == nil {
 			t.FailNow()
 		}
@@ -97,7 +98,7 @@
 				}
 				startTime, ok := sent.LoadAndDelete(answer.ID)
 				if !ok {
-					continue // its end
+					continue // the release after the answer
 				}
 				answerTimes.record(time.Since(startTime.(time.Time)))
 				switch {
@@ -117,7 +118,7 @@
 		defer close(callsDone)
 		for range int(rateDuration.Seconds() * 100) {
 			startTime := time.Now()
-			if res, err := http.Get("http://" + prog.listeners.Operators.Addr().String() + "/metrics"); err != nil {
+			if res, err := http.Get("http://" + mgr.listeners.Operators.Addr().String() + "/metrics"); err != nil {
 				t.Error(err)
 			} else {
 				io.Copy(io.Discard, res.Body)
@@ -158,16 +159,16 @@
 	if answered := served.Load() + refused.Load() + other.Load(); answered != int64(total) {
 		t.Errorf("%d of %d answered", answered, total)
 	}
-	t.Logf("%d set-ups in %v, %.0f a second: %d served, %d refused, %d failed", total, elapsed.Round(time.Millisecond), float64(total)/elapsed.Seconds(), served.Load(), refused.Load(), other.Load())
-	t.Logf("answers: %s", answerTimes.summary())
+	t.Logf("%d set-ups in %v, %.0f per second: %d served, %d refused, %d failed", total, elapsed.Round(time.Millisecond), float64(total)/elapsed.Seconds(), served.Load(), refused.Load(), other.Load())
+	t.Logf("time to answer: %s", answerTimes.summary())
 	t.Logf("GET /metrics: %s", callTimes.summary())
 	t.Log(finish())
 }
 
-// startRateProcess runs the session manager in a process of its own, which shares no
-// caches of a core with the load if it can help it, and returns where it listens
-// and a function that ends it and tells of its evaluations.
-func startRateProcess(t *testing.T, members string) (*program, func() string) {
+// startRateProcess runs the session manager in a process of its own, so that it need not
+// share a core and its caches with the load. It returns the addresses, and a function that
+// ends the process and returns its measurements.
+func startRateProcess(t *testing.T, members string) (*manager, func() string) {
 	cmd := exec.Command(os.Args[0], "-test.run=^TestRateServer$", "-test.v")
 	cmd.Env = append(os.Environ(), rateMembersEnv+"="+members, fmt.Sprint("GOMAXPROCS=", *rateCores))
 	cmd.Args = append(cmd.Args, fmt.Sprint("-rate-rules=", *rateRuleCount))
@@ -180,22 +181,22 @@
 		t.Fatal(err)
 	}
 	output := bufio.NewScanner(out)
-	prog := new(program)
+	mgr := new(manager)
 	for output.Scan() {
 		var viewers, players, calls string
 		if n, _ := fmt.Sscanf(output.Text(), "listening %s %s %s", &viewers, &players, &calls); n == 3 {
-			prog.listeners = Listeners{Viewers: remoteListener(viewers), Players: remoteListener(players), Operators: remoteListener(calls)}
+			mgr.listeners = Listeners{Viewers: remoteListener(viewers), Players: remoteListener(players), Operators: remoteListener(calls)}
 			break
 		}
 	}
-	if prog.listeners.Viewers == nil {
-		t.Fatal("the manager does not listen")
+	if mgr.listeners.Viewers == nil {
+		t.Fatal("the manager's process ended before it listened")
 	}
-	return prog, func() string {
+	return mgr, func() string {
 		cmd.Process.Signal(syscall.SIGTERM)
 		results := ""
 		for output.Scan() {
-			if line, ok := strings.CutPrefix(output.Text(), "told "); ok {
+			if line, ok := strings.CutPrefix(output.Text(), "result "); ok {
 				results += line + "\n"
 			}
 		}
@@ -206,7 +207,7 @@
 	}
 }
 
-// remoteListener is a listener of another process, as far as these tests need one.
+// remoteListener is the address of a listener of another process. It accepts no connections.
 type remoteListener string
 
 func (l remoteListener) Accept() (net.Conn, error) { return nil, net.ErrClosed }
@@ -215,30 +216,32 @@
 func (l remoteListener) Network() string           { return "tcp" }
 func (l remoteListener) String() string            { return string(l) }
 
+// rateMembersEnv is the environment variable with the members of TestRateServer's list.
 const rateMembersEnv = "TEST_RATE_MEMBERS"
 
-// TestRateServer is the manager's process of TestRate.
+// TestRateServer runs the manager for TestRate, which starts it in a process of its own.
 func TestRateServer(t *testing.T) {
 	members := os.Getenv(rateMembersEnv)
 	if members == "" {
-		t.Skip("it runs as a part of TestRate")
+		t.Skip("runs only as a process of TestRate")
 	}
 	evaluation := lockedHistogram{histogram: hdrhistogram.New(1, 1e9, 3)}
-	prog := startProgramWith(t, "127.0.0.1:1", members, strings.Count(members, "host_port"), rateOperatorFile(t), func(cfg *config.Config) {
+	mgr := startManagerWith(t, "127.0.0.1:1", members, strings.Count(members, "host_port"), rateOperatorFile(t), func(cfg *config.Config) {
 		cfg.Admin = "127.0.0.1:0"
 		cfg.Operator.Routes.Observe(evaluation.record)
-		fmt.Printf("told %d rules, at most %d steps\n", len(cfg.Operator.Routes.Rules()), cfg.Operator.Routes.Bound())
+		fmt.Printf("result %d rules, at most %d steps\n", len(cfg.Operator.Routes.Rules()), cfg.Operator.Routes.Bound())
 	})
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM)
-	fmt.Println("listening", prog.listeners.Viewers.Addr(), prog.listeners.Players.Addr(), prog.listeners.Operators.Addr())
+	fmt.Println("listening", mgr.listeners.Viewers.Addr(), mgr.listeners.Players.Addr(), mgr.listeners.Operators.Addr())
 	<-signals
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
-	fmt.Printf("told evaluation: %s\ntold processor time %v, most memory %d MB, GOMAXPROCS %d\n", evaluation.summary(),
+	fmt.Printf("result evaluation: %s\nresult processor time %v, peak memory %d MB, GOMAXPROCS %d\n", evaluation.summary(),
 		time.Duration(usage.Utime.Nano()+usage.Stime.Nano()).Round(time.Millisecond), usage.Maxrss>>10, runtime.GOMAXPROCS(0))
 }
 
+// lockedHistogram is a histogram of durations in ns, safe for concurrent use.
 type lockedHistogram struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram
@@ -257,6 +260,6 @@
 	for _, percentile := range []float64{50, 90, 99, 99.9} {
 		fmt.Fprintf(&text, "p%g %v, ", percentile, time.Duration(h.histogram.ValueAtQuantile(percentile)))
 	}
-	fmt.Fprintf(&text, "most %v of %d", time.Duration(h.histogram.Max()), h.histogram.TotalCount())
+	fmt.Fprintf(&text, "max %v of %d", time.Duration(h.histogram.Max()), h.histogram.TotalCount())
 	return text.String()
 }
--- a/internal/server/routes_test.go
+++ b/internal/server/routes_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Two sets of rules that give a session without a class the same one, each by its
-// own rule, and whose teams differ. Either holds for a whole request.
+// Operators' files. rulesA and rulesB give a session without a class the same class by
+// different rules, and differ in teams. Each request must be routed by one of them throughout.
 const (
 	ruleTeams = "team a {\n rate 0\n}\nteam b {\n rate 0\n}\n"
 	rulesA    = ruleTeams + `rules {
@@ -25,9 +25,9 @@
 	rulesWithNewTeam = ruleTeams + "team c {\n rate 1\n}\nrules {\n otherwise set team = c\n}"
 )
 
-// TestRulesReloadedUnderLoad has the rules swapped over and over, faulty ones among
-// them, while the mixed sessions run, a third of which name no class. Answers and
-// bills are the same on both transports, and as if nothing had been swapped.
+// TestRulesReloadedUnderLoad reloads rules over and over, some of them faulty, while the
+// mixed sessions run, a third of which name no class. Answers and the nodes' counts must be
+// the same on both transports, and the same as without reloads.
 func TestRulesReloadedUnderLoad(t *testing.T) {
 	unnamed := func(n int) string {
 		if n%3 == 1 {
@@ -35,16 +35,16 @@
 		}
 		return setUpLine(n)
 	}
-	swap := func(prog *program, done <-chan struct{}) {
+	swap := func(mgr *manager, done <-chan struct{}) {
 		for i := 0; ; i++ {
 			select {
 			case <-done:
 				if i < 10 {
-					t.Errorf("%d swaps only", i)
+					t.Errorf("only %d reloads", i)
 				}
 				return
-			case prog.signals <- syscall.SIGHUP:
-				prog.reload <- "operator " + []string{rulesB, faultyRules, rulesA, rulesWithNewTeam}[i%4]
+			case mgr.signals <- syscall.SIGHUP:
+				mgr.reload <- "operator " + []string{rulesB, faultyRules, rulesA, rulesWithNewTeam}[i%4]
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -54,11 +54,11 @@
 	compareOutcomes(t, lines, runSessions(t, false, "", setUpLine, nil))
 }
 
-// TestRulesOnBothFronts shows on both fronts what rules do to a set-up, that a repeated
-// one is joined though the rules were swapped, and that faulty rules change
-// nothing.
+// TestRulesOnBothFronts checks how rules route set-ups on both fronts, that a repeated
+// set-up joins its session although the rules have changed meanwhile, and that faulty rules
+// are not put into effect.
 func TestRulesOnBothFronts(t *testing.T) {
-	prog := startBurstProgram(t, `team quick {
+	mgr := startBurstManager(t, `team quick {
 	classes clip
 }
 rules {
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, player := range []bool{false, true} {
-		conn, id := connect(t, prog, player), 1
+		conn, id := connect(t, mgr, player), 1
 		if player {
 			id = 1000
 		}
@@ -98,34 +98,34 @@
 			receive(conn, `"answer"`)
 		}
 	}
-	// With other rules the same set-up would have another team. It is still the same.
-	conn := connect(t, prog, true)
+	// By the new rules the repeated set-up would have another team. It still joins its session.
+	conn := connect(t, mgr, true)
 	if err := conn.send(setUp(2000, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(conn, `"answer"`)
-	reload(prog, "operator rules {\n route all when class == none set class = feed\n}")
-	secondConn := connect(t, prog, true)
+	reload(mgr, "operator rules {\n route all when class == none set class = feed\n}")
+	secondConn := connect(t, mgr, true)
 	if err := secondConn.send(setUp(2000, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, `"answer"`)
-	reload(prog, "operator rules {\n otherwise set class = clip\n}") // a feed would become a clip: the last set stays
+	reload(mgr, "operator rules {\n otherwise set class = clip\n}") // faulty, since a feed would become a clip: the earlier rules stay
 	if err := secondConn.send(setUp(2001, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, `"answer"`)
-	reload(prog, "operator ") // no rules any more
+	reload(mgr, "operator ") // a file without rules
 	if err := secondConn.send(setUp(2002, "")); err != nil {
 		t.Fatal(err)
 	}
 	receive(secondConn, "no rule gives it one")
 }
 
-// reload has the program read a file, and waits until it has.
-func reload(prog *program, text string) {
-	prog.signals <- syscall.SIGHUP
-	prog.reload <- text
-	prog.signals <- syscall.SIGHUP // the second is read once the first has been dealt with
-	prog.reload <- text
+// reload has the manager reload its configuration from text, and waits until it has done so.
+func reload(mgr *manager, text string) {
+	mgr.signals <- syscall.SIGHUP
+	mgr.reload <- text
+	mgr.signals <- syscall.SIGHUP // the second reload begins after the first has ended
+	mgr.reload <- text
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server assembles the session manager's parts: it starts the fronts,
-// the broker, the media nodes and the list, drains them on a signal and stops
-// them.
+// Package server assembles the session manager from its parts. It starts the
+// fronts, the broker, the pool of media nodes and the list of media nodes,
+// drains and stops them on a signal, and reloads the configuration.
 package server
 
 import (
@@ -29,14 +29,14 @@
 	"millethinge/internal/route"
 )
 
-// Listeners are the fronts' sockets.
+// Listeners holds the sockets that a manager accepts connections on.
 type Listeners struct {
-	Viewers   net.Listener
-	Players   net.Listener // nil: there is no second front
-	Operators net.Listener // nil: operators don't call
+	Viewers   net.Listener // for JSON lines
+	Players   net.Listener // for WebSocket; nil if that front is not configured
+	Operators net.Listener // for HTTP calls; nil if no admin address is configured
 }
 
-// Listen opens the sockets that a configuration names.
+// Listen opens the sockets at the addresses that cfg names.
 func Listen(cfg config.Config) (listeners Listeners, err error) {
 	openListener := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	listen := func(to *net.Listener, clients, addr string) {
@@ -50,7 +50,7 @@
 	}
 	if cfg.Admin != "" {
 		listen(&listeners.Operators, "operators'", cfg.Admin)
-		openListener = handover.Listen // beside another process of this manager
+		openListener = handover.Listen // another process of this manager may listen at the same address
 	}
 	listen(&listeners.Viewers, "viewers'", cfg.Listen)
 	if w := cfg.Operator.WebSocket; w != nil {
@@ -59,24 +59,32 @@
 	return listeners, err
 }
 
-// ListenError tells that an address can't be listened at.
+// ListenError reports that the program can't listen at a configured address.
 type ListenError struct {
-	Clients string
-	Addr    string
-	Err     error
+	Clients string // who connects to the address, in the possessive: "viewers'"
+	Addr    string // as configured
+	Err     error  // from the attempt to listen
 }
 
+// Error names the clients, the address and the cause.
 func (e *ListenError) Error() string {
 	return fmt.Sprintf("%s address %s: %v", e.Clients, e.Addr, e.Err)
 }
+
+// Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
-func (e *ListenError) Code() string  { return "start-address" }
+
+// Code returns the error's code for operators.
+func (e *ListenError) Code() string { return "start-address" }
+
+// Remedy returns what an operator can do about the error.
 func (e *ListenError) Remedy() string {
-	return "is it this machine's, and does another program, or another manager without `admin`, listen there?"
+	return "check that the address belongs to this machine, and that no other program, nor another manager without `admin`, listens there"
 }
 
-// Run serves until a signal ends it and all that was taken is answered. SIGHUP
-// has it follow the coordinator that reload names.
+// Run serves until a signal other than SIGHUP starts a drain and every accepted
+// request has been answered. On SIGHUP it calls reload, then follows the
+// coordinator and routes by the rules of the configuration that reload returns.
 func Run(cfg config.Config, listeners Listeners, signals <-chan os.Signal,
 	reload func(running *config.Config) (config.Config, error), log *zap.Logger) error {
 	root, cancel := context.WithCancel(context.Background())
@@ -88,8 +96,8 @@
 	counts := service.Counts()
 
 	halfConfig := cfg.Half()
-	// The broker and the nodes know each other; the broker does nothing before
-	// it runs, so its nodes may be made first.
+	// The broker and the pool refer to each other. The broker processes nothing
+	// before its Run is called, so the pool can be created first.
 	var sessionBroker *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
@@ -112,7 +120,7 @@
 		return err
 	}
 	nodeList := directory.NewList(service.withOverrides(func(c directory.Change) {
-		pool.Apply(c) // first: a drain binds what is queued at once
+		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
 		sessionBroker.List(brokerList(c))
 	}))
 	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
@@ -124,7 +132,7 @@
 	}
 	coordinator.Follow(cfg.Coordinator)
 	if service != nil {
-		coordinator.Ask() // readiness waits for its first answer, which is not to wait for news
+		coordinator.Ask() // readiness waits for the first answer, which must not wait for a change of the list
 	}
 	service.restoreOverrides()
 	nodeList.Settle()
@@ -150,7 +158,7 @@
 		Core: sessionBroker, Catalog: catalog, Counts: counts, Reasons: cfg.Operator.Viewers.Reasons, Log: log,
 		Limits: peer.Limits{Most: cfg.ViewerConns(), Half: halfConfig.ViewerConns(), Shared: service.Shared, Open: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
 	}
-	// The fronts end before what answers them: a set-up that was read last is answered.
+	// The fronts stop before the parts that answer them, so that the last set-up read is still answered.
 	frontsCtx, stopFronts := context.WithCancel(ctx)
 	defer stopFronts()
 	var fronts sync.WaitGroup
@@ -162,7 +170,7 @@
 		})
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
-		// Both fronts share what viewers may hold of the descriptors.
+		// The fronts share the file descriptors that are set aside for clients.
 		linesFront.Limits.Most, linesFront.Limits.Half = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
 		webSocketFront := &websocket.Front{
 			Core: sessionBroker, Catalog: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
@@ -175,8 +183,8 @@
 	group.Go(func() error { return coordinator.Run(ctx) })
 	serve(linesFront.Serve, listeners.Viewers)
 	reloadRequests := make(chan struct{}, 1)
-	// Guard: a file that can't be read for long holds up no signal, and not the end: this
-	// goroutine is not waited for.
+	// Guard: a configuration file whose read blocks must delay neither a signal nor the exit,
+	// so no one waits for this goroutine.
 	go func() {
 		for {
 			select {
@@ -199,10 +207,10 @@
 			select {
 			case s := <-signals:
 				switch {
-				case s == syscall.SIGHUP: // also while it drains
+				case s == syscall.SIGHUP: // also during a drain
 					select {
 					case reloadRequests <- struct{}{}:
-					default: // the files are to be read already
+					default: // a reload is already pending
 					}
 				case draining:
 				case service.leaveToSuccessor(listeners.Viewers, listeners.Players):
@@ -235,7 +243,8 @@
 	return group.Wait()
 }
 
-// Catalog is what the names of a set-up mean by a configuration.
+// Catalog returns the classes, teams and limits that set-up messages are checked against
+// under cfg.
 func Catalog(cfg *config.Config) message.Catalog {
 	return message.Catalog{
 		Classes: cfg.Classes, Teams: cfg.Teams(),
@@ -243,8 +252,8 @@
 	}
 }
 
-// logReloadError tells why a configuration that was read anew changes nothing. Guard: one
-// that can't be read or is faulty leaves all as it is.
+// logReloadError logs why a reload of the configuration failed. Guard: a configuration that
+// can't be read or has faults changes nothing in the running manager.
 func logReloadError(err error, log *zap.Logger) {
 	var faults *conf.Faults
 	if !errors.As(err, &faults) {
@@ -256,7 +265,7 @@
 	}
 }
 
-// logReloaded says what has been taken of a configuration that was read anew.
+// logReloaded logs the settings that a reload of the configuration has put into effect.
 func logReloaded(cfg *config.Config, log *zap.Logger) {
 	fields := []zap.Field{zap.String("coordinator", cfg.Coordinator)}
 	if r := cfg.Operator.Routes; r != nil {
@@ -268,10 +277,11 @@
 	log.Info("configuration reloaded", fields...)
 }
 
-// finalWriteDelay is left for what is queued for nodes to be written before the end.
+// finalWriteDelay is the time before exit in which messages queued for media nodes are
+// written.
 const finalWriteDelay = 50 * time.Millisecond
 
-// brokerList is a change as the module takes it.
+// brokerList converts a change of the list of media nodes to the broker's form.
 func brokerList(c directory.Change) broker.List {
 	var l broker.List
 	for _, m := range c.Members {
--- a/internal/server/shapes_test.go
+++ b/internal/server/shapes_test.go
@@ -13,32 +13,33 @@
 	"millethinge/internal/standin"
 )
 
-// deployment is another customer's settings. Those of change replace or, where they are nil,
-// remove keys, named by their path.
+// deployment holds the settings of a customer that differ from the first customer's. Each of
+// changes replaces the key at a path, or removes it if the value is nil.
 type deployment struct {
 	classes  []string
 	changes  map[string]any
 	operator string
 }
 
+// deployments holds the deployments of TestDeployments by name.
 var deployments = map[string]deployment{
-	"one class":     {classes: []string{"only"}},
-	"four classes":  {classes: []string{"a", "b", "c", "d"}, changes: map[string]any{"settings.familyInfo.topByClass": []int{3, 1, 2, 0}}},
-	"twelve":        {classes: strings.Split("abcdefghijkl", "")},
-	"odd names":     {classes: []string{"none", "4k hd", `a"b`, "vidéo"}, operator: "team none {\n classes none \"4k hd\"\n}\nordinary {\n vidéo 0.1 30s\n}\nrules {\n route a when class == class(\"none\") set team = team(\"none\"), key = text(class)\n}"},
-	"short times":   {classes: []string{"a", "b"}, changes: map[string]any{"goal": 0.15, "giveUp": 0.3}},
-	"nothing known": {classes: []string{"a", "b"}, changes: map[string]any{"settings.feedback": nil, "settings.charges": nil, "settings.obligations": nil, "settings.policyLimits": map[string]any{"attemptsCap": 1}, "settings.localities": nil, "settings.flavors": nil, "settings.weights": "none", "settings.zone": nil, "limits": nil}},
-	"answers":       {classes: []string{"a", "b"}, changes: map[string]any{"settings.feedback": map[string]any{"via": "answers", "fields": []string{"concurrent", "x0"}}, "settings.discovery": "subscribe", "settings.weights": "live"}},
-	"many tenants":  {classes: []string{"a", "b"}, changes: map[string]any{"settings.projects": slices.Repeat([]any{map[string]any{"name": "t", "quotaPerS": 0.1}}, 500)}},
-	"many fronts":   {classes: []string{"a", "b"}, changes: map[string]any{"settings.balancers": 300}},
-	"cold":          {classes: []string{"a", "b"}, changes: map[string]any{"settings.obligations": map[string]any{"fallMultiple": 2, "startCapacity": 0.1, "warmAfterS": 1}, "since": true}},
-	"tiny":          {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"cores": 0.05, "memory_mb": 1, "sockets": 64}, "settings.policyLimits.streamsPerConn": 1, "settings.familyInfo.licenceCap": []int{1, 1}}},
-	"fewer":         {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"sockets": 100}}},
-	"huge":          {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"cores": 1e6, "memory_mb": 1 << 24, "sockets": 1 << 24}, "goal": 1e10, "giveUp": 1e10, "settings.policyLimits.connIdleS": 1e12, "settings.policyLimits.connectTimeoutS": 1e12}},
-	"one rung":      {classes: []string{"a", "b"}, changes: map[string]any{"settings.familyInfo.ratesKb": []int{500}, "settings.familyInfo.ladderWorth": []int{1}, "settings.familyInfo.groups": 0, "settings.familyInfo.rackLinkKb": nil, "settings.familyInfo.kindStreams": []int{}}},
+	"one class":               {classes: []string{"only"}},
+	"four classes":            {classes: []string{"a", "b", "c", "d"}, changes: map[string]any{"settings.familyInfo.topByClass": []int{3, 1, 2, 0}}},
+	"twelve classes":          {classes: strings.Split("abcdefghijkl", "")},
+	"unusual class names":     {classes: []string{"none", "4k hd", `a"b`, "vidéo"}, operator: "team none {\n classes none \"4k hd\"\n}\nordinary {\n vidéo 0.1 30s\n}\nrules {\n route a when class == class(\"none\") set team = team(\"none\"), key = text(class)\n}"},
+	"short times":             {classes: []string{"a", "b"}, changes: map[string]any{"goal": 0.15, "giveUp": 0.3}},
+	"required settings only":  {classes: []string{"a", "b"}, changes: map[string]any{"settings.feedback": nil, "settings.charges": nil, "settings.obligations": nil, "settings.policyLimits": map[string]any{"attemptsCap": 1}, "settings.localities": nil, "settings.flavors": nil, "settings.weights": "none", "settings.zone": nil, "limits": nil}},
+	"load reports in answers": {classes: []string{"a", "b"}, changes: map[string]any{"settings.feedback": map[string]any{"via": "answers", "fields": []string{"concurrent", "x0"}}, "settings.discovery": "subscribe", "settings.weights": "live"}},
+	"many tenants":            {classes: []string{"a", "b"}, changes: map[string]any{"settings.projects": slices.Repeat([]any{map[string]any{"name": "t", "quotaPerS": 0.1}}, 500)}},
+	"300 managers":            {classes: []string{"a", "b"}, changes: map[string]any{"settings.balancers": 300}},
+	"cold node":               {classes: []string{"a", "b"}, changes: map[string]any{"settings.obligations": map[string]any{"fallMultiple": 2, "startCapacity": 0.1, "warmAfterS": 1}, "since": true}},
+	"tiny limits":             {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"cores": 0.05, "memory_mb": 1, "sockets": 64}, "settings.policyLimits.streamsPerConn": 1, "settings.familyInfo.licenceCap": []int{1, 1}}},
+	"100 sockets":             {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"sockets": 100}}},
+	"huge limits":             {classes: []string{"a", "b"}, changes: map[string]any{"limits": map[string]any{"cores": 1e6, "memory_mb": 1 << 24, "sockets": 1 << 24}, "goal": 1e10, "giveUp": 1e10, "settings.policyLimits.connIdleS": 1e12, "settings.policyLimits.connectTimeoutS": 1e12}},
+	"one rung":                {classes: []string{"a", "b"}, changes: map[string]any{"settings.familyInfo.ratesKb": []int{500}, "settings.familyInfo.ladderWorth": []int{1}, "settings.familyInfo.groups": 0, "settings.familyInfo.rackLinkKb": nil, "settings.familyInfo.kindStreams": []int{}}},
 }
 
-// deploymentJSON is what the platform would write for a customer with one node.
+// deploymentJSON returns the platform's configuration for a deployment with one node.
 func deploymentJSON(t *testing.T, d deployment, node string) []byte {
 	t.Helper()
 	changes := maps.Clone(d.changes)
@@ -84,9 +85,9 @@
 	return text
 }
 
-// TestDeployments starts a manager with the settings of customers that differ from the first
-// in number and names of classes, times, reports, tenants and limits, and has it serve a
-// set-up of each class. A refusal is tried again, as a viewer would.
+// TestDeployments starts managers with settings that differ from the first customer's in
+// number and names of classes, times, load reports, tenants and limits. Each must serve a
+// set-up of each class, which is sent again after a refusal, as viewers do.
 func TestDeployments(t *testing.T) {
 	for name, d := range deployments {
 		t.Run(name, func(t *testing.T) {
@@ -100,8 +101,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			prog := startProgramWith(t, "127.0.0.1:1", "", 1, "", func(c *config.Config) { *c = cfg })
-			conn := connect(t, prog, false)
+			mgr := startManagerWith(t, "127.0.0.1:1", "", 1, "", func(c *config.Config) { *c = cfg })
+			conn := connect(t, mgr, false)
 			left := min(cfg.MostLeft, testTimeout).Milliseconds()
 			if giveUp, ok := d.changes["giveUp"]; ok {
 				left = min(left, int64(giveUp.(float64)*1000))
@@ -130,7 +131,7 @@
 			node.Bill.Read(func(b *standin.Bill) {
 				for _, class := range d.classes {
 					if b.Class[class] == 0 {
-						t.Errorf("no session of %s: %v", class, b.Class)
+						t.Errorf("no session of class %s: %v", class, b.Class)
 					}
 				}
 			})
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -19,28 +19,28 @@
 	"millethinge/internal/handover"
 )
 
-// A file that is never read whole holds up neither another signal nor the end.
+// A reload that blocks must delay neither the next signal nor the end of the manager.
 func TestBlockedReloadDelaysNoSignal(t *testing.T) {
-	prog := startProgram(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "")
+	mgr := startManager(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "")
 	for _, sig := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP} {
 		select {
-		case prog.signals <- sig:
+		case mgr.signals <- sig:
 		case <-time.After(testTimeout):
-			prog.reload <- "" // what it waits for
-			t.Fatal(sig, "is not heard")
+			mgr.reload <- "" // unblocks the reload
+			t.Fatal(sig, "is not handled")
 		}
 	}
 	select {
-	case err := <-prog.done:
-		prog.done <- err
+	case err := <-mgr.done:
+		mgr.done <- err
 	case <-time.After(testTimeout):
-		prog.reload <- ""
-		t.Fatal("no end")
+		mgr.reload <- ""
+		t.Fatal("the manager does not end")
 	}
 }
 
-// A process that was asked to end is no successor to an older one, also where it was asked
-// before it served.
+// A process that was asked to end must not become the successor of an older one, even if it was
+// asked before it was ready.
 func TestStoppingProcessIsNoSuccessor(t *testing.T) {
 	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
 	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
@@ -56,10 +56,10 @@
 		steps []func(*adminService)
 		want  bool
 	}{
-		"starts":             {nil, false},
-		"serves":             {[]func(*adminService){(*adminService).markReady}, true},
-		"served":             {[]func(*adminService){(*adminService).markReady, stop}, false},
-		"ends before serves": {[]func(*adminService){stop, (*adminService).markReady}, false},
+		"starting":             {nil, false},
+		"ready":                {[]func(*adminService){(*adminService).markReady}, true},
+		"stopped when ready":   {[]func(*adminService){(*adminService).markReady, stop}, false},
+		"stopped before ready": {[]func(*adminService){stop, (*adminService).markReady}, false},
 	} {
 		service := newAdminService(&cfg, zap.NewNop())
 		for _, step := range test.steps {
@@ -72,15 +72,16 @@
 	}
 }
 
+// stop has a process leave to its successor, if any.
 func stop(s *adminService) { s.leaveToSuccessor([]net.Listener(nil)...) }
 
-// A folder that can't be used costs what would be handed over, is told with its code, and
-// nothing else.
+// Without a usable handover folder nothing can be handed over, and a warning with the error's
+// code is logged, but everything else must work.
 func TestUnusableHandoverFolder(t *testing.T) {
 	for name, breakFolder := range map[string]func(temp string) error{
-		"no folder from the start": nil,
-		"it goes meanwhile":        os.RemoveAll,
-		"no file can be replaced": func(temp string) error {
+		"folder never usable":  nil,
+		"folder removed later": os.RemoveAll,
+		"file can't be replaced": func(temp string) error {
 			return os.MkdirAll(filepath.Join(temp, "orders", "x"), 0o700)
 		},
 	} {
@@ -99,7 +100,7 @@
 		}
 		service.markReady()
 		if err := service.Drain(t.Context(), true); err != nil || service.Gate().Takes() || !service.Ready() || service.leaveToSuccessor() {
-			t.Error(name, "an order does not count:", err)
+			t.Error(name, "the drain has no effect:", err)
 		}
 		service.handOver(broker.Handover{})
 		service.close()
@@ -113,8 +114,8 @@
 	}
 }
 
-// What stands has one successor, also where several younger processes serve, the successor ends
-// before the last word, or two hand over at once.
+// Established sessions must have exactly one successor, even if several younger processes are
+// ready, the successor ends before the last handover, or two processes hand over at once.
 func TestOneSuccessor(t *testing.T) {
 	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
 	var services [4]*adminService
@@ -142,22 +143,23 @@
 	services[2].markReady()
 	stop(services[0])
 	sendHandover(0, 1, false)
-	expect("2 takes 1") // not 1 as well
+	expect("2 takes 1") // process 1 must not take it too
 	services[3].markReady()
 	stop(services[1])
 	sendHandover(1, 2, false)
 	sendHandover(0, 3, true)
-	expect("2 takes 3, 3 takes 2") // 2 has been the successor of 0, and serves
+	expect("2 takes 3, 3 takes 2") // process 2 stays the successor of process 0 while it is ready
 	stop(services[2])
 	sendHandover(1, 4, true)
 	sendHandover(2, 5, false)
 	expect("3 takes 4, 3 takes 5")
 	services[3].close()
 	sendHandover(2, 6, true)
-	expect("") // nobody is there
+	expect("") // no process is left to take over
 }
 
-// The watch and a signal may look for other processes at once (for the race detector).
+// The periodic check and a signal may check for other processes at the same time. The race
+// detector finds unprotected access.
 func TestConcurrentProcessChecks(t *testing.T) {
 	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
 	first, second := newAdminService(&cfg, zap.NewNop()), newAdminService(&cfg, zap.NewNop())
@@ -173,6 +175,6 @@
 	}
 	checks.Wait()
 	if !first.Shared() {
-		t.Error("the other one is not seen")
+		t.Error("the other process is not seen")
 	}
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,10 +1,11 @@
-// Package stall tells a program that has stood still, such as one that was stopped
-// and let go on, from one that ran: what it believes of the world is as old as the
-// stand, though nothing says so. It holds what depends on that back until the world
-// has been asked again.
+// Package stall detects process pauses: times in which the program itself did not run,
+// such as between SIGSTOP and SIGCONT. After a pause the program's information about
+// other systems is as old as the pause is long, and nothing else shows it. A Detector
+// reports that information as stale until it has been requested anew.
 //
-// It does no I/O and reads no clock: times are arguments, from one that goes on while
-// the program stands, as Go's monotonic clock does on Linux for a stopped process.
+// The package does no I/O and reads no clock: times are arguments. They must come from a
+// clock that continues during a pause, as Go's monotonic clock does on Linux for a stopped
+// process.
 package stall
 
 import (
@@ -13,49 +14,52 @@
 	"time"
 )
 
-// Figures of a Watch.
+// Times of a Detector.
 const (
-	// defaultThreshold is Watch.After where nothing else is said.
+	// defaultThreshold applies if Detector.Threshold is 0.
 	defaultThreshold = 800 * time.Millisecond
-	// heartbeatMargin is what passes between two at most, twice.
+	// heartbeatMargin is twice the longest interval between heartbeats of a program that
+	// runs.
 	heartbeatMargin = 200 * time.Millisecond
-	// MaxStale is how long anything is held back: where nobody can be asked, the old
-	// word is all there is.
+	// MaxStale is the longest time after a pause for which information is reported as
+	// stale: where no new information can be had, the old must do.
 	MaxStale = time.Second
 )
 
-// Detector is a program's pulse. It is safe for use by many goroutines.
+// Detector detects pauses of the process from gaps between heartbeats. It is safe for
+// concurrent use.
 type Detector struct {
-	// After is the time without a beat after which the program is taken to have
-	// stood; not to be changed once it beats. 0: 800 ms.
+	// Threshold is the longest gap between heartbeats that does not count as a pause.
+	// If it is 0, 800 ms applies. It must not be changed after the first heartbeat.
 	Threshold time.Duration
 
 	mu            sync.Mutex
 	lastHeartbeat time.Time
-	pauseEnd      time.Time // when the last stand was noticed; zero: nothing is held back
+	pauseEnd      time.Time // when the last pause was noticed; zero: nothing is stale
 }
 
-// ThresholdForGrace returns the After of a Watch whose program must not act on what has been
-// untrue for longer than grace: whatever stood for less still hears of it in time.
+// ThresholdForGrace returns the Threshold for a program that must not act on information
+// that has been out of date for longer than grace. A program that pauses for less than the
+// threshold still gets the new information within grace.
 func ThresholdForGrace(grace time.Duration) time.Duration {
 	return max(grace-heartbeatMargin, heartbeatMargin)
 }
 
-// Reset begins anew at a time, after which beats come.
+// Reset forgets all earlier heartbeats and pauses. Heartbeats follow from now on.
 func (d *Detector) Reset(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastHeartbeat, d.pauseEnd = now, time.Time{}
 }
 
-// Heartbeat notes that the program runs. If it has stood still, it tells for how long,
-// once: whoever hears that has the world asked again.
+// Heartbeat records that the program runs at now. If the process was paused, it returns for
+// how long, to one caller only: that caller must request the information anew.
 func (d *Detector) Heartbeat(now time.Time) (paused time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	gap := now.Sub(d.lastHeartbeat)
 	if gap < 0 {
-		return 0 // another goroutine was ahead
+		return 0 // another goroutine has recorded a later heartbeat
 	}
 	first := d.lastHeartbeat.IsZero()
 	d.lastHeartbeat = now
@@ -66,8 +70,8 @@
 	return gap
 }
 
-// Stale tells whether what depends on the world's state is to wait. It is to be asked
-// after Beat, with the same time.
+// Stale reports whether actions that depend on the state of other systems must wait until
+// that state has been requested anew. It must be called after Heartbeat, with the same time.
 func (d *Detector) Stale(now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,8 +81,8 @@
 	return !d.pauseEnd.IsZero()
 }
 
-// Refreshed tells that the world has answered a question that was asked at a time. An
-// answer to one from before the end of the stand may be as old as that.
+// Refreshed records the arrival of an answer to a request made at requested. The answer to a
+// request from before the end of the pause may be as old as the pause, so it is ignored.
 func (d *Detector) Refreshed(requested time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
