--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -34,14 +34,14 @@
 	if rules == nil {
 		return fmt.Errorf("the operator's file has no rules")
 	}
-	origin := message.Origin{Front: cmd.Front, Came: time.Now()}
+	origin := message.Origin{Front: cmd.Front, Received: time.Now()}
 	if cmd.Client != "" {
 		if origin.Client, err = netip.ParseAddr(cmd.Client); err != nil {
 			return fmt.Errorf("--client: %w", err)
 		}
 	}
 	if cmd.At != "" {
-		if origin.Came, err = time.Parse(time.RFC3339, cmd.At); err != nil {
+		if origin.Received, err = time.Parse(time.RFC3339, cmd.At); err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
 	}
@@ -83,20 +83,20 @@
 const maxExplainInput = 16 << 20
 
 // explainMessage prints the explanation for the message on one line.
-func (cmd explainCmd) explainMessage(out io.Writer, cfg *config.Config, catalog *message.Catalog, rules *route.Set, line []byte, origin message.Origin) error {
-	if len(line) > message.Max {
-		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.Max)
+func (cmd explainCmd) explainMessage(out io.Writer, cfg *config.Config, catalog *message.SetupDecoder, rules *route.Set, line []byte, origin message.Origin) error {
+	if len(line) > message.MaxSize {
+		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.MaxSize)
 	}
 	var m message.Message
 	if err := message.Parse(line, &m); err != nil {
 		return err
 	}
-	request, err := catalog.Read(&m, origin)
+	request, err := catalog.DecodeUnrouted(&m, origin)
 	if err != nil {
 		return err
 	}
 	teams := cfg.Teams()
-	explanation := rules.Explain(message.Routed(&m, &request, origin))
+	explanation := rules.Explain(message.RouteRequest(&m, &request, origin))
 	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.Classes, request.Class), nameAt(teams, request.Team))
 	for i, s := range explanation.Steps {
 		if !s.Match && !cmd.All {
--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -422,7 +422,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			for range min(2*cfg.NodeConns(), peer.DefaultOpen) { // each keeps a connection to the node for its established session
+			for range min(2*cfg.NodeConns(), peer.DefaultMaxSetups) { // each keeps a connection to the node for its established session
 				c.lastID++
 				fmt.Fprintf(conn, setUpLine, c.lastID)
 			}
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -216,7 +216,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &participant{conn, bufio.NewReaderSize(conn, rtsp.MaxMessage)}
+	return &participant{conn, bufio.NewReaderSize(conn, rtsp.MaxMessageSize)}
 }
 
 // connectParticipant connects a viewer or player to the manager, or waits for the manager to
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -34,7 +34,7 @@
 		}
 		go func() {
 			defer conn.Close()
-			reader := stream.NewReader(conn, rtsp.MaxMessage)
+			reader := stream.NewReader(conn, rtsp.MaxMessageSize)
 			var mu sync.Mutex
 			var m rtsp.Message
 			for reader.Next(func(text []byte) (int, error) { return rtsp.Parse(text, &m) }) == nil {
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -277,7 +277,7 @@
 		if !changed {
 			return
 		}
-		s.sessionBroker.Adopt(h, s.linesFront.Viewer)
+		s.sessionBroker.Adopt(h, s.linesFront.InheritedClient)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -101,14 +101,14 @@
 	var sessionBroker *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
-		Classes: cfg.Classes, Fields: cfg.Settings.Fields,
-		ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle,
-		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), HalfConns: halfConfig.NodeConns(),
-		DrainGrace: cfg.DrainGrace,
-		NoProbes:   !cfg.Settings.Probes,
-		Shared:     service.Shared, Tried: counts.Tried,
+		ClassNames: cfg.Classes, LoadFields: cfg.Settings.Fields,
+		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
+		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
+		DrainGrace:        cfg.DrainGrace,
+		DisableProbes:     !cfg.Settings.Probes,
+		UpgradeInProgress: service.Shared, OnSetUpSent: counts.Tried,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
-		Stalled: func(d time.Duration) {
+		OnPause: func(d time.Duration) {
 			coordinator.Ask()
 			sessionBroker.Stalled(d)
 		},
@@ -126,7 +126,7 @@
 	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
 	coordinator.Heard = func(requested time.Time) {
 		nodeList.After(func() {
-			pool.Fresh(requested)
+			pool.ListRefreshed(requested)
 			service.noteCoordinatorAnswer()
 		})
 	}
@@ -155,8 +155,8 @@
 	catalog := Catalog(&cfg)
 	catalog.Routes = routes
 	linesFront := &jsonl.Front{
-		Core: sessionBroker, Catalog: catalog, Counts: counts, Reasons: cfg.Operator.Viewers.Reasons, Log: log,
-		Limits: peer.Limits{Most: cfg.ViewerConns(), Half: halfConfig.ViewerConns(), Shared: service.Shared, Open: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
+		Broker: sessionBroker, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
+		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: halfConfig.ViewerConns(), UpgradeInProgress: service.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
 	}
 	// The fronts stop before the parts that answer them, so that the last set-up read is still answered.
 	frontsCtx, stopFronts := context.WithCancel(ctx)
@@ -171,11 +171,11 @@
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
 		// The fronts share the file descriptors that are set aside for clients.
-		linesFront.Limits.Most, linesFront.Limits.Half = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
+		linesFront.Limits.MaxConns, linesFront.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
 		webSocketFront := &websocket.Front{
-			Core: sessionBroker, Catalog: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
+			Broker: sessionBroker, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
 		}
-		webSocketFront.Limits.Most, webSocketFront.Limits.Half = cfg.ViewerConns()/2, halfConfig.ViewerConns()/2
+		webSocketFront.Limits.MaxConns, webSocketFront.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, halfConfig.ViewerConns()/2
 		serve(webSocketFront.Serve, listeners.Players)
 	}
 	group.Go(func() error { return sessionBroker.Run(ctx) })
@@ -245,10 +245,10 @@
 
 // Catalog returns the classes, teams and limits that set-up messages are checked against
 // under cfg.
-func Catalog(cfg *config.Config) message.Catalog {
-	return message.Catalog{
+func Catalog(cfg *config.Config) message.SetupDecoder {
+	return message.SetupDecoder{
 		Classes: cfg.Classes, Teams: cfg.Teams(),
-		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MostLeft: cfg.MostLeft,
+		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MaxTimeLeft: cfg.MostLeft,
 	}
 }
 
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -99,7 +99,7 @@
 			}
 		}
 		service.markReady()
-		if err := service.Drain(t.Context(), true); err != nil || service.Gate().Takes() || !service.Ready() || service.leaveToSuccessor() {
+		if err := service.Drain(t.Context(), true); err != nil || service.Gate().AcceptsClients() || !service.Ready() || service.leaveToSuccessor() {
 			t.Error(name, "the drain has no effect:", err)
 		}
 		service.handOver(broker.Handover{})
