--- a/cmd/millethinge/terms_test.go
+++ b/cmd/millethinge/terms_test.go
@@ -17,10 +17,10 @@
 // and the starting of other programs. These tests build the program as
 // deploy/balancer.toml says and read the binary, so that a change of build
 // flags, of the run line or of an import that starts programs fails here,
-// without the platform's bench.
+// without a run on the platform.
 
-// deployLines returns the key = "value" lines of deploy/balancer.toml.
-func deployLines(t *testing.T) (root string, lines map[string]string) {
+// deploySettings returns the key = "value" lines of deploy/balancer.toml.
+func deploySettings(t *testing.T) (root string, settings map[string]string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -31,31 +31,31 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	lines = map[string]string{}
-	line := regexp.MustCompile(`^(\w+) = "(.*)"$`)
-	s := bufio.NewScanner(f)
-	for s.Scan() {
-		if m := line.FindStringSubmatch(s.Text()); m != nil {
-			lines[m[1]] = m[2]
+	settings = map[string]string{}
+	pattern := regexp.MustCompile(`^(\w+) = "(.*)"$`)
+	scanner := bufio.NewScanner(f)
+	for scanner.Scan() {
+		if m := pattern.FindStringSubmatch(scanner.Text()); m != nil {
+			settings[m[1]] = m[2]
 		}
 	}
-	if err := s.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return root, lines
+	return root, settings
 }
 
 func TestDeployRunIsOneProcess(t *testing.T) {
-	_, lines := deployLines(t)
-	run := lines["run"]
+	_, settings := deploySettings(t)
+	run := settings["run"]
 	// exec replaces the shell, so that the platform's signals reach the
 	// manager and the process it watches is the manager itself.
 	if !strings.HasPrefix(run, "exec ") {
-		t.Fatalf("run = %q: it must end in one process, by exec", run)
+		t.Fatalf("run = %q: the shell must be replaced by exec", run)
 	}
 	for _, sep := range []string{";", "&", "|", "\n", "$(", "`"} {
 		if strings.Contains(run, sep) {
-			t.Fatalf("run = %q holds %q: a second process or a pipeline", run, sep)
+			t.Fatalf("run = %q contains %q, which starts a second process or a pipeline", run, sep)
 		}
 	}
 	if f := strings.Fields(run); len(f) < 2 || f[1] != "bin/millethinge" {
@@ -67,14 +67,14 @@
 	if testing.Short() {
 		t.Skip("builds the whole program with the external linker")
 	}
-	root, lines := deployLines(t)
-	build := lines["build"]
+	root, settings := deploySettings(t)
+	build := settings["build"]
 	for _, want := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external", "-o bin/"} {
 		if !strings.Contains(build, want) {
 			t.Fatalf("build = %q lacks %q", build, want)
 		}
 	}
-	// The same line, writing elsewhere than the work tree's bin/.
+	// The same command, but its output goes to a temporary directory.
 	out := t.TempDir()
 	cmd := exec.Command("sh", "-c", strings.ReplaceAll(build, "bin/", out+"/"))
 	cmd.Dir = root
--- a/internal/media/ends_test.go
+++ b/internal/media/ends_test.go
@@ -201,7 +201,7 @@
 	for grace, held := range map[time.Duration]bool{600 * time.Millisecond: true, time.Hour: false} {
 		p := NewPool(t.Context(), new(errgroup.Group), Config{DrainGrace: grace, Log: zap.NewNop()})
 		now := time.Now()
-		p.pauseWatch.Start(now)
+		p.pauseWatch.Reset(now)
 		if p.checkPause(now.Add(500*time.Millisecond)) != held {
 			t.Errorf("pause of 500 ms, grace of %v: set-ups held is %v", grace, !held)
 		}
@@ -211,7 +211,7 @@
 		n, _, _, reports := newTestNode(t)
 		n.pool.cfg.OnPause = func(time.Duration) { pauses++ }
 		n.conns = []*conn{newStubConn()}
-		n.pool.pauseWatch.Start(time.Now().Add(-6 * time.Second))
+		n.pool.pauseWatch.Reset(time.Now().Add(-6 * time.Second))
 		n.handle(newSetUp(1))
 		if n.attempts[1].conn != nil || pauses == 0 {
 			t.Fatalf("%s: sent by an old list, %d pauses reported", name, pauses)
@@ -223,7 +223,7 @@
 		if drained {
 			n.state.Store(int32(control.Draining))
 		}
-		n.pool.pauseWatch.Fresh(time.Now())
+		n.pool.pauseWatch.Refreshed(time.Now())
 		n.handle(resumeSetUps{})
 		if drained {
 			checkEndStatuses(t, reports, control.Moot)
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -88,10 +88,10 @@
 		},
 		"for the list, after a pause": func(n *node, c *conn, queued setUpRequest, closeClient func()) {
 			n.conns = []*conn{c}
-			n.pool.pauseWatch.Start(time.Now().Add(-time.Minute))
+			n.pool.pauseWatch.Reset(time.Now().Add(-time.Minute))
 			n.handle(queued)
 			closeClient()
-			n.pool.pauseWatch.Start(time.Now())
+			n.pool.pauseWatch.Reset(time.Now())
 			n.handle(resumeSetUps{})
 		},
 		"in the mailbox": func(n *node, c *conn, queued setUpRequest, closeClient func()) {
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -49,7 +49,7 @@
 	group      *errgroup.Group
 	ctx        context.Context
 	openConns  atomic.Int64
-	pauseWatch stall.Watch
+	pauseWatch stall.Detector
 
 	mu    sync.RWMutex
 	nodes map[control.Server]*node
@@ -69,7 +69,7 @@
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
 	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.Server]*node),
-		pauseWatch: stall.Watch{After: stall.Within(cfg.DrainGrace)}}
+		pauseWatch: stall.Detector{Threshold: stall.ThresholdForGrace(cfg.DrainGrace)}}
 }
 
 // Apply applies a change of the list. A node's new state holds for its next SETUP as soon
@@ -89,7 +89,7 @@
 				continue
 			}
 			if len(p.nodes) == 0 {
-				p.pauseWatch.Start(time.Now()) // from now on the nodes' ticks call checkPause
+				p.pauseWatch.Reset(time.Now()) // from now on the nodes' ticks call checkPause
 			}
 			n = newNode(p, m)
 			p.nodes[m.Server] = n
@@ -110,23 +110,23 @@
 // were queued, or that are read first, would go to nodes that have been drained meanwhile.
 // Nothing is sent until the list has been fetched again, or that has taken too long.
 func (p *Pool) checkPause(now time.Time) (held bool) {
-	if pause := p.pauseWatch.Beat(now); pause > 0 {
+	if pause := p.pauseWatch.Heartbeat(now); pause > 0 {
 		p.cfg.Log.Warn("process was paused; fetching the list again", zap.Duration("for", pause))
 		if p.cfg.OnPause != nil {
 			p.cfg.OnPause(pause)
 		}
 	}
-	return p.pauseWatch.Held(now)
+	return p.pauseWatch.Stale(now)
 }
 
 // ListRefreshed is called once Apply has received the answer to a request for the list that
 // was made at the time asked. Set-ups that were held back are sent if that time is later than
 // the end of the last process pause.
 func (p *Pool) ListRefreshed(asked time.Time) {
-	if !p.pauseWatch.Held(time.Now()) {
+	if !p.pauseWatch.Stale(time.Now()) {
 		return
 	}
-	p.pauseWatch.Fresh(asked)
+	p.pauseWatch.Refreshed(asked)
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, n := range p.nodes {
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -21,402 +21,429 @@
 	"millethinge/internal/remedy"
 )
 
-// watchTime is between two looks for another process of this manager and its orders. A
-// look costs some microseconds.
-const watchTime = 50 * time.Millisecond
-
-// freshTime is how long readiness waits for the coordinator's first answer.
-const freshTime = 2 * time.Second
-
-// operation is how the program is run by hand: calls, orders, and the process that
-// replaces this one. It exists only where the configuration gives an address for calls.
-type operation struct {
-	cfg    *config.Config
-	gate   *duty.Gate
-	counts *broker.Counts
-	nodes  *directory.List
-	sink   directory.Sink // of nodes, with the orders laid over
-	core   *broker.Broker
-	front  *jsonl.Front
-	log    *zap.Logger
-
-	folder *handover.Folder // nil: there is none
-	self   *handover.Process
-	shared atomic.Bool // another process is alive
-	ready  atomic.Bool
-	ended  atomic.Bool   // it is asked to end
-	fresh  chan struct{} // closed once the coordinator has answered since the start
-	orders *duty.Orders  // the list's actor owns it
-
-	mu        sync.Mutex
-	state     handover.State // what was ordered
-	left      bool           // a younger process takes over
-	successor int64          // which one: when it was born
-	final     bool           // it has handed over all, and takes over no more
+// processCheckInterval is the time between two checks for other processes of this manager
+// and for operator overrides that they stored. A check takes a few microseconds.
+const processCheckInterval = 50 * time.Millisecond
+
+// coordinatorTimeout bounds the time that readiness waits for the coordinator's first
+// answer.
+const coordinatorTimeout = 2 * time.Second
+
+// adminService answers operators' calls, keeps operator overrides, and hands over to and
+// from other processes of this manager in an upgrade. It exists only where an admin address
+// is configured; a nil adminService stands for none, and most methods accept it.
+type adminService struct {
+	cfg           *config.Config
+	gate          *duty.Gate
+	counts        *broker.Counts
+	nodeList      *directory.List
+	listSink      directory.Sink // takes list changes to which the overrides have been applied
+	sessionBroker *broker.Broker
+	linesFront    *jsonl.Front
+	log           *zap.Logger
+
+	folder              *handover.Folder // shared by the processes of this manager; nil: none
+	process             *handover.Process
+	shared              atomic.Bool // whether another process of this manager is alive
+	ready               atomic.Bool
+	stopping            atomic.Bool   // set once this process is asked to end
+	coordinatorAnswered chan struct{} // closed at the coordinator's first answer since the start
+	overrides           *duty.Orders  // owned by the list's actor goroutine
+
+	mu            sync.Mutex
+	overrideState handover.State // the overrides as they are stored for other processes
+	handingOver   bool           // whether this process leaves its sessions to a successor
+	successorBorn int64          // identifies the successor: the time at which it started
+	finalHandover bool           // whether this process has handed over for the last time, and adopts no more
 }
 
-// newOperation returns nil where nothing is run by hand.
-func newOperation(cfg *config.Config, log *zap.Logger) *operation {
+// newAdminService returns nil where no admin address is configured.
+func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
 	if cfg.Admin == "" {
 		return nil
 	}
-	o := &operation{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounts(len(cfg.Classes)), orders: duty.NewOrders(), log: log, fresh: make(chan struct{})}
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounts(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
 	if cfg.Temp == "" {
-		return o
+		return s
 	}
 	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
 	if err == nil {
-		o.self, err = folder.Enter(time.Now())
+		s.process, err = folder.Enter(time.Now())
 	}
 	if err != nil {
-		trouble(log, err)
-		return o
+		warnOperator(log, err)
+		return s
 	}
-	o.folder = folder
-	others := o.look()
+	s.folder = folder
+	others := s.checkProcesses()
 	if others.Alive == 0 {
 		folder.Forget()
 	}
-	o.take()
-	if others.Alive == 0 && o.state.Away.Out {
-		// A manager that is started anew serves. Only an upgrade goes on sending clients away.
-		o.Drain(context.Background(), false)
+	s.loadOverrides()
+	if others.Alive == 0 && s.overrideState.Away.Out {
+		// A drain that an operator ordered continues through an upgrade only: a manager that
+		// starts with no other process alive accepts clients.
+		s.Drain(context.Background(), false)
 	}
-	return o
+	return s
 }
 
-// trouble logs an error that an operator can do something about.
-func trouble(log *zap.Logger, err error) {
-	log.Warn("operation", remedy.Fields(err)...)
+// warnOperator logs an error that an operator can resolve.
+func warnOperator(log *zap.Logger, err error) {
+	log.Warn("handover folder could not be used", remedy.Fields(err)...)
 }
 
-// over lays the orders over the list, on its way to sink.
-func (o *operation) over(sink directory.Sink) directory.Sink {
-	if o == nil {
-		return sink
+// withOverrides returns a sink that applies the operator overrides to each change of the
+// list before it passes the change to listSink.
+func (s *adminService) withOverrides(listSink directory.Sink) directory.Sink {
+	if s == nil {
+		return listSink
 	}
-	o.sink = sink
-	return func(c directory.Change) { sink(o.orders.Listed(c)) }
+	s.listSink = listSink
+	return func(c directory.Change) { listSink(s.overrides.Listed(c)) }
 }
 
-// Gate is nil where nothing is run by hand.
-func (o *operation) Gate() *duty.Gate {
-	if o == nil {
+// Gate returns the gate by which a drain turns clients away, or nil for a nil s.
+func (s *adminService) Gate() *duty.Gate {
+	if s == nil {
 		return nil
 	}
-	return o.gate
+	return s.gate
 }
 
-func (o *operation) Counts() *broker.Counts {
-	if o == nil {
+// Counts returns the counts of results by class, or nil for a nil s.
+func (s *adminService) Counts() *broker.Counts {
+	if s == nil {
 		return nil
 	}
-	return o.counts
+	return s.counts
 }
 
-// Shared tells whether another process has half of the descriptors.
-func (o *operation) Shared() bool { return o != nil && o.shared.Load() }
+// Shared reports whether another process of this manager is alive and has half of the file
+// descriptors.
+func (s *adminService) Shared() bool { return s != nil && s.shared.Load() }
 
-// callers is how many may be connected at once.
-func (o *operation) callers() int {
-	if o.Shared() {
-		return o.cfg.Half().CallerConns()
+// maxCallers returns how many operators' connections may be open at once.
+func (s *adminService) maxCallers() int {
+	if s.Shared() {
+		return s.cfg.Half().CallerConns()
 	}
-	return o.cfg.CallerConns()
+	return s.cfg.CallerConns()
 }
 
-// run answers calls and looks after the other process, until ctx ends.
-func (o *operation) run(ctx context.Context, l net.Listener) error {
+// run answers operators' calls and watches for other processes of this manager until ctx
+// ends.
+func (s *adminService) run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
-		// Guard: the configuration's list may be hours old at an upgrade, and what stands
-		// at a node that is not listed can't be taken over. A coordinator that stands
-		// still keeps nobody from serving.
+		// Guard: in an upgrade, the list in the configuration may be hours old, and an
+		// established session on a node that is not listed can't be taken over. So
+		// readiness waits for the coordinator, but only for a bounded time: a
+		// coordinator that does not answer must not keep the manager from serving.
 		select {
-		case <-o.fresh:
-		case <-time.After(freshTime):
+		case <-s.coordinatorAnswered:
+		case <-time.After(coordinatorTimeout):
 		case <-ctx.Done():
 		}
-		o.serves()
+		s.markReady()
 		return nil
 	})
-	if o.folder != nil {
-		group.Go(func() error { return o.watch(ctx) })
+	if s.folder != nil {
+		group.Go(func() error { return s.watchProcesses(ctx) })
 	}
-	group.Go(func() error { return admin.Serve(ctx, l, o.callers, o, o.log) })
+	group.Go(func() error { return admin.Serve(ctx, listener, s.maxCallers, s, s.log) })
 	return group.Wait()
 }
 
-// listed notes that the coordinator has answered. The list's actor calls it.
-func (o *operation) listed() {
-	if o == nil {
+// noteCoordinatorAnswer records that the coordinator has answered. It must be called only
+// from the list's actor goroutine.
+func (s *adminService) noteCoordinatorAnswer() {
+	if s == nil {
 		return
 	}
 	select {
-	case <-o.fresh:
+	case <-s.coordinatorAnswered:
 	default:
-		close(o.fresh)
+		close(s.coordinatorAnswered)
 	}
 }
 
-func (o *operation) serves() {
-	o.ready.Store(true)
-	o.mark()
+// markReady marks this process as ready, for operators and for the other processes.
+func (s *adminService) markReady() {
+	s.ready.Store(true)
+	s.publishReadiness()
 }
 
-// mark tells the other processes whether this one serves. Guard: an older one leaves what
-// stands to it by that, so it is not to be told by one that has been asked to end.
-func (o *operation) mark() {
-	if o.self == nil {
+// publishReadiness tells the other processes whether this one is ready. Guard: a predecessor
+// leaves its established sessions to a process that is, so a process that has been asked to
+// end must not appear ready.
+func (s *adminService) publishReadiness() {
+	if s.process == nil {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if err := o.self.Serves(o.Ready()); err != nil {
-		trouble(o.log, err)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.process.Serves(s.Ready()); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-func (o *operation) watch(ctx context.Context) error {
-	tick := time.NewTicker(watchTime)
+// watchProcesses regularly checks for other processes, loads the overrides that they stored,
+// and adopts the sessions that they hand over, until ctx ends.
+func (s *adminService) watchProcesses(ctx context.Context) error {
+	tick := time.NewTicker(processCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			before := o.shared.Load()
-			o.look()
-			if changed := o.take(); changed != nil {
-				o.nodes.After(func() { o.apply(changed) })
+			wasShared := s.shared.Load()
+			s.checkProcesses()
+			if overrides := s.loadOverrides(); overrides != nil {
+				s.nodeList.After(func() { s.applyOverrides(overrides) })
 			}
-			o.takeOver()
-			if before && !o.shared.Load() {
-				o.folder.Forget() // what a process that was killed left is for nobody else
+			s.adoptSessions()
+			if wasShared && !s.shared.Load() {
+				s.folder.Forget() // no process is left to use the files of one that was killed
 			}
 		}
 	}
 }
 
-// look shares the limits while another process is alive. Guard: the watch and a signal
-// may look at once; the limits are those of who looked last.
-func (o *operation) look() handover.Others {
-	if o.self == nil {
+// checkProcesses returns the other live processes of this manager, and halves the memory
+// limit and the limits on connections while there are any. Guard: watchProcesses and the handling of a signal may call it
+// at the same time; the limits are those of the last check.
+func (s *adminService) checkProcesses() handover.Others {
+	if s.process == nil {
 		return handover.Others{}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	others, err := o.self.Others()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	others, err := s.process.Others()
 	if err != nil {
 		return others
 	}
-	if shared := others.Alive > 0; o.shared.Swap(shared) != shared {
+	if shared := others.Alive > 0; s.shared.Swap(shared) != shared {
 		part := int64(1)
 		if shared {
 			part = 2
 		}
-		debug.SetMemoryLimit(int64(o.cfg.MemoryMB) << 20 * 3 / 4 / part)
-		o.log.Info("processes of this manager", zap.Int("others", others.Alive))
+		debug.SetMemoryLimit(int64(s.cfg.MemoryMB) << 20 * 3 / 4 / part)
+		s.log.Info("processes of this manager", zap.Int("others", others.Alive))
 	}
 	return others
 }
 
-// take takes what another process stored. It returns the orders for nodes, if any are new.
-func (o *operation) take() map[string]duty.Order {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.taken()
+// loadOverrides merges the overrides that another process stored. It returns those for media
+// nodes if any override is new, otherwise nil.
+func (s *adminService) loadOverrides() map[string]duty.Order {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.loadOverridesLocked()
 }
 
-// taken is take, under o.mu.
-func (o *operation) taken() map[string]duty.Order {
-	stored, changed, err := o.folder.Orders()
+// loadOverridesLocked is loadOverrides for callers that hold s.mu.
+func (s *adminService) loadOverridesLocked() map[string]duty.Order {
+	stored, changed, err := s.folder.Orders()
 	if err != nil {
-		trouble(o.log, err)
+		warnOperator(s.log, err)
 	}
 	if !changed {
 		return nil
 	}
-	away := o.state.Away
-	if !o.state.Merge(stored) {
+	previousDrain := s.overrideState.Away
+	if !s.overrideState.Merge(stored) {
 		return nil
 	}
-	if o.state.Away != away {
-		o.away(o.state.Away)
+	if s.overrideState.Away != previousDrain {
+		s.applyDrain(s.overrideState.Away)
 	}
 	return stored.Nodes
 }
 
-// takeOver takes what an older process hands over.
-func (o *operation) takeOver() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.final {
+// adoptSessions takes over the sessions that predecessors have handed over.
+func (s *adminService) adoptSessions() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.finalHandover {
 		return
 	}
 	for {
-		e, changed, err := o.self.Handover()
+		h, changed, err := s.process.Handover()
 		if err != nil {
-			trouble(o.log, err)
+			warnOperator(s.log, err)
 		}
 		if !changed {
 			return
 		}
-		o.core.Adopt(e, o.front.InheritedClient)
+		s.sessionBroker.Adopt(h, s.linesFront.InheritedClient)
 	}
 }
 
-// Hand returns what takes what stands once a younger process takes over; nil where none
-// ever does. It does not wait: the disk may.
-func (o *operation) Hand() func(broker.Handover) {
-	if o == nil || o.folder == nil {
+// HandoverFunc returns the function by which the broker hands its established sessions over
+// to a successor, or nil where no successor is possible. The function does not block, since
+// the write to disk may.
+func (s *adminService) HandoverFunc() func(broker.Handover) {
+	if s == nil || s.folder == nil {
 		return nil
 	}
-	return func(e broker.Handover) { go o.handOver(e) }
+	return func(h broker.Handover) { go s.handOver(h) }
 }
 
-// last hands over what stands when the broker has ended, if it has handed over before.
-func (o *operation) last(core *broker.Broker) {
-	if o != nil && o.left {
-		o.handOver(core.Handover())
+// handOverRemaining hands over the sessions that are still established once the broker has
+// ended, if this process is leaving its sessions to a successor.
+func (s *adminService) handOverRemaining(sessionBroker *broker.Broker) {
+	if s != nil && s.handingOver {
+		s.handOver(sessionBroker.Handover())
 	}
 }
 
-func (o *operation) handOver(e broker.Handover) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.folder == nil || o.final {
+// handOver stores h for the successor, unless this process has handed over for the last time.
+func (s *adminService) handOver(h broker.Handover) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.folder == nil || s.finalHandover {
 		return
 	}
-	o.final = e.Last
-	// Guard: the successor may have ended, or may end itself, since it was chosen.
-	if others, err := o.self.Others(); err == nil {
-		o.successor = others.Successor(o.successor)
+	s.finalHandover = h.Last
+	// Guard: the successor may have ended, or may have been asked to end, since it was chosen,
+	// so it is chosen anew.
+	if others, err := s.process.Others(); err == nil {
+		s.successorBorn = others.Successor(s.successorBorn)
 	}
-	if err := o.self.StoreHandover(e, o.successor); err != nil {
-		trouble(o.log, err)
+	if err := s.process.StoreHandover(h, s.successorBorn); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-func (o *operation) away(order duty.Order) {
-	if order.Out {
-		o.gate.Shut(order.At)
+// applyDrain closes or opens the gate for clients as ordered.
+func (s *adminService) applyDrain(override duty.Order) {
+	if override.Out {
+		s.gate.Shut(override.At)
 	} else {
-		o.gate.Open()
+		s.gate.Open()
 	}
 }
 
-// apply has orders bind, on the list's actor.
-func (o *operation) apply(orders map[string]duty.Order) {
-	if c := o.orders.Take(orders); len(c.Members) > 0 {
-		o.sink(c)
+// applyOverrides puts overrides for media nodes into effect. It must be called only from the
+// list's actor goroutine.
+func (s *adminService) applyOverrides(overrides map[string]duty.Order) {
+	if c := s.overrides.Take(overrides); len(c.Members) > 0 {
+		s.listSink(c)
 	}
 }
 
-// settle lays the orders that stand over the list of the start.
-func (o *operation) settle() {
-	if o != nil {
-		o.orders.Take(o.state.Nodes)
+// restoreOverrides applies the stored overrides to the initial list.
+func (s *adminService) restoreOverrides() {
+	if s != nil {
+		s.overrides.Take(s.overrideState.Nodes)
 	}
 }
 
-// store keeps what is ordered for the next process.
-func (o *operation) store(order handover.State) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.state.Merge(order)
-	if o.folder == nil {
+// storeOverrides merges newer overrides and stores the result for the other processes.
+func (s *adminService) storeOverrides(newer handover.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.overrideState.Merge(newer)
+	if s.folder == nil {
 		return
 	}
-	if changed := o.taken(); changed != nil {
-		o.nodes.After(func() { o.apply(changed) })
+	if overrides := s.loadOverridesLocked(); overrides != nil {
+		s.nodeList.After(func() { s.applyOverrides(overrides) })
 	}
-	if err := o.folder.StoreOrders(o.state); err != nil {
-		trouble(o.log, err)
+	if err := s.folder.StoreOrders(s.overrideState); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-// leave tells whether a younger process takes over, and leads clients there.
-func (o *operation) leave(listeners ...net.Listener) bool {
-	if o == nil {
+// leaveToSuccessor marks this process as stopping and reports whether a successor takes over.
+// If one does, new connections are directed to it, and this process's established sessions
+// are left to it.
+func (s *adminService) leaveToSuccessor(listeners ...net.Listener) bool {
+	if s == nil {
 		return false
 	}
-	o.ended.Store(true)
-	o.mark()
-	others := o.look()
+	s.stopping.Store(true)
+	s.publishReadiness()
+	others := s.checkProcesses()
 	if len(others.Younger) == 0 {
 		return false
 	}
 	if n := len(others.Younger); n > 1 {
-		o.log.Info("several younger processes serve; the youngest takes over what stands", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
+		s.log.Info("several younger processes serve; the youngest takes over the established sessions", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
 	}
 	for _, l := range listeners {
 		if l == nil || !others.Alone {
 			continue
 		}
 		if err := handover.LeadAway(l); err != nil {
-			o.log.Warn("new connections are not led to the younger process", zap.Error(err))
+			s.log.Warn("new connections are not led to the younger process", zap.Error(err))
 		}
 	}
-	o.gate.Move(time.Now())
-	o.left = true
+	s.gate.Move(time.Now())
+	s.handingOver = true
 	return true
 }
 
-func (o *operation) close() {
-	if o != nil && o.self != nil {
-		o.self.Leave()
+// close removes the mark of this process from the shared folder.
+func (s *adminService) close() {
+	if s != nil && s.process != nil {
+		s.process.Leave()
 	}
 }
 
-// The calls of admin.Program.
+// The following methods implement admin.Program.
 
-func (o *operation) Ready() bool { return o.ready.Load() && !o.ended.Load() }
+// Ready reports whether this process serves and has not been asked to end.
+func (s *adminService) Ready() bool { return s.ready.Load() && !s.stopping.Load() }
 
-func (o *operation) Figures(ctx context.Context) (admin.Figures, error) {
-	by := func(counts []atomic.Int64) map[string]int64 {
+// Figures returns the counts of results, sessions and media nodes.
+func (s *adminService) Figures(ctx context.Context) (admin.Figures, error) {
+	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
 		for i := range counts {
-			m[o.cfg.Classes[i]] = counts[i].Load()
+			m[s.cfg.Classes[i]] = counts[i].Load()
 		}
 		return m
 	}
-	c, err := o.core.Census(ctx)
+	c, err := s.sessionBroker.Census(ctx)
 	if err != nil {
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
-	type size struct{ listed, out int }
-	sizes := make(chan size, 1)
-	o.nodes.After(func() {
-		listed, out := o.orders.Size()
-		sizes <- size{listed, out}
+	type size struct{ listed, disabled int }
+	memberCounts := make(chan size, 1)
+	s.nodeList.After(func() {
+		listed, disabled := s.overrides.Size()
+		memberCounts <- size{listed, disabled}
 	})
-	var n size
+	var members size
 	select {
-	case n = <-sizes:
+	case members = <-memberCounts:
 	case <-ctx.Done():
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
 	return admin.Figures{
-		OK: by(o.counts.Served), Shed: by(o.counts.Refused), Errors: by(o.counts.Failed), Tries: o.counts.Tries.Load(),
-		Active: c.Open + c.Playing, Size: n.listed, Ejected: n.out + c.Avoided,
+		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Tries.Load(),
+		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.disabled + c.Avoided,
 	}, nil
 }
 
-func (o *operation) Out(ctx context.Context, member string, out bool) error {
-	order := duty.Order{Out: out, At: time.Now()}
+// Out disables a media node, or enables it again.
+func (s *adminService) Out(ctx context.Context, member string, disable bool) error {
+	override := duty.Order{Out: disable, At: time.Now()}
 	done := make(chan error, 1)
-	o.nodes.After(func() {
-		c, known := o.orders.Give(member, order)
+	s.nodeList.After(func() {
+		c, known := s.overrides.Give(member, override)
 		if !known {
-			listed, _ := o.orders.Size()
+			listed, _ := s.overrides.Size()
 			done <- &admin.UnknownMember{Member: member, Listed: listed}
 			return
 		}
 		if len(c.Members) > 0 {
-			o.sink(c)
+			s.listSink(c)
 		}
-		o.store(handover.State{Nodes: map[string]duty.Order{member: order}})
+		s.storeOverrides(handover.State{Nodes: map[string]duty.Order{member: override}})
 		done <- nil
 	})
 	select {
@@ -427,14 +454,15 @@
 	}
 }
 
-func (o *operation) Drain(_ context.Context, on bool) error {
-	order := duty.Order{Out: on, At: time.Now()}
-	o.mu.Lock()
-	if was := o.state.Away; was.Out == on {
-		order = was // a call that is repeated moves no time
+// Drain begins or ends a drain of clients.
+func (s *adminService) Drain(_ context.Context, on bool) error {
+	override := duty.Order{Out: on, At: time.Now()}
+	s.mu.Lock()
+	if current := s.overrideState.Away; current.Out == on {
+		override = current // a repeated call keeps the time of the first
 	}
-	o.mu.Unlock()
-	o.away(order)
-	o.store(handover.State{Away: order})
+	s.mu.Unlock()
+	s.applyDrain(override)
+	s.storeOverrides(handover.State{Away: override})
 	return nil
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server assembles the session manager's parts: it starts the fronts,
-// the broker, the media nodes and the list, drains them on a signal and stops
-// them.
+// Package server assembles the session manager from its parts. It starts the
+// fronts, the broker, the pool of media nodes and the list of media nodes,
+// drains and stops them on a signal, and reloads the configuration.
 package server
 
 import (
@@ -29,113 +29,121 @@
 	"millethinge/internal/route"
 )
 
-// Listeners are the fronts' sockets.
+// Listeners holds the sockets that a manager accepts connections on.
 type Listeners struct {
-	Viewers net.Listener
-	Players net.Listener // nil: there is no second front
-	Calls   net.Listener // nil: operators don't call
+	Viewers   net.Listener // for JSON lines
+	Players   net.Listener // for WebSocket; nil if that front is not configured
+	Operators net.Listener // for HTTP calls; nil if no admin address is configured
 }
 
-// Listen opens the sockets that a configuration names.
-func Listen(cfg config.Config) (at Listeners, err error) {
-	open := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
-	listen := func(to *net.Listener, whose, addr string) {
+// Listen opens the sockets at the addresses that cfg names.
+func Listen(cfg config.Config) (listeners Listeners, err error) {
+	openListener := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+	listen := func(to *net.Listener, clients, addr string) {
 		if err != nil {
 			return
 		}
-		var e error
-		if *to, e = open(addr); e != nil {
-			err = &NoListener{whose, addr, e}
+		var listenErr error
+		if *to, listenErr = openListener(addr); listenErr != nil {
+			err = &ListenError{clients, addr, listenErr}
 		}
 	}
 	if cfg.Admin != "" {
-		listen(&at.Calls, "operators'", cfg.Admin)
-		open = handover.Listen // beside another process of this manager
+		listen(&listeners.Operators, "operators'", cfg.Admin)
+		openListener = handover.Listen // another process of this manager may listen at the same address
 	}
-	listen(&at.Viewers, "viewers'", cfg.Listen)
+	listen(&listeners.Viewers, "viewers'", cfg.Listen)
 	if w := cfg.Operator.WebSocket; w != nil {
-		listen(&at.Players, "players'", w.Listen)
+		listen(&listeners.Players, "players'", w.Listen)
 	}
-	return at, err
+	return listeners, err
 }
 
-// NoListener tells that an address can't be listened at.
-type NoListener struct {
-	Whose string
-	Addr  string
-	Err   error
+// ListenError reports that the program can't listen at a configured address.
+type ListenError struct {
+	Clients string // who connects to the address, in the possessive: "viewers'"
+	Addr    string // as configured
+	Err     error  // from the attempt to listen
 }
 
-func (e *NoListener) Error() string {
-	return fmt.Sprintf("%s address %s: %v", e.Whose, e.Addr, e.Err)
+// Error names the clients, the address and the cause.
+func (e *ListenError) Error() string {
+	return fmt.Sprintf("%s address %s: %v", e.Clients, e.Addr, e.Err)
 }
-func (e *NoListener) Unwrap() error { return e.Err }
-func (e *NoListener) Code() string  { return "start-address" }
-func (e *NoListener) Remedy() string {
-	return "is it this machine's, and does another program, or another manager without `admin`, listen there?"
+
+// Unwrap returns the cause.
+func (e *ListenError) Unwrap() error { return e.Err }
+
+// Code returns the error's code for operators.
+func (e *ListenError) Code() string { return "start-address" }
+
+// Remedy returns what an operator can do about the error.
+func (e *ListenError) Remedy() string {
+	return "check that the address belongs to this machine, and that no other program, nor another manager without `admin`, listens there"
 }
 
-// Run serves until a signal ends it and all that was taken is answered. SIGHUP
-// has it follow the coordinator that reload names.
-func Run(cfg config.Config, at Listeners, signals <-chan os.Signal,
+// Run serves until a signal other than SIGHUP starts a drain and every accepted
+// request has been answered. On SIGHUP it calls reload, then follows the
+// coordinator and routes by the rules of the configuration that reload returns.
+func Run(cfg config.Config, listeners Listeners, signals <-chan os.Signal,
 	reload func(running *config.Config) (config.Config, error), log *zap.Logger) error {
 	root, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(root)
 
-	hand := newOperation(&cfg, log)
-	defer hand.close()
-	counts := hand.Counts()
+	service := newAdminService(&cfg, log)
+	defer service.close()
+	counts := service.Counts()
 
-	half := cfg.Half()
-	// The broker and the nodes know each other; the broker does nothing before
-	// it runs, so its nodes may be made first.
-	var core *broker.Broker
+	halfConfig := cfg.Half()
+	// The broker and the pool refer to each other. The broker processes nothing
+	// before its Run is called, so the pool can be created first.
+	var sessionBroker *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
 		ClassNames: cfg.Classes, LoadFields: cfg.Settings.Fields,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
-		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: half.NodeConns(),
+		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
 		DrainGrace:        cfg.DrainGrace,
 		DisableProbes:     !cfg.Settings.Probes,
-		UpgradeInProgress: hand.Shared, OnSetUpSent: counts.Tried,
-		Report: func(r broker.Report) { core.Report(r) }, Log: log,
+		UpgradeInProgress: service.Shared, OnSetUpSent: counts.Tried,
+		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
 			coordinator.Ask()
-			core.Stalled(d)
+			sessionBroker.Stalled(d)
 		},
 	})
-	core, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: hand.Hand(), Log: log,
+	sessionBroker, err := broker.New(broker.Config{
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: service.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
 	}
-	nodes := directory.NewList(hand.over(func(c directory.Change) {
-		pool.Apply(c) // first: a drain binds what is queued at once
-		core.List(list(c))
+	nodeList := directory.NewList(service.withOverrides(func(c directory.Change) {
+		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
+		sessionBroker.List(brokerList(c))
 	}))
-	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodes.Source("coordinator"), log)
-	coordinator.Heard = func(asked time.Time) {
-		nodes.After(func() {
-			pool.ListRefreshed(asked)
-			hand.listed()
+	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
+	coordinator.Heard = func(requested time.Time) {
+		nodeList.After(func() {
+			pool.ListRefreshed(requested)
+			service.noteCoordinatorAnswer()
 		})
 	}
 	coordinator.Follow(cfg.Coordinator)
-	if hand != nil {
-		coordinator.Ask() // readiness waits for its first answer, which is not to wait for news
+	if service != nil {
+		coordinator.Ask() // readiness waits for the first answer, which must not wait for a change of the list
 	}
-	hand.settle()
-	nodes.Settle()
+	service.restoreOverrides()
+	nodeList.Settle()
 	if d := cfg.Operator.DNSSD; d != nil {
 		discovery := &directory.DNSSD{
-			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodes.Source("dns-sd"),
+			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodeList.Source("dns-sd"),
 		}
 		group.Go(func() error { return discovery.Run(ctx) })
 	}
 
-	leave, err := joinFleet(ctx, group, &cfg, log)
+	leaveFleet, err := joinFleet(ctx, group, &cfg, log)
 	if err != nil {
 		return err
 	}
@@ -146,52 +154,52 @@
 	}
 	catalog := Catalog(&cfg)
 	catalog.Routes = routes
-	front := &jsonl.Front{
-		Broker: core, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
-		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: half.ViewerConns(), UpgradeInProgress: hand.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: hand.Gate()},
+	linesFront := &jsonl.Front{
+		Broker: sessionBroker, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
+		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: halfConfig.ViewerConns(), UpgradeInProgress: service.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
 	}
-	// The fronts end before what answers them: a set-up that was read last is answered.
-	serving, endFronts := context.WithCancel(ctx)
-	defer endFronts()
+	// The fronts stop before the parts that answer them, so that the last set-up read is still answered.
+	frontsCtx, stopFronts := context.WithCancel(ctx)
+	defer stopFronts()
 	var fronts sync.WaitGroup
 	serve := func(run func(context.Context, net.Listener) error, l net.Listener) {
 		fronts.Add(1)
 		group.Go(func() error {
 			defer fronts.Done()
-			return run(serving, l)
+			return run(frontsCtx, l)
 		})
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
-		// Both fronts share what viewers may hold of the descriptors.
-		front.Limits.MaxConns, front.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (half.ViewerConns()+1)/2
-		second := &websocket.Front{
-			Broker: core, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: front.Limits, Log: log,
+		// The fronts share the file descriptors that are set aside for clients.
+		linesFront.Limits.MaxConns, linesFront.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
+		webSocketFront := &websocket.Front{
+			Broker: sessionBroker, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
 		}
-		second.Limits.MaxConns, second.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, half.ViewerConns()/2
-		serve(second.Serve, at.Players)
+		webSocketFront.Limits.MaxConns, webSocketFront.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, halfConfig.ViewerConns()/2
+		serve(webSocketFront.Serve, listeners.Players)
 	}
-	group.Go(func() error { return core.Run(ctx) })
-	group.Go(func() error { return nodes.Run(ctx) })
+	group.Go(func() error { return sessionBroker.Run(ctx) })
+	group.Go(func() error { return nodeList.Run(ctx) })
 	group.Go(func() error { return coordinator.Run(ctx) })
-	serve(front.Serve, at.Viewers)
-	again := make(chan struct{}, 1)
-	// Guard: a file that can't be read for long holds up no signal, and not the end: this
-	// goroutine is not waited for.
+	serve(linesFront.Serve, listeners.Viewers)
+	reloadRequests := make(chan struct{}, 1)
+	// Guard: a configuration file whose read blocks must delay neither a signal nor the exit,
+	// so no one waits for this goroutine.
 	go func() {
 		for {
 			select {
-			case <-again:
+			case <-reloadRequests:
 			case <-ctx.Done():
 				return
 			}
 			next, err := reload(&cfg)
 			if err != nil {
-				keep(err, log)
+				logReloadError(err, log)
 				continue
 			}
 			coordinator.Follow(next.Coordinator)
 			routes.Swap(next.Operator.Routes)
-			told(&next, log)
+			logReloaded(&next, log)
 		}
 	}()
 	group.Go(func() error {
@@ -199,26 +207,26 @@
 			select {
 			case s := <-signals:
 				switch {
-				case s == syscall.SIGHUP: // also while it drains
+				case s == syscall.SIGHUP: // also during a drain
 					select {
-					case again <- struct{}{}:
-					default: // the files are to be read already
+					case reloadRequests <- struct{}{}:
+					default: // a reload is already pending
 					}
 				case draining:
-				case hand.leave(at.Viewers, at.Players):
+				case service.leaveToSuccessor(listeners.Viewers, listeners.Players):
 					log.Info("leaving to a younger process", zap.Stringer("signal", s))
-					core.Leave()
+					sessionBroker.Leave()
 					draining = true
 				default:
 					log.Info("draining", zap.Stringer("signal", s))
-					core.Finish()
-					leave()
+					sessionBroker.Finish()
+					leaveFleet()
 					draining = true
 				}
-			case <-core.Drained():
-				hand.last(core)
-				time.Sleep(lastWrites)
-				endFronts()
+			case <-sessionBroker.Drained():
+				service.handOverRemaining(sessionBroker)
+				time.Sleep(finalWriteDelay)
+				stopFronts()
 				fronts.Wait()
 				cancel()
 				return nil
@@ -227,15 +235,16 @@
 			}
 		}
 	})
-	if hand != nil {
-		hand.nodes, hand.core, hand.front = nodes, core, front
-		group.Go(func() error { return hand.run(ctx, at.Calls) })
+	if service != nil {
+		service.nodeList, service.sessionBroker, service.linesFront = nodeList, sessionBroker, linesFront
+		group.Go(func() error { return service.run(ctx, listeners.Operators) })
 	}
-	log.Info("serving", zap.Stringer("listen", at.Viewers.Addr()))
+	log.Info("serving", zap.Stringer("listen", listeners.Viewers.Addr()))
 	return group.Wait()
 }
 
-// Catalog is what the names of a set-up mean by a configuration.
+// Catalog returns the classes, teams and limits that set-up messages are checked against
+// under cfg.
 func Catalog(cfg *config.Config) message.SetupDecoder {
 	return message.SetupDecoder{
 		Classes: cfg.Classes, Teams: cfg.Teams(),
@@ -243,9 +252,9 @@
 	}
 }
 
-// keep tells why a configuration that was read anew changes nothing. Guard: one
-// that can't be read or is faulty leaves all as it is.
-func keep(err error, log *zap.Logger) {
+// logReloadError logs why a reload of the configuration failed. Guard: a configuration that
+// can't be read or has faults changes nothing in the running manager.
+func logReloadError(err error, log *zap.Logger) {
 	var faults *conf.Faults
 	if !errors.As(err, &faults) {
 		log.Error("configuration not reloaded; the old one stays", zap.Error(err))
@@ -256,8 +265,8 @@
 	}
 }
 
-// told says what has been taken of a configuration that was read anew.
-func told(cfg *config.Config, log *zap.Logger) {
+// logReloaded logs the settings that a reload of the configuration has put into effect.
+func logReloaded(cfg *config.Config, log *zap.Logger) {
 	fields := []zap.Field{zap.String("coordinator", cfg.Coordinator)}
 	if r := cfg.Operator.Routes; r != nil {
 		fields = append(fields, zap.Int("rules", len(r.Rules())), zap.Int64("most_steps", r.Bound()))
@@ -268,11 +277,12 @@
 	log.Info("configuration reloaded", fields...)
 }
 
-// lastWrites is left for what is queued for nodes to be written before the end.
-const lastWrites = 50 * time.Millisecond
+// finalWriteDelay is the time before exit in which messages queued for media nodes are
+// written.
+const finalWriteDelay = 50 * time.Millisecond
 
-// list is a change as the module takes it.
-func list(c directory.Change) broker.List {
+// brokerList converts a change of the list of media nodes to the broker's form.
+func brokerList(c directory.Change) broker.List {
 	var l broker.List
 	for _, m := range c.Members {
 		l.Entries = append(l.Entries, m.Entry)
