--- a/cmd/millethinge/sites.go
+++ b/cmd/millethinge/sites.go
@@ -80,7 +80,7 @@
 	lines.Buffer(nil, mostLine)
 	for lines.Scan() {
 		var line told
-		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == broker.DemandLine {
+		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == broker.DemandMessage {
 			last, found = line, true
 		}
 	}
@@ -88,7 +88,7 @@
 	case lines.Err() != nil:
 		return fmt.Errorf("%s: %w", v.Record, lines.Err())
 	case !found:
-		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", v.Record, broker.DemandLine)
+		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", v.Record, broker.DemandMessage)
 	case len(last.Rates) != len(cfg.Classes) || len(last.Lasts) != len(cfg.Classes):
 		return fmt.Errorf("%s tells of %d classes, this deployment has %d", v.Record, len(last.Rates), len(cfg.Classes))
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -37,20 +37,20 @@
 	Settings control.Settings
 	Seed     uint64
 	MemoryMB int
-	Drain    Drain
+	Drain    DrainTimes
 	Teams    []Team
-	Peaks    Peaks
-	Sites    Sites
+	Peaks    PeakConfig
+	Sites    SiteConfig
 	Nodes    Nodes
-	Counts   *Counts        // nil: nobody asks
-	Hand     func(Handover) // takes what stands once a younger process takes over; must not wait; nil: none ever does
+	Counters *Counters      // nil: nobody asks
+	HandOver func(Handover) // takes what stands once a younger process takes over; must not wait; nil: none ever does
 	Log      *zap.Logger
 }
 
-// Drain is how a Broker ends.
-type Drain struct {
-	Take time.Duration // new requests are served for so long
-	Stay time.Duration // what stands is kept for so long
+// DrainTimes is how a Broker ends.
+type DrainTimes struct {
+	AcceptFor time.Duration // new requests are served for so long
+	KeepFor   time.Duration // what stands is kept for so long
 }
 
 // Broker is the actor round the decision module.
@@ -66,10 +66,10 @@
 	open     map[control.SessionID]bool  // set-ups not answered yet
 	timers   timers
 	ledgers  []ledger
-	parts    []Part // what watches and plans beside the module
+	parts    []Planner // what watches and plans beside the module
 	drained  chan struct{}
-	drain    Drain
-	counts   *Counts
+	drain    DrainTimes
+	counts   *Counters
 	stopping time.Time // when the drain was asked for; zero: it was not
 	leaving  bool      // what stands is left standing: a younger process takes it over
 	hand     func(Handover)
@@ -82,7 +82,7 @@
 func New(cfg Config) (*Broker, error) {
 	set := cfg.Settings
 	for _, t := range cfg.Teams {
-		set.Quotas = append(set.Quotas, t.Rate)
+		set.Quotas = append(set.Quotas, t.SessionsPerS)
 	}
 	ctl, err := control.New(set, cfg.Seed)
 	if err != nil {
@@ -97,8 +97,8 @@
 		ledgers:  newLedgers(cfg.Teams, len(cfg.Settings.Quotas)),
 		drained:  make(chan struct{}),
 		drain:    cfg.Drain,
-		counts:   cfg.Counts,
-		hand:     cfg.Hand,
+		counts:   cfg.Counters,
+		hand:     cfg.HandOver,
 		parts:    parts(&cfg, set.Fronts, cfg.Log),
 	}
 	for i := range b.parts {
@@ -120,16 +120,16 @@
 // attempts, probes and notes, so none is dropped.
 func (b *Broker) Report(r Report) { b.inbox.Force(r) }
 
-// List takes a change to the list of media nodes.
-func (b *Broker) List(l List) { b.inbox.Force(l) }
+// UpdateList takes a change to the list of media nodes.
+func (b *Broker) UpdateList(l ListUpdate) { b.inbox.Force(l) }
 
-// Finish asks the broker to end: it serves on for a while, answers all that it
+// Drain asks the broker to end: it serves on for a while, answers all that it
 // took, keeps what stands for as long as it may, and then closes Drained.
-func (b *Broker) Finish() { b.inbox.Force(finish{}) }
+func (b *Broker) Drain() { b.inbox.Force(finish{}) }
 
-// Leave is Finish where a younger process of this manager takes over: what stands is left
+// DrainForSuccessor is Finish where a younger process of this manager takes over: what stands is left
 // standing, so the broker need not stay for it.
-func (b *Broker) Leave() { b.inbox.Force(finish{leave: true}) }
+func (b *Broker) DrainForSuccessor() { b.inbox.Force(finish{leave: true}) }
 
 // Drained is closed once all that was taken before and during a drain is
 // answered.
@@ -176,14 +176,14 @@
 		b.clientLost(m.client)
 	case Report:
 		b.report(m)
-	case List:
+	case ListUpdate:
 		for _, p := range b.parts {
-			p.Listed(b.clock.now(), m.Entries)
+			p.ListUpdated(b.clock.now(), m.Entries)
 		}
 		b.tell(control.Event{Kind: control.EvList, List: control.ListDelta, Entries: m.Entries})
 	case stood:
 		for _, p := range b.parts {
-			p.Stalled(b.clock.now(), m.d)
+			p.ProcessPaused(b.clock.now(), m.d)
 		}
 	case finish:
 		if b.stopping.IsZero() {
@@ -218,14 +218,14 @@
 // stay is how long the broker stays at least once it is asked to end.
 func (b *Broker) stay() time.Duration {
 	if b.leaving {
-		return b.drain.Take
+		return b.drain.AcceptFor
 	}
-	return b.drain.Stay
+	return b.drain.KeepFor
 }
 
 // closing tells whether it is too late for a new request.
 func (b *Broker) closing() bool {
-	return !b.stopping.IsZero() && !b.clock.now().Before(b.stopping.Add(b.drain.Take))
+	return !b.stopping.IsZero() && !b.clock.now().Before(b.stopping.Add(b.drain.AcceptFor))
 }
 
 // closeStanding ends what stands on both sides before the program exits.
@@ -235,8 +235,8 @@
 			continue // it is handed over
 		}
 		if s.playing {
-			b.toldOver(s, Reply{Kind: Over, ID: id, Cause: CauseCut}) // its player's connection may be lost
-			b.nodes.Release(s.server, id, CauseCut)
+			b.toldOver(s, Reply{Kind: ReplyEnded, ID: id, Cause: CauseInterrupted}) // its player's connection may be lost
+			b.nodes.Release(s.server, id, CauseInterrupted)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 		}
 	case control.ActFail:
 		if s != nil && !s.answered {
-			b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
+			b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		}
 	case control.ActWake:
 		b.timers.add(now.Add(seconds(a.DelayS)), timerWake, 0, a.Token)
@@ -278,9 +278,9 @@
 		// Guard: a move ends the session on both sides. The module hears of the
 		// end after its present actions.
 		if s != nil && s.playing {
-			b.toldOver(s, Reply{Kind: Moved, ID: s.ID})
+			b.toldOver(s, Reply{Kind: ReplyMoved, ID: s.ID})
 			b.nodes.Release(s.server, s.ID, CauseCancelled)
-			b.Report(Report{Kind: Ended, Server: s.server, ID: s.ID, Number: s.attempt,
+			b.Report(Report{Kind: ReportEnded, Server: s.server, ID: s.ID, AttemptNumber: s.attempt,
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
 	case control.ActRemark:
@@ -301,7 +301,7 @@
 			b.tell(control.Event{Kind: control.EvTimer, Token: t.token})
 		case timerAttempt:
 			if s != nil && s.out && s.attempt == int(t.token) {
-				b.nodes.GiveUp(s.server, s.ID, s.attempt, true)
+				b.nodes.Abandon(s.server, s.ID, s.attempt, true)
 			}
 		case timerDeadline:
 			b.overdue(t.session)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -27,15 +27,15 @@
 	f.note("setup %d", a.ID)
 	return !f.none
 }
-func (f *fake) GiveUp(s control.Server, id control.SessionID, n int, timedOut bool) {
+func (f *fake) Abandon(s control.Server, id control.SessionID, n int, timedOut bool) {
 	f.note("giveup %d", id)
 }
-func (f *fake) Stands(control.Server, control.SessionID) bool             { return true }
+func (f *fake) AddEstablished(control.Server, control.SessionID) bool     { return true }
 func (f *fake) Release(s control.Server, id control.SessionID, cause int) { f.note("teardown %d", id) }
 func (f *fake) SetRung(s control.Server, id control.SessionID, rung int)  { f.note("rung %d", rung) }
 func (f *fake) Probe(control.Server)                                      {}
 func (f *fake) Deliver(r Reply) bool {
-	if r.Kind == GivenUp || r.Kind == Closed {
+	if r.Kind == ReplyAbandoned || r.Kind == ReplyClosed {
 		return true
 	}
 	f.note("%s %d", [...]string{"served", "refused", "failed", "over", "moved"}[r.Kind], r.ID)
@@ -73,19 +73,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.handle(List{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+	b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
 	return b, f
 }
 
 func (b *Broker) ask(f *fake, id control.SessionID, class, team int, grace time.Duration) {
-	b.handle(Request{ID: id, Class: class, Team: team, Title: 1, Span: 1, MaxRung: 2,
-		Left: 3 * time.Second, Came: time.Now(), Client: f, Grace: grace})
+	b.handle(Request{ID: id, Class: class, Team: team, Title: 1, Copies: 1, MaxRung: 2,
+		TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f, Grace: grace})
 }
 
 func (b *Broker) tells(id control.SessionID, kind ReportKind, status control.Status) {
 	r := Report{Kind: kind, ID: id, Status: status}
 	if s := b.sessions[id]; s != nil {
-		r.Server, r.Number = s.server, s.attempt
+		r.Server, r.AttemptNumber = s.server, s.attempt
 	}
 	b.handle(r)
 }
@@ -108,7 +108,7 @@
 	} {
 		b, f := bed(t)
 		b.ask(f, 1, e.class, -1, 0)
-		b.tells(1, Ended, e.status)
+		b.tells(1, ReportEnded, e.status)
 		if got := f.take(); got != e.want {
 			t.Errorf("%s: %s, want %s", e.name, got, e.want)
 		}
@@ -140,7 +140,7 @@
 	server := b.sessions[1].server
 	b.overdue(1)
 	b.overdue(1)
-	b.handle(Report{Kind: Started, Server: server, ID: 1, Number: 1})
+	b.handle(Report{Kind: ReportStarted, Server: server, ID: 1, AttemptNumber: 1})
 	if got := f.take(); got != "setup 1, failed 1, giveup 1, teardown 1" {
 		t.Error(got)
 	}
@@ -153,9 +153,9 @@
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, 0)
 	b.handle(ViewerEnd{ID: 1, Cause: 16})
-	b.tells(1, Ended, control.Cancelled)
+	b.tells(1, ReportEnded, control.Cancelled)
 	b.ask(f, 2, feed, -1, 0)
-	b.tells(2, Started, 0)
+	b.tells(2, ReportStarted, 0)
 	b.handle(lost{f}) // no connection owns a session that stands
 	b.handle(ViewerEnd{ID: 2, Cause: 16})
 	if got := f.take(); got != "setup 1, giveup 1, setup 2, served 2, teardown 2" {
@@ -173,11 +173,11 @@
 	second := &fake{}
 	b.ask(f, 1, clip, -1, time.Minute)
 	b.handle(lost{f})
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.ask(second, 1, clip, -1, time.Minute)
 	b.ask(f, 2, clip, -1, time.Minute)
 	b.handle(lost{f})
-	b.tells(2, Ended, control.Errored)
+	b.tells(2, ReportEnded, control.Errored)
 	b.ask(second, 2, clip, -1, time.Minute)
 	if got := f.take() + "; " + second.take(); got != "setup 1, setup 2; served 1, failed 2" {
 		t.Error(got)
@@ -185,7 +185,7 @@
 }
 
 func TestTeams(t *testing.T) {
-	team := Team{Name: "a", Classes: []bool{true, false}, Standing: 2, SetUps: 3, Extra: 1, Period: time.Hour}
+	team := Team{Name: "a", Classes: []bool{true, false}, MaxSessions: 2, MaxBilledSetUps: 3, MaxFurtherAttempts: 1, BudgetPeriod: time.Hour}
 	b, f := bed(t, team)
 	b.ask(f, 1, feed, 0, 0) // not in its contract
 	b.ask(f, 2, clip, 0, 0)
@@ -195,13 +195,13 @@
 		t.Error(got)
 	}
 	b.handle(ViewerEnd{ID: 2, Cause: 16})
-	b.tells(2, Ended, control.Cancelled)
-	b.tells(3, Ended, control.Moot) // its one further attempt
+	b.tells(2, ReportEnded, control.Cancelled)
+	b.tells(3, ReportEnded, control.Moot) // its one further attempt
 	b.ask(f, 5, clip, 0, 0)
-	b.tells(5, Ended, control.Moot) // none is left
-	b.tells(5, Ended, control.Moot)
+	b.tells(5, ReportEnded, control.Moot) // none is left
+	b.tells(5, ReportEnded, control.Moot)
 	b.handle(ViewerEnd{ID: 3, Cause: 16})
-	b.tells(3, Ended, control.Cancelled)
+	b.tells(3, ReportEnded, control.Cancelled)
 	b.ask(f, 6, clip, 0, 0) // the budget is spent
 	if got := f.take(); !strings.HasPrefix(got, "giveup 2, setup 3, setup 5, ") || strings.Count(got, "setup 5") != 1 ||
 		!strings.Contains(got, "refused 5") || !strings.HasSuffix(got, "refused 6") {
@@ -217,7 +217,7 @@
 func TestPaidSessionsKeepOffTheLowestRung(t *testing.T) {
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, 0)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.act(b.clock.now(), control.Action{Kind: control.ActRung, Session: 1, Rung: 0})
 	if got := f.take(); got != "setup 1, served 1, rung 1" {
 		t.Error(got)
@@ -231,7 +231,7 @@
 		b, f := bed(t)
 		f.deaf = true
 		b.ask(f, 1, clip, -1, grace)
-		b.tells(1, Started, 0)
+		b.tells(1, ReportStarted, 0)
 		if got := f.take(); got != want {
 			t.Errorf("%s, want %s", got, want)
 		}
@@ -262,7 +262,7 @@
 	b.ask(f, 1, clip, -1, 0)
 	b.ask(player, 1, clip, -1, time.Minute)
 	b.ask(again, 1, clip, -1, 0)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	if got := f.take() + "; " + player.take() + "; " + again.take(); got != "setup 1; failed 1; served 1" {
 		t.Error(got)
 	}
@@ -276,12 +276,12 @@
 		b, f := bed(t)
 		other := &fake{}
 		again := func(c *fake) {
-			b.handle(Request{ID: 1, Class: class, Team: -1, Title: 1, Span: 1, MaxRung: 2,
-				Left: 3 * time.Second, Came: time.Now(), Client: c, Description: []byte("other")})
+			b.handle(Request{ID: 1, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2,
+				TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: c, Description: []byte("other")})
 		}
 		b.ask(f, 1, class, -1, 0)
 		again(other)
-		b.tells(1, Started, 0)
+		b.tells(1, ReportStarted, 0)
 		again(other)
 		if got := f.take() + "; " + other.take(); got != want {
 			t.Error(got)
@@ -289,7 +289,7 @@
 		b, f = bed(t)
 		b.ask(f, 1, class, -1, 0)
 		again(f)
-		b.tells(1, Ended, control.Cancelled)
+		b.tells(1, ReportEnded, control.Cancelled)
 		if got := f.take(); got != "setup 1, failed 1, giveup 1" || len(b.sessions) != 0 {
 			t.Error(got)
 		}
@@ -300,11 +300,11 @@
 // stands is kept to the end.
 func TestDrain(t *testing.T) {
 	b, f := bed(t)
-	b.drain = Drain{Take: time.Hour, Stay: 2 * time.Hour}
+	b.drain = DrainTimes{AcceptFor: time.Hour, KeepFor: 2 * time.Hour}
 	b.handle(finish{})
 	b.ask(f, 1, clip, -1, 0)
 	b.ask(f, 2, clip, -1, 0)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.stopping = b.stopping.Add(-time.Hour)
 	b.ask(f, 3, clip, -1, 0)
 	b.checkDrained()
@@ -313,7 +313,7 @@
 	}
 	b.stopping = b.stopping.Add(-time.Hour)
 	b.checkDrained() // one is open still
-	b.tells(2, Ended, control.Errored)
+	b.tells(2, ReportEnded, control.Errored)
 	b.checkDrained()
 	b.ask(f, 4, clip, -1, 0)
 	if got := f.take(); got != "failed 2, over 1, teardown 1, refused 4" {
@@ -325,7 +325,7 @@
 func TestDrainWithoutItsPlayer(t *testing.T) {
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, time.Minute)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.handle(lost{f})
 	b.handle(finish{})
 	b.stopping = b.stopping.Add(-time.Hour)
@@ -338,7 +338,7 @@
 func TestMoveEndsBothSides(t *testing.T) {
 	b, f := bed(t)
 	b.ask(f, 1, feed, -1, 0)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.act(b.clock.now(), control.Action{Kind: control.ActMove, Session: 1})
 	for _, m := range b.inbox.Take(nil) {
 		b.handle(m)
@@ -391,18 +391,18 @@
 	for i := range 16 {
 		entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Weight: 1})
 	}
-	br.handle(List{Entries: entries})
+	br.handle(ListUpdate{Entries: entries})
 	id := control.SessionID(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		br.handle(Request{ID: id, Class: feed, Team: -1, Title: uint64(id), Span: 1, MaxRung: 2, Left: 3 * time.Second, Came: time.Now(), Client: f})
+		br.handle(Request{ID: id, Class: feed, Team: -1, Title: uint64(id), Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f})
 		s := br.sessions[id]
 		if s == nil {
 			b.Fatal("refused")
 		}
-		br.handle(Report{Kind: Started, ID: id, Server: s.server, Number: s.attempt})
-		br.handle(Report{Kind: Ended, ID: id, Server: s.server, Number: s.attempt, Cause: CauseEnded})
+		br.handle(Report{Kind: ReportStarted, ID: id, Server: s.server, AttemptNumber: s.attempt})
+		br.handle(Report{Kind: ReportEnded, ID: id, Server: s.server, AttemptNumber: s.attempt, Cause: CauseEnded})
 		br.expire()
 	}
 }
@@ -410,11 +410,11 @@
 // silent is nodes and a client that note nothing.
 type silent struct{}
 
-func (silent) SetUp(control.Server, Attempt) bool                  { return true }
-func (silent) GiveUp(control.Server, control.SessionID, int, bool) {}
-func (silent) Stands(control.Server, control.SessionID) bool       { return true }
-func (silent) Release(control.Server, control.SessionID, int)      {}
-func (silent) SetRung(control.Server, control.SessionID, int)      {}
-func (silent) Probe(control.Server)                                {}
-func (silent) Deliver(Reply) bool                                  { return true }
-func (silent) Gone(control.SessionID) bool                         { return false }
+func (silent) SetUp(control.Server, Attempt) bool                    { return true }
+func (silent) Abandon(control.Server, control.SessionID, int, bool)  {}
+func (silent) AddEstablished(control.Server, control.SessionID) bool { return true }
+func (silent) Release(control.Server, control.SessionID, int)        {}
+func (silent) SetRung(control.Server, control.SessionID, int)        {}
+func (silent) Probe(control.Server)                                  {}
+func (silent) Deliver(Reply) bool                                    { return true }
+func (silent) Gone(control.SessionID) bool                           { return false }
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -89,12 +89,12 @@
 		sessions := 0.45 * set.FleetKB / 640
 		rate := sessions / (0.35*45.5 + 0.65*35)
 		start := time.Now()
-		var plan broker.Peaks
+		var plan broker.PeakConfig
 		if e.announced {
 			p := peaks.Peak{Name: "quincena", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: begin, Length: peakFor, Lead: 90 * time.Second,
 				Early: 2 * time.Minute, Classes: []bool{true, true}, Factor: factor, Sure: 0.9, Harm: 0.05}
 			plan.Calendar.Peaks = []peaks.Peak{p}
-			plan.Lasts = []float64{45, 35}
+			plan.MeanLengthsS = []float64{45, 35}
 		}
 		for k, c := range set.Classes {
 			one := peaks.Class{Floor: c.Floor, Top: c.Top, Rate: rate * []float64{0.35, 0.65}[k]}
@@ -120,7 +120,7 @@
 			if e.fixed > 0 {
 				b.HoldAlways([]float64{0.35 * e.fixed, 0.65 * e.fixed})
 			}
-			b.List(broker.List{Entries: entries})
+			b.UpdateList(broker.ListUpdate{Entries: entries})
 			brokers = append(brokers, b)
 			running.Go(func() { b.Run(ctx) })
 		}
@@ -207,23 +207,23 @@
 
 func (v *viewer) submit(id control.SessionID) {
 	v.id = id
-	v.at.Submit(broker.Request{ID: id, Class: v.class, Team: -1, Title: v.title, Span: v.nodes, MaxRung: 3,
-		Left: 3*time.Second - time.Since(v.first), Came: time.Now(), Client: v})
+	v.at.Submit(broker.Request{ID: id, Class: v.class, Team: -1, Title: v.title, Copies: v.nodes, MaxRung: 3,
+		TimeLeft: 3*time.Second - time.Since(v.first), ReceivedAt: time.Now(), Client: v})
 }
 
 func (v *viewer) Gone(control.SessionID) bool { return false }
 
 func (v *viewer) Deliver(r broker.Reply) bool {
 	switch {
-	case r.Kind == broker.Served && !v.served:
+	case r.Kind == broker.ReplyServed && !v.served:
 		v.served = true
 		if time.Since(v.first) <= 1500*time.Millisecond {
 			v.mu.Lock()
 			v.answered[v.when] += v.worth
 			v.mu.Unlock()
 		}
-	case r.Kind == broker.Refused && v.tries < 3:
-		wait := max(r.Wait, 300*time.Millisecond)
+	case r.Kind == broker.ReplyRefused && v.tries < 3:
+		wait := max(r.RetryAfter, 300*time.Millisecond)
 		if v.tries++; time.Since(v.first)+wait < 3*time.Second {
 			time.AfterFunc(wait, func() { v.submit(v.id + 1) })
 		}
--- a/internal/broker/gone_test.go
+++ b/internal/broker/gone_test.go
@@ -17,8 +17,8 @@
 	leave := func(b *Broker, f *fake) { f.left = true }
 	lose := func(b *Broker, f *fake) { b.handle(lost{f}) }
 	end := func(b *Broker, f *fake) { b.handle(ViewerEnd{ID: 1, Cause: CauseEnded}) }
-	full := func(b *Broker, f *fake) { b.tells(1, Ended, control.Full) }
-	starts := func(b *Broker, f *fake) { b.tells(1, Started, 0) }
+	full := func(b *Broker, f *fake) { b.tells(1, ReportEnded, control.Full) }
+	starts := func(b *Broker, f *fake) { b.tells(1, ReportStarted, 0) }
 	ask := func(grace time.Duration) func(*Broker, *fake) {
 		return func(b *Broker, f *fake) { b.ask(f, 1, clip, -1, grace) }
 	}
@@ -26,7 +26,7 @@
 	again := func(b *Broker, f *fake) { f.left = false; b.look(1) } // it is heard again
 	look := func(b *Broker, f *fake) { b.look(1) }
 	feedAsks := func(b *Broker, f *fake) { b.ask(f, 1, feed, -1, 0) }
-	reset := func(b *Broker, f *fake) { b.tells(1, Ended, control.Reset) }
+	reset := func(b *Broker, f *fake) { b.tells(1, ReportEnded, control.Reset) }
 	late := func(b *Broker, f *fake) { b.overdue(1) }
 	gone := func(b *Broker, f *fake) { b.abandon(b.sessions[1]) } // its grace is over
 	for name, e := range map[string]struct {
@@ -76,7 +76,7 @@
 
 func (p *place) Gone(control.SessionID) bool { return !p.open }
 func (p *place) Deliver(r Reply) bool {
-	p.open = p.open && (r.Kind == Over || r.Kind == Moved || r.Kind == Closed)
+	p.open = p.open && (r.Kind == ReplyEnded || r.Kind == ReplyMoved || r.Kind == ReplyClosed)
 	return p.fake.Deliver(r)
 }
 
@@ -90,19 +90,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.handle(List{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+	b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
 	p := &place{f, true}
-	r := Request{ID: 1, Class: feed, Team: -1, Title: 1, Span: 1, MaxRung: 2, Left: 3 * time.Second, Came: time.Now(), Client: p}
+	r := Request{ID: 1, Class: feed, Team: -1, Title: 1, Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: p}
 	b.handle(r)
 	b.handle(ViewerEnd{ID: 1, Cause: CauseEnded, Client: p})
 	b.handle(r)
 	for _, s := range []control.Server{1, 2, 1, 2} { // each was asked for both
-		b.handle(Report{Kind: Probed, Server: s, Status: control.OK, Load: []float64{0, 0}})
+		b.handle(Report{Kind: ReportProbed, Server: s, Status: control.OK, Load: []float64{0, 0}})
 	}
 	if got := f.take(); got != "setup 1" {
 		t.Errorf("%q", got)
 	}
-	b.ended[1] = Reply{Kind: Over, ID: 1} // a player who lost the end of what stood gets it as its answer
+	b.ended[1] = Reply{Kind: ReplyEnded, ID: 1} // a player who lost the end of what stood gets it as its answer
 	delete(b.sessions, 1)
 	p.open = true
 	if b.handle(r); p.open {
--- a/internal/broker/hand_test.go
+++ b/internal/broker/hand_test.go
@@ -23,21 +23,21 @@
 	old.hand = func(e Handover) { first = e }
 	for id := control.SessionID(1); id <= 3; id++ {
 		old.ask(f, id, feed, -1, 0)
-		old.tells(id, Started, 0)
+		old.tells(id, ReportStarted, 0)
 		old.sessions[id].client = at{f, "h1"}
 	}
 	f.take()
 	on := func(id control.SessionID) control.Server { return old.sessions[id].server }
 	at1, at2, at3 := on(1), on(2), on(3)
 	old.handle(finish{leave: true})
-	if len(first.Standing) != 3 || first.Last || first.Standing[0].Host != "h1" {
+	if len(first.Sessions) != 3 || first.Final || first.Sessions[0].ViewerHost != "h1" {
 		t.Fatalf("%+v", first)
 	}
-	old.handle(Report{Kind: Ended, Server: at2, ID: 2, Status: control.Reset, Cause: CauseCut})
+	old.handle(Report{Kind: ReportEnded, Server: at2, ID: 2, Status: control.Reset, Cause: CauseInterrupted})
 	old.stopping = old.stopping.Add(-old.stay())
 	old.checkDrained()
 	last := old.Handover()
-	if got := f.take(); len(last.Standing) != 2 || !last.Last || last.Over[2] != CauseCut || got != "over 2" {
+	if got := f.take(); len(last.Sessions) != 2 || !last.Final || last.Ended[2] != CauseInterrupted || got != "over 2" {
 		t.Fatalf("%+v; told %s", last, got)
 	}
 
@@ -48,7 +48,7 @@
 	if len(young.sessions) != 3 {
 		t.Fatalf("%d sessions", len(young.sessions))
 	}
-	young.handle(Report{Kind: Ended, Server: at3, ID: 3, Status: control.OK, Cause: CauseEnded})
+	young.handle(Report{Kind: ReportEnded, Server: at3, ID: 3, Status: control.OK, Cause: CauseEnded})
 	if got := g.take(); got != "over 3" {
 		t.Error(got)
 	}
@@ -61,8 +61,8 @@
 		t.Errorf("%s; %d sessions", got, len(young.sessions))
 	}
 	viewer := &fake{}
-	young.handle(Request{ID: 1, Class: feed, Team: -1, Playing: at1, Client: viewer})
-	young.handle(Report{Kind: Ended, Server: at1, ID: 1, Status: control.OK, Cause: CauseEnded})
+	young.handle(Request{ID: 1, Class: feed, Team: -1, PlayingOn: at1, Client: viewer})
+	young.handle(Report{Kind: ReportEnded, Server: at1, ID: 1, Status: control.OK, Cause: CauseEnded})
 	if got := viewer.take() + g.take(); got != "over 1" || len(young.sessions) != 0 {
 		t.Errorf("%s; %d sessions", got, len(young.sessions))
 	}
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -16,17 +16,17 @@
 // peakTick is how often announced peaks are looked at.
 const peakTick = time.Second
 
-// Peaks is what is announced, and what is known of the classes beforehand.
-type Peaks struct {
-	Calendar peaks.Calendar
-	Classes  []peaks.Class // Rate: of all managers; Survival may be nil
-	Lasts    []float64     // s, a first guess of the classes' mean lengths
+// PeakConfig is what is announced, and what is known of the classes beforehand.
+type PeakConfig struct {
+	Calendar     peaks.Calendar
+	Classes      []peaks.Class // Rate: of all managers; Survival may be nil
+	MeanLengthsS []float64     // s, a first guess of the classes' mean lengths
 }
 
 // holder feeds the keeper of announced peaks with what the broker sees, and the
 // decision module with what is to be held.
 type holder struct {
-	Unmoved
+	NopPlanner
 	log     *zap.Logger
 	keeper  *peaks.Keeper
 	names   []string
@@ -38,7 +38,7 @@
 	held    []float64
 }
 
-func newHolder(p Peaks, fronts int, log *zap.Logger) *holder {
+func newHolder(p PeakConfig, fronts int, log *zap.Logger) *holder {
 	if len(p.Calendar.Peaks) == 0 {
 		return nil
 	}
@@ -50,8 +50,8 @@
 	for i := range h.classes {
 		h.classes[i].Rate /= float64(max(fronts, 1))
 		guess := 35.0
-		if i < len(p.Lasts) && p.Lasts[i] > 0 {
-			guess = p.Lasts[i]
+		if i < len(p.MeanLengthsS) && p.MeanLengthsS[i] > 0 {
+			guess = p.MeanLengthsS[i]
 		}
 		h.lengths = append(h.lengths, peaks.NewLengths(guess))
 	}
@@ -61,11 +61,11 @@
 	return h
 }
 
-// Every is part of Part.
-func (h *holder) Every() time.Duration { return peakTick }
+// Interval is part of Part.
+func (h *holder) Interval() time.Duration { return peakTick }
 
-// Arrived counts a request, and tells whether it is one of an announced peak's own.
-func (h *holder) Arrived(_ time.Time, r *Request) bool {
+// RequestArrived counts a request, and tells whether it is one of an announced peak's own.
+func (h *holder) RequestArrived(_ time.Time, r *Request) bool {
 	h.counts[r.Class]++
 	for _, l := range r.Route.Labels {
 		if l.Name != peakLabel {
@@ -80,18 +80,18 @@
 	return false
 }
 
-// Over takes a session's length.
-func (h *holder) Over(_ time.Time, class int, stood time.Duration, broken bool) {
+// SessionEnded takes a session's length.
+func (h *holder) SessionEnded(_ time.Time, class int, stood time.Duration, broken bool) {
 	h.lengths[class].Add(stood.Seconds(), broken)
 }
 
 // Tick has the keeper plan and watch, and tells the module what is held.
-func (h *holder) Tick(now time.Time, v View) []control.Event {
-	ages := v.Ages()
+func (h *holder) Tick(now time.Time, v BrokerView) []control.Event {
+	ages := v.SessionAges()
 	for i := range h.classes {
 		h.classes[i].Survival = h.lengths[i].Survival(ages[i])
 	}
-	in := peaks.Input{Now: now, Room: v.Room(), Share: v.Share(), Classes: h.classes, Counts: h.counts}
+	in := peaks.Input{Now: now, Room: v.FleetSlots(), Share: v.ArrivalShare(), Classes: h.classes, Counts: h.counts}
 	for i, n := range h.own {
 		if h.ruled[i] {
 			in.Own = append(in.Own, peaks.Own{Peak: i, Count: n})
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -17,10 +17,10 @@
 // others.
 func TestHeldRoom(t *testing.T) {
 	b, f := bed(t)
-	h := newHolder(Peaks{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
-	b.parts = []Part{h}
+	h := newHolder(PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
+	b.parts = []Planner{h}
 	ask := func(id control.SessionID, class int, peak string) {
-		r := Request{ID: id, Class: class, Team: -1, Title: 1, Span: 1, MaxRung: 2, Left: 3 * time.Second, Came: time.Now(), Client: f}
+		r := Request{ID: id, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f}
 		if peak != "" {
 			r.Route.Labels = []route.Label{{Name: "shop", Value: "quincena"}, {Name: peakLabel, Value: peak}}
 		}
@@ -46,7 +46,7 @@
 func TestNoParts(t *testing.T) {
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, 0)
-	b.tells(1, Started, 0)
+	b.tells(1, ReportStarted, 0)
 	b.handle(ViewerEnd{ID: 1, Cause: CauseEnded})
 	for _, timer := range b.timers.list {
 		if timer.kind == timerPart {
@@ -69,11 +69,11 @@
 		set := settings()
 		set.FleetKB, set.LinkKB = 200, 100
 		b, err := New(Config{Settings: set, Seed: 1, Nodes: &fake{}, Log: zap.NewNop(),
-			Peaks: Peaks{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, Lasts: []float64{40, 40}}})
+			Peaks: PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, MeanLengthsS: []float64{40, 40}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.handle(List{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+		b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
 		held := []float64{}
 		for range 60 {
 			b.expire()
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -52,26 +52,26 @@
 	if b.closing() {
 		// Guard: a request that comes late in a drain is answered too, at once: the
 		// program may be killed before an attempt ends. Another manager may take it.
-		b.counts.Answered(r.Class, Refused)
-		r.Client.Deliver(Reply{Kind: Refused, ID: r.ID, Cause: CauseRefused, Wait: lastWait})
+		b.counts.CountAnswer(r.Class, ReplyRefused)
+		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: lastWait})
 		return
 	}
-	s := &session{Request: r, client: r.Client, deadline: r.Came.Add(r.Left), rung: b.set.Classes[r.Class].Floor}
+	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.set.Classes[r.Class].Floor}
 	e := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
-		Home: r.Home, Span: r.Span, MaxRung: r.MaxRung,
+		Home: r.Home, Span: r.Copies, MaxRung: r.MaxRung,
 	}
-	if r.Playing != 0 {
-		if !b.nodes.Stands(r.Playing, r.ID) {
-			b.log.Warn("a session stands at an unlisted node", zap.Uint64("node", uint64(r.Playing)))
-			r.Client.Deliver(Reply{Kind: Over, ID: r.ID, Cause: CauseCut})
+	if r.PlayingOn != 0 {
+		if !b.nodes.AddEstablished(r.PlayingOn, r.ID) {
+			b.log.Warn("a session stands at an unlisted node", zap.Uint64("node", uint64(r.PlayingOn)))
+			r.Client.Deliver(Reply{Kind: ReplyEnded, ID: r.ID, Cause: CauseInterrupted})
 			return
 		}
-		s.playing, s.answered, s.server, s.attempt = true, true, r.Playing, 1
-		s.reply = Reply{Kind: Failed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
+		s.playing, s.answered, s.server, s.attempt = true, true, r.PlayingOn, 1
+		s.reply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
 		b.sessions[r.ID] = s
-		e.Kind, e.Server = control.EvOpen, r.Playing
-		e.LeftS = r.Left.Seconds()
+		e.Kind, e.Server = control.EvOpen, r.PlayingOn
+		e.LeftS = r.TimeLeft.Seconds()
 		b.tell(e)
 		return
 	}
@@ -96,26 +96,26 @@
 // one id has two meanings and can have one answer: it failed.
 func (b *Broker) rejoin(s *session, r Request) {
 	switch {
-	case r.Playing != 0: // it names what is held already
+	case r.PlayingOn != 0: // it names what is held already
 		if s.adopted {
 			s.client, s.adopted = r.Client, false
 		} else if s.client != r.Client {
-			r.Client.Deliver(Reply{Kind: Closed, ID: r.ID}) // there
+			r.Client.Deliver(Reply{Kind: ReplyClosed, ID: r.ID}) // there
 		}
 	case (s.Grace > 0) != (r.Grace > 0) || !s.repeats(r):
 		if s.client == r.Client && !s.answered {
 			b.fail(s)
 			return
 		}
-		b.counts.Answered(r.Class, Failed)
-		r.Client.Deliver(Reply{Kind: Failed, ID: r.ID, Cause: CauseFailed})
+		b.counts.CountAnswer(r.Class, ReplyFailed)
+		r.Client.Deliver(Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed})
 	default:
 		switch {
 		case s.client == nil:
 		case s.playing:
-			s.client.Deliver(Reply{Kind: Closed, ID: s.ID}) // it stands by the other set-up now
+			s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID}) // it stands by the other set-up now
 		case s.client != r.Client:
-			s.client.Deliver(Reply{Kind: GivenUp, ID: s.ID})
+			s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 		}
 		s.client = r.Client
 		switch a := s.paused; {
@@ -131,16 +131,16 @@
 // is no answer to a set-up, and leaves one that is open under that id as it is.
 func tellAgain(c Client, r Reply) {
 	c.Deliver(r)
-	if r.Kind == Over || r.Kind == Moved {
-		c.Deliver(Reply{Kind: GivenUp, ID: r.ID})
+	if r.Kind == ReplyEnded || r.Kind == ReplyMoved {
+		c.Deliver(Reply{Kind: ReplyAbandoned, ID: r.ID})
 	}
 }
 
 // repeats tells whether r asks for the same as s did. What it named counts, not
 // what rules made of it: they may have been swapped since.
 func (s *session) repeats(r Request) bool {
-	return s.Playing == 0 && s.Named == r.Named && s.Key == r.Key && s.Home == r.Home &&
-		s.Span == r.Span && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
+	return s.PlayingOn == 0 && s.Requested == r.Requested && s.Key == r.Key && s.Home == r.Home &&
+		s.Copies == r.Copies && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
 }
 
 // clientLost gives up the set-ups open on a connection that is gone, or keeps
@@ -187,10 +187,10 @@
 		b.over(s, Report{Status: control.Cancelled})
 		return
 	}
-	s.answered, s.reply = true, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed}
+	s.answered, s.reply = true, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed}
 	delete(b.open, s.ID)
 	if s.client != nil {
-		s.client.Deliver(Reply{Kind: GivenUp, ID: s.ID})
+		s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 	}
 	b.giveUp(s, false)
 	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
@@ -205,7 +205,7 @@
 		s.paused = nil
 		b.moot(s, s.server)
 	default:
-		b.nodes.GiveUp(s.server, s.ID, s.attempt, timedOut)
+		b.nodes.Abandon(s.server, s.ID, s.attempt, timedOut)
 	}
 }
 
@@ -225,7 +225,7 @@
 
 // fail answers a session that waits no longer for what is out.
 func (b *Broker) fail(s *session) {
-	b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
+	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 	b.giveUp(s, true)
 	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
 	b.forget(s)
@@ -295,17 +295,17 @@
 // moot reports an attempt that never left, after the module's present actions.
 func (b *Broker) moot(s *session, server control.Server) {
 	s.out, s.server = true, server
-	b.Report(Report{Kind: Ended, Server: server, ID: s.ID, Number: s.attempt, Status: control.Moot})
+	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attempt, Status: control.Moot})
 }
 
 // refuse tells a viewer to come again later. The rule on paid sessions covers
 // every refusal: where an attempt may have run the answer is that it failed.
 func (b *Broker) refuse(s *session, wait time.Duration) {
 	if b.set.Classes[s.Class].Effect != control.Idempotent && (s.mayRun || s.out && s.paused == nil) {
-		b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
+		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
-	b.answer(s, Reply{Kind: Refused, ID: s.ID, Cause: CauseRefused, Wait: wait})
+	b.answer(s, Reply{Kind: ReplyRefused, ID: s.ID, Cause: CauseRefused, RetryAfter: wait})
 }
 
 // answer gives the one final answer. False: it can't reach the viewer.
@@ -315,19 +315,19 @@
 	}
 	reached := true
 	s.answered, s.reply = true, r
-	b.counts.Answered(s.Class, r.Kind)
+	b.counts.CountAnswer(s.Class, r.Kind)
 	if ce := b.log.Check(zap.DebugLevel, "answered"); ce != nil {
 		// One line a request, so that a request can be followed by its id
 		// through every manager that had it.
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("class", s.Class), zap.Uint8("kind", uint8(r.Kind)),
 			zap.Int("cause", r.Cause), zap.Int("attempts", s.attempt), zap.Uint64("node", uint64(s.server)),
-			zap.Bool("mayRun", s.mayRun), zap.Duration("wait", r.Wait), zap.Duration("left", s.deadline.Sub(b.clock.now())))
+			zap.Bool("mayRun", s.mayRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
 	}
 	delete(b.open, s.ID)
 	if s.client != nil { // else it waits in s.reply for its player
 		reached = s.client.Deliver(r) || s.Grace > 0
 	}
-	if r.Kind != Served {
+	if r.Kind != ReplyServed {
 		b.forget(s)
 	}
 	return reached
@@ -353,26 +353,26 @@
 // report takes what a media node tells of an attempt or a session.
 func (b *Broker) report(r Report) {
 	for _, p := range b.parts {
-		p.Reported(b.clock.now(), &r)
+		p.NodeReported(b.clock.now(), &r)
 	}
-	if r.Kind == Probed {
+	if r.Kind == ReportProbed {
 		b.tell(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
 		return
 	}
 	s := b.sessions[r.ID]
-	if s == nil || s.server != r.Server || r.Number != 0 && r.Number != s.attempt {
-		if r.Kind == Started {
+	if s == nil || s.server != r.Server || r.AttemptNumber != 0 && r.AttemptNumber != s.attempt {
+		if r.Kind == ReportStarted {
 			// Guard: a late 200 after giving up is torn down.
 			b.nodes.Release(r.Server, r.ID, CauseEnded)
 		}
 		return
 	}
 	switch r.Kind {
-	case Started:
+	case ReportStarted:
 		b.started(s, r)
-	case Ended:
+	case ReportEnded:
 		b.attemptEnded(s, r)
-	case Noted:
+	case ReportNote:
 		b.tell(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
 			Attempt: s.attempt - 1, Note: r.Note, Value: r.Value})
 	}
@@ -392,7 +392,7 @@
 	}
 	s.playing, s.stood = true, b.clock.now()
 	b.tell(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
-	if !b.answer(s, Reply{Kind: Served, ID: s.ID, Description: r.Description}) {
+	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
 		// Its connection is gone and nobody will come back for it.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
 		b.over(s, Report{Status: control.Cancelled})
@@ -403,12 +403,12 @@
 	if s.playing {
 		cause := r.Cause
 		if cause == 0 {
-			cause = CauseCut
+			cause = CauseInterrupted
 		}
 		if cause == CauseCancelled { // the viewer knows of its own end
 			b.known(s, cause)
 		} else {
-			b.toldOver(s, Reply{Kind: Over, ID: s.ID, Cause: cause})
+			b.toldOver(s, Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause})
 		}
 		b.over(s, r)
 		return
@@ -427,7 +427,7 @@
 		s.mayRun = true
 	}
 	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
-		Status: r.Status, Confined: r.Confined, Down: r.Down, Finished: s.answered, Load: r.Load})
+		Status: r.Status, Confined: r.ConnectionOnly, Down: r.Down, Finished: s.answered, Load: r.Load})
 	b.forget(s)
 }
 
@@ -445,9 +445,9 @@
 // known notes the end of a session that its viewer knows of.
 func (b *Broker) known(s *session, cause int) {
 	if s.client != nil {
-		s.client.Deliver(Reply{Kind: Closed, ID: s.ID})
+		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
 	}
-	s.reply = Reply{Kind: Over, ID: s.ID, Cause: cause}
+	s.reply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
 }
 
 // over ends a session that stood, as its node's report says.
@@ -458,7 +458,7 @@
 	}
 	if now := b.clock.now(); !s.stood.IsZero() {
 		for _, p := range b.parts {
-			p.Over(now, s.Class, now.Sub(s.stood), r.Status != control.OK && r.Status != control.Cancelled)
+			p.SessionEnded(now, s.Class, now.Sub(s.stood), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
 	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -12,27 +12,27 @@
 // demandEvery is how often what comes is logged, for millethinge sites --record.
 const demandEvery = time.Minute
 
-// DemandLine is the message of the log line that tells what comes: by class, the
+// DemandMessage is the message of the log line that tells what comes: by class, the
 // sessions a second of all managers, as this one measures them, and their mean lengths.
-const DemandLine = "site demand"
+const DemandMessage = "site demand"
 
 // siteTick is how often sites are looked at. A loss is told by seconds of failures.
 const siteTick = 200 * time.Millisecond
 
-// Sites is which zones are lost together, and what is planned for that.
-type Sites struct {
-	Names   []string
-	Of      []int // site by zone; under 0: none
-	Rules   []site.Rule
-	Classes []site.Class
-	Expect  []site.Expect // by class
+// SiteConfig is which zones are lost together, and what is planned for that.
+type SiteConfig struct {
+	Names      []string
+	SiteByZone []int // site by zone; under 0: none
+	Rules      []site.Rule
+	Classes    []site.Class
+	Expected   []site.Expect // by class
 }
 
 // sites tells the loss of sites from what nodes report, logs each episode, and rations
 // what this manager takes while one lasts.
 type sites struct {
-	Unmoved
-	Sites
+	NopPlanner
+	SiteConfig
 	set    control.Settings
 	watch  *site.Watch
 	guide  *site.Guide
@@ -43,16 +43,16 @@
 	log    *zap.Logger
 }
 
-func newSites(s Sites, set control.Settings, log *zap.Logger) *sites {
-	return &sites{Sites: s, set: set, watch: site.NewWatch(s.Names), listed: map[control.Server]bool{}, began: map[int]time.Time{}, log: log,
-		guide: site.NewGuide(s.Names, s.Rules, s.Classes, s.Expect, set.CrossZoneCost, set.RackKB*control.TargetUse)}
+func newSites(s SiteConfig, set control.Settings, log *zap.Logger) *sites {
+	return &sites{SiteConfig: s, set: set, watch: site.NewWatch(s.Names), listed: map[control.Server]bool{}, began: map[int]time.Time{}, log: log,
+		guide: site.NewGuide(s.Names, s.Rules, s.Classes, s.Expected, set.CrossZoneCost, set.RackKB*control.TargetUse)}
 }
 
-// Every is part of Part.
-func (s *sites) Every() time.Duration { return siteTick }
+// Interval is part of Part.
+func (s *sites) Interval() time.Duration { return siteTick }
 
-// Listed is part of Part.
-func (s *sites) Listed(_ time.Time, entries []control.Entry) {
+// ListUpdated is part of Part.
+func (s *sites) ListUpdated(_ time.Time, entries []control.Entry) {
 	for _, e := range entries {
 		if e.State == control.Gone {
 			delete(s.listed, e.Server)
@@ -61,10 +61,10 @@
 		}
 	}
 	for _, e := range entries {
-		if e.Zone < 0 || e.Zone >= len(s.Of) {
+		if e.Zone < 0 || e.Zone >= len(s.SiteByZone) {
 			continue
 		}
-		n := SiteNode(&s.set, e, s.Of[e.Zone], len(s.listed))
+		n := SiteNode(&s.set, e, s.SiteByZone[e.Zone], len(s.listed))
 		s.watch.Listed(n.Site, uint64(e.Server), e.State == control.Ready)
 		s.guide.Listed(uint64(e.Server), n, e.State == control.Ready)
 	}
@@ -82,21 +82,21 @@
 // manyStreams is what a node of a kind whose streams are not told is taken to run.
 const manyStreams = 1e6
 
-// Arrived is part of Part.
-func (s *sites) Arrived(now time.Time, r *Request) bool {
-	if !r.Again {
+// RequestArrived is part of Part.
+func (s *sites) RequestArrived(now time.Time, r *Request) bool {
+	if !r.Repeated {
 		s.guide.Arrived(now, r.Class)
 	}
 	return false
 }
 
-// Over is part of Part.
-func (s *sites) Over(_ time.Time, class int, stood time.Duration, broken bool) {
+// SessionEnded is part of Part.
+func (s *sites) SessionEnded(_ time.Time, class int, stood time.Duration, broken bool) {
 	s.guide.Over(class, stood, broken)
 }
 
-// Reported is part of Part.
-func (s *sites) Reported(now time.Time, r *Report) {
+// NodeReported is part of Part.
+func (s *sites) NodeReported(now time.Time, r *Report) {
 	if sign, ok := signOf(r); ok {
 		s.watch.Saw(now, uint64(r.Server), sign)
 	}
@@ -105,9 +105,9 @@
 // signOf is what a report says of its node's site, if anything.
 func signOf(r *Report) (site.Sign, bool) {
 	switch r.Kind {
-	case Started, Noted:
+	case ReportStarted, ReportNote:
 		return site.Heard, true
-	case Probed, Ended:
+	case ReportProbed, ReportEnded:
 	}
 	switch r.Status {
 	case control.OK, control.Full, control.Errored:
@@ -117,22 +117,22 @@
 	case control.TimedOut:
 		return site.Silence, true
 	case control.Reset:
-		if r.Confined { // only the connection broke; the node is there
+		if r.ConnectionOnly { // only the connection broke; the node is there
 			return site.Heard, true
 		}
 		// A node that cuts a session says so itself; one that can't be reached is said
 		// to have cut all of its sessions, one after the other: that is one sign each,
 		// of nodes that were tried and failed.
-		return site.Broke, r.Kind == Ended
+		return site.Broke, r.Kind == ReportEnded
 	}
 	return 0, false // moot, or cancelled: this manager's own doing
 }
 
-// Stalled is part of Part.
-func (s *sites) Stalled(time.Time, time.Duration) { s.watch.Forget() }
+// ProcessPaused is part of Part.
+func (s *sites) ProcessPaused(time.Time, time.Duration) { s.watch.Forget() }
 
 // Tick is part of Part.
-func (s *sites) Tick(now time.Time, v View) []control.Event {
+func (s *sites) Tick(now time.Time, v BrokerView) []control.Event {
 	for _, n := range s.watch.Tick(now) {
 		s.guide.Told(now, n, s.returns(now, n.Site))
 		name, state := "", n.State.String()
@@ -158,10 +158,10 @@
 	if now.Sub(s.logged) >= demandEvery {
 		if rates, lasts, ok := s.guide.Demand(now); ok {
 			s.logged = now
-			s.log.Info(DemandLine, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
+			s.log.Info(DemandMessage, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
 		}
 	}
-	r, text := s.guide.Tick(now, s.watch, v.Share())
+	r, text := s.guide.Tick(now, s.watch, v.ArrivalShare())
 	if text != "" {
 		sessions, share := s.guide.Measured()
 		s.log.Info("site plan", zap.String("plan", text), zap.Float64s("sessions", sessions), zap.Float64("share", share))
@@ -185,8 +185,8 @@
 	if r == nil {
 		return nil
 	}
-	to := &control.Ration{Limit: r.Limit, Every: r.Every, Pace: make([]float64, len(s.Of))}
-	for zone, i := range s.Of {
+	to := &control.Ration{Limit: r.Limit, Every: r.Every, Pace: make([]float64, len(s.SiteByZone))}
+	for zone, i := range s.SiteByZone {
 		if to.Pace[zone] = -1; i >= 0 && r.Pace[i] >= 0 {
 			to.Pace[zone] = r.Pace[i] / float64(s.zones(i))
 		}
@@ -196,7 +196,7 @@
 
 // zones is how many zones make up a site.
 func (s *sites) zones(i int) (n int) {
-	for _, o := range s.Of {
+	for _, o := range s.SiteByZone {
 		if o == i {
 			n++
 		}
--- a/internal/broker/sites_test.go
+++ b/internal/broker/sites_test.go
@@ -21,19 +21,19 @@
 		sign   site.Sign
 		none   bool
 	}{
-		{report: Report{Kind: Started}, sign: site.Heard},
-		{report: Report{Kind: Noted}, sign: site.Heard},
-		{report: Report{Kind: Probed, Status: control.OK}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Full}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Errored}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.ConnectFailed}, sign: site.NoWay},
-		{report: Report{Kind: Probed, Status: control.ConnectFailed}, sign: site.NoWay},
-		{report: Report{Kind: Ended, Status: control.TimedOut}, sign: site.Silence},
-		{report: Report{Kind: Ended, Status: control.Reset}, sign: site.Broke},
-		{report: Report{Kind: Ended, Status: control.Reset, Confined: true}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Cancelled}, none: true},
-		{report: Report{Kind: Ended, Status: control.Moot}, none: true},
-		{report: Report{Kind: Probed, Status: control.Moot}, none: true},
+		{report: Report{Kind: ReportStarted}, sign: site.Heard},
+		{report: Report{Kind: ReportNote}, sign: site.Heard},
+		{report: Report{Kind: ReportProbed, Status: control.OK}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Full}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Errored}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectFailed}, sign: site.NoWay},
+		{report: Report{Kind: ReportProbed, Status: control.ConnectFailed}, sign: site.NoWay},
+		{report: Report{Kind: ReportEnded, Status: control.TimedOut}, sign: site.Silence},
+		{report: Report{Kind: ReportEnded, Status: control.Reset}, sign: site.Broke},
+		{report: Report{Kind: ReportEnded, Status: control.Reset, ConnectionOnly: true}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Cancelled}, none: true},
+		{report: Report{Kind: ReportEnded, Status: control.Moot}, none: true},
+		{report: Report{Kind: ReportProbed, Status: control.Moot}, none: true},
 	} {
 		if sign, ok := signOf(&e.report); ok == e.none || ok && sign != e.sign {
 			t.Errorf("%+v: %v, %v", e.report, sign, ok)
@@ -45,7 +45,7 @@
 // node that drains is no evidence, nor is what failed before the program stood still.
 func TestSiteEpisodes(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
-	s := newSites(Sites{Names: []string{"a", "b"}, Of: []int{0, 1}, Rules: make([]site.Rule, 2)}, control.Settings{}, zap.New(core))
+	s := newSites(SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Rules: make([]site.Rule, 2)}, control.Settings{}, zap.New(core))
 	ctl, err := control.New(settings(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -56,15 +56,15 @@
 		list = append(list, control.Entry{Server: control.Server(n), State: control.Ready, Zone: n / 4})
 	}
 	list = append(list, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // of no zone that is known
-	s.Listed(now, list)
+	s.ListUpdated(now, list)
 	round := func(status control.Status) {
 		for n := range 8 {
 			now = now.Add(50 * time.Millisecond)
-			r := Report{Kind: Ended, Server: control.Server(n), Status: control.Full}
+			r := Report{Kind: ReportEnded, Server: control.Server(n), Status: control.Full}
 			if n >= 4 {
 				r.Status = status
 			}
-			s.Reported(now, &r)
+			s.NodeReported(now, &r)
 			s.Tick(now, view{&Broker{ctl: ctl, nodes: &fake{}}})
 		}
 	}
@@ -92,7 +92,7 @@
 	}
 	round(control.Full)
 	round(control.ConnectFailed)
-	s.Stalled(now, 6*time.Second)
+	s.ProcessPaused(now, 6*time.Second)
 	round(control.ConnectFailed)
 	told("b thin")
 	for i := range list {
@@ -100,7 +100,7 @@
 			list[i].State = control.Draining
 		}
 	}
-	s.Listed(now, list)
+	s.ListUpdated(now, list)
 	for range 4 {
 		round(control.ConnectFailed)
 	}
@@ -108,7 +108,7 @@
 	for i := range list {
 		list[i].State = control.Ready
 	}
-	s.Listed(now, list)
+	s.ListUpdated(now, list)
 	for range 3 {
 		round(control.ConnectFailed)
 	}
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -11,13 +11,13 @@
 
 // Team is one team's contract and budget.
 type Team struct {
-	Name     string
-	Classes  []bool        // by class: whether the team may use it
-	Rate     float64       // sessions a second over all managers; 0: no quota
-	Standing int           // most sessions set up or playing here; 0: no cap
-	SetUps   int           // billed set-ups in a period; 0: no cap
-	Extra    int           // further attempts in a period; 0: no cap
-	Period   time.Duration // of the budget
+	Name               string
+	Classes            []bool        // by class: whether the team may use it
+	SessionsPerS       float64       // sessions a second over all managers; 0: no quota
+	MaxSessions        int           // most sessions set up or playing here; 0: no cap
+	MaxBilledSetUps    int           // billed set-ups in a period; 0: no cap
+	MaxFurtherAttempts int           // further attempts in a period; 0: no cap
+	BudgetPeriod       time.Duration // of the budget
 }
 
 // ledger is what a team has used.
@@ -42,7 +42,7 @@
 		return nil
 	}
 	l := &b.ledgers[s.Team]
-	if l.Period > 0 && now.Sub(l.since) >= l.Period {
+	if l.BudgetPeriod > 0 && now.Sub(l.since) >= l.BudgetPeriod {
 		l.since, l.setUps, l.extra = now, 0, 0
 	}
 	return l
@@ -59,10 +59,10 @@
 	switch {
 	case len(l.Classes) > 0 && !l.Classes[s.Class]:
 		return capWait, false
-	case l.Standing > 0 && l.standing >= l.Standing:
+	case l.MaxSessions > 0 && l.standing >= l.MaxSessions:
 		return capWait, false
-	case billed && l.SetUps > 0 && l.setUps >= l.SetUps:
-		return l.since.Add(l.Period).Sub(now), false
+	case billed && l.MaxBilledSetUps > 0 && l.setUps >= l.MaxBilledSetUps:
+		return l.since.Add(l.BudgetPeriod).Sub(now), false
 	}
 	l.standing++
 	s.billed = true
@@ -75,10 +75,10 @@
 // spend takes a further attempt from the team's budget.
 func (b *Broker) spend(now time.Time, s *session) bool {
 	l := b.ledger(now, s)
-	if l == nil || s.attempt <= 1 || l.Extra == 0 {
+	if l == nil || s.attempt <= 1 || l.MaxFurtherAttempts == 0 {
 		return true
 	}
-	if l.extra >= l.Extra {
+	if l.extra >= l.MaxFurtherAttempts {
 		return false
 	}
 	l.extra++
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -158,7 +158,7 @@
 		{"ops-upgrade", `"one answer" broken`, []Patch{{"internal/server/server.go", "case <-core.Drained():\n				hand.last(core)", "case <-map[bool]<-chan time.Time{true: time.After(0)}[draining]:"},
 			{"internal/server/server.go", "				endFronts()\n				fronts.Wait()\n", ""}}}, // the fronts wait, too
 		{"ops-callers", `"calls" broken`, []Patch{{"internal/admin/places.go", "graceTime - time.Since(o.came)", "4*time.Second - time.Since(o.came)"}}},
-		{"ops-figures", "figures\" broken:  tries", []Patch{{"internal/broker/counts.go", "		c.Tries.Add(1)\n", "		c.Tries.Add(1 - c.Tries.Load()%5/4)\n"}}},
+		{"ops-figures", "figures\" broken:  tries", []Patch{{"internal/broker/counts.go", "		c.Attempts.Add(1)\n", "		c.Attempts.Add(1 - c.Attempts.Load()%5/4)\n"}}},
 		{"ops-figures", "figures\" broken:  shed", []Patch{{"internal/broker/counts.go", "		c.Refused[class].Add(1)\n", ""}}},
 		{"ops-figures", "figures\" broken:  active of m", []Patch{{"internal/server/operation.go", "Active: c.Open + c.Playing", "Active: c.Open"}}},
 		{"hidden-restart", `"cold" broken`, []Patch{
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -84,7 +84,7 @@
 			say(setUp)
 			r := <-taken.taken
 			say(fmt.Sprintf(release, 2)) // of another one
-			for _, kind := range []broker.ReplyKind{broker.Over, broker.Moved, broker.Closed} {
+			for _, kind := range []broker.ReplyKind{broker.ReplyEnded, broker.ReplyMoved, broker.ReplyClosed} {
 				r.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // what stood under that id before ends
 			}
 			if r.Client.Gone(1) {
--- a/internal/front/jsonl/ends.go
+++ b/internal/front/jsonl/ends.go
@@ -147,7 +147,7 @@
 func (v viewer) Gone(control.SessionID) bool { return false }
 
 func (v viewer) Deliver(r broker.Reply) bool {
-	if r.Kind == broker.Over || r.Kind == broker.Moved {
+	if r.Kind == broker.ReplyEnded || r.Kind == broker.ReplyMoved {
 		v.front.sendEnd(&end{reply: r, host: v.host, until: time.Now().Add(keepEnd)})
 	}
 	return true
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -25,8 +25,8 @@
 	Core    message.Core
 	Catalog message.Catalog
 	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
-	Reasons bool           // failures and refusals say why; the platform's protocol has no field for it
+	Counts  *broker.Counters // nil: nobody asks
+	Reasons bool             // failures and refusals say why; the platform's protocol has no field for it
 	Log     *zap.Logger
 
 	mu     sync.Mutex
@@ -82,10 +82,10 @@
 // that stood goes on any open one: none owns it.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
+	case broker.ReplyClosed: // its set-up was answered; one that is open under that id is another
 		c.Fell()
 		return true
-	case broker.Over, broker.Moved: // likewise
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
 		c.Fell()
 		e := &end{reply: r, host: c.Host, until: time.Now().Add(keepEnd)}
 		if !c.sendEnd(e) {
@@ -95,9 +95,9 @@
 	}
 	defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
+	case broker.ReplyServed:
 		c.know()
 		c.Stands()
 	}
@@ -186,13 +186,13 @@
 		return false // there is no id to answer under
 	case err != nil:
 		c.front.Log.Info("set-up not understood", zap.Error(err))
-		return c.send(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+		return c.send(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
 		// Guard: too many wait, on this connection or before the module, or clients are
 		// sent away. Nothing has been tried.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		return c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		return c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return true
 }
@@ -200,12 +200,12 @@
 // stands takes a session that plays already. It is owed no answer, but an end
 // where it can't be held.
 func (c *conn) stands(m *message.Message, r broker.Request, at control.Server, err error) bool {
-	r.Playing = at
+	r.PlayingOn = at
 	c.Stands()
 	if err == nil && c.front.Core.Submit(r) {
 		c.know()
 		return true
 	}
 	c.front.Log.Info("standing session not taken", zap.Error(err))
-	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.Over, ID: r.ID, Cause: broker.CauseCut})
+	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: r.ID, Cause: broker.CauseInterrupted})
 }
--- a/internal/front/jsonl/jsonl_test.go
+++ b/internal/front/jsonl/jsonl_test.go
@@ -72,8 +72,8 @@
 	v, _ := dial()
 	v.Close()
 	client := <-c.lost
-	client.Deliver(broker.Reply{Kind: broker.Served, ID: 1}) // is lost with its connection
-	client.Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
+	client.Deliver(broker.Reply{Kind: broker.ReplyServed, ID: 1}) // is lost with its connection
+	client.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 41})
 	_, in := dial()
 	hear(t, in, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`)
 }
@@ -92,7 +92,7 @@
 	io.WriteString(o, `{"type":"ping","id":"01"}`+"\n")
 	hear(t, in, `{"type":"pong","id":"01","fields":{},"cause":1}`) // it is accepted
 	v.Close()
-	(<-c.lost).Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
+	(<-c.lost).Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 41})
 	_, again := dial()
 	hear(t, again, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`)
 	io.WriteString(o, `{"type":"ping","id":"02"}`+"\n")
@@ -111,7 +111,7 @@
 	v.Close()
 	client := <-c.lost
 	v, in = dial()
-	client.Deliver(broker.Reply{Kind: broker.Over, ID: 2, Cause: 16})
+	client.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 2, Cause: 16})
 	hear(t, in, `{"type":"release","id":"0000000000000002","fields":{},"cause":16}`)
 	v.(*net.TCPConn).SetLinger(0)
 	v.Close()
@@ -185,7 +185,7 @@
 	v := h.stranger()
 	io.WriteString(v, `{"type":"setup","id":"000000000000000`+id+`","fields":{"class":"feed","left":"900","key":"1","extras":"home:0;copies:1;top:0"},"sdp":""}`+"\n")
 	v.client = <-h.core.taken
-	v.client.Deliver(broker.Reply{Kind: broker.Served, ID: control.SessionID(id[0] - '0')})
+	v.client.Deliver(broker.Reply{Kind: broker.ReplyServed, ID: control.SessionID(id[0] - '0')})
 	v.in.ReadString('\n')
 	return v
 }
@@ -193,8 +193,8 @@
 const ended = `{"type":"release","id":"0000000000000001","fields":{},"cause":16}`
 
 var (
-	over1 = broker.Reply{Kind: broker.Over, ID: 1, Cause: 16}
-	over2 = broker.Reply{Kind: broker.Over, ID: 2, Cause: 17}
+	over1 = broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 16}
+	over2 = broker.Reply{Kind: broker.ReplyEnded, ID: 2, Cause: 17}
 )
 
 // An end whose own connection is gone goes to a viewer who has had a session, also
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -300,18 +300,18 @@
 func AppendReply(b []byte, r broker.Reply) []byte {
 	kind := "release"
 	switch r.Kind {
-	case broker.Served:
+	case broker.ReplyServed:
 		kind = "answer"
-	case broker.Moved:
+	case broker.ReplyMoved:
 		kind = "move"
 	}
 	b = appendHead(b, kind)
 	b = append(b, `,"id":"`...)
 	b = appendID(b, uint64(r.ID))
 	b = append(b, `","fields":{`...)
-	if r.Kind == broker.Refused && r.Wait > 0 {
+	if r.Kind == broker.ReplyRefused && r.RetryAfter > 0 {
 		b = append(b, `"wait":"`...)
-		b = strconv.AppendInt(b, max(r.Wait.Milliseconds(), 1), 10)
+		b = strconv.AppendInt(b, max(r.RetryAfter.Milliseconds(), 1), 10)
 		b = append(b, '"')
 	}
 	if r.Reason != "" {
@@ -322,10 +322,10 @@
 		b = appendText(b, []byte(r.Reason))
 	}
 	b = append(b, '}')
-	if r.Kind == broker.Served {
+	if r.Kind == broker.ReplyServed {
 		b = append(b, `,"sdp":`...)
 		b = appendText(b, r.Description)
-	} else if r.Kind != broker.Moved {
+	} else if r.Kind != broker.ReplyMoved {
 		b = append(b, `,"cause":`...)
 		b = strconv.AppendInt(b, int64(r.Cause), 10)
 	}
@@ -410,14 +410,14 @@
 		return r, ErrNoClass
 	}
 	r.Description = bytes.Clone(m.SDP) // it outlives the read buffer
-	r.Again = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
+	r.Repeated = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
 	return r, nil
 }
 
 // Routed is a set-up as rules look at it.
 func Routed(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
-		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Span, Top: r.MaxRung, Left: r.Left,
+		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Copies, Top: r.MaxRung, Left: r.TimeLeft,
 		Retry: string(m.Get("retry")) == "1", Again: string(m.Extra("again")) == "1",
 		Front: from.Front, Client: from.Client, Came: from.Came, Texts: m,
 	}
@@ -428,7 +428,7 @@
 // error: a node could not use it either, and an error of a node's counts against
 // the node.
 func (c *Catalog) Read(m *Message, from Origin) (broker.Request, error) {
-	r := broker.Request{Came: from.Came, Class: -1, Team: -1}
+	r := broker.Request{ReceivedAt: from.Came, Class: -1, Team: -1}
 	var err error
 	if r.ID, err = ParseID(m.ID); err != nil {
 		return r, err
@@ -447,8 +447,8 @@
 		return r, errors.New("key is no title")
 	}
 	left, ok := figure(m.Get("left"), 1, float64(math.MaxInt32))
-	r.Left = time.Duration(left) * time.Millisecond
-	if !ok || r.Left > c.MostLeft && m.At() == nil {
+	r.TimeLeft = time.Duration(left) * time.Millisecond
+	if !ok || r.TimeLeft > c.MostLeft && m.At() == nil {
 		return r, errors.New("left is out of range")
 	}
 	extras := m.Get("extras")
@@ -458,11 +458,11 @@
 	if !ok1 || !ok2 || !ok3 {
 		return r, errors.New("home, copies or top is missing or out of range")
 	}
-	r.Home, r.Span, r.MaxRung = int(home), int(span), top
+	r.Home, r.Copies, r.MaxRung = int(home), int(span), top
 	if len(m.SDP) > Max-roomOnWire {
 		return r, errors.New("description too long")
 	}
-	r.Named.Class, r.Named.Team = r.Class, r.Team
+	r.Requested.Class, r.Requested.Team = r.Class, r.Team
 	return r, nil
 }
 
--- a/internal/front/message/message_test.go
+++ b/internal/front/message/message_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	r, err := catalog.Setup(&m, Origin{Came: time.Unix(9, 0)})
-	if err != nil || r.ID != 0x9b1f03aa5c7e2d41 || r.Class != 1 || r.Left != 1500*time.Millisecond || r.Team != -1 ||
-		r.Title != 0x7f3a9c21e0b4d655 || r.Home != 4 || r.Span != 3 || r.MaxRung != 2 || m.Cause != 3 ||
+	if err != nil || r.ID != 0x9b1f03aa5c7e2d41 || r.Class != 1 || r.TimeLeft != 1500*time.Millisecond || r.Team != -1 ||
+		r.Title != 0x7f3a9c21e0b4d655 || r.Home != 4 || r.Copies != 3 || r.MaxRung != 2 || m.Cause != 3 ||
 		string(r.Description) != "a\r\né😀\"/" || string(m.At()) != "s-1" {
 		t.Errorf("%+v, %v", r, err)
 	}
@@ -63,11 +63,11 @@
 		r    broker.Reply
 		want string
 	}{
-		{broker.Reply{Kind: broker.Served, ID: 1, Description: []byte("a\"\r\n\x01")},
+		{broker.Reply{Kind: broker.ReplyServed, ID: 1, Description: []byte("a\"\r\n\x01")},
 			`{"type":"answer","id":"0000000000000001","fields":{},"sdp":"a\"\r\n\u0001"}`},
-		{broker.Reply{Kind: broker.Refused, ID: 1, Cause: 42, Wait: 250 * time.Millisecond},
+		{broker.Reply{Kind: broker.ReplyRefused, ID: 1, Cause: 42, RetryAfter: 250 * time.Millisecond},
 			`{"type":"release","id":"0000000000000001","fields":{"wait":"250"},"cause":42}`},
-		{broker.Reply{Kind: broker.Moved, ID: 1}, `{"type":"move","id":"0000000000000001","fields":{}}`},
+		{broker.Reply{Kind: broker.ReplyMoved, ID: 1}, `{"type":"move","id":"0000000000000001","fields":{}}`},
 	} {
 		if got := AppendReply(nil, e.r); string(got) != e.want || !json.Valid(got) {
 			t.Errorf("%s, want %s", got, e.want)
@@ -86,7 +86,7 @@
 			return
 		}
 		if r, err := catalog.Setup(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= catalog.Cells ||
-			r.Span < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.Left <= 0) {
+			r.Copies < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.TimeLeft <= 0) {
 			t.Errorf("%q: taken as %+v", keep, r)
 		}
 		var want map[string]any
@@ -117,7 +117,7 @@
 
 // BenchmarkWrite writes an answer.
 func BenchmarkWrite(b *testing.B) {
-	r := broker.Reply{Kind: broker.Served, ID: 7, Description: []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n")}
+	r := broker.Reply{Kind: broker.ReplyServed, ID: 7, Description: []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n")}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -38,7 +38,7 @@
 	Path    string
 	Grace   time.Duration // for a player whose socket is lost to come back
 	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
+	Counts  *broker.Counters // nil: nobody asks
 	Log     *zap.Logger
 }
 
@@ -76,18 +76,18 @@
 // reply for the player to come back.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
+	case broker.ReplyClosed: // its set-up was answered; one that is open under that id is another
 		c.Fell()
 		return true
-	case broker.Over, broker.Moved: // likewise
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
 		c.Fell()
 	default:
 		defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	}
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
+	case broker.ReplyServed:
 		c.Know()
 		c.Stands()
 	}
@@ -232,13 +232,13 @@
 	case err != nil && r.ID == 0:
 		return closeError(closeProtocol)
 	case err != nil:
-		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+		c.Deliver(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
 		// Guard: too many wait, on this socket or before the module, or clients are sent
 		// away. Nothing has been tried.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return nil
 }
--- a/internal/media/cases_test.go
+++ b/internal/media/cases_test.go
@@ -124,7 +124,7 @@
 
 func (f *farNode) told() bool {
 	for _, r := range *f.reports {
-		if r.Kind == broker.Ended && r.ID == 1 {
+		if r.Kind == broker.ReportEnded && r.ID == 1 {
 			return true
 		}
 	}
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -54,7 +54,7 @@
 	t.Helper()
 	var got []control.Status
 	for _, r := range *reports {
-		if r.Kind == broker.Ended {
+		if r.Kind == broker.ReportEnded {
 			got = append(got, r.Status)
 		}
 	}
@@ -227,7 +227,7 @@
 		n.dialling = true
 		n.handle(stands{1})
 		lose(n)
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseCut {
+		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseInterrupted {
 			t.Errorf("%s: %+v", name, *reports)
 		}
 	}
@@ -289,7 +289,7 @@
 				}
 				status(t, reports, want)
 				last := (*reports)[len(*reports)-1] // only of a set-up: is the node there?
-				if len(n.standing)+len(n.attempts)+len(n.doubted) != 0 || last.Cause == 0 && last.Confined != (want == control.Reset && name == "restarted") {
+				if len(n.standing)+len(n.attempts)+len(n.doubted) != 0 || last.Cause == 0 && last.ConnectionOnly != (want == control.Reset && name == "restarted") {
 					t.Errorf("%d stand, %d out, %d doubted; %+v", len(n.standing), len(n.attempts), len(n.doubted), last)
 				}
 			})
@@ -373,7 +373,7 @@
 			status(t, reports)
 			n.handle(e.then)
 		}
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Confined != e.confined ||
+		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].ConnectionOnly != e.confined ||
 			(*reports)[0].Down != (name == "refused") ||
 			len(n.attempts)+len(n.doubted) != 0 {
 			t.Errorf("%s: %+v", name, *reports)
@@ -435,7 +435,7 @@
 		n.handle(heard{c, message{kind: answered, id: id, status: 200}})
 	}
 	c.Close()
-	if len(*reports) != 1 || (*reports)[0].Kind != broker.Started || (*reports)[0].ID != 1 || n.standing[1] == nil {
+	if len(*reports) != 1 || (*reports)[0].Kind != broker.ReportStarted || (*reports)[0].ID != 1 || n.standing[1] == nil {
 		t.Errorf("%+v", *reports)
 	}
 	for b := range wrote {
@@ -563,7 +563,7 @@
 	}()
 	n.dialling = true
 	n.handle(dialled{conn: c})
-	if m := <-got; m.kind != ended || m.id != 10 || m.cause != broker.CauseCut || len(n.owed) != 0 {
+	if m := <-got; m.kind != ended || m.id != 10 || m.cause != broker.CauseInterrupted || len(n.owed) != 0 {
 		t.Errorf("%+v, %d owed", m, len(n.owed))
 	}
 }
@@ -794,7 +794,7 @@
 		}
 	}
 	n.pool.Probe(n.server)
-	if last := (*reports)[len(*reports)-1]; !n.box.Empty() || last.Kind != broker.Probed || last.Status != control.Moot {
+	if last := (*reports)[len(*reports)-1]; !n.box.Empty() || last.Kind != broker.ReportProbed || last.Status != control.Moot {
 		t.Errorf("a probe is under way: %+v", last)
 	}
 	if got := string(wrote.b); strings.Contains(got, "OPTIONS") || strings.Count(got, "TEARDOWN") != 1 {
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -222,13 +222,13 @@
 
 func (n *node) end(a *attempt, status control.Status) {
 	n.drop(a)
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: status})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: status})
 }
 
 // broken ends a set-up that went down with its connection. confined: the node
 // was heard of or reached since, so the fault was the connection's alone.
 func (n *node) broken(a *attempt, confined bool) {
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.Reset, Confined: confined})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: control.Reset, ConnectionOnly: confined})
 }
 
 func (n *node) drop(a *attempt) {
@@ -399,7 +399,7 @@
 		}
 	}
 	for ; n.asked > 0; n.asked-- {
-		n.report(broker.Report{Kind: broker.Probed, Status: status})
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: status})
 	}
 	n.judge(own)
 	if own {
@@ -428,7 +428,7 @@
 		// The node may hold its sessions still: it is told when it can be.
 		until := time.Now().Add(keepLost)
 		for id := range n.standing {
-			n.owed[id] = owed{broker.CauseCut, until}
+			n.owed[id] = owed{broker.CauseInterrupted, until}
 		}
 		n.cut(why, time.Now())
 		n.closeAll(time.Now())
@@ -470,7 +470,7 @@
 	for id, s := range n.standing {
 		if s.at.Before(before) {
 			delete(n.standing, id)
-			n.report(broker.Report{Kind: broker.Ended, ID: id, Status: control.Reset, Cause: broker.CauseCut})
+			n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: control.Reset, Cause: broker.CauseInterrupted})
 		}
 	}
 }
@@ -595,7 +595,7 @@
 				}
 				continue
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: control.TimedOut})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: control.TimedOut})
 		}
 	}
 	for id, o := range n.owed {
@@ -828,7 +828,7 @@
 		return
 	}
 	if !n.test(c, false, probeTime) {
-		n.report(broker.Report{Kind: broker.Probed, Status: control.Reset})
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: control.Reset})
 	}
 }
 
@@ -870,12 +870,12 @@
 			if m.status != 200 {
 				status = control.Errored
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: status, Load: m.load})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: status, Load: m.load})
 		}
 	case ended:
 		n.released(m)
 	case noted:
-		n.report(broker.Report{Kind: broker.Noted, ID: m.id, Note: m.note, Value: m.value})
+		n.report(broker.Report{Kind: broker.ReportNote, ID: m.id, Note: m.note, Value: m.value})
 	}
 	if n.dialling { // what waits may have a place by now
 		n.sendWaiting()
@@ -949,7 +949,7 @@
 	}
 	if m.status == 200 {
 		n.standing[m.id] = &stand{conn: m.conn, at: a.sent}
-		n.report(broker.Report{Kind: broker.Started, ID: m.id, Number: a.Number, Load: m.load, Description: m.description})
+		n.report(broker.Report{Kind: broker.ReportStarted, ID: m.id, AttemptNumber: a.Number, Load: m.load, Description: m.description})
 		return
 	}
 	status := control.Errored
@@ -961,7 +961,7 @@
 	case 504:
 		status = control.Reset
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: m.id, Number: a.Number, Status: status, Load: m.load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: m.id, AttemptNumber: a.Number, Status: status, Load: m.load})
 }
 
 // released takes a node's TEARDOWN of a session or of a set-up.
@@ -1005,7 +1005,7 @@
 	case broker.CauseCancelled:
 		status = control.Cancelled
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: id, Status: status, Cause: cause, Load: load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: status, Cause: cause, Load: load})
 }
 
 func sessionName(id control.SessionID) string {
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -173,11 +173,11 @@
 
 func (p *Pool) SetUp(s control.Server, a broker.Attempt) bool { return p.post(s, setUp{a}, true) }
 
-func (p *Pool) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
+func (p *Pool) Abandon(s control.Server, id control.SessionID, number int, timedOut bool) {
 	p.post(s, giveUp{id, number, timedOut}, false)
 }
 
-func (p *Pool) Stands(s control.Server, id control.SessionID) bool {
+func (p *Pool) AddEstablished(s control.Server, id control.SessionID) bool {
 	return p.post(s, stands{id}, false)
 }
 
@@ -191,7 +191,7 @@
 
 func (p *Pool) Probe(s control.Server) {
 	if p.cfg.NoProbes || !p.post(s, probe{}, true) {
-		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
+		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.Moot})
 	}
 }
 
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	change(&cfg)
-	cfg.Drain = broker.Drain{Take: patience, Stay: 900 * time.Millisecond} // whatever the machine's pace
+	cfg.Drain = broker.DrainTimes{AcceptFor: patience, KeepFor: 900 * time.Millisecond} // whatever the machine's pace
 	p := &program{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
 	if p.at, err = Listen(cfg); err != nil {
 		t.Fatal(err)
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -33,7 +33,7 @@
 type operation struct {
 	cfg    *config.Config
 	gate   *duty.Gate
-	counts *broker.Counts
+	counts *broker.Counters
 	nodes  *directory.List
 	sink   directory.Sink // of nodes, with the orders laid over
 	core   *broker.Broker
@@ -60,7 +60,7 @@
 	if cfg.Admin == "" {
 		return nil
 	}
-	o := &operation{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounts(len(cfg.Classes)), orders: duty.NewOrders(), log: log, fresh: make(chan struct{})}
+	o := &operation{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), orders: duty.NewOrders(), log: log, fresh: make(chan struct{})}
 	if cfg.Temp == "" {
 		return o
 	}
@@ -107,7 +107,7 @@
 	return o.gate
 }
 
-func (o *operation) Counts() *broker.Counts {
+func (o *operation) Counts() *broker.Counters {
 	if o == nil {
 		return nil
 	}
@@ -288,7 +288,7 @@
 	if o.folder == nil || o.final {
 		return
 	}
-	o.final = e.Last
+	o.final = e.Final
 	// Guard: the successor may have ended, or may end itself, since it was chosen.
 	if others, err := o.self.Others(); err == nil {
 		o.successor = others.Successor(o.successor)
@@ -381,7 +381,7 @@
 		}
 		return m
 	}
-	c, err := o.core.Census(ctx)
+	c, err := o.core.Stats(ctx)
 	if err != nil {
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
@@ -398,7 +398,7 @@
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
 	return admin.Figures{
-		OK: by(o.counts.Served), Shed: by(o.counts.Refused), Errors: by(o.counts.Failed), Tries: o.counts.Tries.Load(),
+		OK: by(o.counts.Served), Shed: by(o.counts.Refused), Errors: by(o.counts.Failed), Tries: o.counts.Attempts.Load(),
 		Active: c.Open + c.Playing, Size: n.listed, Ejected: n.out + c.Avoided,
 	}, nil
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -98,22 +98,22 @@
 		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), HalfConns: half.NodeConns(),
 		DrainGrace: cfg.DrainGrace,
 		NoProbes:   !cfg.Settings.Probes,
-		Shared:     hand.Shared, Tried: counts.Tried,
+		Shared:     hand.Shared, Tried: counts.CountAttempt,
 		Report: func(r broker.Report) { core.Report(r) }, Log: log,
 		Stalled: func(d time.Duration) {
 			coordinator.Ask()
-			core.Stalled(d)
+			core.ProcessPaused(d)
 		},
 	})
 	core, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: hand.Hand(), Log: log,
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counters: counts, HandOver: hand.Hand(), Log: log,
 	})
 	if err != nil {
 		return err
 	}
 	nodes := directory.NewList(hand.over(func(c directory.Change) {
 		pool.Apply(c) // first: a drain binds what is queued at once
-		core.List(list(c))
+		core.UpdateList(list(c))
 	}))
 	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodes.Source("coordinator"), log)
 	coordinator.Heard = func(asked time.Time) {
@@ -207,11 +207,11 @@
 				case draining:
 				case hand.leave(at.Viewers, at.Players):
 					log.Info("leaving to a younger process", zap.Stringer("signal", s))
-					core.Leave()
+					core.DrainForSuccessor()
 					draining = true
 				default:
 					log.Info("draining", zap.Stringer("signal", s))
-					core.Finish()
+					core.Drain()
 					leave()
 					draining = true
 				}
@@ -272,8 +272,8 @@
 const lastWrites = 50 * time.Millisecond
 
 // list is a change as the module takes it.
-func list(c directory.Change) broker.List {
-	var l broker.List
+func list(c directory.Change) broker.ListUpdate {
+	var l broker.ListUpdate
 	for _, m := range c.Members {
 		l.Entries = append(l.Entries, m.Entry)
 	}
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -123,14 +123,14 @@
 		defer all[i].close()
 	}
 	hand := func(from, n int, last bool) {
-		all[from].handOver(broker.Handover{Standing: make([]broker.Standing, n), Last: last})
+		all[from].handOver(broker.Handover{Sessions: make([]broker.EstablishedSession, n), Final: last})
 	}
 	got := func(want string) {
 		t.Helper()
 		var took []string
 		for i, o := range all {
 			for e, changed, err := o.self.Handover(); changed || err != nil; e, changed, err = o.self.Handover() {
-				took = append(took, fmt.Sprint(i, " takes ", len(e.Standing)))
+				took = append(took, fmt.Sprint(i, " takes ", len(e.Sessions)))
 			}
 		}
 		if have := strings.Join(took, ", "); have != want {
