--- a/internal/broker/counts.go
+++ b/internal/broker/counts.go
@@ -48,26 +48,26 @@
 	Avoided int // nodes in service that the module leaves out for now
 }
 
-type census struct{ to chan<- Stats }
+type statsRequest struct{ result chan<- Stats }
 
 // Stats asks the broker's actor what it holds.
 func (b *Broker) Stats(ctx context.Context) (Stats, error) {
-	to := make(chan Stats, 1)
-	b.inbox.Force(census{to})
+	result := make(chan Stats, 1)
+	b.inbox.Force(statsRequest{result})
 	select {
-	case c := <-to:
+	case c := <-result:
 		return c, nil
 	case <-ctx.Done():
 		return Stats{}, ctx.Err()
 	}
 }
 
-func (b *Broker) count() Stats {
+func (b *Broker) collectStats() Stats {
 	playing := 0
 	for _, s := range b.sessions {
 		if s.playing {
 			playing++
 		}
 	}
-	return Stats{len(b.open), playing, b.ctl.Avoided(unix(b.clock.now()))}
+	return Stats{len(b.openSetUps), playing, b.controller.Avoided(unixSeconds(b.clock.now()))}
 }
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -58,50 +58,50 @@
 // view is the broker as parts see it.
 type view struct{ *Broker }
 
-func (v view) FleetSlots() float64   { return v.ctl.Room() }
-func (v view) ArrivalShare() float64 { return v.ctl.Share() }
+func (v view) FleetSlots() float64   { return v.controller.Room() }
+func (v view) ArrivalShare() float64 { return v.controller.Share() }
 
 func (v view) Probe(s control.Server) { v.nodes.Probe(s) }
 
 func (v view) SessionAges() [][]float64 {
-	now, ages := v.clock.now(), make([][]float64, len(v.set.Classes))
+	now, ages := v.clock.now(), make([][]float64, len(v.settings.Classes))
 	for _, s := range v.sessions {
-		if s.playing && !s.stood.IsZero() {
-			ages[s.Class] = append(ages[s.Class], now.Sub(s.stood).Seconds())
+		if s.playing && !s.establishedAt.IsZero() {
+			ages[s.Class] = append(ages[s.Class], now.Sub(s.establishedAt).Seconds())
 		}
 	}
 	return ages
 }
 
-// tickPart calls a part, and is due again.
-func (b *Broker) tickPart(i int) {
-	now, p := b.clock.now(), b.parts[i]
+// tickPlanner calls a part, and is due again.
+func (b *Broker) tickPlanner(index int) {
+	now, p := b.clock.now(), b.planners[index]
 	for _, e := range p.Tick(now, view{b}) {
-		b.tell(e)
+		b.dispatch(e)
 	}
-	b.timers.add(now.Add(p.Interval()), timerPart, 0, uint32(i))
+	b.timers.add(now.Add(p.Interval()), timerPlanner, 0, uint32(index))
 }
 
-// arrived tells the parts of a request, and whether one of them holds room for it.
-func (b *Broker) arrived(now time.Time, r *Request) (own bool) {
-	for _, p := range b.parts {
+// requestArrived tells the parts of a request, and whether one of them holds room for it.
+func (b *Broker) requestArrived(now time.Time, r *Request) (own bool) {
+	for _, p := range b.planners {
 		own = p.RequestArrived(now, r) || own
 	}
 	return own
 }
 
 // ProcessPaused tells the broker that the program stood still for a time.
-func (b *Broker) ProcessPaused(d time.Duration) { b.inbox.Force(stood{d}) }
+func (b *Broker) ProcessPaused(d time.Duration) { b.inbox.Force(processPause{d}) }
 
-type stood struct{ d time.Duration }
+type processPause struct{ duration time.Duration }
 
-// parts are those that a configuration asks for.
-func parts(cfg *Config, fronts int, log *zap.Logger) (all []Planner) {
-	if h := newHolder(cfg.Peaks, fronts, log); h != nil {
+// newPlanners are those that a configuration asks for.
+func newPlanners(cfg *Config, managers int, log *zap.Logger) (all []Planner) {
+	if h := newPeakPlanner(cfg.Peaks, managers, log); h != nil {
 		all = append(all, h)
 	}
 	if len(cfg.Sites.Names) > 0 {
-		all = append(all, newSites(cfg.Sites, cfg.Settings, log))
+		all = append(all, newSitePlanner(cfg.Sites, cfg.Settings, log))
 	}
 	return all
 }
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -9,54 +9,54 @@
 	"millethinge/control"
 )
 
-// lastWait is how long a viewer should stay away from a program that ends.
-const lastWait = 100 * time.Millisecond
+// drainRetryAfter is how long a viewer should stay away from a program that ends.
+const drainRetryAfter = 100 * time.Millisecond
 
 const (
-	lookTime    = 50 * time.Millisecond // between looks at a client that an attempt waits for
-	unheardWait = time.Second           // for which one is sent away that was not heard in time
+	recheckInterval   = 50 * time.Millisecond // between looks at a client that an attempt waits for
+	unheardRetryAfter = time.Second           // for which one is sent away that was not heard in time
 )
 
 // session is one request from its arrival until all of it has ended.
 type session struct {
 	Request
-	client   Client // nil: its player's connection is lost
-	losses   uint32 // how often it was
-	deadline time.Time
-	answered bool // the final answer is given, or none is owed
-	reply    Reply
-	attempt  int // number of the last attempt
-	server   control.Server
-	rung     int
-	out      bool            // an attempt is out
-	paused   *control.Action // the attempt that is out has not begun: its client has gone
-	playing  bool
-	mayRun   bool // an earlier attempt may have run
-	billed   bool
-	adopted  bool      // an older process set it up; its client is only where its viewer is
-	stood    time.Time // since when it plays
+	client        Client // nil: its player's connection is lost
+	disconnects   uint32 // how often it was
+	deadline      time.Time
+	answered      bool // the final answer is given, or none is owed
+	reply         Reply
+	attempt       int // number of the last attempt
+	server        control.Server
+	rung          int
+	inFlight      bool            // an attempt is out
+	deferred      *control.Action // the attempt that is out has not begun: its client has gone
+	playing       bool
+	mayHaveRun    bool // an earlier attempt may have run
+	countedInTeam bool
+	adopted       bool      // an older process set it up; its client is only where its viewer is
+	establishedAt time.Time // since when it plays
 }
 
-func (b *Broker) request(r Request) {
+func (b *Broker) handleRequest(r Request) {
 	now := b.clock.now()
 	if s := b.sessions[r.ID]; s != nil {
 		b.rejoin(s, r)
 		return
 	}
-	if last, ok := b.ended[r.ID]; ok {
+	if last, ok := b.endedReplies[r.ID]; ok {
 		// A player that lost the final answer asks again: it gets the same one,
 		// and nothing is set up a second time.
-		tellAgain(r.Client, last)
+		repeatReply(r.Client, last)
 		return
 	}
-	if b.closing() {
+	if b.refusesNew() {
 		// Guard: a request that comes late in a drain is answered too, at once: the
 		// program may be killed before an attempt ends. Another manager may take it.
-		b.counts.CountAnswer(r.Class, ReplyRefused)
-		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: lastWait})
+		b.counters.CountAnswer(r.Class, ReplyRefused)
+		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: drainRetryAfter})
 		return
 	}
-	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.set.Classes[r.Class].Floor}
+	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.settings.Classes[r.Class].Floor}
 	e := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
 		Home: r.Home, Span: r.Copies, MaxRung: r.MaxRung,
@@ -72,19 +72,19 @@
 		b.sessions[r.ID] = s
 		e.Kind, e.Server = control.EvOpen, r.PlayingOn
 		e.LeftS = r.TimeLeft.Seconds()
-		b.tell(e)
+		b.dispatch(e)
 		return
 	}
 	b.sessions[r.ID] = s
-	b.open[r.ID] = true
-	b.timers.add(s.deadline.Add(-lastMargin), timerDeadline, r.ID, 0)
+	b.openSetUps[r.ID] = true
+	b.timers.add(s.deadline.Add(-overdueMargin), timerDeadline, r.ID, 0)
 	if wait, ok := b.admit(now, s); !ok {
 		b.refuse(s, wait)
 		return
 	}
-	e.Kind, e.Own = control.EvArrive, b.arrived(now, &r)
+	e.Kind, e.Own = control.EvArrive, b.requestArrived(now, &r)
 	e.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
-	b.tell(e)
+	b.dispatch(e)
 }
 
 // rejoin gives a running session to the connection that its player came back
@@ -107,7 +107,7 @@
 			b.fail(s)
 			return
 		}
-		b.counts.CountAnswer(r.Class, ReplyFailed)
+		b.counters.CountAnswer(r.Class, ReplyFailed)
 		r.Client.Deliver(Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed})
 	default:
 		switch {
@@ -118,18 +118,18 @@
 			s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 		}
 		s.client = r.Client
-		switch a := s.paused; {
+		switch a := s.deferred; {
 		case s.answered:
-			tellAgain(s.client, s.reply)
+			repeatReply(s.client, s.reply)
 		case a != nil:
-			b.begin(b.clock.now(), s, *a)
+			b.sendOrDefer(b.clock.now(), s, *a)
 		}
 	}
 }
 
-// tellAgain answers a set-up by how its session ended before. Guard: the end of what stood
+// repeatReply answers a set-up by how its session ended before. Guard: the end of what stood
 // is no answer to a set-up, and leaves one that is open under that id as it is.
-func tellAgain(c Client, r Reply) {
+func repeatReply(c Client, r Reply) {
 	c.Deliver(r)
 	if r.Kind == ReplyEnded || r.Kind == ReplyMoved {
 		c.Deliver(Reply{Kind: ReplyAbandoned, ID: r.ID})
@@ -143,9 +143,9 @@
 		s.Copies == r.Copies && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
 }
 
-// clientLost gives up the set-ups open on a connection that is gone, or keeps
+// handleConnectionLost gives up the set-ups open on a connection that is gone, or keeps
 // them for a player that may come back.
-func (b *Broker) clientLost(c Client) {
+func (b *Broker) handleConnectionLost(c Client) {
 	now := b.clock.now()
 	for _, s := range b.sessions {
 		if s.client != c {
@@ -153,24 +153,24 @@
 		}
 		if s.Grace > 0 {
 			s.client = nil
-			s.losses++
-			b.timers.add(now.Add(s.Grace), timerGrace, s.ID, s.losses)
+			s.disconnects++
+			b.timers.add(now.Add(s.Grace), timerGrace, s.ID, s.disconnects)
 		} else if !s.answered {
 			b.abandon(s)
 		}
 	}
 }
 
-// viewerEnd gives a set-up up or ends a session that stands.
-func (b *Broker) viewerEnd(e ViewerEnd) {
+// handleViewerEnd gives a set-up up or ends a session that stands.
+func (b *Broker) handleViewerEnd(e ViewerEnd) {
 	s := b.sessions[e.ID]
 	if s == nil {
 		return
 	}
 	if s.playing {
-		b.known(s, e.Cause)
+		b.recordViewerEnd(s, e.Cause)
 		b.nodes.Release(s.server, s.ID, e.Cause)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 		return
 	}
 	if s.client == e.Client {
@@ -182,43 +182,43 @@
 // abandon ends a session whose viewer waits no more. No answer is owed.
 func (b *Broker) abandon(s *session) {
 	if s.playing {
-		b.known(s, CauseEnded)
+		b.recordViewerEnd(s, CauseEnded)
 		b.nodes.Release(s.server, s.ID, CauseEnded)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 		return
 	}
 	s.answered, s.reply = true, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed}
-	delete(b.open, s.ID)
+	delete(b.openSetUps, s.ID)
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 	}
-	b.giveUp(s, false)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.abandonAttempt(s, false)
+	b.dispatch(control.Event{Kind: control.EvAborted, Session: s.ID})
 	b.forget(s)
 }
 
-// giveUp ends the attempt that is out, if one is.
-func (b *Broker) giveUp(s *session, timedOut bool) {
+// abandonAttempt ends the attempt that is out, if one is.
+func (b *Broker) abandonAttempt(s *session, timedOut bool) {
 	switch {
-	case !s.out:
-	case s.paused != nil:
-		s.paused = nil
-		b.moot(s, s.server)
+	case !s.inFlight:
+	case s.deferred != nil:
+		s.deferred = nil
+		b.reportUnsent(s, s.server)
 	default:
 		b.nodes.Abandon(s.server, s.ID, s.attempt, timedOut)
 	}
 }
 
-// overdue answers what nothing else has answered: the last guard before a
+// answerOverdue answers what nothing else has answered: the last guard before a
 // viewer's time is up, whatever a node or the module does.
-func (b *Broker) overdue(id control.SessionID) {
+func (b *Broker) answerOverdue(id control.SessionID) {
 	s := b.sessions[id]
 	if s == nil || s.answered {
 		return
 	}
 	b.log.Warn("answered at the deadline", zap.Uint64("session", uint64(id)))
-	if s.paused != nil { // nothing of this attempt has run
-		b.refuse(s, unheardWait)
+	if s.deferred != nil { // nothing of this attempt has run
+		b.refuse(s, unheardRetryAfter)
 	}
 	b.fail(s)
 }
@@ -226,82 +226,82 @@
 // fail answers a session that waits no longer for what is out.
 func (b *Broker) fail(s *session) {
 	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
-	b.giveUp(s, true)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.abandonAttempt(s, true)
+	b.dispatch(control.Event{Kind: control.EvAborted, Session: s.ID})
 	b.forget(s)
 }
 
-// handOff sends an attempt. One attempt is out at a time: the module is told
+// startAttempt sends an attempt. One attempt is out at a time: the module is told
 // an attempt's end only when its TEARDOWN is written, and this guards it.
-func (b *Broker) handOff(now time.Time, s *session, a control.Action) {
-	if s == nil || s.answered || s.out || s.playing {
+func (b *Broker) startAttempt(now time.Time, s *session, action control.Action) {
+	if s == nil || s.answered || s.inFlight || s.playing {
 		return
 	}
 	s.attempt++
-	if s.mayRun && b.set.Classes[s.Class].Effect != control.Idempotent {
+	if s.mayHaveRun && b.settings.Classes[s.Class].Effect != control.Idempotent {
 		// Guard: a paid session is sent again only if no attempt can have run.
-		b.moot(s, a.Server)
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	if s.attempt > b.set.AttemptsCap || !b.spend(now, s) {
-		b.moot(s, a.Server)
+	if s.attempt > b.settings.AttemptsCap || !b.takeFurtherAttempt(now, s) {
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	s.server, s.out = a.Server, true
-	b.begin(now, s, a)
+	s.server, s.inFlight = action.Server, true
+	b.sendOrDefer(now, s, action)
 }
 
-// begin has the attempt that is out begin if its client is there.
+// sendOrDefer has the attempt that is out begin if its client is there.
 //
 // Guard: nothing begins for a client that has gone. What it had begun goes on, and this
 // waits for its player, who may come back, or for its loss, which is on its way here. A
 // client that is not heard for a time may still want it: it is looked at again.
-func (b *Broker) begin(now time.Time, s *session, a control.Action) {
-	s.paused = nil
+func (b *Broker) sendOrDefer(now time.Time, s *session, action control.Action) {
+	s.deferred = nil
 	if s.client == nil || s.client.Gone(s.ID) {
-		s.paused = &a
-		b.timers.add(now.Add(lookTime), timerLook, s.ID, 0)
+		s.deferred = &action
+		b.timers.add(now.Add(recheckInterval), timerRecheck, s.ID, 0)
 		return
 	}
-	b.send(now, s, a)
+	b.sendAttempt(now, s, action)
 }
 
-// look looks again whether the client of an attempt that waits for it is there.
-func (b *Broker) look(id control.SessionID) {
-	if s := b.sessions[id]; s != nil && s.paused != nil && s.client != nil {
-		b.begin(b.clock.now(), s, *s.paused)
+// recheckClient looks again whether the client of an attempt that waits for it is there.
+func (b *Broker) recheckClient(id control.SessionID) {
+	if s := b.sessions[id]; s != nil && s.deferred != nil && s.client != nil {
+		b.sendOrDefer(b.clock.now(), s, *s.deferred)
 	}
 }
 
-// send has the attempt that is out begin.
-func (b *Broker) send(now time.Time, s *session, a control.Action) {
-	end := s.deadline.Add(-answerMargin)
-	if a.PatienceS > 0 {
-		if t := now.Add(seconds(a.PatienceS)); t.Before(end) {
-			end = t
+// sendAttempt has the attempt that is out begin.
+func (b *Broker) sendAttempt(now time.Time, s *session, action control.Action) {
+	deadline := s.deadline.Add(-answerMargin)
+	if action.PatienceS > 0 {
+		if limit := now.Add(seconds(action.PatienceS)); limit.Before(deadline) {
+			deadline = limit
 		}
 	}
-	ok := b.nodes.SetUp(a.Server, Attempt{
+	ok := b.nodes.SetUp(action.Server, Attempt{
 		ID: s.ID, Number: s.attempt, Class: s.Class, Key: s.Key, Rung: s.rung,
-		Deadline: end, Description: s.Description, Client: s.client,
+		Deadline: deadline, Description: s.Description, Client: s.client,
 	})
 	if !ok {
-		b.moot(s, a.Server)
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	b.timers.add(end, timerAttempt, s.ID, uint32(s.attempt))
+	b.timers.add(deadline, timerAttempt, s.ID, uint32(s.attempt))
 }
 
-// moot reports an attempt that never left, after the module's present actions.
-func (b *Broker) moot(s *session, server control.Server) {
-	s.out, s.server = true, server
+// reportUnsent reports an attempt that never left, after the module's present actions.
+func (b *Broker) reportUnsent(s *session, server control.Server) {
+	s.inFlight, s.server = true, server
 	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attempt, Status: control.Moot})
 }
 
 // refuse tells a viewer to come again later. The rule on paid sessions covers
 // every refusal: where an attempt may have run the answer is that it failed.
 func (b *Broker) refuse(s *session, wait time.Duration) {
-	if b.set.Classes[s.Class].Effect != control.Idempotent && (s.mayRun || s.out && s.paused == nil) {
+	if b.settings.Classes[s.Class].Effect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
 		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
@@ -315,15 +315,15 @@
 	}
 	reached := true
 	s.answered, s.reply = true, r
-	b.counts.CountAnswer(s.Class, r.Kind)
+	b.counters.CountAnswer(s.Class, r.Kind)
 	if ce := b.log.Check(zap.DebugLevel, "answered"); ce != nil {
 		// One line a request, so that a request can be followed by its id
 		// through every manager that had it.
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("class", s.Class), zap.Uint8("kind", uint8(r.Kind)),
 			zap.Int("cause", r.Cause), zap.Int("attempts", s.attempt), zap.Uint64("node", uint64(s.server)),
-			zap.Bool("mayRun", s.mayRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
+			zap.Bool("mayRun", s.mayHaveRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
 	}
-	delete(b.open, s.ID)
+	delete(b.openSetUps, s.ID)
 	if s.client != nil { // else it waits in s.reply for its player
 		reached = s.client.Deliver(r) || s.Grace > 0
 	}
@@ -336,27 +336,27 @@
 // forget drops a session that has its answer and nothing out. What a player
 // may still ask for is kept a while.
 func (b *Broker) forget(s *session) {
-	if s.out || s.playing || !s.answered {
+	if s.inFlight || s.playing || !s.answered {
 		return
 	}
 	if b.sessions[s.ID] != s {
 		return
 	}
 	delete(b.sessions, s.ID)
-	b.settle(s)
-	if s.Grace > 0 && len(b.ended) < tombstones {
-		b.ended[s.ID] = s.reply
-		b.timers.add(b.clock.now().Add(tombstoneTime), timerForget, s.ID, 0)
+	b.releaseTeamSession(s)
+	if s.Grace > 0 && len(b.endedReplies) < maxEndedReplies {
+		b.endedReplies[s.ID] = s.reply
+		b.timers.add(b.clock.now().Add(endedReplyRetention), timerForgetReply, s.ID, 0)
 	}
 }
 
-// report takes what a media node tells of an attempt or a session.
-func (b *Broker) report(r Report) {
-	for _, p := range b.parts {
+// handleReport takes what a media node tells of an attempt or a session.
+func (b *Broker) handleReport(r Report) {
+	for _, p := range b.planners {
 		p.NodeReported(b.clock.now(), &r)
 	}
 	if r.Kind == ReportProbed {
-		b.tell(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
+		b.dispatch(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
 		return
 	}
 	s := b.sessions[r.ID]
@@ -369,33 +369,33 @@
 	}
 	switch r.Kind {
 	case ReportStarted:
-		b.started(s, r)
+		b.attemptStarted(s, r)
 	case ReportEnded:
 		b.attemptEnded(s, r)
 	case ReportNote:
-		b.tell(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
+		b.dispatch(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
 			Attempt: s.attempt - 1, Note: r.Note, Value: r.Value})
 	}
 }
 
-func (b *Broker) started(s *session, r Report) {
-	if !s.out || s.playing {
+func (b *Broker) attemptStarted(s *session, r Report) {
+	if !s.inFlight || s.playing {
 		return
 	}
-	s.out = false
+	s.inFlight = false
 	if s.answered {
 		b.nodes.Release(r.Server, s.ID, CauseEnded)
-		b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1,
+		b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1,
 			Server: s.server, Status: control.Cancelled, Finished: true})
 		b.forget(s)
 		return
 	}
-	s.playing, s.stood = true, b.clock.now()
-	b.tell(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
+	s.playing, s.establishedAt = true, b.clock.now()
+	b.dispatch(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
 	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
 		// Its connection is gone and nobody will come back for it.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 	}
 }
 
@@ -406,17 +406,17 @@
 			cause = CauseInterrupted
 		}
 		if cause == CauseCancelled { // the viewer knows of its own end
-			b.known(s, cause)
+			b.recordViewerEnd(s, cause)
 		} else {
-			b.toldOver(s, Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause})
+			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause})
 		}
-		b.over(s, r)
+		b.endSession(s, r)
 		return
 	}
-	if !s.out {
+	if !s.inFlight {
 		return
 	}
-	s.out = false
+	s.inFlight = false
 	if ce := b.log.Check(zap.DebugLevel, "attempt ended"); ce != nil {
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("attempt", s.attempt), zap.Uint64("node", uint64(s.server)),
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
@@ -424,17 +424,17 @@
 	switch r.Status {
 	case control.Full, control.ConnectFailed, control.Moot: // proven not to have run
 	default:
-		s.mayRun = true
+		s.mayHaveRun = true
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
 		Status: r.Status, Confined: r.ConnectionOnly, Down: r.Down, Finished: s.answered, Load: r.Load})
 	b.forget(s)
 }
 
-func (b *Broker) toldOver(s *session, r Reply) {
+func (b *Broker) notifyEnded(s *session, r Reply) {
 	if ce := b.log.Check(zap.DebugLevel, "session over"); ce != nil {
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Uint64("node", uint64(s.server)), zap.Int("cause", r.Cause),
-			zap.Duration("stood", b.clock.now().Sub(s.stood)))
+			zap.Duration("stood", b.clock.now().Sub(s.establishedAt)))
 	}
 	s.reply = r
 	if s.client != nil {
@@ -442,26 +442,26 @@
 	}
 }
 
-// known notes the end of a session that its viewer knows of.
-func (b *Broker) known(s *session, cause int) {
+// recordViewerEnd notes the end of a session that its viewer knows of.
+func (b *Broker) recordViewerEnd(s *session, cause int) {
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
 	}
 	s.reply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
 }
 
-// over ends a session that stood, as its node's report says.
-func (b *Broker) over(s *session, r Report) {
+// endSession ends a session that stood, as its node's report says.
+func (b *Broker) endSession(s *session, r Report) {
 	s.playing = false
-	if b.handed != nil {
-		b.handed[s.ID] = s.reply.Cause
+	if b.endedSinceHandover != nil {
+		b.endedSinceHandover[s.ID] = s.reply.Cause
 	}
-	if now := b.clock.now(); !s.stood.IsZero() {
-		for _, p := range b.parts {
-			p.SessionEnded(now, s.Class, now.Sub(s.stood), r.Status != control.OK && r.Status != control.Cancelled)
+	if now := b.clock.now(); !s.establishedAt.IsZero() {
+		for _, p := range b.planners {
+			p.SessionEnded(now, s.Class, now.Sub(s.establishedAt), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
 		Status: r.Status, Down: r.Down, Finished: true, Load: r.Load})
 	b.forget(s)
 }
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -9,15 +9,15 @@
 	"millethinge/internal/site"
 )
 
-// demandEvery is how often what comes is logged, for millethinge sites --record.
-const demandEvery = time.Minute
+// demandLogInterval is how often what comes is logged, for millethinge sites --record.
+const demandLogInterval = time.Minute
 
 // DemandMessage is the message of the log line that tells what comes: by class, the
 // sessions a second of all managers, as this one measures them, and their mean lengths.
 const DemandMessage = "site demand"
 
-// siteTick is how often sites are looked at. A loss is told by seconds of failures.
-const siteTick = 200 * time.Millisecond
+// siteTickInterval is how often sites are looked at. A loss is told by seconds of failures.
+const siteTickInterval = 200 * time.Millisecond
 
 // SiteConfig is which zones are lost together, and what is planned for that.
 type SiteConfig struct {
@@ -28,31 +28,31 @@
 	Expected   []site.Expect // by class
 }
 
-// sites tells the loss of sites from what nodes report, logs each episode, and rations
+// sitePlanner tells the loss of sites from what nodes report, logs each episode, and rations
 // what this manager takes while one lasts.
-type sites struct {
+type sitePlanner struct {
 	NopPlanner
 	SiteConfig
-	set    control.Settings
-	watch  *site.Watch
-	guide  *site.Guide
-	listed map[control.Server]bool
-	logged time.Time         // what comes
-	ration bool              // the module has one
-	began  map[int]time.Time // of episodes that last; -1: this manager's own
-	log    *zap.Logger
+	settings       control.Settings
+	watch          *site.Watch
+	guide          *site.Guide
+	listed         map[control.Server]bool
+	demandLoggedAt time.Time         // what comes
+	rationed       bool              // the module has one
+	episodeStarts  map[int]time.Time // of episodes that last; -1: this manager's own
+	log            *zap.Logger
 }
 
-func newSites(s SiteConfig, set control.Settings, log *zap.Logger) *sites {
-	return &sites{SiteConfig: s, set: set, watch: site.NewWatch(s.Names), listed: map[control.Server]bool{}, began: map[int]time.Time{}, log: log,
-		guide: site.NewGuide(s.Names, s.Rules, s.Classes, s.Expected, set.CrossZoneCost, set.RackKB*control.TargetUse)}
+func newSitePlanner(cfg SiteConfig, settings control.Settings, log *zap.Logger) *sitePlanner {
+	return &sitePlanner{SiteConfig: cfg, settings: settings, watch: site.NewWatch(cfg.Names), listed: map[control.Server]bool{}, episodeStarts: map[int]time.Time{}, log: log,
+		guide: site.NewGuide(cfg.Names, cfg.Rules, cfg.Classes, cfg.Expected, settings.CrossZoneCost, settings.RackKB*control.TargetUse)}
 }
 
 // Interval is part of Part.
-func (s *sites) Interval() time.Duration { return siteTick }
+func (s *sitePlanner) Interval() time.Duration { return siteTickInterval }
 
 // ListUpdated is part of Part.
-func (s *sites) ListUpdated(_ time.Time, entries []control.Entry) {
+func (s *sitePlanner) ListUpdated(_ time.Time, entries []control.Entry) {
 	for _, e := range entries {
 		if e.State == control.Gone {
 			delete(s.listed, e.Server)
@@ -64,26 +64,26 @@
 		if e.Zone < 0 || e.Zone >= len(s.SiteByZone) {
 			continue
 		}
-		n := SiteNode(&s.set, e, s.SiteByZone[e.Zone], len(s.listed))
+		n := SiteNode(&s.settings, e, s.SiteByZone[e.Zone], len(s.listed))
 		s.watch.Listed(n.Site, uint64(e.Server), e.State == control.Ready)
 		s.guide.Listed(uint64(e.Server), n, e.State == control.Ready)
 	}
 }
 
 // SiteNode is an entry of a list of so many nodes as plans for sites count it.
-func SiteNode(set *control.Settings, e control.Entry, of, servers int) site.Node {
-	n := site.Node{Site: of, Rack: e.Cell % max(set.Racks, 1), LinkKB: set.Link(e, servers) * control.TargetUse, Places: manyStreams}
-	if e.Kind >= 0 && e.Kind < len(set.KindStreams) {
-		n.Places = float64(set.KindStreams[e.Kind])
+func SiteNode(settings *control.Settings, entry control.Entry, siteIndex, nodeCount int) site.Node {
+	n := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.Link(entry, nodeCount) * control.TargetUse, Places: unknownKindStreams}
+	if entry.Kind >= 0 && entry.Kind < len(settings.KindStreams) {
+		n.Places = float64(settings.KindStreams[entry.Kind])
 	}
 	return n
 }
 
-// manyStreams is what a node of a kind whose streams are not told is taken to run.
-const manyStreams = 1e6
+// unknownKindStreams is what a node of a kind whose streams are not told is taken to run.
+const unknownKindStreams = 1e6
 
 // RequestArrived is part of Part.
-func (s *sites) RequestArrived(now time.Time, r *Request) bool {
+func (s *sitePlanner) RequestArrived(now time.Time, r *Request) bool {
 	if !r.Repeated {
 		s.guide.Arrived(now, r.Class)
 	}
@@ -91,19 +91,19 @@
 }
 
 // SessionEnded is part of Part.
-func (s *sites) SessionEnded(_ time.Time, class int, stood time.Duration, broken bool) {
-	s.guide.Over(class, stood, broken)
+func (s *sitePlanner) SessionEnded(_ time.Time, class int, played time.Duration, broken bool) {
+	s.guide.Over(class, played, broken)
 }
 
 // NodeReported is part of Part.
-func (s *sites) NodeReported(now time.Time, r *Report) {
-	if sign, ok := signOf(r); ok {
+func (s *sitePlanner) NodeReported(now time.Time, r *Report) {
+	if sign, ok := signFromReport(r); ok {
 		s.watch.Saw(now, uint64(r.Server), sign)
 	}
 }
 
-// signOf is what a report says of its node's site, if anything.
-func signOf(r *Report) (site.Sign, bool) {
+// signFromReport is what a report says of its node's site, if anything.
+func signFromReport(r *Report) (site.Sign, bool) {
 	switch r.Kind {
 	case ReportStarted, ReportNote:
 		return site.Heard, true
@@ -129,75 +129,75 @@
 }
 
 // ProcessPaused is part of Part.
-func (s *sites) ProcessPaused(time.Time, time.Duration) { s.watch.Forget() }
+func (s *sitePlanner) ProcessPaused(time.Time, time.Duration) { s.watch.Forget() }
 
 // Tick is part of Part.
-func (s *sites) Tick(now time.Time, v BrokerView) []control.Event {
-	for _, n := range s.watch.Tick(now) {
-		s.guide.Told(now, n, s.returns(now, n.Site))
-		name, state := "", n.State.String()
-		if n.Site >= 0 {
-			name = s.Names[n.Site]
-		} else if state = "cut off"; !n.Alone {
+func (s *sitePlanner) Tick(now time.Time, v BrokerView) []control.Event {
+	for _, notice := range s.watch.Tick(now) {
+		s.guide.Told(now, notice, s.returns(now, notice.Site))
+		name, state := "", notice.State.String()
+		if notice.Site >= 0 {
+			name = s.Names[notice.Site]
+		} else if state = "cut off"; !notice.Alone {
 			state = "present"
 		}
-		fields := []zap.Field{zap.String("site", name), zap.String("state", state), zap.String("evidence", n.Text)}
-		if at, ok := s.began[n.Site]; ok {
-			fields = append(fields, zap.Duration("since", now.Sub(at)))
+		fields := []zap.Field{zap.String("site", name), zap.String("state", state), zap.String("evidence", notice.Text)}
+		if start, ok := s.episodeStarts[notice.Site]; ok {
+			fields = append(fields, zap.Duration("since", now.Sub(start)))
 		} else {
-			s.began[n.Site] = now
+			s.episodeStarts[notice.Site] = now
 		}
 		if state == site.Present.String() {
-			delete(s.began, n.Site)
+			delete(s.episodeStarts, notice.Site)
 		}
 		s.log.Info("site", fields...)
 	}
 	for _, node := range s.watch.Ask(now) {
 		v.Probe(control.Server(node))
 	}
-	if now.Sub(s.logged) >= demandEvery {
+	if now.Sub(s.demandLoggedAt) >= demandLogInterval {
 		if rates, lasts, ok := s.guide.Demand(now); ok {
-			s.logged = now
+			s.demandLoggedAt = now
 			s.log.Info(DemandMessage, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
 		}
 	}
-	r, text := s.guide.Tick(now, s.watch, v.ArrivalShare())
+	ration, text := s.guide.Tick(now, s.watch, v.ArrivalShare())
 	if text != "" {
 		sessions, share := s.guide.Measured()
 		s.log.Info("site plan", zap.String("plan", text), zap.Float64s("sessions", sessions), zap.Float64("share", share))
 	}
-	if r == nil && !s.ration {
+	if ration == nil && !s.rationed {
 		return nil
 	}
-	s.ration = r != nil
-	return []control.Event{{Kind: control.EvRation, Ration: s.told(r)}}
+	s.rationed = ration != nil
+	return []control.Event{{Kind: control.EvRation, Ration: s.controlRation(ration)}}
 }
 
-func (s *sites) returns(now time.Time, i int) int {
-	if i < 0 {
+func (s *sitePlanner) returns(now time.Time, siteIndex int) int {
+	if siteIndex < 0 {
 		return 0
 	}
-	return s.watch.Returns(now, i)
+	return s.watch.Returns(now, siteIndex)
 }
 
-// told is a ration as the module takes it, by zones.
-func (s *sites) told(r *site.Ration) *control.Ration {
-	if r == nil {
+// controlRation is a ration as the module takes it, by zones.
+func (s *sitePlanner) controlRation(planned *site.Ration) *control.Ration {
+	if planned == nil {
 		return nil
 	}
-	to := &control.Ration{Limit: r.Limit, Every: r.Every, Pace: make([]float64, len(s.SiteByZone))}
-	for zone, i := range s.SiteByZone {
-		if to.Pace[zone] = -1; i >= 0 && r.Pace[i] >= 0 {
-			to.Pace[zone] = r.Pace[i] / float64(s.zones(i))
+	ration := &control.Ration{Limit: planned.Limit, Every: planned.Every, Pace: make([]float64, len(s.SiteByZone))}
+	for zone, siteIndex := range s.SiteByZone {
+		if ration.Pace[zone] = -1; siteIndex >= 0 && planned.Pace[siteIndex] >= 0 {
+			ration.Pace[zone] = planned.Pace[siteIndex] / float64(s.zoneCount(siteIndex))
 		}
 	}
-	return to
+	return ration
 }
 
-// zones is how many zones make up a site.
-func (s *sites) zones(i int) (n int) {
-	for _, o := range s.SiteByZone {
-		if o == i {
+// zoneCount is how many zones make up a site.
+func (s *sitePlanner) zoneCount(siteIndex int) (n int) {
+	for _, other := range s.SiteByZone {
+		if other == siteIndex {
 			n++
 		}
 	}
