--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -64,8 +64,8 @@
 	sessions           map[control.SessionID]*session
 	endedReplies       map[control.SessionID]Reply // final replies that a player may still ask for
 	openSetUps         map[control.SessionID]bool  // set-ups not answered yet
-	timers             timerQueue
-	ledgers            []ledger
+	timers             timerHeap
+	ledgers            []teamLedger
 	planners           []Planner // what watches and plans beside the module
 	drained            chan struct{}
 	drainTimes         DrainTimes
@@ -242,49 +242,49 @@
 }
 
 // dispatch hands one event to the module and carries its actions out.
-func (b *Broker) dispatch(e control.Event) {
+func (b *Broker) dispatch(event control.Event) {
 	now := b.clock.now()
-	for _, a := range b.controller.Handle(unixSeconds(now), e) {
-		b.execute(now, a)
+	for _, action := range b.controller.Handle(unixSeconds(now), event) {
+		b.execute(now, action)
 	}
 }
 
-func (b *Broker) execute(now time.Time, a control.Action) {
-	s := b.sessions[a.Session]
-	switch a.Kind {
+func (b *Broker) execute(now time.Time, action control.Action) {
+	s := b.sessions[action.Session]
+	switch action.Kind {
 	case control.ActHandOff:
-		b.startAttempt(now, s, a)
+		b.startAttempt(now, s, action)
 	case control.ActRung:
 		if s != nil {
 			// Guard: no class plays under its floor, whatever the module says.
-			s.rung = max(a.Rung, b.settings.Classes[s.Class].Floor)
+			s.rung = max(action.Rung, b.settings.Classes[s.Class].Floor)
 			if s.inFlight || s.playing && !b.handingOver { // what was handed over has another master
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
 	case control.ActDeny:
 		if s != nil && !s.answered {
-			b.refuse(s, seconds(a.WaitS))
+			b.refuse(s, seconds(action.WaitS))
 		}
 	case control.ActFail:
 		if s != nil && !s.answered {
 			b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		}
 	case control.ActWake:
-		b.timers.add(now.Add(seconds(a.DelayS)), timerWake, 0, a.Token)
+		b.timers.add(now.Add(seconds(action.DelayS)), timerWake, 0, action.Token)
 	case control.ActProbe:
-		b.nodes.Probe(a.Server)
+		b.nodes.Probe(action.Server)
 	case control.ActMove:
 		// Guard: a move ends the session on both sides. The module hears of the
 		// end after its present actions.
 		if s != nil && s.playing {
 			b.notifyEnded(s, Reply{Kind: ReplyMoved, ID: s.ID})
 			b.nodes.Release(s.server, s.ID, CauseCancelled)
-			b.Report(Report{Kind: ReportEnded, Server: s.server, ID: s.ID, AttemptNumber: s.attempt,
+			b.Report(Report{Kind: ReportEnded, Server: s.server, ID: s.ID, AttemptNumber: s.attemptNumber,
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
 	case control.ActRemark:
-		b.log.Info("module", zap.String("remark", a.Text))
+		b.log.Info("module", zap.String("remark", action.Text))
 	}
 }
 
@@ -300,14 +300,14 @@
 		case timerWake:
 			b.dispatch(control.Event{Kind: control.EvTimer, Token: t.token})
 		case timerAttempt:
-			if s != nil && s.inFlight && s.attempt == int(t.token) {
-				b.nodes.Abandon(s.server, s.ID, s.attempt, true)
+			if s != nil && s.inFlight && s.attemptNumber == int(t.token) {
+				b.nodes.Abandon(s.server, s.ID, s.attemptNumber, true)
 			}
 		case timerDeadline:
 			b.answerOverdue(t.session)
 		case timerGrace:
 			if s != nil && s.client == nil && s.disconnects == t.token {
-				b.abandon(s)
+				b.abandonSession(s)
 			}
 		case timerRecheck:
 			b.recheckClient(t.session)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -89,7 +89,7 @@
 func (b *Broker) reportNow(id control.SessionID, kind ReportKind, status control.Status) {
 	r := Report{Kind: kind, ID: id, Status: status}
 	if s := b.sessions[id]; s != nil {
-		r.Server, r.AttemptNumber = s.server, s.attempt
+		r.Server, r.AttemptNumber = s.server, s.attemptNumber
 	}
 	b.handle(r)
 }
@@ -174,16 +174,16 @@
 // it missed; nothing is set up again.
 func TestPlayerReconnects(t *testing.T) {
 	b, f := newTestBroker(t)
-	second := &recorder{}
+	newConnection := &recorder{}
 	b.submitNow(f, 1, clip, -1, time.Minute)
 	b.handle(connectionLost{f})
 	b.reportNow(1, ReportStarted, 0)
-	b.submitNow(second, 1, clip, -1, time.Minute)
+	b.submitNow(newConnection, 1, clip, -1, time.Minute)
 	b.submitNow(f, 2, clip, -1, time.Minute)
 	b.handle(connectionLost{f})
 	b.reportNow(2, ReportEnded, control.Errored)
-	b.submitNow(second, 2, clip, -1, time.Minute)
-	if got := f.takeCalls() + "; " + second.takeCalls(); got != "setup 1, setup 2; served 1, failed 2" {
+	b.submitNow(newConnection, 2, clip, -1, time.Minute)
+	if got := f.takeCalls() + "; " + newConnection.takeCalls(); got != "setup 1, setup 2; served 1, failed 2" {
 		t.Error(got)
 	}
 }
@@ -262,12 +262,12 @@
 // of the other front can't be taken over.
 func TestRepeatedSetUp(t *testing.T) {
 	b, f := newTestBroker(t)
-	again, player := &recorder{}, &recorder{}
+	repeated, player := &recorder{}, &recorder{}
 	b.submitNow(f, 1, clip, -1, 0)
 	b.submitNow(player, 1, clip, -1, time.Minute)
-	b.submitNow(again, 1, clip, -1, 0)
+	b.submitNow(repeated, 1, clip, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
-	if got := f.takeCalls() + "; " + player.takeCalls() + "; " + again.takeCalls(); got != "setup 1; failed 1; served 1" {
+	if got := f.takeCalls() + "; " + player.takeCalls() + "; " + repeated.takeCalls(); got != "setup 1; failed 1; served 1" {
 		t.Error(got)
 	}
 }
@@ -279,20 +279,20 @@
 	for class, want := range map[int]string{clip: "setup 1, served 1; failed 1, failed 1", feed: "setup 1, served 1; failed 1, failed 1"} {
 		b, f := newTestBroker(t)
 		other := &recorder{}
-		again := func(c *recorder) {
+		resend := func(c *recorder) {
 			b.handle(Request{ID: 1, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2,
 				TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: c, Description: []byte("other")})
 		}
 		b.submitNow(f, 1, class, -1, 0)
-		again(other)
+		resend(other)
 		b.reportNow(1, ReportStarted, 0)
-		again(other)
+		resend(other)
 		if got := f.takeCalls() + "; " + other.takeCalls(); got != want {
 			t.Error(got)
 		}
 		b, f = newTestBroker(t)
 		b.submitNow(f, 1, class, -1, 0)
-		again(f)
+		resend(f)
 		b.reportNow(1, ReportEnded, control.Cancelled)
 		if got := f.takeCalls(); got != "setup 1, failed 1, giveup 1" || len(b.sessions) != 0 {
 			t.Error(got)
@@ -366,7 +366,7 @@
 func TestClockAndTimers(t *testing.T) {
 	c := newClock()
 	now := c.now()
-	var ts timerQueue
+	var ts timerHeap
 	ts.add(now.Add(2), timerWake, 0, 2)
 	ts.add(now.Add(1), timerWake, 0, 1)
 	ts.add(now.Add(2), timerWake, 0, 3)
@@ -405,8 +405,8 @@
 		if s == nil {
 			b.Fatal("refused")
 		}
-		br.handle(Report{Kind: ReportStarted, ID: id, Server: s.server, AttemptNumber: s.attempt})
-		br.handle(Report{Kind: ReportEnded, ID: id, Server: s.server, AttemptNumber: s.attempt, Cause: CauseEnded})
+		br.handle(Report{Kind: ReportStarted, ID: id, Server: s.server, AttemptNumber: s.attemptNumber})
+		br.handle(Report{Kind: ReportEnded, ID: id, Server: s.server, AttemptNumber: s.attemptNumber, Cause: CauseEnded})
 		br.runTimers()
 	}
 }
--- a/internal/broker/clock.go
+++ b/internal/broker/clock.go
@@ -39,36 +39,36 @@
 	token   uint32
 }
 
-// timerQueue is a heap by time; equal times run in the order in which they came.
-type timerQueue struct {
+// timerHeap is a heap by time; equal times run in the order in which they came.
+type timerHeap struct {
 	entries []timer
 	seq     uint64
 }
 
-func (t *timerQueue) Len() int { return len(t.entries) }
-func (t *timerQueue) Less(i, j int) bool {
+func (t *timerHeap) Len() int { return len(t.entries) }
+func (t *timerHeap) Less(i, j int) bool {
 	a, b := &t.entries[i], &t.entries[j]
 	if !a.due.Equal(b.due) {
 		return a.due.Before(b.due)
 	}
 	return a.seq < b.seq
 }
-func (t *timerQueue) Swap(i, j int) { t.entries[i], t.entries[j] = t.entries[j], t.entries[i] }
-func (t *timerQueue) Push(v any)    { t.entries = append(t.entries, v.(timer)) }
-func (t *timerQueue) Pop() any {
+func (t *timerHeap) Swap(i, j int) { t.entries[i], t.entries[j] = t.entries[j], t.entries[i] }
+func (t *timerHeap) Push(v any)    { t.entries = append(t.entries, v.(timer)) }
+func (t *timerHeap) Pop() any {
 	n := len(t.entries) - 1
 	v := t.entries[n]
 	t.entries = t.entries[:n]
 	return v
 }
 
-func (t *timerQueue) add(due time.Time, kind timerKind, id control.SessionID, token uint32) {
+func (t *timerHeap) add(due time.Time, kind timerKind, id control.SessionID, token uint32) {
 	t.seq++
 	heap.Push(t, timer{due, t.seq, kind, id, token})
 }
 
 // next tells how long it is until the first timer.
-func (t *timerQueue) next(now time.Time) (time.Duration, bool) {
+func (t *timerHeap) next(now time.Time) (time.Duration, bool) {
 	if len(t.entries) == 0 {
 		return 0, false
 	}
@@ -76,7 +76,7 @@
 }
 
 // pop takes the first timer if it is due.
-func (t *timerQueue) pop(now time.Time) (timer, bool) {
+func (t *timerHeap) pop(now time.Time) (timer, bool) {
 	if len(t.entries) == 0 || t.entries[0].due.After(now) {
 		return timer{}, false
 	}
--- a/internal/broker/counts.go
+++ b/internal/broker/counts.go
@@ -55,8 +55,8 @@
 	result := make(chan Stats, 1)
 	b.inbox.Force(statsRequest{result})
 	select {
-	case c := <-result:
-		return c, nil
+	case stats := <-result:
+		return stats, nil
 	case <-ctx.Done():
 		return Stats{}, ctx.Err()
 	}
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -47,7 +47,7 @@
 
 // result is what became of it: worth asked for and answered in time, and earned.
 type result struct {
-	before, during              float64 // answered in time, of what was asked for
+	inTimeBefore, inTimeDuring  float64 // answered in time, of what was asked for
 	earned                      float64 // by rung and delivery, over all the evening
 	rejections, requestedDuring float64
 }
@@ -130,7 +130,7 @@
 				fleet.Notes()
 			}
 		})
-		var count phaseTotals
+		var totals phaseTotals
 		weights := make([]float64, managers) // viewers are spread unevenly over the managers
 		for i := range weights {
 			weights[i] = 0.5 + rng.Float64()
@@ -150,19 +150,19 @@
 			if rng.Float64() >= 0.35 {
 				class = 1
 			}
-			v := &viewer{phaseTotals: &count, broker: brokers[int(pick.Rand())], firstRequest: time.Now(), worth: set.Classes[class].Worth, class: class, title: uint64(rng.IntN(50)) + 1, nodes: nodes}
+			v := &retryingViewer{phaseTotals: &totals, broker: brokers[int(pick.Rand())], firstRequest: time.Now(), worth: set.Classes[class].Worth, class: class, title: uint64(rng.IntN(50)) + 1, nodes: nodes}
 			v.phase = phaseAt(time.Since(start))
-			count.addRequested(v)
+			totals.addRequested(v)
 			v.submit(id << 8)
 		}
 		time.Sleep(5 * time.Second)
 		cancel()
 		running.Wait()
 		_ = slots
-		count.mu.Lock()
-		defer count.mu.Unlock()
-		out.before, out.during = count.answered[1]/count.requested[1], count.answered[2]/count.requested[2]
-		out.requestedDuring, out.earned, out.rejections = count.requested[2], fleet.Earned, float64(fleet.Full)
+		totals.mu.Lock()
+		defer totals.mu.Unlock()
+		out.inTimeBefore, out.inTimeDuring = totals.answeredInTime[1]/totals.requested[1], totals.answeredInTime[2]/totals.requested[2]
+		out.requestedDuring, out.earned, out.rejections = totals.requested[2], fleet.Earned, float64(fleet.Full)
 	})
 	return out
 }
@@ -180,18 +180,18 @@
 
 // phaseTotals is the worth asked for and answered in time, by phase.
 type phaseTotals struct {
-	mu                  sync.Mutex
-	requested, answered [3]float64
+	mu                        sync.Mutex
+	requested, answeredInTime [3]float64
 }
 
-func (c *phaseTotals) addRequested(v *viewer) {
+func (c *phaseTotals) addRequested(v *retryingViewer) {
 	c.mu.Lock()
 	c.requested[v.phase] += v.worth
 	c.mu.Unlock()
 }
 
-// viewer asks once, and again after a refusal for as long as it waits at all.
-type viewer struct {
+// retryingViewer asks once, and again after a refusal for as long as it waits at all.
+type retryingViewer struct {
 	*phaseTotals
 	broker       *broker.Broker
 	firstRequest time.Time
@@ -202,24 +202,24 @@
 	phase        int
 	id           control.SessionID
 	retries      int
-	served       bool
+	wasServed    bool
 }
 
-func (v *viewer) submit(id control.SessionID) {
+func (v *retryingViewer) submit(id control.SessionID) {
 	v.id = id
 	v.broker.Submit(broker.Request{ID: id, Class: v.class, Team: -1, Title: v.title, Copies: v.nodes, MaxRung: 3,
 		TimeLeft: 3*time.Second - time.Since(v.firstRequest), ReceivedAt: time.Now(), Client: v})
 }
 
-func (v *viewer) Gone(control.SessionID) bool { return false }
+func (v *retryingViewer) Gone(control.SessionID) bool { return false }
 
-func (v *viewer) Deliver(r broker.Reply) bool {
+func (v *retryingViewer) Deliver(r broker.Reply) bool {
 	switch {
-	case r.Kind == broker.ReplyServed && !v.served:
-		v.served = true
+	case r.Kind == broker.ReplyServed && !v.wasServed:
+		v.wasServed = true
 		if time.Since(v.firstRequest) <= 1500*time.Millisecond {
 			v.mu.Lock()
-			v.answered[v.phase] += v.worth
+			v.answeredInTime[v.phase] += v.worth
 			v.mu.Unlock()
 		}
 	case r.Kind == broker.ReplyRefused && v.retries < 3:
@@ -265,19 +265,19 @@
 		return list
 	}
 	for _, a := range arms {
-		b, d, e := sortedValues(a.name, func(r result) float64 { return r.before }), sortedValues(a.name, func(r result) float64 { return r.during }), sortedValues(a.name, func(r result) float64 { return r.earned })
-		t.Logf("%-20s in time before %s, during %s; earned %.0f", a.name, formatRange(b), formatRange(d), stat.Mean(e, nil))
+		before, during, earned := sortedValues(a.name, func(r result) float64 { return r.inTimeBefore }), sortedValues(a.name, func(r result) float64 { return r.inTimeDuring }), sortedValues(a.name, func(r result) float64 { return r.earned })
+		t.Logf("%-20s in time before %s, during %s; earned %.0f", a.name, formatRange(before), formatRange(during), stat.Mean(earned, nil))
 	}
 	for _, pair := range [][2]string{{"announced", "none"}, {"fixed 10%", "none"}, {"no show, announced", "no show, none"}, {"no show, fixed 10%", "no show, none"}} {
 		var during, before, earned []float64
 		for i := range results[pair[0]] {
 			a, b := results[pair[0]][i], results[pair[1]][i]
-			during, before, earned = append(during, a.during-b.during), append(before, a.before-b.before), append(earned, a.earned/b.earned-1)
+			during, before, earned = append(during, a.inTimeDuring-b.inTimeDuring), append(before, a.inTimeBefore-b.inTimeBefore), append(earned, a.earned/b.earned-1)
 		}
 		t.Logf("%s against %s: in time during %s, before %s; earned %s", pair[0], pair[1], formatConfidence(during), formatConfidence(before), formatConfidence(earned))
 	}
 	for _, name := range []string{"announced", "no show, announced"} {
-		d := sortedValues(name, func(r result) float64 { return r.during })
+		d := sortedValues(name, func(r result) float64 { return r.inTimeDuring })
 		if median, worst := d[len(d)/2], d[0]; median < 0.97 || worst < 0.95 {
 			t.Errorf("%s: %.4f in the middle, %.4f in the worst, 0.97 and 0.95 are wanted", name, median, worst)
 		}
--- a/internal/broker/gone_test.go
+++ b/internal/broker/gone_test.go
@@ -14,43 +14,43 @@
 // player who comes back within its grace gets what had waited for it.
 func TestNoAttemptForGoneClient(t *testing.T) {
 	const grace = time.Minute
-	leave := func(b *Broker, f *recorder) { f.gone = true }
-	lose := func(b *Broker, f *recorder) { b.handle(connectionLost{f}) }
-	end := func(b *Broker, f *recorder) { b.handle(ViewerEnd{ID: 1, Cause: CauseEnded}) }
-	full := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.Full) }
-	starts := func(b *Broker, f *recorder) { b.reportNow(1, ReportStarted, 0) }
-	ask := func(grace time.Duration) func(*Broker, *recorder) {
+	clientGone := func(b *Broker, f *recorder) { f.gone = true }
+	loseConnection := func(b *Broker, f *recorder) { b.handle(connectionLost{f}) }
+	cancel := func(b *Broker, f *recorder) { b.handle(ViewerEnd{ID: 1, Cause: CauseEnded}) }
+	rejectFull := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.Full) }
+	establish := func(b *Broker, f *recorder) { b.reportNow(1, ReportStarted, 0) }
+	submit := func(grace time.Duration) func(*Broker, *recorder) {
 		return func(b *Broker, f *recorder) { b.submitNow(f, 1, clip, -1, grace) }
 	}
-	back := func(b *Broker, f *recorder) { f.gone = false; b.submitNow(f, 1, clip, -1, grace) }
-	again := func(b *Broker, f *recorder) { f.gone = false; b.recheckClient(1) } // it is heard again
-	look := func(b *Broker, f *recorder) { b.recheckClient(1) }
-	feedAsks := func(b *Broker, f *recorder) { b.submitNow(f, 1, feed, -1, 0) }
-	reset := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.Reset) }
-	late := func(b *Broker, f *recorder) { b.answerOverdue(1) }
-	gone := func(b *Broker, f *recorder) { b.abandon(b.sessions[1]) } // its grace is over
+	reconnect := func(b *Broker, f *recorder) { f.gone = false; b.submitNow(f, 1, clip, -1, grace) }
+	heardAgain := func(b *Broker, f *recorder) { f.gone = false; b.recheckClient(1) } // it is heard again
+	recheck := func(b *Broker, f *recorder) { b.recheckClient(1) }
+	submitFeed := func(b *Broker, f *recorder) { b.submitNow(f, 1, feed, -1, 0) }
+	breakConnection := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.Reset) }
+	reachDeadline := func(b *Broker, f *recorder) { b.answerOverdue(1) }
+	endGrace := func(b *Broker, f *recorder) { b.abandonSession(b.sessions[1]) } // its grace is over
 	for name, e := range map[string]struct {
 		steps []func(*Broker, *recorder)
 		want  string
 		kept  bool // something of it is kept: its player may come back
 	}{
-		"left before its set-up is handled":     {[]func(*Broker, *recorder){leave, ask(0), lose}, "", false},
-		"left, then its attempt fails":          {[]func(*Broker, *recorder){ask(0), leave, full, lose}, "setup 1", false},
-		"cancelled, then its attempt fails":     {[]func(*Broker, *recorder){ask(0), leave, full, end}, "setup 1", false},
-		"lost while an attempt is out":          {[]func(*Broker, *recorder){ask(0), lose, full}, "setup 1, giveup 1", false},
-		"a player's attempt goes on":            {[]func(*Broker, *recorder){ask(grace), lose, starts, back}, "setup 1, served 1", true},
-		"a player's further one waits":          {[]func(*Broker, *recorder){ask(grace), lose, full}, "setup 1", true},
-		"and begins once the player is back":    {[]func(*Broker, *recorder){ask(grace), lose, full, back, starts}, "setup 1, setup 1, served 1", true},
-		"also if the player had only just left": {[]func(*Broker, *recorder){ask(grace), leave, full, lose, back}, "setup 1, setup 1", true},
-		"a player's first one waits":            {[]func(*Broker, *recorder){leave, ask(grace), lose, back}, "setup 1", true},
-		"it ends when its time is up":           {[]func(*Broker, *recorder){ask(grace), lose, full, late}, "setup 1", false},
-		"unheard, then heard again":             {[]func(*Broker, *recorder){leave, ask(0), look, again, look, starts}, "setup 1, served 1", true},
-		"unheard between two attempts":          {[]func(*Broker, *recorder){ask(0), leave, full, look, again}, "setup 1, setup 1", true},
-		"unheard until its time is up":          {[]func(*Broker, *recorder){leave, ask(0), look, late}, "refused 1", false},
-		"also where nothing has run":            {[]func(*Broker, *recorder){ask(0), leave, full, look, late}, "setup 1, refused 1", false},
-		"or may have run, harmlessly":           {[]func(*Broker, *recorder){feedAsks, leave, reset, look, late}, "setup 1, refused 1", false},
-		"what is out when time is up failed":    {[]func(*Broker, *recorder){ask(0), leave, late}, "setup 1, failed 1, giveup 1", true},
-		"it is forgotten after its grace":       {[]func(*Broker, *recorder){ask(grace), lose, full, gone}, "setup 1", false},
+		"left before its set-up is handled":     {[]func(*Broker, *recorder){clientGone, submit(0), loseConnection}, "", false},
+		"left, then its attempt fails":          {[]func(*Broker, *recorder){submit(0), clientGone, rejectFull, loseConnection}, "setup 1", false},
+		"cancelled, then its attempt fails":     {[]func(*Broker, *recorder){submit(0), clientGone, rejectFull, cancel}, "setup 1", false},
+		"lost while an attempt is out":          {[]func(*Broker, *recorder){submit(0), loseConnection, rejectFull}, "setup 1, giveup 1", false},
+		"a player's attempt goes on":            {[]func(*Broker, *recorder){submit(grace), loseConnection, establish, reconnect}, "setup 1, served 1", true},
+		"a player's further one waits":          {[]func(*Broker, *recorder){submit(grace), loseConnection, rejectFull}, "setup 1", true},
+		"and begins once the player is back":    {[]func(*Broker, *recorder){submit(grace), loseConnection, rejectFull, reconnect, establish}, "setup 1, setup 1, served 1", true},
+		"also if the player had only just left": {[]func(*Broker, *recorder){submit(grace), clientGone, rejectFull, loseConnection, reconnect}, "setup 1, setup 1", true},
+		"a player's first one waits":            {[]func(*Broker, *recorder){clientGone, submit(grace), loseConnection, reconnect}, "setup 1", true},
+		"it ends when its time is up":           {[]func(*Broker, *recorder){submit(grace), loseConnection, rejectFull, reachDeadline}, "setup 1", false},
+		"unheard, then heard again":             {[]func(*Broker, *recorder){clientGone, submit(0), recheck, heardAgain, recheck, establish}, "setup 1, served 1", true},
+		"unheard between two attempts":          {[]func(*Broker, *recorder){submit(0), clientGone, rejectFull, recheck, heardAgain}, "setup 1, setup 1", true},
+		"unheard until its time is up":          {[]func(*Broker, *recorder){clientGone, submit(0), recheck, reachDeadline}, "refused 1", false},
+		"also where nothing has run":            {[]func(*Broker, *recorder){submit(0), clientGone, rejectFull, recheck, reachDeadline}, "setup 1, refused 1", false},
+		"or may have run, harmlessly":           {[]func(*Broker, *recorder){submitFeed, clientGone, breakConnection, recheck, reachDeadline}, "setup 1, refused 1", false},
+		"what is out when time is up failed":    {[]func(*Broker, *recorder){submit(0), clientGone, reachDeadline}, "setup 1, failed 1, giveup 1", true},
+		"it is forgotten after its grace":       {[]func(*Broker, *recorder){submit(grace), loseConnection, rejectFull, endGrace}, "setup 1", false},
 	} {
 		b, f := newTestBroker(t)
 		for _, step := range e.steps {
--- a/internal/broker/hand.go
+++ b/internal/broker/hand.go
@@ -84,8 +84,8 @@
 		s := &session{
 			Request: Request{ID: e.ID, Class: e.Class, Team: e.Team, Key: e.Key, Title: e.Title,
 				Home: e.Home, Copies: e.Copies, MaxRung: e.MaxRung, PlayingOn: e.Server},
-			client: m.clientFor(e.ViewerHost), server: e.Server, attempt: 1, rung: e.Rung,
-			playing: true, answered: true, adopted: true, reply: Reply{Kind: ReplyFailed, ID: e.ID, Cause: CauseFailed},
+			client: m.clientFor(e.ViewerHost), server: e.Server, attemptNumber: 1, rung: e.Rung,
+			playing: true, answered: true, adopted: true, finalReply: Reply{Kind: ReplyFailed, ID: e.ID, Cause: CauseFailed},
 		}
 		if e.EstablishedAtNS > 0 {
 			s.establishedAt = now.Add(-max(time.Duration(now.UnixNano()-e.EstablishedAtNS), 0))
@@ -112,7 +112,7 @@
 	if b.handOver == nil {
 		return
 	}
-	e := b.buildHandover(false)
+	h := b.buildHandover(false)
 	b.endedSinceHandover = make(map[control.SessionID]int)
-	b.handOver(e)
+	b.handOver(h)
 }
--- a/internal/broker/hand_test.go
+++ b/internal/broker/hand_test.go
@@ -42,9 +42,9 @@
 	}
 
 	successor, newCalls := newTestBroker(t)
-	client := func(string) Client { return newCalls }
-	successor.handle(adoption{initial, client})
-	successor.handle(adoption{initial, client}) // read twice
+	clientFor := func(string) Client { return newCalls }
+	successor.handle(adoption{initial, clientFor})
+	successor.handle(adoption{initial, clientFor}) // read twice
 	if len(successor.sessions) != 3 {
 		t.Fatalf("%d sessions", len(successor.sessions))
 	}
@@ -52,11 +52,11 @@
 	if got := newCalls.takeCalls(); got != "over 3" {
 		t.Error(got)
 	}
-	successor.handle(adoption{final, client}) // 3 is known to have ended, though the old one lists it
+	successor.handle(adoption{final, clientFor}) // 3 is known to have ended, though the old one lists it
 	if got := newCalls.takeCalls(); got != "teardown 2, over 2" || len(successor.sessions) != 1 {
 		t.Errorf("%s; %d sessions", got, len(successor.sessions))
 	}
-	successor.handle(adoption{initial, client}) // by another older one, which heard of no end
+	successor.handle(adoption{initial, clientFor}) // by another older one, which heard of no end
 	if got := newCalls.takeCalls(); got != "" || len(successor.sessions) != 1 {
 		t.Errorf("%s; %d sessions", got, len(successor.sessions))
 	}
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -20,9 +20,9 @@
 
 // siteLossSettings are daySettings with larger nodes and what a site costs.
 func siteLossSettings(managers, nodes int) control.Settings {
-	const big = 8
+	const sizeFactor = 8
 	set := peakTestSettings(managers, nodes)
-	set.LinkKB, set.FleetKB, set.KindStreams = big*set.LinkKB, big*set.FleetKB, []int{big * 30}
+	set.LinkKB, set.FleetKB, set.KindStreams = sizeFactor*set.LinkKB, sizeFactor*set.FleetKB, []int{sizeFactor * 30}
 	set.CrossZoneCost, set.WarmAfterS, set.StartCapacity, set.FallMultiple = 0.021, 3, 0.2, 3
 	return set
 }
@@ -53,9 +53,9 @@
 				for i := range results {
 					synctest.Test(t, func(t *testing.T) {
 						var err error
-						arm := standin.SiteLoss{Settings: siteLossSettings(*lossManagers, nodes), Managers: *lossManagers, Nodes: nodes,
+						run := standin.SiteLoss{Settings: siteLossSettings(*lossManagers, nodes), Managers: *lossManagers, Nodes: nodes,
 							Plan: i == 1, Gone: managersLost, Load: load, Seed: seed + 1}
-						if results[i], err = arm.Play(); err != nil {
+						if results[i], err = run.Play(); err != nil {
 							t.Error(err)
 						}
 					})
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -19,10 +19,10 @@
 	Interval() time.Duration
 	// Arrived is told of each request that is to be decided on. It returns whether the
 	// request is one that the part holds room for.
-	RequestArrived(now time.Time, r *Request) (own bool)
+	RequestArrived(now time.Time, r *Request) (held bool)
 	// Over is told of each session that played and no longer does: for how long, and
 	// whether that was its whole length or it was broken off.
-	SessionEnded(now time.Time, class int, stood time.Duration, broken bool)
+	SessionEnded(now time.Time, class int, played time.Duration, interrupted bool)
 	// Reported is told what nodes tell, before the broker acts on it.
 	NodeReported(now time.Time, r *Report)
 	// Listed is told of changes to the list of nodes.
@@ -83,11 +83,11 @@
 }
 
 // requestArrived tells the parts of a request, and whether one of them holds room for it.
-func (b *Broker) requestArrived(now time.Time, r *Request) (own bool) {
+func (b *Broker) requestArrived(now time.Time, r *Request) (held bool) {
 	for _, p := range b.planners {
-		own = p.RequestArrived(now, r) || own
+		held = p.RequestArrived(now, r) || held
 	}
-	return own
+	return held
 }
 
 // ProcessPaused tells the broker that the program stood still for a time.
@@ -97,8 +97,8 @@
 
 // newPlanners are those that a configuration asks for.
 func newPlanners(cfg *Config, managers int, log *zap.Logger) (all []Planner) {
-	if h := newPeakPlanner(cfg.Peaks, managers, log); h != nil {
-		all = append(all, h)
+	if p := newPeakPlanner(cfg.Peaks, managers, log); p != nil {
+		all = append(all, p)
 	}
 	if len(cfg.Sites.Names) > 0 {
 		all = append(all, newSitePlanner(cfg.Sites, cfg.Settings, log))
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -38,42 +38,42 @@
 	heldShares  []float64
 }
 
-func newPeakPlanner(p PeakConfig, managers int, log *zap.Logger) *peakPlanner {
-	if len(p.Calendar.Peaks) == 0 {
+func newPeakPlanner(cfg PeakConfig, managers int, log *zap.Logger) *peakPlanner {
+	if len(cfg.Calendar.Peaks) == 0 {
 		return nil
 	}
-	h := &peakPlanner{
+	p := &peakPlanner{
 		log:    log,
-		keeper: peaks.NewKeeper(p.Calendar, peaks.DefaultErrors), classes: slices.Clone(p.Classes), arrivals: make([]int, len(p.Classes)),
-		ownArrivals: make([]int, len(p.Calendar.Peaks)), hasOwnRule: make([]bool, len(p.Calendar.Peaks)), heldShares: make([]float64, len(p.Classes)),
+		keeper: peaks.NewKeeper(cfg.Calendar, peaks.DefaultErrors), classes: slices.Clone(cfg.Classes), arrivals: make([]int, len(cfg.Classes)),
+		ownArrivals: make([]int, len(cfg.Calendar.Peaks)), hasOwnRule: make([]bool, len(cfg.Calendar.Peaks)), heldShares: make([]float64, len(cfg.Classes)),
 	}
-	for i := range h.classes {
-		h.classes[i].Rate /= float64(max(managers, 1))
+	for i := range p.classes {
+		p.classes[i].Rate /= float64(max(managers, 1))
 		guess := 35.0
-		if i < len(p.MeanLengthsS) && p.MeanLengthsS[i] > 0 {
-			guess = p.MeanLengthsS[i]
+		if i < len(cfg.MeanLengthsS) && cfg.MeanLengthsS[i] > 0 {
+			guess = cfg.MeanLengthsS[i]
 		}
-		h.lengths = append(h.lengths, peaks.NewLengths(guess))
+		p.lengths = append(p.lengths, peaks.NewLengths(guess))
 	}
-	for i := range p.Calendar.Peaks {
-		h.peakNames = append(h.peakNames, p.Calendar.Peaks[i].Name)
+	for i := range cfg.Calendar.Peaks {
+		p.peakNames = append(p.peakNames, cfg.Calendar.Peaks[i].Name)
 	}
-	return h
+	return p
 }
 
 // Interval is part of Part.
-func (h *peakPlanner) Interval() time.Duration { return peakTickInterval }
+func (p *peakPlanner) Interval() time.Duration { return peakTickInterval }
 
 // RequestArrived counts a request, and tells whether it is one of an announced peak's own.
-func (h *peakPlanner) RequestArrived(_ time.Time, r *Request) bool {
-	h.arrivals[r.Class]++
+func (p *peakPlanner) RequestArrived(_ time.Time, r *Request) bool {
+	p.arrivals[r.Class]++
 	for _, l := range r.Route.Labels {
 		if l.Name != peakLabel {
 			continue
 		}
-		if i := slices.Index(h.peakNames, l.Value); i >= 0 {
-			h.ownArrivals[i]++
-			h.hasOwnRule[i] = true
+		if i := slices.Index(p.peakNames, l.Value); i >= 0 {
+			p.ownArrivals[i]++
+			p.hasOwnRule[i] = true
 			return true
 		}
 	}
@@ -81,31 +81,31 @@
 }
 
 // SessionEnded takes a session's length.
-func (h *peakPlanner) SessionEnded(_ time.Time, class int, played time.Duration, broken bool) {
-	h.lengths[class].Add(played.Seconds(), broken)
+func (p *peakPlanner) SessionEnded(_ time.Time, class int, played time.Duration, interrupted bool) {
+	p.lengths[class].Add(played.Seconds(), interrupted)
 }
 
 // Tick has the keeper plan and watch, and tells the module what is held.
-func (h *peakPlanner) Tick(now time.Time, v BrokerView) []control.Event {
+func (p *peakPlanner) Tick(now time.Time, v BrokerView) []control.Event {
 	ages := v.SessionAges()
-	for i := range h.classes {
-		h.classes[i].Survival = h.lengths[i].Survival(ages[i])
+	for i := range p.classes {
+		p.classes[i].Survival = p.lengths[i].Survival(ages[i])
 	}
-	input := peaks.Input{Now: now, Room: v.FleetSlots(), Share: v.ArrivalShare(), Classes: h.classes, Counts: h.arrivals}
-	for i, n := range h.ownArrivals {
-		if h.hasOwnRule[i] {
+	input := peaks.Input{Now: now, Room: v.FleetSlots(), Share: v.ArrivalShare(), Classes: p.classes, Counts: p.arrivals}
+	for i, n := range p.ownArrivals {
+		if p.hasOwnRule[i] {
 			input.Own = append(input.Own, peaks.Own{Peak: i, Count: n})
 		}
 	}
-	shares, notices := h.keeper.Tick(input)
-	clear(h.arrivals)
-	clear(h.ownArrivals)
+	shares, notices := p.keeper.Tick(input)
+	clear(p.arrivals)
+	clear(p.ownArrivals)
 	for _, n := range notices {
-		h.log.Info("announced peak", zap.String("peak", n.Peak.Name), zap.Time("begin", n.Begin), zap.String("notice", n.Text))
+		p.log.Info("announced peak", zap.String("peak", n.Peak.Name), zap.Time("begin", n.Begin), zap.String("notice", n.Text))
 	}
-	if slices.Equal(shares, h.heldShares) {
+	if slices.Equal(shares, p.heldShares) {
 		return nil
 	}
-	h.heldShares = shares
+	p.heldShares = shares
 	return []control.Event{{Kind: control.EvHold, Hold: shares}}
 }
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -19,7 +19,7 @@
 	b, f := newTestBroker(t)
 	h := newPeakPlanner(PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
 	b.planners = []Planner{h}
-	ask := func(id control.SessionID, class int, peak string) {
+	submit := func(id control.SessionID, class int, peak string) {
 		r := Request{ID: id, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f}
 		if peak != "" {
 			r.Route.Labels = []route.Label{{Name: "shop", Value: "quincena"}, {Name: peakLabel, Value: peak}}
@@ -27,13 +27,13 @@
 		b.handle(r)
 	}
 	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all is held for feeds of the peak
-	ask(1, feed, "")
-	ask(2, clip, "")
-	ask(3, feed, "quincena")
-	ask(4, clip, "quincena") // its class has none held
-	ask(5, feed, "another")
+	submit(1, feed, "")
+	submit(2, clip, "")
+	submit(3, feed, "quincena")
+	submit(4, clip, "quincena") // its class has none held
+	submit(5, feed, "another")
 	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 0}})
-	ask(6, feed, "")
+	submit(6, feed, "")
 	if got := f.takeCalls(); got != "refused 1, refused 2, setup 3, refused 4, refused 5, setup 6" {
 		t.Error(got)
 	}
@@ -74,18 +74,18 @@
 			t.Fatal(err)
 		}
 		b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
-		held := []float64{}
+		heldByTick := []float64{}
 		for range 60 {
 			b.runTimers()
 			sum := 0.0
 			for _, h := range b.planners[0].(*peakPlanner).heldShares {
 				sum += h
 			}
-			held = append(held, sum)
+			heldByTick = append(heldByTick, sum)
 			time.Sleep(time.Second)
 		}
-		if most := slices.Max(held[:5]); most <= 0 || most > 0.9 || held[59] != 0 { // the peak does not come
-			t.Errorf("%.3f", held)
+		if most := slices.Max(heldByTick[:5]); most <= 0 || most > 0.9 || heldByTick[59] != 0 { // the peak does not come
+			t.Errorf("%.3f", heldByTick)
 		}
 	})
 }
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -24,8 +24,8 @@
 	disconnects   uint32 // how often it was
 	deadline      time.Time
 	answered      bool // the final answer is given, or none is owed
-	reply         Reply
-	attempt       int // number of the last attempt
+	finalReply    Reply
+	attemptNumber int // number of the last attempt
 	server        control.Server
 	rung          int
 	inFlight      bool            // an attempt is out
@@ -43,10 +43,10 @@
 		b.rejoin(s, r)
 		return
 	}
-	if last, ok := b.endedReplies[r.ID]; ok {
+	if previous, ok := b.endedReplies[r.ID]; ok {
 		// A player that lost the final answer asks again: it gets the same one,
 		// and nothing is set up a second time.
-		repeatReply(r.Client, last)
+		repeatReply(r.Client, previous)
 		return
 	}
 	if b.refusesNew() {
@@ -57,7 +57,7 @@
 		return
 	}
 	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.settings.Classes[r.Class].Floor}
-	e := control.Event{
+	event := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
 		Home: r.Home, Span: r.Copies, MaxRung: r.MaxRung,
 	}
@@ -67,24 +67,24 @@
 			r.Client.Deliver(Reply{Kind: ReplyEnded, ID: r.ID, Cause: CauseInterrupted})
 			return
 		}
-		s.playing, s.answered, s.server, s.attempt = true, true, r.PlayingOn, 1
-		s.reply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
+		s.playing, s.answered, s.server, s.attemptNumber = true, true, r.PlayingOn, 1
+		s.finalReply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
 		b.sessions[r.ID] = s
-		e.Kind, e.Server = control.EvOpen, r.PlayingOn
-		e.LeftS = r.TimeLeft.Seconds()
-		b.dispatch(e)
+		event.Kind, event.Server = control.EvOpen, r.PlayingOn
+		event.LeftS = r.TimeLeft.Seconds()
+		b.dispatch(event)
 		return
 	}
 	b.sessions[r.ID] = s
 	b.openSetUps[r.ID] = true
 	b.timers.add(s.deadline.Add(-overdueMargin), timerDeadline, r.ID, 0)
-	if wait, ok := b.admit(now, s); !ok {
-		b.refuse(s, wait)
+	if retryAfter, ok := b.admit(now, s); !ok {
+		b.refuse(s, retryAfter)
 		return
 	}
-	e.Kind, e.Own = control.EvArrive, b.requestArrived(now, &r)
-	e.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
-	b.dispatch(e)
+	event.Kind, event.Own = control.EvArrive, b.requestArrived(now, &r)
+	event.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
+	b.dispatch(event)
 }
 
 // rejoin gives a running session to the connection that its player came back
@@ -104,7 +104,7 @@
 		}
 	case (s.Grace > 0) != (r.Grace > 0) || !s.repeats(r):
 		if s.client == r.Client && !s.answered {
-			b.fail(s)
+			b.failSession(s)
 			return
 		}
 		b.counters.CountAnswer(r.Class, ReplyFailed)
@@ -118,11 +118,11 @@
 			s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 		}
 		s.client = r.Client
-		switch a := s.deferred; {
+		switch action := s.deferred; {
 		case s.answered:
-			repeatReply(s.client, s.reply)
-		case a != nil:
-			b.sendOrDefer(b.clock.now(), s, *a)
+			repeatReply(s.client, s.finalReply)
+		case action != nil:
+			b.sendOrDefer(b.clock.now(), s, *action)
 		}
 	}
 }
@@ -156,7 +156,7 @@
 			s.disconnects++
 			b.timers.add(now.Add(s.Grace), timerGrace, s.ID, s.disconnects)
 		} else if !s.answered {
-			b.abandon(s)
+			b.abandonSession(s)
 		}
 	}
 }
@@ -176,18 +176,18 @@
 	if s.client == e.Client {
 		s.client = nil // it knows, and may have asked anew under that id
 	}
-	b.abandon(s)
+	b.abandonSession(s)
 }
 
-// abandon ends a session whose viewer waits no more. No answer is owed.
-func (b *Broker) abandon(s *session) {
+// abandonSession ends a session whose viewer waits no more. No answer is owed.
+func (b *Broker) abandonSession(s *session) {
 	if s.playing {
 		b.recordViewerEnd(s, CauseEnded)
 		b.nodes.Release(s.server, s.ID, CauseEnded)
 		b.endSession(s, Report{Status: control.Cancelled})
 		return
 	}
-	s.answered, s.reply = true, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed}
+	s.answered, s.finalReply = true, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed}
 	delete(b.openSetUps, s.ID)
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
@@ -205,7 +205,7 @@
 		s.deferred = nil
 		b.reportUnsent(s, s.server)
 	default:
-		b.nodes.Abandon(s.server, s.ID, s.attempt, timedOut)
+		b.nodes.Abandon(s.server, s.ID, s.attemptNumber, timedOut)
 	}
 }
 
@@ -220,11 +220,11 @@
 	if s.deferred != nil { // nothing of this attempt has run
 		b.refuse(s, unheardRetryAfter)
 	}
-	b.fail(s)
+	b.failSession(s)
 }
 
-// fail answers a session that waits no longer for what is out.
-func (b *Broker) fail(s *session) {
+// failSession answers a session that waits no longer for what is out.
+func (b *Broker) failSession(s *session) {
 	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 	b.abandonAttempt(s, true)
 	b.dispatch(control.Event{Kind: control.EvAborted, Session: s.ID})
@@ -237,13 +237,13 @@
 	if s == nil || s.answered || s.inFlight || s.playing {
 		return
 	}
-	s.attempt++
+	s.attemptNumber++
 	if s.mayHaveRun && b.settings.Classes[s.Class].Effect != control.Idempotent {
 		// Guard: a paid session is sent again only if no attempt can have run.
 		b.reportUnsent(s, action.Server)
 		return
 	}
-	if s.attempt > b.settings.AttemptsCap || !b.takeFurtherAttempt(now, s) {
+	if s.attemptNumber > b.settings.AttemptsCap || !b.takeFurtherAttempt(now, s) {
 		b.reportUnsent(s, action.Server)
 		return
 	}
@@ -282,30 +282,30 @@
 		}
 	}
 	ok := b.nodes.SetUp(action.Server, Attempt{
-		ID: s.ID, Number: s.attempt, Class: s.Class, Key: s.Key, Rung: s.rung,
+		ID: s.ID, Number: s.attemptNumber, Class: s.Class, Key: s.Key, Rung: s.rung,
 		Deadline: deadline, Description: s.Description, Client: s.client,
 	})
 	if !ok {
 		b.reportUnsent(s, action.Server)
 		return
 	}
-	b.timers.add(deadline, timerAttempt, s.ID, uint32(s.attempt))
+	b.timers.add(deadline, timerAttempt, s.ID, uint32(s.attemptNumber))
 }
 
 // reportUnsent reports an attempt that never left, after the module's present actions.
 func (b *Broker) reportUnsent(s *session, server control.Server) {
 	s.inFlight, s.server = true, server
-	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attempt, Status: control.Moot})
+	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attemptNumber, Status: control.Moot})
 }
 
 // refuse tells a viewer to come again later. The rule on paid sessions covers
 // every refusal: where an attempt may have run the answer is that it failed.
-func (b *Broker) refuse(s *session, wait time.Duration) {
+func (b *Broker) refuse(s *session, retryAfter time.Duration) {
 	if b.settings.Classes[s.Class].Effect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
 		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
-	b.answer(s, Reply{Kind: ReplyRefused, ID: s.ID, Cause: CauseRefused, RetryAfter: wait})
+	b.answer(s, Reply{Kind: ReplyRefused, ID: s.ID, Cause: CauseRefused, RetryAfter: retryAfter})
 }
 
 // answer gives the one final answer. False: it can't reach the viewer.
@@ -314,13 +314,13 @@
 		return true
 	}
 	reached := true
-	s.answered, s.reply = true, r
+	s.answered, s.finalReply = true, r
 	b.counters.CountAnswer(s.Class, r.Kind)
 	if ce := b.log.Check(zap.DebugLevel, "answered"); ce != nil {
 		// One line a request, so that a request can be followed by its id
 		// through every manager that had it.
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("class", s.Class), zap.Uint8("kind", uint8(r.Kind)),
-			zap.Int("cause", r.Cause), zap.Int("attempts", s.attempt), zap.Uint64("node", uint64(s.server)),
+			zap.Int("cause", r.Cause), zap.Int("attempts", s.attemptNumber), zap.Uint64("node", uint64(s.server)),
 			zap.Bool("mayRun", s.mayHaveRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
 	}
 	delete(b.openSetUps, s.ID)
@@ -345,7 +345,7 @@
 	delete(b.sessions, s.ID)
 	b.releaseTeamSession(s)
 	if s.Grace > 0 && len(b.endedReplies) < maxEndedReplies {
-		b.endedReplies[s.ID] = s.reply
+		b.endedReplies[s.ID] = s.finalReply
 		b.timers.add(b.clock.now().Add(endedReplyRetention), timerForgetReply, s.ID, 0)
 	}
 }
@@ -360,7 +360,7 @@
 		return
 	}
 	s := b.sessions[r.ID]
-	if s == nil || s.server != r.Server || r.AttemptNumber != 0 && r.AttemptNumber != s.attempt {
+	if s == nil || s.server != r.Server || r.AttemptNumber != 0 && r.AttemptNumber != s.attemptNumber {
 		if r.Kind == ReportStarted {
 			// Guard: a late 200 after giving up is torn down.
 			b.nodes.Release(r.Server, r.ID, CauseEnded)
@@ -374,7 +374,7 @@
 		b.attemptEnded(s, r)
 	case ReportNote:
 		b.dispatch(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
-			Attempt: s.attempt - 1, Note: r.Note, Value: r.Value})
+			Attempt: s.attemptNumber - 1, Note: r.Note, Value: r.Value})
 	}
 }
 
@@ -385,13 +385,13 @@
 	s.inFlight = false
 	if s.answered {
 		b.nodes.Release(r.Server, s.ID, CauseEnded)
-		b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1,
+		b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1,
 			Server: s.server, Status: control.Cancelled, Finished: true})
 		b.forget(s)
 		return
 	}
 	s.playing, s.establishedAt = true, b.clock.now()
-	b.dispatch(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
+	b.dispatch(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attemptNumber - 1})
 	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
 		// Its connection is gone and nobody will come back for it.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
@@ -418,7 +418,7 @@
 	}
 	s.inFlight = false
 	if ce := b.log.Check(zap.DebugLevel, "attempt ended"); ce != nil {
-		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("attempt", s.attempt), zap.Uint64("node", uint64(s.server)),
+		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("attempt", s.attemptNumber), zap.Uint64("node", uint64(s.server)),
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
 	}
 	switch r.Status {
@@ -426,7 +426,7 @@
 	default:
 		s.mayHaveRun = true
 	}
-	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
 		Status: r.Status, Confined: r.ConnectionOnly, Down: r.Down, Finished: s.answered, Load: r.Load})
 	b.forget(s)
 }
@@ -436,7 +436,7 @@
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Uint64("node", uint64(s.server)), zap.Int("cause", r.Cause),
 			zap.Duration("stood", b.clock.now().Sub(s.establishedAt)))
 	}
-	s.reply = r
+	s.finalReply = r
 	if s.client != nil {
 		s.client.Deliver(r)
 	}
@@ -447,21 +447,21 @@
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
 	}
-	s.reply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
+	s.finalReply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
 }
 
 // endSession ends a session that stood, as its node's report says.
 func (b *Broker) endSession(s *session, r Report) {
 	s.playing = false
 	if b.endedSinceHandover != nil {
-		b.endedSinceHandover[s.ID] = s.reply.Cause
+		b.endedSinceHandover[s.ID] = s.finalReply.Cause
 	}
 	if now := b.clock.now(); !s.establishedAt.IsZero() {
 		for _, p := range b.planners {
 			p.SessionEnded(now, s.Class, now.Sub(s.establishedAt), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
-	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
 		Status: r.Status, Down: r.Down, Finished: true, Load: r.Load})
 	b.forget(s)
 }
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -64,19 +64,19 @@
 		if e.Zone < 0 || e.Zone >= len(s.SiteByZone) {
 			continue
 		}
-		n := SiteNode(&s.settings, e, s.SiteByZone[e.Zone], len(s.listed))
-		s.watch.Listed(n.Site, uint64(e.Server), e.State == control.Ready)
-		s.guide.Listed(uint64(e.Server), n, e.State == control.Ready)
+		node := SiteNode(&s.settings, e, s.SiteByZone[e.Zone], len(s.listed))
+		s.watch.Listed(node.Site, uint64(e.Server), e.State == control.Ready)
+		s.guide.Listed(uint64(e.Server), node, e.State == control.Ready)
 	}
 }
 
 // SiteNode is an entry of a list of so many nodes as plans for sites count it.
 func SiteNode(settings *control.Settings, entry control.Entry, siteIndex, nodeCount int) site.Node {
-	n := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.Link(entry, nodeCount) * control.TargetUse, Places: unknownKindStreams}
+	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.Link(entry, nodeCount) * control.TargetUse, Places: unknownKindStreams}
 	if entry.Kind >= 0 && entry.Kind < len(settings.KindStreams) {
-		n.Places = float64(settings.KindStreams[entry.Kind])
+		node.Places = float64(settings.KindStreams[entry.Kind])
 	}
-	return n
+	return node
 }
 
 // unknownKindStreams is what a node of a kind whose streams are not told is taken to run.
@@ -91,8 +91,8 @@
 }
 
 // SessionEnded is part of Part.
-func (s *sitePlanner) SessionEnded(_ time.Time, class int, played time.Duration, broken bool) {
-	s.guide.Over(class, played, broken)
+func (s *sitePlanner) SessionEnded(_ time.Time, class int, played time.Duration, interrupted bool) {
+	s.guide.Over(class, played, interrupted)
 }
 
 // NodeReported is part of Part.
@@ -134,7 +134,7 @@
 // Tick is part of Part.
 func (s *sitePlanner) Tick(now time.Time, v BrokerView) []control.Event {
 	for _, notice := range s.watch.Tick(now) {
-		s.guide.Told(now, notice, s.returns(now, notice.Site))
+		s.guide.Told(now, notice, s.returnCount(now, notice.Site))
 		name, state := "", notice.State.String()
 		if notice.Site >= 0 {
 			name = s.Names[notice.Site]
@@ -173,7 +173,7 @@
 	return []control.Event{{Kind: control.EvRation, Ration: s.controlRation(ration)}}
 }
 
-func (s *sitePlanner) returns(now time.Time, siteIndex int) int {
+func (s *sitePlanner) returnCount(now time.Time, siteIndex int) int {
 	if siteIndex < 0 {
 		return 0
 	}
@@ -195,11 +195,11 @@
 }
 
 // zoneCount is how many zones make up a site.
-func (s *sitePlanner) zoneCount(siteIndex int) (n int) {
+func (s *sitePlanner) zoneCount(siteIndex int) (count int) {
 	for _, other := range s.SiteByZone {
 		if other == siteIndex {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -20,8 +20,8 @@
 	BudgetPeriod       time.Duration // of the budget
 }
 
-// ledger is what a team has used.
-type ledger struct {
+// teamLedger is what a team has used.
+type teamLedger struct {
 	Team
 	sessions        int
 	periodStart     time.Time // when the period began
@@ -29,15 +29,15 @@
 	furtherAttempts int
 }
 
-func newLedgers(teams []Team, firstTeam int) []ledger {
-	ledgers := make([]ledger, firstTeam, firstTeam+len(teams)) // the platform's own tenants have no caps
+func newLedgers(teams []Team, firstTeam int) []teamLedger {
+	ledgers := make([]teamLedger, firstTeam, firstTeam+len(teams)) // the platform's own tenants have no caps
 	for _, t := range teams {
-		ledgers = append(ledgers, ledger{Team: t})
+		ledgers = append(ledgers, teamLedger{Team: t})
 	}
 	return ledgers
 }
 
-func (b *Broker) ledger(now time.Time, s *session) *ledger {
+func (b *Broker) ledger(now time.Time, s *session) *teamLedger {
 	if s.Team < 0 || s.Team >= len(b.ledgers) {
 		return nil
 	}
@@ -75,7 +75,7 @@
 // takeFurtherAttempt takes a further attempt from the team's budget.
 func (b *Broker) takeFurtherAttempt(now time.Time, s *session) bool {
 	l := b.ledger(now, s)
-	if l == nil || s.attempt <= 1 || l.MaxFurtherAttempts == 0 {
+	if l == nil || s.attemptNumber <= 1 || l.MaxFurtherAttempts == 0 {
 		return true
 	}
 	if l.furtherAttempts >= l.MaxFurtherAttempts {
