--- a/internal/broker/api.go
+++ b/internal/broker/api.go
@@ -7,84 +7,88 @@
 	"millethinge/internal/route"
 )
 
-// Causes of replies and releases. Refusals say that trying again is harmless;
-// other causes don't.
+// Causes of replies and releases. Only CauseRefused means that the set-up can be
+// repeated without harm.
 const (
-	CauseEnded       = 16 // the session has come to its end
-	CauseCancelled   = 31 // moved, or ended by its viewer
-	CauseRefused     = 42
-	CauseInterrupted = 41 // the session was cut
+	CauseEnded       = 16 // the session ended normally
+	CauseCancelled   = 31 // the session was moved, or ended by its viewer
+	CauseRefused     = 42 // the set-up was refused
+	CauseInterrupted = 41 // an established session was interrupted
 	CauseFailed      = 38 // the set-up failed, or may have run
 )
 
-// Request is a session to be set up, as a front read it. What it refers to is
-// its own, not a slice of a read buffer.
+// Request asks for a session to be set up, as a front read it. It owns the memory that
+// it refers to: none of its slices shares a front's read buffer.
 type Request struct {
 	ID    control.SessionID
 	Class int
-	Team  int // position behind the platform's tenants; -1: none
-	// Named is what the viewer named itself, before rules gave it something else.
+	Team  int // tenant number: the platform's tenants come first, then the operator's teams; -1: none
+	// Requested holds the class and team that the viewer named, before the operator's
+	// rules were applied.
 	Requested  struct{ Class, Team int }
-	Route      route.Result // by which rule, with its budget key and labels
+	Route      route.Result // the rule that matched, with its budget key and labels
 	Key        string       // the title as the viewer wrote it
 	Title      uint64
-	Home       int
-	Copies     int
-	MaxRung    float64
-	Repeated   bool          // its viewer has asked before, for this or for what was broken off
-	TimeLeft   time.Duration // from Came
-	ReceivedAt time.Time     // when its last byte was read
-
-	PlayingOn   control.Server // set: it plays there already; no answer is owed
+	Home       int           // first cell that holds the title
+	Copies     int           // number of cells that hold the title
+	MaxRung    float64       // highest rung that the viewer can use
+	Repeated   bool          // the viewer has asked before, for this session or for one that was interrupted
+	TimeLeft   time.Duration // how long the viewer waits, counted from ReceivedAt
+	ReceivedAt time.Time     // when the last byte was read
+
+	PlayingOn   control.Server // the node of a session that is established already, which gets no answer; 0: none
 	Description []byte
 	Client      Client
-	// Grace is how long a session outlives its client's connection. With 0 a
-	// lost connection gives its open set-ups up and ends nothing that stands.
+	// Grace is how long a session is kept after its client's connection is lost. With 0,
+	// the loss abandons the connection's open set-ups and ends no established session.
 	Grace time.Duration
 }
 
-// ViewerEnd tells that a viewer has given a set-up up or ends a session.
+// ViewerEnd reports that a viewer cancels a set-up or ends an established session.
 type ViewerEnd struct {
 	ID     control.SessionID
 	Cause  int
-	Client Client // who says so, and has nothing open under that id by now unless it has asked anew
+	Client Client // the sender; it has no open request with this ID any more, unless it has sent a new one
 }
 
-// ReplyKind says what a Reply tells a viewer.
+// ReplyKind is the kind of a Reply.
 type ReplyKind uint8
 
+// Kinds of a Reply. ReplyAbandoned and ReplyClosed only update the front's records and
+// are not sent to the viewer.
 const (
-	ReplyServed    ReplyKind = iota // it stands, by Description
-	ReplyRefused                    // trying again, after Wait, is harmless
-	ReplyFailed                     // it may have run
-	ReplyEnded                      // a session that stood is over
-	ReplyMoved                      // a session that stood ends here; come again
-	ReplyAbandoned                  // no answer is owed any more: not for the viewer's eyes
-	ReplyClosed                     // a session that stood has ended and its viewer knows: likewise
+	ReplyServed    ReplyKind = iota // the session is established, as Description says
+	ReplyRefused                    // the set-up can be repeated without harm after RetryAfter
+	ReplyFailed                     // the set-up failed, or may have run
+	ReplyEnded                      // an established session has ended
+	ReplyMoved                      // an established session ends here; the viewer has to request it again
+	ReplyAbandoned                  // the request needs no answer on this connection any more
+	ReplyClosed                     // an established session has ended and its viewer knows, or another connection has it now
 )
 
-// Reply is one message to a viewer.
+// Reply is one message about a request or a session to the client that carries it.
 type Reply struct {
 	Kind        ReplyKind
 	ID          control.SessionID
 	Cause       int
 	RetryAfter  time.Duration
-	Reason      string // of a refusal or a failure, for people; may be empty
+	Reason      string // why a request was refused or failed, for people; may be empty
 	Description []byte
 }
 
-// Client carries replies to a viewer. Its methods never wait and may be called by any
+// Client carries replies to a viewer. Its methods never block and may be called from any
 // goroutine.
 type Client interface {
-	// Deliver returns false if the reply can't reach the viewer any more.
+	// Deliver queues a reply, and reports whether it can still reach the viewer.
 	Deliver(Reply) bool
-	// Gone tells whether the client has closed or has cancelled its request of that id, or
-	// may have, since it can't be heard for now. It knows of all that before the broker
-	// does, whose mailbox the first two take their turn in.
+	// Gone reports whether the client has closed its connection or has cancelled the
+	// request with this ID, or may have done so because its input is not read at the
+	// moment. The client knows this earlier than the broker, to which a closed connection
+	// and a cancellation are passed through its mailbox.
 	Gone(control.SessionID) bool
 }
 
-// Attempt is one set-up at one media node.
+// Attempt is one attempt to set a session up on a media node.
 type Attempt struct {
 	ID          control.SessionID
 	Number      int // from 1
@@ -93,45 +97,50 @@
 	Rung        int
 	Deadline    time.Time
 	Description []byte
-	Client      Client // nothing is begun for one that has gone
+	Client      Client // no attempt begins once this client has gone
 }
 
-// Nodes are the media nodes. No call waits; what comes of it is told to the
-// broker by Report.
+// Nodes is the set of media nodes. No method blocks; results are passed to
+// Broker.Report.
 type Nodes interface {
-	// SetUp sends an attempt. False: the list names no such node.
+	// SetUp starts an attempt. It returns false if the node is not on the list.
 	SetUp(control.Server, Attempt) bool
-	// GiveUp ends an attempt that is out: an Ended report follows once its
-	// TEARDOWN is written or it is certain that none is needed.
+	// Abandon ends an attempt that is in flight. A ReportEnded follows once its TEARDOWN
+	// is written or it is certain that none is needed.
 	Abandon(server control.Server, id control.SessionID, number int, timedOut bool)
-	// Stands names a session that plays at a node since before the start.
+	// AddEstablished adds a session that was established on a node before this process
+	// knew of it. It returns false if the node is not on the list.
 	AddEstablished(control.Server, control.SessionID) bool
+	// Release tears an established session down.
 	Release(server control.Server, id control.SessionID, cause int)
+	// SetRung sets the rung at which a session plays.
 	SetRung(server control.Server, id control.SessionID, rung int)
+	// Probe requests a load report from a node. A ReportProbed follows.
 	Probe(control.Server)
 }
 
-// ReportKind says what a Report is.
+// ReportKind is the kind of a Report.
 type ReportKind uint8
 
+// Kinds of a Report. The comments name the fields that hold the result.
 const (
-	ReportStarted ReportKind = iota // the session stands, by Description
-	ReportEnded                     // the attempt, or the session that stood, has ended
-	ReportProbed                    // Status, Load
-	ReportNote                      // Note, Value
+	ReportStarted ReportKind = iota // the session is established: Description
+	ReportEnded                     // the attempt or the established session has ended: Status
+	ReportProbed                    // a probe has ended: Status, Load
+	ReportNote                      // a note on an established session: Note, Value
 )
 
-// Report is what a media node tells.
+// Report is an event at a media node that concerns an attempt, a session or a probe.
 type Report struct {
 	Kind           ReportKind
 	Server         control.Server
 	ID             control.SessionID
-	AttemptNumber  int // of the attempt; 0: whichever
+	AttemptNumber  int // 0: any attempt
 	Status         control.Status
-	Cause          int  // of a release by the node
-	ConnectionOnly bool // Reset: only the connection broke, the node is there
-	Down           bool // Reset, ConnectFailed: no process listens at the node's address
-	Load           []float64
+	Cause          int       // why the node released the session; 0: not given
+	ConnectionOnly bool      // with control.Reset: only the connection broke, the node can be reached
+	Down           bool      // with control.Reset or control.ConnectFailed: no process listens at the node's address
+	Load           []float64 // in the order of control.Settings.Fields
 	Note           control.NoteKind
 	Value          float64
 	Description    []byte
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,9 +1,9 @@
-// Package broker is the core of the session manager. It deals in requests,
-// attempts and outcomes and knows no wire: fronts hand it requests and carry
-// its replies, media nodes carry its attempts and report their outcomes.
+// Package broker is the core of the session manager. It handles requests, attempts and
+// outcomes, and is independent of wire formats: fronts submit requests and deliver its
+// replies; media nodes run its attempts and report their outcomes.
 //
-// One actor owns each session's life and is the only one to call the decision
-// module. It never waits for a front or a node.
+// A single actor goroutine owns the state of all sessions and is the only caller of the
+// decision module, package control. It never blocks on a front or a node.
 package broker
 
 import (
@@ -18,21 +18,23 @@
 )
 
 const (
-	// inboxPerMB bounds what fronts may have waiting before the module: messages for
-	// each MB of memory. Each holds up to 16 KiB, so together they may take a
-	// quarter of it.
+	// inboxPerMB limits the messages of fronts that wait in the broker's mailbox, for each
+	// MB of memory. A message holds up to 16 KiB, so that all of them take up to a quarter
+	// of the memory.
 	inboxPerMB = 16
-	// answerMargin is kept before a viewer's deadline for the answer's way.
+	// answerMargin is the time before a viewer's deadline that is left for the answer to
+	// reach the viewer.
 	answerMargin = 100 * time.Millisecond
-	// overdueMargin is when the broker answers itself what the module has not.
+	// overdueMargin is the time before a viewer's deadline at which the broker answers a
+	// request that the decision module has not decided.
 	overdueMargin = 50 * time.Millisecond
-	// maxEndedReplies bounds the final replies kept for players that reconnect.
+	// maxEndedReplies limits the number of final replies kept for players that reconnect.
 	maxEndedReplies = 1 << 16
 	// endedReplyRetention is how long such a reply is kept.
 	endedReplyRetention = 30 * time.Second
 )
 
-// Config is what a Broker needs.
+// Config configures a Broker.
 type Config struct {
 	Settings control.Settings
 	Seed     uint64
@@ -42,18 +44,18 @@
 	Peaks    PeakConfig
 	Sites    SiteConfig
 	Nodes    Nodes
-	Counters *Counters      // nil: nobody asks
-	HandOver func(Handover) // takes what stands once a younger process takes over; must not wait; nil: none ever does
+	Counters *Counters      // nil: outcomes are not counted
+	HandOver func(Handover) // receives the established sessions when a successor takes over; must not block; nil: there are no successors
 	Log      *zap.Logger
 }
 
-// DrainTimes is how a Broker ends.
+// DrainTimes holds how long a Broker goes on after Drain, counted from its call.
 type DrainTimes struct {
-	AcceptFor time.Duration // new requests are served for so long
-	KeepFor   time.Duration // what stands is kept for so long
+	AcceptFor time.Duration // how long new requests are still accepted
+	KeepFor   time.Duration // how long established sessions are kept
 }
 
-// Broker is the actor round the decision module.
+// Broker is the actor that owns all sessions and drives the decision module.
 type Broker struct {
 	settings           control.Settings
 	controller         *control.Controller
@@ -62,23 +64,23 @@
 	clock              clock
 	inbox              *mailbox.Box[any]
 	sessions           map[control.SessionID]*session
-	endedReplies       map[control.SessionID]Reply // final replies that a player may still ask for
-	openSetUps         map[control.SessionID]bool  // set-ups not answered yet
+	endedReplies       map[control.SessionID]Reply // final replies kept for players that reconnect
+	openSetUps         map[control.SessionID]bool  // set-ups that are not answered yet
 	timers             timerHeap
 	ledgers            []teamLedger
-	planners           []Planner // what watches and plans beside the module
+	planners           []Planner // these observe the broker and plan beside the decision module
 	drained            chan struct{}
 	drainTimes         DrainTimes
 	counters           *Counters
-	drainStart         time.Time // when the drain was asked for; zero: it was not
-	handingOver        bool      // what stands is left standing: a younger process takes it over
+	drainStart         time.Time // when the drain was requested; zero: not draining
+	handingOver        bool      // a successor takes the established sessions over
 	handOver           func(Handover)
-	finalHandover      Handover                   // once drained is closed
-	adoptedIDs         map[control.SessionID]bool // over from older processes; they may have ended here
-	endedSinceHandover map[control.SessionID]int  // by what cause sessions ended since they were handed over
+	finalHandover      Handover                   // valid once drained is closed
+	adoptedIDs         map[control.SessionID]bool // sessions adopted from predecessors, also those that have ended since
+	endedSinceHandover map[control.SessionID]int  // causes of the sessions that ended after they were handed over
 }
 
-// New returns a Broker. Run starts it.
+// New returns a Broker, which handles nothing until Run is called.
 func New(cfg Config) (*Broker, error) {
 	settings := cfg.Settings
 	for _, team := range cfg.Teams {
@@ -107,40 +109,42 @@
 	return b, nil
 }
 
-// Submit hands over a request. False: the mailbox is full, nothing was taken.
+// Submit queues a request. It returns false if the mailbox is full.
 func (b *Broker) Submit(r Request) bool { return b.inbox.Put(r) }
 
-// End tells that a viewer has given a session up or has released it.
+// End queues a viewer's cancellation or release. It returns false if the mailbox is full.
 func (b *Broker) End(e ViewerEnd) bool { return b.inbox.Put(e) }
 
-// Lost tells that a client's connection is gone.
+// Lost reports to the broker that a client's connection is closed.
 func (b *Broker) Lost(c Client) { b.inbox.Force(connectionLost{c}) }
 
-// Report takes what a media node tells. Their number is bounded by that of
-// attempts, probes and notes, so none is dropped.
+// Report queues a report of a media node. The number of reports is bounded by the number
+// of attempts, probes and notes, so none is dropped.
 func (b *Broker) Report(r Report) { b.inbox.Force(r) }
 
-// UpdateList takes a change to the list of media nodes.
+// UpdateList queues a change to the list of media nodes.
 func (b *Broker) UpdateList(l ListUpdate) { b.inbox.Force(l) }
 
-// Drain asks the broker to end: it serves on for a while, answers all that it
-// took, keeps what stands for as long as it may, and then closes Drained.
+// Drain starts the drain: the broker accepts requests for DrainTimes.AcceptFor, answers
+// all that it accepted, keeps established sessions for DrainTimes.KeepFor, and then closes
+// the channel that Drained returns.
 func (b *Broker) Drain() { b.inbox.Force(drainRequest{}) }
 
-// DrainForSuccessor is Finish where a younger process of this manager takes over: what stands is left
-// standing, so the broker need not stay for it.
+// DrainForSuccessor is Drain where a successor takes over. Established sessions are left
+// to the successor, so that the broker need not wait for DrainTimes.KeepFor.
 func (b *Broker) DrainForSuccessor() { b.inbox.Force(drainRequest{forSuccessor: true}) }
 
-// Drained is closed once all that was taken before and during a drain is
-// answered.
+// Drained returns a channel that is closed once the drain has ended: its time is over and
+// all requests accepted before and during it are answered.
 func (b *Broker) Drained() <-chan struct{} { return b.drained }
 
+// Messages to the actor, besides the exported types.
 type (
 	connectionLost struct{ client Client }
 	drainRequest   struct{ forSuccessor bool }
 )
 
-// Run is the actor's loop.
+// Run handles messages and timers until ctx is done.
 func (b *Broker) Run(ctx context.Context) error {
 	var batch []any
 	timer := time.NewTimer(time.Hour)
@@ -159,14 +163,14 @@
 		}
 		batch = b.inbox.Take(batch)
 		for _, m := range batch {
-			b.handle(m)
+			b.handleMessage(m)
 		}
 		b.runTimers()
 		b.checkDrained()
 	}
 }
 
-func (b *Broker) handle(m any) {
+func (b *Broker) handleMessage(m any) {
 	switch m := m.(type) {
 	case Request:
 		b.handleRequest(m)
@@ -200,6 +204,7 @@
 	}
 }
 
+// checkDrained ends the drain once its time is over and no set-up is open.
 func (b *Broker) checkDrained() {
 	if b.drainStart.IsZero() || b.clock.now().Before(b.drainStart.Add(b.minDrainTime())) || len(b.openSetUps) > 0 {
 		return
@@ -215,7 +220,7 @@
 	}
 }
 
-// minDrainTime is how long the broker stays at least once it is asked to end.
+// minDrainTime is how long the drain lasts at least.
 func (b *Broker) minDrainTime() time.Duration {
 	if b.handingOver {
 		return b.drainTimes.AcceptFor
@@ -223,25 +228,26 @@
 	return b.drainTimes.KeepFor
 }
 
-// refusesNew tells whether it is too late for a new request.
+// refusesNew reports whether the drain has gone on for too long to accept a new request.
 func (b *Broker) refusesNew() bool {
 	return !b.drainStart.IsZero() && !b.clock.now().Before(b.drainStart.Add(b.drainTimes.AcceptFor))
 }
 
-// endEstablished ends what stands on both sides before the program exits.
+// endEstablished ends the established sessions that are not handed over, at the viewer and
+// at the node, before the program exits.
 func (b *Broker) endEstablished() {
 	for id, s := range b.sessions {
 		if _, ok := s.client.(hostedClient); ok && b.handingOver && s.Grace == 0 {
-			continue // it is handed over
+			continue // handed over
 		}
 		if s.playing {
-			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: id, Cause: CauseInterrupted}) // its player's connection may be lost
+			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: id, Cause: CauseInterrupted}) // client may be nil: the player's connection is lost
 			b.nodes.Release(s.server, id, CauseInterrupted)
 		}
 	}
 }
 
-// dispatch hands one event to the module and carries its actions out.
+// dispatch passes an event to the decision module and executes the resulting actions.
 func (b *Broker) dispatch(event control.Event) {
 	now := b.clock.now()
 	for _, action := range b.controller.Handle(unixSeconds(now), event) {
@@ -249,6 +255,7 @@
 	}
 }
 
+// execute executes an action of the decision module.
 func (b *Broker) execute(now time.Time, action control.Action) {
 	s := b.sessions[action.Session]
 	switch action.Kind {
@@ -256,9 +263,10 @@
 		b.startAttempt(now, s, action)
 	case control.ActRung:
 		if s != nil {
-			// Guard: no class plays under its floor, whatever the module says.
+			// Guard: no session plays on a rung below its class's floor, whatever the
+			// decision module says.
 			s.rung = max(action.Rung, b.settings.Classes[s.Class].Floor)
-			if s.inFlight || s.playing && !b.handingOver { // what was handed over has another master
+			if s.inFlight || s.playing && !b.handingOver { // the successor controls sessions that were handed over
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
@@ -275,8 +283,9 @@
 	case control.ActProbe:
 		b.nodes.Probe(action.Server)
 	case control.ActMove:
-		// Guard: a move ends the session on both sides. The module hears of the
-		// end after its present actions.
+		// Guard: a move ends the session at the viewer and at the node. The end is
+		// queued as a report, so that the decision module learns of it after the
+		// actions that it has already returned.
 		if s != nil && s.playing {
 			b.notifyEnded(s, Reply{Kind: ReplyMoved, ID: s.ID})
 			b.nodes.Release(s.server, s.ID, CauseCancelled)
@@ -284,11 +293,11 @@
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
 	case control.ActRemark:
-		b.log.Info("module", zap.String("remark", action.Text))
+		b.log.Info("decision module", zap.String("remark", action.Text))
 	}
 }
 
-// runTimers runs the timers that are due.
+// runTimers handles the timers that are due.
 func (b *Broker) runTimers() {
 	for {
 		t, ok := b.timers.pop(b.clock.now())
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -11,12 +11,12 @@
 	"millethinge/control"
 )
 
-// recorder is the nodes and the clients of a test: it notes what they are told.
+// recorder implements Nodes and Client for a test, and records the calls.
 type recorder struct {
 	calls         []string
-	refusesSetUps bool // no node takes a set-up
-	unreachable   bool // no reply reaches it
-	gone          bool // its client has gone, and the broker is not told yet
+	refusesSetUps bool // SetUp returns false
+	unreachable   bool // Deliver returns false
+	gone          bool // Gone returns true; the broker has not been told of it yet
 }
 
 func (f *recorder) record(format string, args ...any) {
@@ -28,7 +28,7 @@
 	return !f.refusesSetUps
 }
 func (f *recorder) Abandon(s control.Server, id control.SessionID, n int, timedOut bool) {
-	f.record("giveup %d", id)
+	f.record("abandon %d", id)
 }
 func (f *recorder) AddEstablished(control.Server, control.SessionID) bool { return true }
 func (f *recorder) Release(s control.Server, id control.SessionID, cause int) {
@@ -42,7 +42,7 @@
 	if r.Kind == ReplyAbandoned || r.Kind == ReplyClosed {
 		return true
 	}
-	f.record("%s %d", [...]string{"served", "refused", "failed", "over", "moved"}[r.Kind], r.ID)
+	f.record("%s %d", [...]string{"served", "refused", "failed", "ended", "moved"}[r.Kind], r.ID)
 	return !f.unreachable
 }
 
@@ -53,9 +53,10 @@
 	return strings.Join(f.calls, ", ")
 }
 
+// Classes of testSettings.
 const (
-	clip = 0
-	feed = 1
+	clip = 0 // must not be set up twice
+	feed = 1 // may be set up again
 )
 
 func testSettings() control.Settings {
@@ -69,7 +70,7 @@
 	}
 }
 
-// newTestBroker is a broker that the test drives in place of its goroutine.
+// newTestBroker returns a Broker whose messages and timers the test handles itself, without Run.
 func newTestBroker(t *testing.T, teams ...Team) (*Broker, *recorder) {
 	t.Helper()
 	f := &recorder{}
@@ -77,21 +78,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+	b.handleMessage(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
 	return b, f
 }
 
+// submitNow has the broker handle a request at once.
 func (b *Broker) submitNow(f *recorder, id control.SessionID, class, team int, grace time.Duration) {
-	b.handle(Request{ID: id, Class: class, Team: team, Title: 1, Copies: 1, MaxRung: 2,
+	b.handleMessage(Request{ID: id, Class: class, Team: team, Title: 1, Copies: 1, MaxRung: 2,
 		TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f, Grace: grace})
 }
 
+// reportNow has the broker handle a report on the last attempt of a session at once.
 func (b *Broker) reportNow(id control.SessionID, kind ReportKind, status control.Status) {
 	r := Report{Kind: kind, ID: id, Status: status}
 	if s := b.sessions[id]; s != nil {
 		r.Server, r.AttemptNumber = s.server, s.attemptNumber
 	}
-	b.handle(r)
+	b.handleMessage(r)
 }
 
 func TestOutcomes(t *testing.T) {
@@ -101,7 +104,8 @@
 		status control.Status
 		want   string
 	}{
-		// A paid session goes on only where the attempt provably did not run.
+		// A session that must not be set up twice gets a further attempt only where the
+		// first provably did not run.
 		{"clip full", clip, control.Full, "setup 1, setup 1"},
 		{"clip not connected", clip, control.ConnectFailed, "setup 1, setup 1"},
 		{"clip errored", clip, control.Errored, "setup 1, failed 1"},
@@ -119,7 +123,8 @@
 	}
 }
 
-// Whatever the module says, a session that may have run is never refused.
+// A session that must not be set up twice is never refused once an attempt may have run,
+// whatever the decision module says.
 func TestRefusalGuard(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
@@ -128,7 +133,7 @@
 	if got := f.takeCalls(); got != "setup 1, failed 1" || !s.answered {
 		t.Error(got)
 	}
-	// Nor does a second attempt leave beside one that is out.
+	// No second attempt is sent while one is in flight.
 	b.submitNow(f, 2, clip, -1, 0)
 	b.execute(b.clock.now(), control.Action{Kind: control.ActHandOff, Session: 2, Server: 2})
 	if got := f.takeCalls(); got != "setup 2" {
@@ -136,51 +141,51 @@
 	}
 }
 
-// The answer comes before the viewer's time is up though the node hangs, once
-// only; a 200 after it is torn down.
+// If the node hangs, the viewer gets one answer before its deadline. A session that is
+// established after that is torn down.
 func TestAnswerAtDeadline(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
 	server := b.sessions[1].server
 	b.answerOverdue(1)
 	b.answerOverdue(1)
-	b.handle(Report{Kind: ReportStarted, Server: server, ID: 1, AttemptNumber: 1})
-	if got := f.takeCalls(); got != "setup 1, failed 1, giveup 1, teardown 1" {
+	b.handleMessage(Report{Kind: ReportStarted, Server: server, ID: 1, AttemptNumber: 1})
+	if got := f.takeCalls(); got != "setup 1, failed 1, abandon 1, teardown 1" {
 		t.Error(got)
 	}
 	if len(b.sessions) != 0 || len(b.openSetUps) != 0 {
-		t.Errorf("%d sessions, %d open", len(b.sessions), len(b.openSetUps))
+		t.Errorf("%d sessions and %d open set-ups are left", len(b.sessions), len(b.openSetUps))
 	}
 }
 
 func TestViewerEndsSession(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
-	b.handle(ViewerEnd{ID: 1, Cause: 16})
+	b.handleMessage(ViewerEnd{ID: 1, Cause: 16})
 	b.reportNow(1, ReportEnded, control.Cancelled)
 	b.submitNow(f, 2, feed, -1, 0)
 	b.reportNow(2, ReportStarted, 0)
-	b.handle(connectionLost{f}) // no connection owns a session that stands
-	b.handle(ViewerEnd{ID: 2, Cause: 16})
-	if got := f.takeCalls(); got != "setup 1, giveup 1, setup 2, served 2, teardown 2" {
+	b.handleMessage(connectionLost{f}) // the loss of the connection does not end an established session
+	b.handleMessage(ViewerEnd{ID: 2, Cause: 16})
+	if got := f.takeCalls(); got != "setup 1, abandon 1, setup 2, served 2, teardown 2" {
 		t.Error(got)
 	}
 	if len(b.sessions) != 0 {
-		t.Errorf("%d sessions left", len(b.sessions))
+		t.Errorf("%d sessions are left", len(b.sessions))
 	}
 }
 
-// A player whose socket is lost is joined to what goes on, and told once what
-// it missed; nothing is set up again.
+// A player that reconnects rejoins its session and gets once the answer that it missed;
+// nothing is set up again.
 func TestPlayerReconnects(t *testing.T) {
 	b, f := newTestBroker(t)
 	newConnection := &recorder{}
 	b.submitNow(f, 1, clip, -1, time.Minute)
-	b.handle(connectionLost{f})
+	b.handleMessage(connectionLost{f})
 	b.reportNow(1, ReportStarted, 0)
 	b.submitNow(newConnection, 1, clip, -1, time.Minute)
 	b.submitNow(f, 2, clip, -1, time.Minute)
-	b.handle(connectionLost{f})
+	b.handleMessage(connectionLost{f})
 	b.reportNow(2, ReportEnded, control.Errored)
 	b.submitNow(newConnection, 2, clip, -1, time.Minute)
 	if got := f.takeCalls() + "; " + newConnection.takeCalls(); got != "setup 1, setup 2; served 1, failed 2" {
@@ -191,23 +196,23 @@
 func TestTeamCaps(t *testing.T) {
 	team := Team{Name: "a", Classes: []bool{true, false}, MaxSessions: 2, MaxBilledSetUps: 3, MaxFurtherAttempts: 1, BudgetPeriod: time.Hour}
 	b, f := newTestBroker(t, team)
-	b.submitNow(f, 1, feed, 0, 0) // not in its contract
+	b.submitNow(f, 1, feed, 0, 0) // the contract does not have this class
 	b.submitNow(f, 2, clip, 0, 0)
 	b.submitNow(f, 3, clip, 0, 0)
-	b.submitNow(f, 4, clip, 0, 0) // two stand
+	b.submitNow(f, 4, clip, 0, 0) // two sessions are being set up
 	if got := f.takeCalls(); got != "refused 1, setup 2, setup 3, refused 4" {
 		t.Error(got)
 	}
-	b.handle(ViewerEnd{ID: 2, Cause: 16})
+	b.handleMessage(ViewerEnd{ID: 2, Cause: 16})
 	b.reportNow(2, ReportEnded, control.Cancelled)
-	b.reportNow(3, ReportEnded, control.Moot) // its one further attempt
+	b.reportNow(3, ReportEnded, control.Moot) // uses the one further attempt
 	b.submitNow(f, 5, clip, 0, 0)
-	b.reportNow(5, ReportEnded, control.Moot) // none is left
+	b.reportNow(5, ReportEnded, control.Moot) // no further attempt is left
 	b.reportNow(5, ReportEnded, control.Moot)
-	b.handle(ViewerEnd{ID: 3, Cause: 16})
+	b.handleMessage(ViewerEnd{ID: 3, Cause: 16})
 	b.reportNow(3, ReportEnded, control.Cancelled)
-	b.submitNow(f, 6, clip, 0, 0) // the budget is spent
-	if got := f.takeCalls(); !strings.HasPrefix(got, "giveup 2, setup 3, setup 5, ") || strings.Count(got, "setup 5") != 1 ||
+	b.submitNow(f, 6, clip, 0, 0) // the budget of billed set-ups is spent
+	if got := f.takeCalls(); !strings.HasPrefix(got, "abandon 2, setup 3, setup 5, ") || strings.Count(got, "setup 5") != 1 ||
 		!strings.Contains(got, "refused 5") || !strings.HasSuffix(got, "refused 6") {
 		t.Error(got)
 	}
@@ -228,8 +233,8 @@
 	}
 }
 
-// An answer that can't reach its viewer leaves nothing standing at the node; a
-// player may still come back for it.
+// A session whose answer can't reach the viewer is torn down at the node, unless there is a
+// grace in which its player may reconnect.
 func TestUndeliverableAnswer(t *testing.T) {
 	for grace, want := range map[time.Duration]string{0: "setup 1, served 1, teardown 1", time.Minute: "setup 1, served 1"} {
 		b, f := newTestBroker(t)
@@ -242,15 +247,15 @@
 	}
 }
 
-// A node that the list has dropped meanwhile is given nothing: the attempt
-// never left, and the session is tried elsewhere or refused.
+// An attempt at a node that has been dropped from the list is not sent: the session is tried
+// on another node or refused.
 func TestUnlistedNode(t *testing.T) {
 	b, f := newTestBroker(t)
 	f.refusesSetUps = true
 	b.submitNow(f, 1, clip, -1, 0)
 	for range 4 {
 		for _, m := range b.inbox.Take(nil) {
-			b.handle(m)
+			b.handleMessage(m)
 		}
 	}
 	if got := f.takeCalls(); got != "setup 1, setup 1, refused 1" {
@@ -258,8 +263,8 @@
 	}
 }
 
-// A set-up that is repeated gets the answer that the first one gets; a session
-// of the other front can't be taken over.
+// A repeated set-up gets the answer of the first one. A request from another front can't
+// take a session over.
 func TestRepeatedSetUp(t *testing.T) {
 	b, f := newTestBroker(t)
 	repeated, player := &recorder{}, &recorder{}
@@ -272,15 +277,15 @@
 	}
 }
 
-// An id that is open or stands, with another description: nothing of the session
-// goes to the one who sent it. On the session's own connection the id has two
-// meanings and one answer, that it failed.
+// A set-up with the ID of an open or established session but another description gets no
+// access to the session. On the session's own connection the ID stands for two requests
+// while the set-up is open, and its one answer is that it failed.
 func TestReusedID(t *testing.T) {
 	for class, want := range map[int]string{clip: "setup 1, served 1; failed 1, failed 1", feed: "setup 1, served 1; failed 1, failed 1"} {
 		b, f := newTestBroker(t)
 		other := &recorder{}
 		resend := func(c *recorder) {
-			b.handle(Request{ID: 1, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2,
+			b.handleMessage(Request{ID: 1, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2,
 				TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: c, Description: []byte("other")})
 		}
 		b.submitNow(f, 1, class, -1, 0)
@@ -294,18 +299,18 @@
 		b.submitNow(f, 1, class, -1, 0)
 		resend(f)
 		b.reportNow(1, ReportEnded, control.Cancelled)
-		if got := f.takeCalls(); got != "setup 1, failed 1, giveup 1" || len(b.sessions) != 0 {
+		if got := f.takeCalls(); got != "setup 1, failed 1, abandon 1" || len(b.sessions) != 0 {
 			t.Error(got)
 		}
 	}
 }
 
-// In a drain what was taken is answered, what comes late is refused, and what
-// stands is kept to the end.
+// In a drain, accepted requests are answered, late ones are refused, and established sessions
+// are kept to its end.
 func TestDrain(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.drainTimes = DrainTimes{AcceptFor: time.Hour, KeepFor: 2 * time.Hour}
-	b.handle(drainRequest{})
+	b.handleMessage(drainRequest{})
 	b.submitNow(f, 1, clip, -1, 0)
 	b.submitNow(f, 2, clip, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
@@ -316,22 +321,22 @@
 		t.Error(got)
 	}
 	b.drainStart = b.drainStart.Add(-time.Hour)
-	b.checkDrained() // one is open still
+	b.checkDrained() // one set-up is still open
 	b.reportNow(2, ReportEnded, control.Errored)
 	b.checkDrained()
 	b.submitNow(f, 4, clip, -1, 0)
-	if got := f.takeCalls(); got != "failed 2, over 1, teardown 1, refused 4" {
+	if got := f.takeCalls(); got != "failed 2, ended 1, teardown 1, refused 4" {
 		t.Error(got)
 	}
 }
 
-// A player that is away when the program ends is no reason not to end.
+// A disconnected player does not delay the end of the drain.
 func TestDrainWithDisconnectedPlayer(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, time.Minute)
 	b.reportNow(1, ReportStarted, 0)
-	b.handle(connectionLost{f})
-	b.handle(drainRequest{})
+	b.handleMessage(connectionLost{f})
+	b.handleMessage(drainRequest{})
 	b.drainStart = b.drainStart.Add(-time.Hour)
 	b.checkDrained()
 	if got := f.takeCalls(); got != "setup 1, served 1, teardown 1" {
@@ -339,20 +344,21 @@
 	}
 }
 
+// A move ends the session at the viewer and at the node.
 func TestMoveEndsBothSides(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, feed, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
 	b.execute(b.clock.now(), control.Action{Kind: control.ActMove, Session: 1})
 	for _, m := range b.inbox.Take(nil) {
-		b.handle(m)
+		b.handleMessage(m)
 	}
 	if got := f.takeCalls(); got != "setup 1, served 1, moved 1, teardown 1" || len(b.sessions) != 0 {
-		t.Errorf("%s; %d sessions left", got, len(b.sessions))
+		t.Errorf("%s; %d sessions are left", got, len(b.sessions))
 	}
 }
 
-// Without teams nothing binds.
+// Without teams there are no caps.
 func TestNoTeams(t *testing.T) {
 	b, f := newTestBroker(t)
 	for id := range control.SessionID(50) {
@@ -371,11 +377,11 @@
 	ts.add(now.Add(1), timerWake, 0, 1)
 	ts.add(now.Add(2), timerWake, 0, 3)
 	if _, ok := ts.pop(now); ok {
-		t.Error("a timer ran early")
+		t.Error("a timer was due early")
 	}
 	for want := uint32(1); want <= 3; want++ {
 		if got, ok := ts.pop(now.Add(3)); !ok || got.token != want {
-			t.Errorf("timer %d, %v, want %d", got.token, ok, want)
+			t.Errorf("timer %d, due %v, want %d", got.token, ok, want)
 		}
 	}
 	if c.now().Before(now) {
@@ -383,8 +389,8 @@
 	}
 }
 
-// BenchmarkSession is a session's whole way through the broker and the module: it
-// arrives, is set up, is answered and ends.
+// BenchmarkSession measures the whole life of a session in the broker and the decision
+// module: request, set-up, answer and end.
 func BenchmarkSession(b *testing.B) {
 	f := &nopPeer{}
 	br, err := New(Config{Settings: testSettings(), Seed: 1, Nodes: f, Log: zap.NewNop()})
@@ -395,23 +401,23 @@
 	for i := range 16 {
 		entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Weight: 1})
 	}
-	br.handle(ListUpdate{Entries: entries})
+	br.handleMessage(ListUpdate{Entries: entries})
 	id := control.SessionID(0)
 	b.ReportAllocs()
 	for b.Loop() {
 		id++
-		br.handle(Request{ID: id, Class: feed, Team: -1, Title: uint64(id), Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f})
+		br.handleMessage(Request{ID: id, Class: feed, Team: -1, Title: uint64(id), Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f})
 		s := br.sessions[id]
 		if s == nil {
 			b.Fatal("refused")
 		}
-		br.handle(Report{Kind: ReportStarted, ID: id, Server: s.server, AttemptNumber: s.attemptNumber})
-		br.handle(Report{Kind: ReportEnded, ID: id, Server: s.server, AttemptNumber: s.attemptNumber, Cause: CauseEnded})
+		br.handleMessage(Report{Kind: ReportStarted, ID: id, Server: s.server, AttemptNumber: s.attemptNumber})
+		br.handleMessage(Report{Kind: ReportEnded, ID: id, Server: s.server, AttemptNumber: s.attemptNumber, Cause: CauseEnded})
 		br.runTimers()
 	}
 }
 
-// nopPeer is nodes and a client that note nothing.
+// nopPeer implements Nodes and Client, and records nothing.
 type nopPeer struct{}
 
 func (nopPeer) SetUp(control.Server, Attempt) bool                    { return true }
--- a/internal/broker/clock.go
+++ b/internal/broker/clock.go
@@ -7,42 +7,43 @@
 	"millethinge/control"
 )
 
-// clock tells Unix time that never steps back: the system's at the start, and
-// from there its monotonic reading. A step of the wall clock moves no deadline.
+// clock gives times that never step back: the wall clock at the start plus the monotonic
+// time since then. A step of the wall clock therefore moves no deadline.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
 
 func (c clock) now() time.Time { return c.start.Add(time.Since(c.start)) }
 
-// unixSeconds is a time as the module takes it.
+// unixSeconds converts t to Unix time in seconds, as the decision module takes it.
 func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
 type timerKind uint8
 
 const (
-	timerWake        timerKind = iota // the module's own, with its token
-	timerAttempt                      // an attempt's time is up; token is its number
-	timerDeadline                     // the viewer's answer is due
-	timerGrace                        // a lost player has not come back; token counts its losses
-	timerRecheck                      // an attempt waits for its client
-	timerForgetReply                  // a final reply is forgotten
-	timerDrain                        // only wakes the loop
-	timerPlanner                      // a part is due; token is its number
+	timerWake        timerKind = iota // requested by the decision module; token is the module's
+	timerAttempt                      // the deadline of an attempt; token is its number
+	timerDeadline                     // the answer to the viewer is due
+	timerGrace                        // the grace of a disconnected player is over; token is session.disconnects at that time
+	timerRecheck                      // a deferred attempt checks its client again
+	timerForgetReply                  // a kept final reply is dropped
+	timerDrain                        // only wakes the loop, which checks whether the drain has ended
+	timerPlanner                      // a planner's tick is due; token is its index
 )
 
 type timer struct {
 	due     time.Time
-	seq     uint64
+	seq     uint64 // order in which it was added
 	kind    timerKind
 	session control.SessionID
 	token   uint32
 }
 
-// timerHeap is a heap by time; equal times run in the order in which they came.
+// timerHeap is a heap ordered by due time. Timers due at the same time run in the order in
+// which they were added.
 type timerHeap struct {
 	entries []timer
-	seq     uint64
+	seq     uint64 // of the timer that was added last
 }
 
 func (t *timerHeap) Len() int { return len(t.entries) }
@@ -67,7 +68,7 @@
 	heap.Push(t, timer{due, t.seq, kind, id, token})
 }
 
-// next tells how long it is until the first timer.
+// next returns the time until the first timer is due. It returns false if there is none.
 func (t *timerHeap) next(now time.Time) (time.Duration, bool) {
 	if len(t.entries) == 0 {
 		return 0, false
@@ -75,7 +76,7 @@
 	return max(t.entries[0].due.Sub(now), 0), true
 }
 
-// pop takes the first timer if it is due.
+// pop removes and returns the first timer if it is due.
 func (t *timerHeap) pop(now time.Time) (timer, bool) {
 	if len(t.entries) == 0 || t.entries[0].due.After(now) {
 		return timer{}, false
--- a/internal/broker/counts.go
+++ b/internal/broker/counts.go
@@ -5,21 +5,21 @@
 	"sync/atomic"
 )
 
-// Counters is what has come of requests since the start, by class. All may be read at any
-// time; to count costs one atomic addition and no memory.
+// Counters counts the outcomes of requests since the start, by class. All may be read at
+// any time; counting costs one atomic addition and allocates nothing.
 type Counters struct {
 	Served, Refused, Failed []atomic.Int64
-	Attempts                atomic.Int64 // attempts written whole to media nodes
+	Attempts                atomic.Int64 // attempts whose requests were written completely to media nodes
 }
 
-// NewCounters returns Counts for so many classes.
+// NewCounters returns Counters for the given number of classes.
 func NewCounters(classes int) *Counters {
 	return &Counters{
 		Served: make([]atomic.Int64, classes), Refused: make([]atomic.Int64, classes), Failed: make([]atomic.Int64, classes),
 	}
 }
 
-// CountAnswer counts one final answer to a request of a class.
+// CountAnswer counts one final answer to a request of a class. It does nothing if c is nil.
 func (c *Counters) CountAnswer(class int, kind ReplyKind) {
 	if c == nil || class < 0 || class >= len(c.Served) {
 		return
@@ -34,23 +34,23 @@
 	}
 }
 
-// CountAttempt counts one attempt that was written whole.
+// CountAttempt counts one attempt that was written completely. It does nothing if c is nil.
 func (c *Counters) CountAttempt() {
 	if c != nil {
 		c.Attempts.Add(1)
 	}
 }
 
-// Stats is what the broker holds at a moment.
+// Stats holds the broker's figures at one moment.
 type Stats struct {
-	Open    int // requests taken and not answered yet
-	Playing int // sessions that stand
-	Avoided int // nodes in service that the module leaves out for now
+	Open    int // requests accepted and not answered yet
+	Playing int // established sessions
+	Avoided int // nodes in service that the decision module does not use at the moment
 }
 
 type statsRequest struct{ result chan<- Stats }
 
-// Stats asks the broker's actor what it holds.
+// Stats returns the broker's figures. It waits for the actor or for the end of ctx.
 func (b *Broker) Stats(ctx context.Context) (Stats, error) {
 	result := make(chan Stats, 1)
 	b.inbox.Force(statsRequest{result})
--- a/internal/broker/counts_test.go
+++ b/internal/broker/counts_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkCounts is what counting adds to a request: its answer and one attempt.
+// BenchmarkCounts measures what counting adds to a request with one attempt and its answer.
 func BenchmarkCounts(b *testing.B) {
 	c := NewCounters(2)
 	b.ReportAllocs()
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -24,31 +24,31 @@
 
 var (
 	peakSeeds    = flag.Int("day-seeds", 2, "seeds of TestAnnouncedPeak")
-	peakManagers = flag.Int("day-managers", 3, "its managers: 3 on 16 nodes; 80 on 60")
-	peakFactor   = flag.Float64("day-factor", 2, "what the peak brings, of the ordinary")
+	peakManagers = flag.Int("day-managers", 3, "managers in TestAnnouncedPeak: with up to 10 there are 16 nodes, with more 60")
+	peakFactor   = flag.Float64("day-factor", 2, "arrival rate in the peak of TestAnnouncedPeak as a multiple of the ordinary rate")
 )
 
-// The evening of TestAnnouncedPeak: links fill to 45% at the middle rate, and from
-// begin on to more.
+// Times in a scenario of TestAnnouncedPeak. The ordinary demand fills the links to 45% at
+// the rate of the middle rung; from peakStart on there is more.
 const (
-	warmUp      = 3 * time.Minute // before anything is counted
+	warmUp      = 3 * time.Minute // nothing is counted before this time
 	peakStart   = 5 * time.Minute
 	peakLength  = 4 * time.Minute
 	scenarioEnd = peakStart + peakLength + time.Minute
 )
 
-// scenario is one arm of a day.
+// scenario is one case of TestAnnouncedPeak.
 type scenario struct {
 	announced    bool
-	peakComes    bool    // the peak comes
-	fixedReserve float64 // a plain reserve
+	peakComes    bool
+	fixedReserve float64 // share of the slots held all the time; 0: none
 	seed         uint64
 }
 
-// result is what became of it: worth asked for and answered in time, and earned.
+// result holds the figures of one scenario.
 type result struct {
-	inTimeBefore, inTimeDuring  float64 // answered in time, of what was asked for
-	earned                      float64 // by rung and delivery, over all the evening
+	inTimeBefore, inTimeDuring  float64 // share of the requested worth that was answered in time, before and in the peak
+	earned                      float64 // worth by rung and delivery, over the whole scenario
 	rejections, requestedDuring float64
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// runScenario runs one evening in virtual time.
+// runScenario simulates one scenario in virtual time.
 func runScenario(t *testing.T, sc scenario, managers, nodes int, factor float64) (out result) {
 	synctest.Test(t, func(t *testing.T) {
 		set := peakTestSettings(managers, nodes)
@@ -73,14 +73,14 @@
 		rng := rand.New(src)
 		links := make([]float64, nodes)
 		for i := range links {
-			links[i] = 7000 * (0.85 + 0.3*rng.Float64()) // links differ from what the list says
+			links[i] = 7000 * (0.85 + 0.3*rng.Float64()) // actual links differ from the settings by up to 15%
 		}
 		lengths := []distuv.Uniform{{Min: 26, Max: 65, Src: src}, {Min: 20, Max: 50, Src: src}}
 		fleet := standin.NewFleet(&standin.Fleet{
 			Settings: set, LinksKB: links, Way: 2 * time.Millisecond, Spread: 0.15,
 			Length: func(id control.SessionID, class int) time.Duration {
 				u := lengths[class]
-				fraction := float64(uint64(id)*0x9e3779b97f4a7c15>>11) / (1 << 53) // by its name: the same in each arm
+				fraction := float64(uint64(id)*0x9e3779b97f4a7c15>>11) / (1 << 53) // a hash of the ID: the same in each scenario
 				return time.Duration((u.Min + fraction*(u.Max-u.Min)) * float64(time.Second))
 			},
 		}, sc.seed)
@@ -150,7 +150,7 @@
 			if rng.Float64() >= 0.35 {
 				class = 1
 			}
-			v := &retryingViewer{phaseTotals: &totals, broker: brokers[int(pick.Rand())], firstRequest: time.Now(), worth: set.Classes[class].Worth, class: class, title: uint64(rng.IntN(50)) + 1, nodes: nodes}
+			v := &retryingViewer{phaseTotals: &totals, manager: brokers[int(pick.Rand())], firstRequest: time.Now(), worth: set.Classes[class].Worth, class: class, title: uint64(rng.IntN(50)) + 1, nodes: nodes}
 			v.phase = phaseAt(time.Since(start))
 			totals.addRequested(v)
 			v.submit(id << 8)
@@ -167,7 +167,7 @@
 	return out
 }
 
-// phaseAt is 1 in the two minutes before the peak, and 2 in it.
+// phaseAt returns 1 for the two minutes before the peak, 2 for the peak, and 0 otherwise.
 func phaseAt(t time.Duration) int {
 	switch {
 	case t >= peakStart && t < peakStart+peakLength:
@@ -178,7 +178,7 @@
 	return 0
 }
 
-// phaseTotals is the worth asked for and answered in time, by phase.
+// phaseTotals sums the worth that was requested and answered in time, by phase.
 type phaseTotals struct {
 	mu                        sync.Mutex
 	requested, answeredInTime [3]float64
@@ -190,10 +190,11 @@
 	c.mu.Unlock()
 }
 
-// retryingViewer asks once, and again after a refusal for as long as it waits at all.
+// retryingViewer sends a request, and repeats it up to three times after refusals as long as
+// less than 3 s have passed.
 type retryingViewer struct {
 	*phaseTotals
-	broker       *broker.Broker
+	manager      *broker.Broker
 	firstRequest time.Time
 	worth        float64
 	class        int
@@ -207,7 +208,7 @@
 
 func (v *retryingViewer) submit(id control.SessionID) {
 	v.id = id
-	v.broker.Submit(broker.Request{ID: id, Class: v.class, Team: -1, Title: v.title, Copies: v.nodes, MaxRung: 3,
+	v.manager.Submit(broker.Request{ID: id, Class: v.class, Team: -1, Title: v.title, Copies: v.nodes, MaxRung: 3,
 		TimeLeft: 3*time.Second - time.Since(v.firstRequest), ReceivedAt: time.Now(), Client: v})
 }
 
@@ -231,13 +232,13 @@
 	return true
 }
 
-// TestAnnouncedPeak plays evenings with a peak that is announced, that is not, and
-// with a plain reserve, and no-shows, in virtual time with real brokers. Its figures
-// are for the design note: go test ./internal/broker -run AnnouncedPeak -v
-// -day-seeds 20 [-day-managers 80]
+// TestAnnouncedPeak simulates a peak that is announced, one that is not, one with a fixed
+// reserve instead, and the same without the peak coming, in virtual time with real brokers.
+// The design note has its figures:
+// go test ./internal/broker -run AnnouncedPeak -v -day-seeds 20 [-day-managers 80]
 func TestAnnouncedPeak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short: minutes of many brokers, and run without the race detector")
+		t.Skip("short: simulates minutes of many brokers; is run without the race detector")
 	}
 	nodes := 16
 	if *peakManagers > 10 {
@@ -265,8 +266,8 @@
 		return list
 	}
 	for _, a := range arms {
-		before, during, earned := sortedValues(a.name, func(r result) float64 { return r.inTimeBefore }), sortedValues(a.name, func(r result) float64 { return r.inTimeDuring }), sortedValues(a.name, func(r result) float64 { return r.earned })
-		t.Logf("%-20s in time before %s, during %s; earned %.0f", a.name, formatRange(before), formatRange(during), stat.Mean(earned, nil))
+		beforeShares, duringShares, earnedWorth := sortedValues(a.name, func(r result) float64 { return r.inTimeBefore }), sortedValues(a.name, func(r result) float64 { return r.inTimeDuring }), sortedValues(a.name, func(r result) float64 { return r.earned })
+		t.Logf("%-20s in time before %s, during %s; earned %.0f", a.name, formatRange(beforeShares), formatRange(duringShares), stat.Mean(earnedWorth, nil))
 	}
 	for _, pair := range [][2]string{{"announced", "none"}, {"fixed 10%", "none"}, {"no show, announced", "no show, none"}, {"no show, fixed 10%", "no show, none"}} {
 		var during, before, earned []float64
@@ -279,16 +280,17 @@
 	for _, name := range []string{"announced", "no show, announced"} {
 		d := sortedValues(name, func(r result) float64 { return r.inTimeDuring })
 		if median, worst := d[len(d)/2], d[0]; median < 0.97 || worst < 0.95 {
-			t.Errorf("%s: %.4f in the middle, %.4f in the worst, 0.97 and 0.95 are wanted", name, median, worst)
+			t.Errorf("%s: share answered in time: median %.4f, worst %.4f, want at least 0.97 and 0.95", name, median, worst)
 		}
 	}
 }
 
+// formatRange formats the median and the range of sorted values.
 func formatRange(sorted []float64) string {
 	return fmt.Sprintf("%.4f (%.4f to %.4f)", sorted[len(sorted)/2], sorted[0], sorted[len(sorted)-1])
 }
 
-// formatConfidence is a mean of paired differences with its 95% interval.
+// formatConfidence formats the mean of paired differences with its 95% confidence interval.
 func formatConfidence(d []float64) string {
 	mean, dev := stat.MeanStdDev(d, nil)
 	if len(d) < 2 {
--- a/internal/broker/export_test.go
+++ b/internal/broker/export_test.go
@@ -2,8 +2,8 @@
 
 import "millethinge/control"
 
-// HoldAlways has a part of the room held from the start on, as a plain reserve
-// would. It is to be called before Run.
+// HoldAlways holds shares of the slots, by class, from the start on, like a fixed reserve. It
+// must be called before Run.
 func (b *Broker) HoldAlways(shares []float64) {
 	b.dispatch(control.Event{Kind: control.EvHold, Hold: shares})
 }
--- a/internal/broker/hand.go
+++ b/internal/broker/hand.go
@@ -10,8 +10,8 @@
 	"millethinge/control"
 )
 
-// EstablishedSession is a session that plays, as one process of a manager hands it to the next. It
-// goes into a file: each field keeps its number.
+// EstablishedSession is an established session as a process hands it over to its
+// successor. It is stored in a file: the numbers and types of the fields must not change.
 type EstablishedSession struct {
 	ID              control.SessionID `cbor:"1,keyasint"`
 	Class           int               `cbor:"2,keyasint"`
@@ -23,25 +23,28 @@
 	MaxRung         float64           `cbor:"8,keyasint"`
 	Server          control.Server    `cbor:"9,keyasint"`
 	Rung            int               `cbor:"10,keyasint"`
-	EstablishedAtNS int64             `cbor:"11,keyasint"` // Unix time in ns; 0: not known
-	ViewerHost      string            `cbor:"12,keyasint"` // where its viewer is
+	EstablishedAtNS int64             `cbor:"11,keyasint"` // Unix time in ns; 0: unknown
+	ViewerHost      string            `cbor:"12,keyasint"` // host of the viewer
 }
 
-// Handover is all that a process that leaves hands over.
+// Handover is what a process hands over to its successor.
 type Handover struct {
 	Sessions []EstablishedSession      `cbor:"1,keyasint"`
-	Ended    map[control.SessionID]int `cbor:"2,keyasint"` // of what was handed over before: the cause by which it has ended
-	Final    bool                      `cbor:"3,keyasint"` // the process ends with this
+	Ended    map[control.SessionID]int `cbor:"2,keyasint"` // causes of the sessions that have ended since an earlier Handover listed them
+	Final    bool                      `cbor:"3,keyasint"` // the last Handover before the process ends
 }
 
-// hostedClient is a client that knows where its viewer is.
+// hostedClient is a Client that knows its viewer's host.
 type hostedClient interface{ From() string }
 
-// Handover is what stands at the end. It is for after Drained.
+// Handover returns the sessions that are established at the end of the drain. It may be
+// called once the channel of Drained is closed.
 func (b *Broker) Handover() Handover { return b.finalHandover }
 
-// buildHandover is what stands now. Guard: a player who may come back to its session is not
-// handed over, since the socket's own state isn't: its session is ended as at any stop.
+// buildHandover returns the sessions that are established now.
+//
+// Guard: a session whose player may reconnect (Grace over 0) is not handed over, since the
+// state of its socket is not: it ends as when the program stops without a successor.
 func (b *Broker) buildHandover(final bool) Handover {
 	result := Handover{Ended: maps.Clone(b.endedSinceHandover), Final: final}
 	for _, s := range b.sessions {
@@ -59,21 +62,22 @@
 	return result
 }
 
-// Adopt takes what an older process of this manager hands over. client carries the ends
-// to a viewer at a host.
+// Adopt takes over the sessions of a predecessor. clientFor returns the Client that
+// delivers the end of a session to a viewer at a host.
 func (b *Broker) Adopt(h Handover, clientFor func(host string) Client) {
 	b.inbox.Force(adoption{h, clientFor})
 }
 
+// adoption is the message of Broker.Adopt.
 type adoption struct {
 	Handover
 	clientFor func(string) Client
 }
 
 func (b *Broker) handleAdoption(m adoption) {
-	now, adopted := b.clock.now(), 0
-	// Guard: what was taken is noted for good. Another process's last word may name it when
-	// it has ended here.
+	now, added := b.clock.now(), 0
+	// Guard: the IDs of adopted sessions are kept for good. The final Handover of another
+	// predecessor may still list a session that has ended here.
 	if b.adoptedIDs == nil {
 		b.adoptedIDs = make(map[control.SessionID]bool)
 	}
@@ -93,20 +97,20 @@
 		b.sessions[e.ID], b.adoptedIDs[e.ID] = s, true
 		b.dispatch(control.Event{Kind: control.EvOpen, Session: e.ID, Class: e.Class, Tenant: e.Team, Title: e.Title,
 			Home: e.Home, Span: e.Copies, MaxRung: e.MaxRung, Server: e.Server, Rung: e.Rung})
-		adopted++
+		added++
 	}
 	for id, cause := range m.Ended {
 		if s := b.sessions[id]; s != nil && s.adopted {
-			// The older process may have told its viewer, who then takes no notice.
+			// The predecessor may have told the viewer already, who then ignores this reply.
 			b.nodes.Release(s.server, id, CauseEnded)
 			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: id, Cause: cause})
 			b.endSession(s, Report{Status: control.Cancelled})
 		}
 	}
-	b.log.Info("sessions taken over", zap.Int("sessions", adopted), zap.Int("over", len(m.Ended)), zap.Bool("last", m.Final))
+	b.log.Info("sessions taken over", zap.Int("sessions", added), zap.Int("over", len(m.Ended)), zap.Bool("last", m.Final))
 }
 
-// handOverSessions hands over what stands, and from then on notes what of it ends.
+// handOverSessions hands the established sessions over, and has later ends of them recorded.
 func (b *Broker) handOverSessions() {
 	b.handingOver = true
 	if b.handOver == nil {
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -14,11 +14,12 @@
 
 var (
 	lossSeeds    = flag.Int("loss-seeds", 1, "seeds of TestSiteLoss")
-	lossManagers = flag.Int("loss-managers", 6, "its managers, of two sites: 6 on 16 nodes, more on 60")
-	lossLoad     = flag.Float64("loss-load", 0, "only this load; 0: 0.75, and with more than one seed 0.45, 1.1 and 2 as well")
+	lossManagers = flag.Int("loss-managers", 6, "managers in TestSiteLoss, at two sites: with up to 10 there are 16 nodes, with more 60")
+	lossLoad     = flag.Float64("loss-load", 0, "the only load of TestSiteLoss, as a share of what the links carry on the middle rung; 0: 0.75, and with more than one seed 0.45, 1.1 and 2 as well")
 )
 
-// siteLossSettings are daySettings with larger nodes and what a site costs.
+// siteLossSettings returns peakTestSettings with larger nodes, a cost of crossing sites, and
+// nodes that start cold.
 func siteLossSettings(managers, nodes int) control.Settings {
 	const sizeFactor = 8
 	set := peakTestSettings(managers, nodes)
@@ -27,12 +28,12 @@
 	return set
 }
 
-// TestSiteLoss plays the loss of one of two sites and its cold return with the plan and
-// without, on the same seeds. Its figures are for the design note:
+// TestSiteLoss simulates the loss of one of two sites and its return with cold nodes, with
+// and without the site plan and on the same seeds. The design note has its figures:
 // go test ./internal/broker -run SiteLoss -v -loss-seeds 20 [-loss-managers 80]
 func TestSiteLoss(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short: minutes of many brokers, and run without the race detector")
+		t.Skip("short: simulates minutes of many brokers; is run without the race detector")
 	}
 	loads, nodes := []float64{0.75}, 16
 	if *lossSeeds > 1 {
@@ -76,13 +77,13 @@
 				managersLost, load, stat.Mean(keptDuring, nil), stat.Mean(keptSettled, nil), stat.Mean(keptWithoutPlan, nil), formatConfidence(gainDuring), formatConfidence(gainAfter), totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1],
 				totals[0].Served[0]/totals[0].Asked[0], totals[0].Served[1]/totals[0].Asked[1], totals[1].Falls, totals[0].Falls, totals[1].Back.Seconds(), totals[0].Back.Seconds())
 			if m := stat.Mean(keptSettled, nil); m < 0.85 {
-				t.Errorf("%.3f of the optimum are kept, 0.85 is wanted", m)
+				t.Errorf("%.3f of the optimum are kept from 10 s on, want at least 0.85", m)
 			}
 			if clip, feed := totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1]; clip < feed {
-				t.Errorf("%.3f of feed are served and %.3f of clip: the plan refuses feed first", feed, clip)
+				t.Errorf("%.3f of feed are served and %.3f of clip: the plan must refuse feed first", feed, clip)
 			}
 			if totals[1].Falls > *lossSeeds {
-				t.Errorf("%d set-ups more than cold nodes bear", totals[1].Falls)
+				t.Errorf("%d set-ups more than cold nodes can take", totals[1].Falls)
 			}
 		}
 	}
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -8,62 +8,76 @@
 	"millethinge/control"
 )
 
-// Planner watches what the broker sees and plans beside the decision module: peaks that
-// are announced, sites that may be lost. The broker's actor calls it, so it needs no
-// lock and must not wait. What it decides reaches the module as events, and nothing
-// else of the broker does it touch. Without parts nothing of this costs anything.
+// Planner observes the broker and plans beside the decision module, for example for
+// announced peaks or for the loss of sites. The broker's actor calls its methods, so that
+// a planner needs no lock and must not block. Its decisions are passed to the decision
+// module as events; it changes nothing else in the broker. Without planners there is no
+// cost at run time.
 //
-// A part embeds Unmoved and has the methods that it needs.
+// A planner embeds NopPlanner and overrides the methods that it needs.
 type Planner interface {
-	// Every is how often Tick is called. It does not change.
+	// Interval is the time between calls of Tick. It is constant.
 	Interval() time.Duration
-	// Arrived is told of each request that is to be decided on. It returns whether the
-	// request is one that the part holds room for.
+	// RequestArrived is called for each request that the decision module is to decide. It
+	// reports whether the planner holds slots for requests like this one.
 	RequestArrived(now time.Time, r *Request) (held bool)
-	// Over is told of each session that played and no longer does: for how long, and
-	// whether that was its whole length or it was broken off.
+	// SessionEnded is called when an established session has ended, with the time that it
+	// played and whether it was interrupted, so that its full length is not known.
 	SessionEnded(now time.Time, class int, played time.Duration, interrupted bool)
-	// Reported is told what nodes tell, before the broker acts on it.
+	// NodeReported is called for each report of a node, before the broker handles it.
 	NodeReported(now time.Time, r *Report)
-	// Listed is told of changes to the list of nodes.
+	// ListUpdated is called when the list of nodes has changed.
 	ListUpdated(now time.Time, entries []control.Entry)
-	// Stalled is told that the program stood still for a time.
+	// ProcessPaused is called after a process pause of length d.
 	ProcessPaused(now time.Time, d time.Duration)
-	// Tick has the part look and plan. It returns what the module is to be told.
+	// Tick plans, and returns the events for the decision module.
 	Tick(now time.Time, v BrokerView) []control.Event
 }
 
-// BrokerView is what a part may ask of the broker during Tick.
+// BrokerView is what a Planner may read and request of the broker during Tick.
 type BrokerView interface {
-	// Room is the fleet's, in slots.
+	// FleetSlots is the capacity of the fleet's usable nodes in slots.
 	FleetSlots() float64
-	// Share is the part of all managers' arrivals that this one sees; 0: not known.
+	// ArrivalShare is this manager's share of the arrivals at all managers, from 0 to 1;
+	// 0: unknown.
 	ArrivalShare() float64
-	// Ages are, by class, how long the sessions that play have done so, in seconds.
+	// SessionAges returns, by class, how long each established session has been playing, in
+	// seconds.
 	SessionAges() [][]float64
-	// Probe asks a node for its report, which comes as any other does.
+	// Probe requests a load report from a node. It arrives like any other report.
 	Probe(control.Server)
 }
 
-// NopPlanner is a part that does nothing, to be embedded.
+// NopPlanner is a Planner that does nothing, to be embedded.
 type NopPlanner struct{}
 
-func (NopPlanner) RequestArrived(time.Time, *Request) bool           { return false }
-func (NopPlanner) SessionEnded(time.Time, int, time.Duration, bool)  {}
-func (NopPlanner) NodeReported(time.Time, *Report)                   {}
-func (NopPlanner) ListUpdated(time.Time, []control.Entry)            {}
-func (NopPlanner) ProcessPaused(time.Time, time.Duration)            {}
+// RequestArrived returns false.
+func (NopPlanner) RequestArrived(time.Time, *Request) bool { return false }
+
+// SessionEnded does nothing.
+func (NopPlanner) SessionEnded(time.Time, int, time.Duration, bool) {}
+
+// NodeReported does nothing.
+func (NopPlanner) NodeReported(time.Time, *Report) {}
+
+// ListUpdated does nothing.
+func (NopPlanner) ListUpdated(time.Time, []control.Entry) {}
+
+// ProcessPaused does nothing.
+func (NopPlanner) ProcessPaused(time.Time, time.Duration) {}
+
+// Tick returns no events.
 func (NopPlanner) Tick(time.Time, BrokerView) (none []control.Event) { return none }
 
-// view is the broker as parts see it.
-type view struct{ *Broker }
+// brokerView implements BrokerView.
+type brokerView struct{ *Broker }
 
-func (v view) FleetSlots() float64   { return v.controller.Room() }
-func (v view) ArrivalShare() float64 { return v.controller.Share() }
+func (v brokerView) FleetSlots() float64   { return v.controller.Room() }
+func (v brokerView) ArrivalShare() float64 { return v.controller.Share() }
 
-func (v view) Probe(s control.Server) { v.nodes.Probe(s) }
+func (v brokerView) Probe(s control.Server) { v.nodes.Probe(s) }
 
-func (v view) SessionAges() [][]float64 {
+func (v brokerView) SessionAges() [][]float64 {
 	now, ages := v.clock.now(), make([][]float64, len(v.settings.Classes))
 	for _, s := range v.sessions {
 		if s.playing && !s.establishedAt.IsZero() {
@@ -73,16 +87,17 @@
 	return ages
 }
 
-// tickPlanner calls a part, and is due again.
+// tickPlanner calls a planner's Tick and schedules the next call.
 func (b *Broker) tickPlanner(index int) {
 	now, p := b.clock.now(), b.planners[index]
-	for _, e := range p.Tick(now, view{b}) {
+	for _, e := range p.Tick(now, brokerView{b}) {
 		b.dispatch(e)
 	}
 	b.timers.add(now.Add(p.Interval()), timerPlanner, 0, uint32(index))
 }
 
-// requestArrived tells the parts of a request, and whether one of them holds room for it.
+// requestArrived passes a request to the planners, and reports whether one of them holds
+// slots for it.
 func (b *Broker) requestArrived(now time.Time, r *Request) (held bool) {
 	for _, p := range b.planners {
 		held = p.RequestArrived(now, r) || held
@@ -90,12 +105,12 @@
 	return held
 }
 
-// ProcessPaused tells the broker that the program stood still for a time.
+// ProcessPaused reports a process pause of length d to the broker.
 func (b *Broker) ProcessPaused(d time.Duration) { b.inbox.Force(processPause{d}) }
 
 type processPause struct{ duration time.Duration }
 
-// newPlanners are those that a configuration asks for.
+// newPlanners returns the planners that the configuration requires.
 func newPlanners(cfg *Config, managers int, log *zap.Logger) (all []Planner) {
 	if p := newPeakPlanner(cfg.Peaks, managers, log); p != nil {
 		all = append(all, p)
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -10,21 +10,22 @@
 	"millethinge/internal/peaks"
 )
 
-// peakLabel is the label by which a rule says whose peak's a request is.
+// peakLabel is the name of the label by which a rule assigns a request to an announced
+// peak.
 const peakLabel = "peak"
 
-// peakTickInterval is how often announced peaks are looked at.
+// peakTickInterval is the time between calls of peakPlanner.Tick.
 const peakTickInterval = time.Second
 
-// PeakConfig is what is announced, and what is known of the classes beforehand.
+// PeakConfig holds the announced peaks, and what is known of the classes at the start.
 type PeakConfig struct {
 	Calendar     peaks.Calendar
-	Classes      []peaks.Class // Rate: of all managers; Survival may be nil
-	MeanLengthsS []float64     // s, a first guess of the classes' mean lengths
+	Classes      []peaks.Class // Rate is that of all managers; Survival may be nil
+	MeanLengthsS []float64     // by class, the initial estimate of the sessions' mean length in s; 0 or absent: 35 s
 }
 
-// peakPlanner feeds the keeper of announced peaks with what the broker sees, and the
-// decision module with what is to be held.
+// peakPlanner passes the broker's arrivals and session lengths to the peaks.Keeper, and
+// the shares of the fleet that the Keeper holds for announced peaks to the decision module.
 type peakPlanner struct {
 	NopPlanner
 	log         *zap.Logger
@@ -32,10 +33,10 @@
 	peakNames   []string
 	classes     []peaks.Class
 	lengths     []*peaks.Lengths
-	arrivals    []int
-	ownArrivals []int
-	hasOwnRule  []bool // a rule tells this peak's requests from others
-	heldShares  []float64
+	arrivals    []int     // by class, since the last Tick
+	ownArrivals []int     // by peak, those that a rule has assigned to it since the last Tick
+	hasOwnRule  []bool    // by peak, whether a rule has ever assigned a request to it
+	heldShares  []float64 // by class, as last passed to the decision module
 }
 
 func newPeakPlanner(cfg PeakConfig, managers int, log *zap.Logger) *peakPlanner {
@@ -61,10 +62,11 @@
 	return p
 }
 
-// Interval is part of Part.
+// Interval returns peakTickInterval.
 func (p *peakPlanner) Interval() time.Duration { return peakTickInterval }
 
-// RequestArrived counts a request, and tells whether it is one of an announced peak's own.
+// RequestArrived counts a request, and reports whether a rule has assigned it to an
+// announced peak.
 func (p *peakPlanner) RequestArrived(_ time.Time, r *Request) bool {
 	p.arrivals[r.Class]++
 	for _, l := range r.Route.Labels {
@@ -80,12 +82,13 @@
 	return false
 }
 
-// SessionEnded takes a session's length.
+// SessionEnded adds a session's length to the estimate of its class.
 func (p *peakPlanner) SessionEnded(_ time.Time, class int, played time.Duration, interrupted bool) {
 	p.lengths[class].Add(played.Seconds(), interrupted)
 }
 
-// Tick has the keeper plan and watch, and tells the module what is held.
+// Tick runs the peaks.Keeper, logs its notices, and returns an event if the held shares
+// have changed.
 func (p *peakPlanner) Tick(now time.Time, v BrokerView) []control.Event {
 	ages := v.SessionAges()
 	for i := range p.classes {
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -13,8 +13,8 @@
 	"millethinge/internal/route"
 )
 
-// What is held is open to the announced peak's own sessions of the class, and to no
-// others.
+// Held slots are used only by sessions that a rule has assigned to the announced peak and
+// that are of the class for which the slots are held.
 func TestHeldSlots(t *testing.T) {
 	b, f := newTestBroker(t)
 	h := newPeakPlanner(PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
@@ -24,13 +24,13 @@
 		if peak != "" {
 			r.Route.Labels = []route.Label{{Name: "shop", Value: "quincena"}, {Name: peakLabel, Value: peak}}
 		}
-		b.handle(r)
+		b.handleMessage(r)
 	}
-	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all is held for feeds of the peak
+	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all slots are held for feeds of the peak
 	submit(1, feed, "")
 	submit(2, clip, "")
 	submit(3, feed, "quincena")
-	submit(4, clip, "quincena") // its class has none held
+	submit(4, clip, "quincena") // no slots are held for its class
 	submit(5, feed, "another")
 	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 0}})
 	submit(6, feed, "")
@@ -42,15 +42,15 @@
 	}
 }
 
-// With no peak announced and no site named nothing is looked at: no timer, no counts.
+// Without announced peaks and sites there are no planners, and no timers for them.
 func TestNoPlanners(t *testing.T) {
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
-	b.handle(ViewerEnd{ID: 1, Cause: CauseEnded})
+	b.handleMessage(ViewerEnd{ID: 1, Cause: CauseEnded})
 	for _, timer := range b.timers.entries {
 		if timer.kind == timerPlanner {
-			t.Error("parts are looked at")
+			t.Error("there is a timer for a planner")
 		}
 	}
 	if got := f.takeCalls(); b.planners != nil || got != "setup 1, served 1, teardown 1" {
@@ -58,10 +58,10 @@
 	}
 }
 
-// A manager that starts in the middle of a hold holds for what is left of it, by
-// what the operator says comes ordinarily.
+// A manager that starts during a hold holds slots for the rest of it, based on the ordinary
+// demand in the operator's file.
 func TestStartDuringHold(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { // it begins at midnight
+	synctest.Test(t, func(t *testing.T) { // synctest's clock starts at midnight UTC
 		p := peaks.Peak{Name: "q", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: 4 * time.Second, Length: time.Hour, Lead: 90 * time.Second, Classes: []bool{true, true}, Factor: 20, Sure: 0.9, Harm: 0.9}
 		class := func(rate float64, floor int) peaks.Class {
 			return peaks.Class{Rate: rate, Sizes: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.handle(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+		b.handleMessage(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
 		heldByTick := []float64{}
 		for range 60 {
 			b.runTimers()
@@ -84,7 +84,7 @@
 			heldByTick = append(heldByTick, sum)
 			time.Sleep(time.Second)
 		}
-		if most := slices.Max(heldByTick[:5]); most <= 0 || most > 0.9 || heldByTick[59] != 0 { // the peak does not come
+		if most := slices.Max(heldByTick[:5]); most <= 0 || most > 0.9 || heldByTick[59] != 0 { // the peak does not come, and its hold is released
 			t.Errorf("%.3f", heldByTick)
 		}
 	})
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -9,34 +9,37 @@
 	"millethinge/control"
 )
 
-// drainRetryAfter is how long a viewer should stay away from a program that ends.
+// drainRetryAfter is the RetryAfter of a request that is refused because of a drain.
 const drainRetryAfter = 100 * time.Millisecond
 
 const (
-	recheckInterval   = 50 * time.Millisecond // between looks at a client that an attempt waits for
-	unheardRetryAfter = time.Second           // for which one is sent away that was not heard in time
+	recheckInterval    = 50 * time.Millisecond // time between checks whether the client of a deferred attempt is there
+	deferredRetryAfter = time.Second           // RetryAfter of a request whose attempt was still deferred at the deadline
 )
 
-// session is one request from its arrival until all of it has ended.
+// session is the state of one request from its arrival until its attempt and its session
+// have ended.
 type session struct {
 	Request
-	client        Client // nil: its player's connection is lost
-	disconnects   uint32 // how often it was
+	client        Client // nil: the connection is lost, or the viewer has cancelled the request
+	disconnects   uint32 // how often the player's connection was lost
 	deadline      time.Time
-	answered      bool // the final answer is given, or none is owed
-	finalReply    Reply
-	attemptNumber int // number of the last attempt
+	answered      bool  // the final answer is given, or none is needed
+	finalReply    Reply // for a player that reconnects
+	attemptNumber int   // of the last attempt, from 1; 0: none yet
 	server        control.Server
 	rung          int
-	inFlight      bool            // an attempt is out
-	deferred      *control.Action // the attempt that is out has not begun: its client has gone
-	playing       bool
-	mayHaveRun    bool // an earlier attempt may have run
-	countedInTeam bool
-	adopted       bool      // an older process set it up; its client is only where its viewer is
-	establishedAt time.Time // since when it plays
+	inFlight      bool            // an attempt has been started and has not ended
+	deferred      *control.Action // set: the attempt in flight is not sent yet, since its client has gone
+	playing       bool            // the session is established
+	mayHaveRun    bool            // an earlier attempt may have run
+	countedInTeam bool            // counted in its team's ledger
+	adopted       bool            // taken over from a predecessor, and not yet named by its viewer: client only delivers its end
+	establishedAt time.Time       // zero: unknown
 }
 
+// handleRequest admits a new request, adds a session that is established already, or passes a
+// repeated request to its session.
 func (b *Broker) handleRequest(r Request) {
 	now := b.clock.now()
 	if s := b.sessions[r.ID]; s != nil {
@@ -44,14 +47,15 @@
 		return
 	}
 	if previous, ok := b.endedReplies[r.ID]; ok {
-		// A player that lost the final answer asks again: it gets the same one,
-		// and nothing is set up a second time.
+		// A player that missed the final answer and asks again gets the same answer;
+		// nothing is set up a second time.
 		repeatReply(r.Client, previous)
 		return
 	}
 	if b.refusesNew() {
-		// Guard: a request that comes late in a drain is answered too, at once: the
-		// program may be killed before an attempt ends. Another manager may take it.
+		// Guard: a request that arrives late in a drain is answered too, and at once,
+		// since the program may be killed before an attempt ends. Another manager may
+		// accept it.
 		b.counters.CountAnswer(r.Class, ReplyRefused)
 		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: drainRetryAfter})
 		return
@@ -63,12 +67,12 @@
 	}
 	if r.PlayingOn != 0 {
 		if !b.nodes.AddEstablished(r.PlayingOn, r.ID) {
-			b.log.Warn("a session stands at an unlisted node", zap.Uint64("node", uint64(r.PlayingOn)))
+			b.log.Warn("established session on a node that is not on the list", zap.Uint64("node", uint64(r.PlayingOn)))
 			r.Client.Deliver(Reply{Kind: ReplyEnded, ID: r.ID, Cause: CauseInterrupted})
 			return
 		}
 		s.playing, s.answered, s.server, s.attemptNumber = true, true, r.PlayingOn, 1
-		s.finalReply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
+		s.finalReply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // for a client that requests it again
 		b.sessions[r.ID] = s
 		event.Kind, event.Server = control.EvOpen, r.PlayingOn
 		event.LeftS = r.TimeLeft.Seconds()
@@ -87,20 +91,20 @@
 	b.dispatch(event)
 }
 
-// rejoin gives a running session to the connection that its player came back
-// on, or that a viewer repeated its set-up on. The set-up under way goes on:
-// none is begun again, and the one answer goes there.
+// rejoin assigns an existing session to the connection on which its player has reconnected
+// or its viewer has repeated the set-up. A set-up in progress goes on: it is not started
+// again, and its one answer goes to the new connection.
 //
-// Guard: a set-up that only has the id in common, or comes from another front,
-// gets nothing of the session. Where its connection is the session's own, that
-// one id has two meanings and can have one answer: it failed.
+// Guard: a different set-up with the same ID, or one from another front, gets no access to
+// the session. If it comes on the session's own connection while the set-up is open, the
+// ID stands for two requests but can have only one answer, which is that the set-up failed.
 func (b *Broker) rejoin(s *session, r Request) {
 	switch {
-	case r.PlayingOn != 0: // it names what is held already
+	case r.PlayingOn != 0: // it names a session that this manager has already
 		if s.adopted {
 			s.client, s.adopted = r.Client, false
 		} else if s.client != r.Client {
-			r.Client.Deliver(Reply{Kind: ReplyClosed, ID: r.ID}) // there
+			r.Client.Deliver(Reply{Kind: ReplyClosed, ID: r.ID}) // the session stays with s.client
 		}
 	case (s.Grace > 0) != (r.Grace > 0) || !s.repeats(r):
 		if s.client == r.Client && !s.answered {
@@ -113,7 +117,7 @@
 		switch {
 		case s.client == nil:
 		case s.playing:
-			s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID}) // it stands by the other set-up now
+			s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID}) // the session belongs to the new connection now
 		case s.client != r.Client:
 			s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 		}
@@ -127,8 +131,10 @@
 	}
 }
 
-// repeatReply answers a set-up by how its session ended before. Guard: the end of what stood
-// is no answer to a set-up, and leaves one that is open under that id as it is.
+// repeatReply answers a repeated set-up with the final reply of its session.
+//
+// Guard: a front does not take the end of an established session for the answer to a
+// set-up, so that an open set-up with the same ID has to be closed by ReplyAbandoned.
 func repeatReply(c Client, r Reply) {
 	c.Deliver(r)
 	if r.Kind == ReplyEnded || r.Kind == ReplyMoved {
@@ -136,15 +142,15 @@
 	}
 }
 
-// repeats tells whether r asks for the same as s did. What it named counts, not
-// what rules made of it: they may have been swapped since.
+// repeats reports whether r is the same request as s. It compares what the viewer named, not
+// what the rules made of it, since the rules may have been reloaded in between.
 func (s *session) repeats(r Request) bool {
 	return s.PlayingOn == 0 && s.Requested == r.Requested && s.Key == r.Key && s.Home == r.Home &&
 		s.Copies == r.Copies && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
 }
 
-// handleConnectionLost gives up the set-ups open on a connection that is gone, or keeps
-// them for a player that may come back.
+// handleConnectionLost abandons the open set-ups of a lost connection. Where there is a
+// grace, it keeps set-ups and sessions for a player that may reconnect.
 func (b *Broker) handleConnectionLost(c Client) {
 	now := b.clock.now()
 	for _, s := range b.sessions {
@@ -161,7 +167,7 @@
 	}
 }
 
-// handleViewerEnd gives a set-up up or ends a session that stands.
+// handleViewerEnd abandons a set-up or ends an established session.
 func (b *Broker) handleViewerEnd(e ViewerEnd) {
 	s := b.sessions[e.ID]
 	if s == nil {
@@ -174,12 +180,13 @@
 		return
 	}
 	if s.client == e.Client {
-		s.client = nil // it knows, and may have asked anew under that id
+		s.client = nil // needs no reply, and may have sent a new request with this ID
 	}
 	b.abandonSession(s)
 }
 
-// abandonSession ends a session whose viewer waits no more. No answer is owed.
+// abandonSession ends a session or a set-up whose viewer does not wait any more and needs no
+// answer.
 func (b *Broker) abandonSession(s *session) {
 	if s.playing {
 		b.recordViewerEnd(s, CauseEnded)
@@ -197,7 +204,7 @@
 	b.forget(s)
 }
 
-// abandonAttempt ends the attempt that is out, if one is.
+// abandonAttempt abandons the attempt in flight, if there is one.
 func (b *Broker) abandonAttempt(s *session, timedOut bool) {
 	switch {
 	case !s.inFlight:
@@ -209,21 +216,21 @@
 	}
 }
 
-// answerOverdue answers what nothing else has answered: the last guard before a
-// viewer's time is up, whatever a node or the module does.
+// answerOverdue answers a request that is still unanswered shortly before the viewer's
+// deadline, whatever a node or the decision module does.
 func (b *Broker) answerOverdue(id control.SessionID) {
 	s := b.sessions[id]
 	if s == nil || s.answered {
 		return
 	}
 	b.log.Warn("answered at the deadline", zap.Uint64("session", uint64(id)))
-	if s.deferred != nil { // nothing of this attempt has run
-		b.refuse(s, unheardRetryAfter)
+	if s.deferred != nil { // this attempt was not sent
+		b.refuse(s, deferredRetryAfter)
 	}
 	b.failSession(s)
 }
 
-// failSession answers a session that waits no longer for what is out.
+// failSession answers a request with ReplyFailed and abandons its attempt in flight.
 func (b *Broker) failSession(s *session) {
 	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 	b.abandonAttempt(s, true)
@@ -231,15 +238,18 @@
 	b.forget(s)
 }
 
-// startAttempt sends an attempt. One attempt is out at a time: the module is told
-// an attempt's end only when its TEARDOWN is written, and this guards it.
+// startAttempt starts an attempt.
+//
+// Guard: a session has one attempt in flight at a time. The decision module learns of an
+// attempt's end only once its TEARDOWN is written.
 func (b *Broker) startAttempt(now time.Time, s *session, action control.Action) {
 	if s == nil || s.answered || s.inFlight || s.playing {
 		return
 	}
 	s.attemptNumber++
 	if s.mayHaveRun && b.settings.Classes[s.Class].Effect != control.Idempotent {
-		// Guard: a paid session is sent again only if no attempt can have run.
+		// Guard: a session that must not be set up twice gets a further attempt only if
+		// no earlier one can have run.
 		b.reportUnsent(s, action.Server)
 		return
 	}
@@ -251,11 +261,13 @@
 	b.sendOrDefer(now, s, action)
 }
 
-// sendOrDefer has the attempt that is out begin if its client is there.
+// sendOrDefer sends the attempt in flight if its client is there, and defers it otherwise.
 //
-// Guard: nothing begins for a client that has gone. What it had begun goes on, and this
-// waits for its player, who may come back, or for its loss, which is on its way here. A
-// client that is not heard for a time may still want it: it is looked at again.
+// Guard: no attempt is sent for a client that has gone. An attempt that was sent before
+// goes on. A deferred one waits until the player reconnects or until the loss of the
+// connection, which is on its way through the mailbox, is handled. A client whose input is
+// not read for a while may still want the session: it is checked again after
+// recheckInterval.
 func (b *Broker) sendOrDefer(now time.Time, s *session, action control.Action) {
 	s.deferred = nil
 	if s.client == nil || s.client.Gone(s.ID) {
@@ -266,40 +278,43 @@
 	b.sendAttempt(now, s, action)
 }
 
-// recheckClient looks again whether the client of an attempt that waits for it is there.
+// recheckClient checks again whether the client of a deferred attempt is there.
 func (b *Broker) recheckClient(id control.SessionID) {
 	if s := b.sessions[id]; s != nil && s.deferred != nil && s.client != nil {
 		b.sendOrDefer(b.clock.now(), s, *s.deferred)
 	}
 }
 
-// sendAttempt has the attempt that is out begin.
+// sendAttempt passes the attempt in flight to its node.
 func (b *Broker) sendAttempt(now time.Time, s *session, action control.Action) {
-	deadline := s.deadline.Add(-answerMargin)
+	attemptDeadline := s.deadline.Add(-answerMargin)
 	if action.PatienceS > 0 {
-		if limit := now.Add(seconds(action.PatienceS)); limit.Before(deadline) {
-			deadline = limit
+		if limit := now.Add(seconds(action.PatienceS)); limit.Before(attemptDeadline) {
+			attemptDeadline = limit
 		}
 	}
 	ok := b.nodes.SetUp(action.Server, Attempt{
 		ID: s.ID, Number: s.attemptNumber, Class: s.Class, Key: s.Key, Rung: s.rung,
-		Deadline: deadline, Description: s.Description, Client: s.client,
+		Deadline: attemptDeadline, Description: s.Description, Client: s.client,
 	})
 	if !ok {
 		b.reportUnsent(s, action.Server)
 		return
 	}
-	b.timers.add(deadline, timerAttempt, s.ID, uint32(s.attemptNumber))
+	b.timers.add(attemptDeadline, timerAttempt, s.ID, uint32(s.attemptNumber))
 }
 
-// reportUnsent reports an attempt that never left, after the module's present actions.
+// reportUnsent reports the end of an attempt that was never sent. The report is queued, so
+// that the decision module learns of it after the actions that it has already returned.
 func (b *Broker) reportUnsent(s *session, server control.Server) {
 	s.inFlight, s.server = true, server
 	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attemptNumber, Status: control.Moot})
 }
 
-// refuse tells a viewer to come again later. The rule on paid sessions covers
-// every refusal: where an attempt may have run the answer is that it failed.
+// refuse answers a request with ReplyRefused.
+//
+// Guard: a session that must not be set up twice is never refused if an attempt may have
+// run, since the viewer would repeat it: the answer is then ReplyFailed.
 func (b *Broker) refuse(s *session, retryAfter time.Duration) {
 	if b.settings.Classes[s.Class].Effect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
 		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
@@ -308,7 +323,8 @@
 	b.answer(s, Reply{Kind: ReplyRefused, ID: s.ID, Cause: CauseRefused, RetryAfter: retryAfter})
 }
 
-// answer gives the one final answer. False: it can't reach the viewer.
+// answer gives the one final answer to a request. It reports whether the answer can reach
+// the viewer.
 func (b *Broker) answer(s *session, r Reply) bool {
 	if s.answered {
 		return true
@@ -317,14 +333,14 @@
 	s.answered, s.finalReply = true, r
 	b.counters.CountAnswer(s.Class, r.Kind)
 	if ce := b.log.Check(zap.DebugLevel, "answered"); ce != nil {
-		// One line a request, so that a request can be followed by its id
-		// through every manager that had it.
+		// One line for each request, so that it can be traced by its ID through all
+		// managers that it was sent to.
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("class", s.Class), zap.Uint8("kind", uint8(r.Kind)),
 			zap.Int("cause", r.Cause), zap.Int("attempts", s.attemptNumber), zap.Uint64("node", uint64(s.server)),
 			zap.Bool("mayRun", s.mayHaveRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
 	}
 	delete(b.openSetUps, s.ID)
-	if s.client != nil { // else it waits in s.reply for its player
+	if s.client != nil { // otherwise finalReply is kept for the player
 		reached = s.client.Deliver(r) || s.Grace > 0
 	}
 	if r.Kind != ReplyServed {
@@ -333,8 +349,8 @@
 	return reached
 }
 
-// forget drops a session that has its answer and nothing out. What a player
-// may still ask for is kept a while.
+// forget removes a session that is answered, has no attempt in flight and is not playing.
+// Its final reply is kept for a while if its player may still ask for it.
 func (b *Broker) forget(s *session) {
 	if s.inFlight || s.playing || !s.answered {
 		return
@@ -350,7 +366,7 @@
 	}
 }
 
-// handleReport takes what a media node tells of an attempt or a session.
+// handleReport handles the report of a media node.
 func (b *Broker) handleReport(r Report) {
 	for _, p := range b.planners {
 		p.NodeReported(b.clock.now(), &r)
@@ -362,7 +378,8 @@
 	s := b.sessions[r.ID]
 	if s == nil || s.server != r.Server || r.AttemptNumber != 0 && r.AttemptNumber != s.attemptNumber {
 		if r.Kind == ReportStarted {
-			// Guard: a late 200 after giving up is torn down.
+			// Guard: a session that is established after its attempt was abandoned is
+			// torn down.
 			b.nodes.Release(r.Server, r.ID, CauseEnded)
 		}
 		return
@@ -378,6 +395,8 @@
 	}
 }
 
+// attemptStarted marks a session as established and answers its request. If the request was
+// answered before, it tears the session down.
 func (b *Broker) attemptStarted(s *session, r Report) {
 	if !s.inFlight || s.playing {
 		return
@@ -393,19 +412,20 @@
 	s.playing, s.establishedAt = true, b.clock.now()
 	b.dispatch(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attemptNumber - 1})
 	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
-		// Its connection is gone and nobody will come back for it.
+		// The connection is lost, and there is no grace to reconnect in.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
 		b.endSession(s, Report{Status: control.Cancelled})
 	}
 }
 
+// attemptEnded handles the end of an established session or of the attempt in flight.
 func (b *Broker) attemptEnded(s *session, r Report) {
 	if s.playing {
 		cause := r.Cause
 		if cause == 0 {
 			cause = CauseInterrupted
 		}
-		if cause == CauseCancelled { // the viewer knows of its own end
+		if cause == CauseCancelled { // the viewer itself ended it
 			b.recordViewerEnd(s, cause)
 		} else {
 			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause})
@@ -422,7 +442,7 @@
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
 	}
 	switch r.Status {
-	case control.Full, control.ConnectFailed, control.Moot: // proven not to have run
+	case control.Full, control.ConnectFailed, control.Moot: // the attempt provably did not run
 	default:
 		s.mayHaveRun = true
 	}
@@ -431,6 +451,7 @@
 	b.forget(s)
 }
 
+// notifyEnded keeps the final reply of an established session and delivers it.
 func (b *Broker) notifyEnded(s *session, r Reply) {
 	if ce := b.log.Check(zap.DebugLevel, "session over"); ce != nil {
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Uint64("node", uint64(s.server)), zap.Int("cause", r.Cause),
@@ -442,7 +463,8 @@
 	}
 }
 
-// recordViewerEnd notes the end of a session that its viewer knows of.
+// recordViewerEnd keeps the final reply of an established session whose end its viewer knows
+// of, and closes the front's record of it.
 func (b *Broker) recordViewerEnd(s *session, cause int) {
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
@@ -450,7 +472,8 @@
 	s.finalReply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
 }
 
-// endSession ends a session that stood, as its node's report says.
+// endSession ends an established session with the status of r, and tells the planners and
+// the decision module.
 func (b *Broker) endSession(s *session, r Report) {
 	s.playing = false
 	if b.endedSinceHandover != nil {
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -9,49 +9,52 @@
 	"millethinge/internal/site"
 )
 
-// demandLogInterval is how often what comes is logged, for millethinge sites --record.
+// demandLogInterval is the time between log lines with the measured demand, which
+// "millethinge sites --record" reads.
 const demandLogInterval = time.Minute
 
-// DemandMessage is the message of the log line that tells what comes: by class, the
-// sessions a second of all managers, as this one measures them, and their mean lengths.
+// DemandMessage is the message of the log line with the measured demand: by class, the
+// sessions a second at all managers, as this one estimates them, and their mean lengths.
 const DemandMessage = "site demand"
 
-// siteTickInterval is how often sites are looked at. A loss is told by seconds of failures.
+// siteTickInterval is the time between calls of sitePlanner.Tick. It is short against the
+// seconds of failures by which the loss of a site is detected.
 const siteTickInterval = 200 * time.Millisecond
 
-// SiteConfig is which zones are lost together, and what is planned for that.
+// SiteConfig holds the sites, that is the sets of zones that can be lost together, and
+// what the plans for their loss need.
 type SiteConfig struct {
 	Names      []string
-	SiteByZone []int // site by zone; under 0: none
+	SiteByZone []int // by zone, the index of its site; under 0: none
 	Rules      []site.Rule
 	Classes    []site.Class
 	Expected   []site.Expect // by class
 }
 
-// sitePlanner tells the loss of sites from what nodes report, logs each episode, and rations
-// what this manager takes while one lasts.
+// sitePlanner detects the loss of sites from the reports of nodes, logs each episode, and
+// rations the sessions of this manager while an episode lasts.
 type sitePlanner struct {
 	NopPlanner
 	SiteConfig
 	settings       control.Settings
-	watch          *site.Watch
-	guide          *site.Guide
+	siteWatch      *site.Watch
+	siteGuide      *site.Guide
 	listed         map[control.Server]bool
-	demandLoggedAt time.Time         // what comes
-	rationed       bool              // the module has one
-	episodeStarts  map[int]time.Time // of episodes that last; -1: this manager's own
+	demandLoggedAt time.Time         // when the demand was logged last
+	rationed       bool              // the decision module has a ration
+	episodeStarts  map[int]time.Time // starts of the episodes under way, by site; -1: this manager is cut off
 	log            *zap.Logger
 }
 
 func newSitePlanner(cfg SiteConfig, settings control.Settings, log *zap.Logger) *sitePlanner {
-	return &sitePlanner{SiteConfig: cfg, settings: settings, watch: site.NewWatch(cfg.Names), listed: map[control.Server]bool{}, episodeStarts: map[int]time.Time{}, log: log,
-		guide: site.NewGuide(cfg.Names, cfg.Rules, cfg.Classes, cfg.Expected, settings.CrossZoneCost, settings.RackKB*control.TargetUse)}
+	return &sitePlanner{SiteConfig: cfg, settings: settings, siteWatch: site.NewWatch(cfg.Names), listed: map[control.Server]bool{}, episodeStarts: map[int]time.Time{}, log: log,
+		siteGuide: site.NewGuide(cfg.Names, cfg.Rules, cfg.Classes, cfg.Expected, settings.CrossZoneCost, settings.RackKB*control.TargetUse)}
 }
 
-// Interval is part of Part.
+// Interval returns siteTickInterval.
 func (s *sitePlanner) Interval() time.Duration { return siteTickInterval }
 
-// ListUpdated is part of Part.
+// ListUpdated passes the entries of nodes in known zones to the site.Watch and site.Guide.
 func (s *sitePlanner) ListUpdated(_ time.Time, entries []control.Entry) {
 	for _, e := range entries {
 		if e.State == control.Gone {
@@ -65,12 +68,12 @@
 			continue
 		}
 		node := SiteNode(&s.settings, e, s.SiteByZone[e.Zone], len(s.listed))
-		s.watch.Listed(node.Site, uint64(e.Server), e.State == control.Ready)
-		s.guide.Listed(uint64(e.Server), node, e.State == control.Ready)
+		s.siteWatch.Listed(node.Site, uint64(e.Server), e.State == control.Ready)
+		s.siteGuide.Listed(uint64(e.Server), node, e.State == control.Ready)
 	}
 }
 
-// SiteNode is an entry of a list of so many nodes as plans for sites count it.
+// SiteNode converts an entry of a list of nodeCount nodes to a node of site plans.
 func SiteNode(settings *control.Settings, entry control.Entry, siteIndex, nodeCount int) site.Node {
 	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.Link(entry, nodeCount) * control.TargetUse, Places: unknownKindStreams}
 	if entry.Kind >= 0 && entry.Kind < len(settings.KindStreams) {
@@ -79,30 +82,32 @@
 	return node
 }
 
-// unknownKindStreams is what a node of a kind whose streams are not told is taken to run.
+// unknownKindStreams is the assumed maximum of streams on a node whose kind has no entry in
+// control.Settings.KindStreams. It is in effect no limit.
 const unknownKindStreams = 1e6
 
-// RequestArrived is part of Part.
+// RequestArrived counts a request, unless its viewer has asked before.
 func (s *sitePlanner) RequestArrived(now time.Time, r *Request) bool {
 	if !r.Repeated {
-		s.guide.Arrived(now, r.Class)
+		s.siteGuide.Arrived(now, r.Class)
 	}
 	return false
 }
 
-// SessionEnded is part of Part.
+// SessionEnded passes the length of a session to the site.Guide.
 func (s *sitePlanner) SessionEnded(_ time.Time, class int, played time.Duration, interrupted bool) {
-	s.guide.Over(class, played, interrupted)
+	s.siteGuide.Over(class, played, interrupted)
 }
 
-// NodeReported is part of Part.
+// NodeReported passes what a report says about its node's site to the site.Watch.
 func (s *sitePlanner) NodeReported(now time.Time, r *Report) {
 	if sign, ok := signFromReport(r); ok {
-		s.watch.Saw(now, uint64(r.Server), sign)
+		s.siteWatch.Saw(now, uint64(r.Server), sign)
 	}
 }
 
-// signFromReport is what a report says of its node's site, if anything.
+// signFromReport returns what a report says about the node's site. It returns false if the
+// report says nothing.
 func signFromReport(r *Report) (site.Sign, bool) {
 	switch r.Kind {
 	case ReportStarted, ReportNote:
@@ -117,24 +122,25 @@
 	case control.TimedOut:
 		return site.Silence, true
 	case control.Reset:
-		if r.ConnectionOnly { // only the connection broke; the node is there
+		if r.ConnectionOnly { // only the connection broke; the node can be reached
 			return site.Heard, true
 		}
-		// A node that cuts a session says so itself; one that can't be reached is said
-		// to have cut all of its sessions, one after the other: that is one sign each,
-		// of nodes that were tried and failed.
+		// A node that interrupts a session says so itself. For a node that can't be
+		// reached, the end of each of its sessions is reported, one after the other. Each
+		// of these reports is one sign of a node that was tried and failed.
 		return site.Broke, r.Kind == ReportEnded
 	}
-	return 0, false // moot, or cancelled: this manager's own doing
+	return 0, false // not sent, or cancelled: caused by this manager itself
 }
 
-// ProcessPaused is part of Part.
-func (s *sitePlanner) ProcessPaused(time.Time, time.Duration) { s.watch.Forget() }
+// ProcessPaused makes the site.Watch forget the failures seen before the pause.
+func (s *sitePlanner) ProcessPaused(time.Time, time.Duration) { s.siteWatch.Forget() }
 
-// Tick is part of Part.
+// Tick logs changes of the sites' states, probes nodes, logs the measured demand and the
+// plan, and returns the ration of this manager while there is one.
 func (s *sitePlanner) Tick(now time.Time, v BrokerView) []control.Event {
-	for _, notice := range s.watch.Tick(now) {
-		s.guide.Told(now, notice, s.returnCount(now, notice.Site))
+	for _, notice := range s.siteWatch.Tick(now) {
+		s.siteGuide.Told(now, notice, s.returnCount(now, notice.Site))
 		name, state := "", notice.State.String()
 		if notice.Site >= 0 {
 			name = s.Names[notice.Site]
@@ -152,18 +158,18 @@
 		}
 		s.log.Info("site", fields...)
 	}
-	for _, node := range s.watch.Ask(now) {
+	for _, node := range s.siteWatch.Ask(now) {
 		v.Probe(control.Server(node))
 	}
 	if now.Sub(s.demandLoggedAt) >= demandLogInterval {
-		if rates, lasts, ok := s.guide.Demand(now); ok {
+		if rates, lasts, ok := s.siteGuide.Demand(now); ok {
 			s.demandLoggedAt = now
 			s.log.Info(DemandMessage, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
 		}
 	}
-	ration, text := s.guide.Tick(now, s.watch, v.ArrivalShare())
+	ration, text := s.siteGuide.Tick(now, s.siteWatch, v.ArrivalShare())
 	if text != "" {
-		sessions, share := s.guide.Measured()
+		sessions, share := s.siteGuide.Measured()
 		s.log.Info("site plan", zap.String("plan", text), zap.Float64s("sessions", sessions), zap.Float64("share", share))
 	}
 	if ration == nil && !s.rationed {
@@ -173,14 +179,15 @@
 	return []control.Event{{Kind: control.EvRation, Ration: s.controlRation(ration)}}
 }
 
+// returnCount returns how often a site has come back recently; 0 for this manager itself.
 func (s *sitePlanner) returnCount(now time.Time, siteIndex int) int {
 	if siteIndex < 0 {
 		return 0
 	}
-	return s.watch.Returns(now, siteIndex)
+	return s.siteWatch.Returns(now, siteIndex)
 }
 
-// controlRation is a ration as the module takes it, by zones.
+// controlRation converts a ration by sites to one by zones, as the decision module takes it.
 func (s *sitePlanner) controlRation(planned *site.Ration) *control.Ration {
 	if planned == nil {
 		return nil
@@ -194,7 +201,7 @@
 	return ration
 }
 
-// zoneCount is how many zones make up a site.
+// zoneCount returns the number of zones of a site.
 func (s *sitePlanner) zoneCount(siteIndex int) (count int) {
 	for _, other := range s.SiteByZone {
 		if other == siteIndex {
--- a/internal/broker/sites_test.go
+++ b/internal/broker/sites_test.go
@@ -13,8 +13,8 @@
 	"millethinge/internal/site"
 )
 
-// What nodes report is a sign of their site, or none: what this manager does itself
-// says nothing.
+// Reports of nodes are signs of the state of their site, except for reports that this manager
+// itself caused.
 func TestSignFromReport(t *testing.T) {
 	for _, e := range []struct {
 		report Report
@@ -41,8 +41,8 @@
 	}
 }
 
-// An episode is logged with its site, state, evidence and how long it has lasted. A
-// node that drains is no evidence, nor is what failed before the program stood still.
+// An episode is logged with its site, state, evidence and duration. Draining nodes and
+// failures before a process pause are no evidence.
 func TestSiteEpisodes(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
 	s := newSitePlanner(SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Rules: make([]site.Rule, 2)}, control.Settings{}, zap.New(core))
@@ -55,7 +55,7 @@
 	for n := range 8 {
 		entries = append(entries, control.Entry{Server: control.Server(n), State: control.Ready, Zone: n / 4})
 	}
-	entries = append(entries, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // of no zone that is known
+	entries = append(entries, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // in an unknown zone
 	s.ListUpdated(now, entries)
 	reportRound := func(status control.Status) {
 		for n := range 8 {
@@ -65,21 +65,21 @@
 				r.Status = status
 			}
 			s.NodeReported(now, &r)
-			s.Tick(now, view{&Broker{controller: controller, nodes: &recorder{}}})
+			s.Tick(now, brokerView{&Broker{controller: controller, nodes: &recorder{}}})
 		}
 	}
-	ongoing := false // an episode
+	ongoing := false // whether an episode is under way
 	expectLogged := func(want ...string) {
 		t.Helper()
 		var got []string
 		for _, l := range logs.TakeAll() {
 			if l.Message != "site" {
-				continue // what is planned
+				continue // a site plan
 			}
 			f := l.ContextMap()
 			got = append(got, f["site"].(string)+" "+f["state"].(string))
 			if f["evidence"] == "" {
-				t.Error("no evidence")
+				t.Error("the log line has no evidence")
 			}
 			if _, since := f["since"]; since != ongoing {
 				t.Errorf("%v: since %v", got, f["since"])
@@ -87,7 +87,7 @@
 			ongoing = f["state"] != "present"
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("told %v, want %v", got, want)
+			t.Errorf("logged %v, want %v", got, want)
 		}
 	}
 	reportRound(control.Full)
@@ -104,7 +104,7 @@
 	for range 4 {
 		reportRound(control.ConnectFailed)
 	}
-	expectLogged("b present") // nothing of it is expected to be there
+	expectLogged("b present") // none of its nodes is expected to be in service
 	for i := range entries {
 		entries[i].State = control.Ready
 	}
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -6,37 +6,40 @@
 	"millethinge/control"
 )
 
-// capRetryAfter is how long a viewer should stay away whom a cap refuses for now.
+// capRetryAfter is the RetryAfter of a request that a team's cap on classes or sessions
+// refuses.
 const capRetryAfter = time.Second
 
-// Team is one team's contract and budget.
+// Team is the contract and the budget of one team.
 type Team struct {
 	Name               string
-	Classes            []bool        // by class: whether the team may use it
-	SessionsPerS       float64       // sessions a second over all managers; 0: no quota
-	MaxSessions        int           // most sessions set up or playing here; 0: no cap
-	MaxBilledSetUps    int           // billed set-ups in a period; 0: no cap
-	MaxFurtherAttempts int           // further attempts in a period; 0: no cap
-	BudgetPeriod       time.Duration // of the budget
+	Classes            []bool        // by class, whether the team may use it; empty: it may use all
+	SessionsPerS       float64       // quota of sessions a second over all managers; 0: no quota
+	MaxSessions        int           // cap on sessions that are set up or play at this manager; 0: no cap
+	MaxBilledSetUps    int           // cap on billed set-ups in a budget period; 0: no cap
+	MaxFurtherAttempts int           // cap on attempts after a session's first in a budget period; 0: no cap
+	BudgetPeriod       time.Duration // length of a budget period
 }
 
-// teamLedger is what a team has used.
+// teamLedger counts a team's use of its contract and budget at this manager.
 type teamLedger struct {
 	Team
-	sessions        int
-	periodStart     time.Time // when the period began
-	billedSetUps    int
-	furtherAttempts int
+	sessions        int // being set up or playing
+	periodStart     time.Time
+	billedSetUps    int // since periodStart
+	furtherAttempts int // since periodStart
 }
 
 func newLedgers(teams []Team, firstTeam int) []teamLedger {
-	ledgers := make([]teamLedger, firstTeam, firstTeam+len(teams)) // the platform's own tenants have no caps
+	ledgers := make([]teamLedger, firstTeam, firstTeam+len(teams)) // the platform's tenants have no caps
 	for _, t := range teams {
 		ledgers = append(ledgers, teamLedger{Team: t})
 	}
 	return ledgers
 }
 
+// ledger returns the ledger of the session's team, after starting a new budget period if the
+// last one is over. It returns nil if the session has no team.
 func (b *Broker) ledger(now time.Time, s *session) *teamLedger {
 	if s.Team < 0 || s.Team >= len(b.ledgers) {
 		return nil
@@ -48,8 +51,8 @@
 	return l
 }
 
-// admit holds a request against its team's hard caps before any attempt. Where
-// a cap binds it tells how long to stay away.
+// admit checks a request against its team's caps before the first attempt, and counts it.
+// If a cap refuses the request, admit returns the time after which to retry, and false.
 func (b *Broker) admit(now time.Time, s *session) (time.Duration, bool) {
 	l := b.ledger(now, s)
 	if l == nil {
@@ -72,7 +75,8 @@
 	return 0, true
 }
 
-// takeFurtherAttempt takes a further attempt from the team's budget.
+// takeFurtherAttempt takes an attempt after the session's first from the team's budget. It
+// reports whether the attempt may be made.
 func (b *Broker) takeFurtherAttempt(now time.Time, s *session) bool {
 	l := b.ledger(now, s)
 	if l == nil || s.attemptNumber <= 1 || l.MaxFurtherAttempts == 0 {
@@ -85,7 +89,7 @@
 	return true
 }
 
-// releaseTeamSession gives a session's place back.
+// releaseTeamSession stops counting a session against its team's MaxSessions.
 func (b *Broker) releaseTeamSession(s *session) {
 	if s.countedInTeam {
 		b.ledgers[s.Team].sessions--
