--- a/cmd/millethinge/sites.go
+++ b/cmd/millethinge/sites.go
@@ -82,7 +82,7 @@
 	lines.Buffer(nil, maxLogLine)
 	for lines.Scan() {
 		var line demandRecord
-		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == broker.DemandLine {
+		if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == broker.DemandMessage {
 			last, found = line, true
 		}
 	}
@@ -90,7 +90,7 @@
 	case lines.Err() != nil:
 		return fmt.Errorf("%s: %w", cmd.Record, lines.Err())
 	case !found:
-		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", cmd.Record, broker.DemandLine)
+		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", cmd.Record, broker.DemandMessage)
 	case len(last.Rates) != len(cfg.Classes) || len(last.Lasts) != len(cfg.Classes):
 		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.Classes))
 	}
--- a/internal/broker/counts_test.go
+++ b/internal/broker/counts_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// BenchmarkCounts is what counting adds to a request: its answer and one attempt.
+// BenchmarkCounts measures what counting adds to a request with one attempt and its answer.
 func BenchmarkCounts(b *testing.B) {
-	c := NewCounts(2)
+	c := NewCounters(2)
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Tried()
-		c.Answered(1, Served)
+		c.CountAttempt()
+		c.CountAnswer(1, ReplyServed)
 	}
 }
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -85,7 +85,7 @@
 			send(setupMessage)
 			request := <-fake.requests
 			send(fmt.Sprintf(releaseMessage, 2)) // of another session
-			for _, kind := range []broker.ReplyKind{broker.Over, broker.Moved, broker.Closed} {
+			for _, kind := range []broker.ReplyKind{broker.ReplyEnded, broker.ReplyMoved, broker.ReplyClosed} {
 				request.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // an earlier session with that id ends
 			}
 			if request.Client.Gone(1) {
--- a/internal/front/jsonl/ends.go
+++ b/internal/front/jsonl/ends.go
@@ -157,7 +157,7 @@
 
 // Deliver sends the end of a session, and ignores all other replies.
 func (c inheritedClient) Deliver(r broker.Reply) bool {
-	if r.Kind == broker.Over || r.Kind == broker.Moved {
+	if r.Kind == broker.ReplyEnded || r.Kind == broker.ReplyMoved {
 		c.front.routeEnd(&sessionEnd{reply: r, host: c.host, expires: time.Now().Add(endLifetime)})
 	}
 	return true
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -24,7 +24,7 @@
 	Broker      message.Broker       // takes the viewers' requests
 	Decoder     message.SetupDecoder // decodes their set-ups
 	Limits      peer.Limits          // limits for the connections
-	Counts      *broker.Counts       // counts refused set-ups; nil: they are not counted
+	Counts      *broker.Counters     // counts refused set-ups; nil: they are not counted
 	SendReasons bool                 // send the reasons of failures and refusals; the platform's protocol has no field for them
 	Log         *zap.Logger
 
@@ -84,10 +84,10 @@
 // sent on another one.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // keeps the id open: its set-up was answered before, so one that is open is a later one
+	case broker.ReplyClosed: // keeps the id open: its set-up was answered before, so one that is open is a later one
 		c.SessionEnded()
 		return true
-	case broker.Over, broker.Moved: // likewise
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
 		c.SessionEnded()
 		e := &sessionEnd{reply: r, host: c.Host, expires: time.Now().Add(endLifetime)}
 		if !c.sendEnd(e) {
@@ -97,9 +97,9 @@
 	}
 	defer c.CloseSetup(uint64(r.ID)) // only once the answer is queued: a connection without open set-ups may be closed
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
+	case broker.ReplyServed:
 		c.markHadSession()
 		c.SessionEstablished()
 	}
@@ -189,13 +189,13 @@
 		return false // there is no id to answer to
 	case err != nil:
 		c.front.Log.Info("invalid set-up", zap.Error(err))
-		return c.sendReply(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+		return c.sendReply(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many set-ups wait, on this connection or for the broker, or the manager
 		// drains. The answer is a refusal, since no attempt has been made.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		return c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		return c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return true
 }
@@ -203,12 +203,12 @@
 // resumeSession takes over a session that is already playing at a media node. It is not
 // answered; if it can't be taken over, its end is sent to the viewer.
 func (c *conn) resumeSession(m *message.Message, r broker.Request, node control.Server, err error) bool {
-	r.Playing = node
+	r.PlayingOn = node
 	c.SessionEstablished()
 	if err == nil && c.front.Broker.Submit(r) {
 		c.markHadSession()
 		return true
 	}
 	c.front.Log.Info("established session not taken over", zap.Error(err))
-	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.Over, ID: r.ID, Cause: broker.CauseCut})
+	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: r.ID, Cause: broker.CauseInterrupted})
 }
--- a/internal/front/jsonl/jsonl_test.go
+++ b/internal/front/jsonl/jsonl_test.go
@@ -74,8 +74,8 @@
 	viewer, _ := dial()
 	viewer.Close()
 	client := <-full.lost
-	client.Deliver(broker.Reply{Kind: broker.Served, ID: 1}) // can't be sent: the connection is closed
-	client.Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
+	client.Deliver(broker.Reply{Kind: broker.ReplyServed, ID: 1}) // can't be sent: the connection is closed
+	client.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 41})
 	_, reader := dial()
 	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`)
 }
@@ -94,7 +94,7 @@
 	io.WriteString(otherViewer, `{"type":"ping","id":"01"}`+"\n")
 	expectLine(t, otherReader, `{"type":"pong","id":"01","fields":{},"cause":1}`) // the connection has been accepted
 	viewer.Close()
-	(<-full.lost).Deliver(broker.Reply{Kind: broker.Over, ID: 1, Cause: 41})
+	(<-full.lost).Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 41})
 	_, reader := dial()
 	expectLine(t, reader, `{"type":"release","id":"0000000000000001","fields":{},"cause":41}`)
 	io.WriteString(otherViewer, `{"type":"ping","id":"02"}`+"\n")
@@ -113,7 +113,7 @@
 	viewer.Close()
 	client := <-full.lost
 	viewer, reader = dial()
-	client.Deliver(broker.Reply{Kind: broker.Over, ID: 2, Cause: 16})
+	client.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: 2, Cause: 16})
 	expectLine(t, reader, `{"type":"release","id":"0000000000000002","fields":{},"cause":16}`)
 	viewer.(*net.TCPConn).SetLinger(0)
 	viewer.Close()
@@ -188,7 +188,7 @@
 	viewer := h.connect()
 	io.WriteString(viewer, `{"type":"setup","id":"000000000000000`+id+`","fields":{"class":"feed","left":"900","key":"1","extras":"home:0;copies:1;top:0"},"sdp":""}`+"\n")
 	viewer.client = <-h.broker.clients
-	viewer.client.Deliver(broker.Reply{Kind: broker.Served, ID: control.SessionID(id[0] - '0')})
+	viewer.client.Deliver(broker.Reply{Kind: broker.ReplyServed, ID: control.SessionID(id[0] - '0')})
 	viewer.reader.ReadString('\n')
 	return viewer
 }
@@ -197,8 +197,8 @@
 const endMessage = `{"type":"release","id":"0000000000000001","fields":{},"cause":16}`
 
 var (
-	end1 = broker.Reply{Kind: broker.Over, ID: 1, Cause: 16}
-	end2 = broker.Reply{Kind: broker.Over, ID: 2, Cause: 17}
+	end1 = broker.Reply{Kind: broker.ReplyEnded, ID: 1, Cause: 16}
+	end2 = broker.Reply{Kind: broker.ReplyEnded, ID: 2, Cause: 17}
 )
 
 // An end whose own connection is gone reaches a client that has had a session, even if other
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -304,18 +304,18 @@
 func AppendReply(b []byte, r broker.Reply) []byte {
 	messageType := "release"
 	switch r.Kind {
-	case broker.Served:
+	case broker.ReplyServed:
 		messageType = "answer"
-	case broker.Moved:
+	case broker.ReplyMoved:
 		messageType = "move"
 	}
 	b = appendType(b, messageType)
 	b = append(b, `,"id":"`...)
 	b = appendID(b, uint64(r.ID))
 	b = append(b, `","fields":{`...)
-	if r.Kind == broker.Refused && r.Wait > 0 {
+	if r.Kind == broker.ReplyRefused && r.RetryAfter > 0 {
 		b = append(b, `"wait":"`...)
-		b = strconv.AppendInt(b, max(r.Wait.Milliseconds(), 1), 10)
+		b = strconv.AppendInt(b, max(r.RetryAfter.Milliseconds(), 1), 10)
 		b = append(b, '"')
 	}
 	if r.Reason != "" {
@@ -326,10 +326,10 @@
 		b = appendString(b, []byte(r.Reason))
 	}
 	b = append(b, '}')
-	if r.Kind == broker.Served {
+	if r.Kind == broker.ReplyServed {
 		b = append(b, `,"sdp":`...)
 		b = appendString(b, r.Description)
-	} else if r.Kind != broker.Moved {
+	} else if r.Kind != broker.ReplyMoved {
 		b = append(b, `,"cause":`...)
 		b = strconv.AppendInt(b, int64(r.Cause), 10)
 	}
@@ -422,14 +422,14 @@
 		return r, ErrNoClass
 	}
 	r.Description = bytes.Clone(m.SDP) // the request outlives the read buffer
-	r.Again = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
+	r.Repeated = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
 	return r, nil
 }
 
 // RouteRequest returns a set-up in the form that routing rules evaluate.
 func RouteRequest(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
-		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Span, Top: r.MaxRung, Left: r.Left,
+		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Copies, Top: r.MaxRung, Left: r.TimeLeft,
 		Retry: string(m.Get("retry")) == "1", Again: string(m.Extra("again")) == "1",
 		Front: from.Front, Client: from.Client, Came: from.Received, Texts: m,
 	}
@@ -439,7 +439,7 @@
 // set-up may name no class. A required value that is missing or out of range is an error: a
 // media node could not use the set-up either, and would be blamed for the failure.
 func (d *SetupDecoder) DecodeUnrouted(m *Message, from Origin) (broker.Request, error) {
-	r := broker.Request{Came: from.Received, Class: -1, Team: -1}
+	r := broker.Request{ReceivedAt: from.Received, Class: -1, Team: -1}
 	var err error
 	if r.ID, err = ParseID(m.ID); err != nil {
 		return r, err
@@ -458,8 +458,8 @@
 		return r, errors.New("key is no title")
 	}
 	left, ok := parseNumber(m.Get("left"), 1, float64(math.MaxInt32))
-	r.Left = time.Duration(left) * time.Millisecond
-	if !ok || r.Left > d.MaxTimeLeft && m.CurrentNode() == nil {
+	r.TimeLeft = time.Duration(left) * time.Millisecond
+	if !ok || r.TimeLeft > d.MaxTimeLeft && m.CurrentNode() == nil {
 		return r, errors.New("left is out of range")
 	}
 	extras := m.Get("extras")
@@ -469,11 +469,11 @@
 	if !ok1 || !ok2 || !ok3 {
 		return r, errors.New("home, copies or top is missing or out of range")
 	}
-	r.Home, r.Span, r.MaxRung = int(home), int(span), top
+	r.Home, r.Copies, r.MaxRung = int(home), int(span), top
 	if len(m.SDP) > MaxSize-setupOverhead {
 		return r, errors.New("description too long")
 	}
-	r.Named.Class, r.Named.Team = r.Class, r.Team
+	r.Requested.Class, r.Requested.Team = r.Class, r.Team
 	return r, nil
 }
 
--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -39,7 +39,7 @@
 	Path    string               // URL path of the WebSocket
 	Grace   time.Duration        // how long a player whose socket is lost may take to reconnect
 	Limits  peer.Limits          // limits for the connections
-	Counts  *broker.Counts       // counts refused set-ups; nil: they are not counted
+	Counts  *broker.Counters     // counts refused set-ups; nil: they are not counted
 	Log     *zap.Logger
 }
 
@@ -77,18 +77,18 @@
 // the broker keeps the reply until the player reconnects.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // keeps the id open: its set-up was answered before, so one that is open is a later one
+	case broker.ReplyClosed: // keeps the id open: its set-up was answered before, so one that is open is a later one
 		c.SessionEnded()
 		return true
-	case broker.Over, broker.Moved: // likewise
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
 		c.SessionEnded()
 	default:
 		defer c.CloseSetup(uint64(r.ID)) // only once the answer is queued: a connection without open set-ups may be closed
 	}
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
+	case broker.ReplyServed:
 		c.MarkHadSession()
 		c.SessionEstablished()
 	}
@@ -236,13 +236,13 @@
 	case err != nil && r.ID == 0:
 		return closeError(closeProtocol)
 	case err != nil:
-		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+		c.Deliver(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
 	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many set-ups wait, on this socket or for the broker, or the manager
 		// drains. The answer is a refusal, since no attempt has been made.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return nil
 }
--- a/internal/media/cases_test.go
+++ b/internal/media/cases_test.go
@@ -128,7 +128,7 @@
 // viewerTold reports whether the end of session 1 has been reported.
 func (f *scriptedNode) viewerTold() bool {
 	for _, r := range *f.reports {
-		if r.Kind == broker.Ended && r.ID == 1 {
+		if r.Kind == broker.ReportEnded && r.ID == 1 {
 			return true
 		}
 	}
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -56,7 +56,7 @@
 	t.Helper()
 	var got []control.Status
 	for _, r := range *reports {
-		if r.Kind == broker.Ended {
+		if r.Kind == broker.ReportEnded {
 			got = append(got, r.Status)
 		}
 	}
@@ -230,7 +230,7 @@
 		n.dialling = true
 		n.handle(adoptRequest{1})
 		lose(n)
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseCut {
+		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseInterrupted {
 			t.Errorf("%s: %+v", name, *reports)
 		}
 	}
@@ -292,7 +292,7 @@
 				}
 				checkEndStatuses(t, reports, want)
 				last := (*reports)[len(*reports)-1] // a set-up's end says whether the node is reachable
-				if len(n.established)+len(n.attempts)+len(n.interrupted) != 0 || last.Cause == 0 && last.Confined != (want == control.Reset && name == "restarted") {
+				if len(n.established)+len(n.attempts)+len(n.interrupted) != 0 || last.Cause == 0 && last.ConnectionOnly != (want == control.Reset && name == "restarted") {
 					t.Errorf("%d established, %d attempts, %d interrupted; %+v", len(n.established), len(n.attempts), len(n.interrupted), last)
 				}
 			})
@@ -376,7 +376,7 @@
 			checkEndStatuses(t, reports)
 			n.handle(e.then)
 		}
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Confined != e.confined ||
+		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].ConnectionOnly != e.confined ||
 			(*reports)[0].Down != (name == "refused") ||
 			len(n.attempts)+len(n.interrupted) != 0 {
 			t.Errorf("%s: %+v", name, *reports)
@@ -438,7 +438,7 @@
 		n.handle(received{c, message{kind: kindSetUpAnswer, id: id, status: 200}})
 	}
 	c.Close()
-	if len(*reports) != 1 || (*reports)[0].Kind != broker.Started || (*reports)[0].ID != 1 || n.established[1] == nil {
+	if len(*reports) != 1 || (*reports)[0].Kind != broker.ReportStarted || (*reports)[0].ID != 1 || n.established[1] == nil {
 		t.Errorf("%+v", *reports)
 	}
 	for b := range written {
@@ -567,7 +567,7 @@
 	}()
 	n.dialling = true
 	n.handle(dialResult{conn: c})
-	if m := <-got; m.kind != kindTearDown || m.id != 10 || m.cause != broker.CauseCut || len(n.pendingReleases) != 0 {
+	if m := <-got; m.kind != kindTearDown || m.id != 10 || m.cause != broker.CauseInterrupted || len(n.pendingReleases) != 0 {
 		t.Errorf("%+v, %d releases pending", m, len(n.pendingReleases))
 	}
 }
@@ -799,7 +799,7 @@
 		}
 	}
 	n.pool.Probe(n.server)
-	if last := (*reports)[len(*reports)-1]; !n.inbox.Empty() || last.Kind != broker.Probed || last.Status != control.Moot {
+	if last := (*reports)[len(*reports)-1]; !n.inbox.Empty() || last.Kind != broker.ReportProbed || last.Status != control.Moot {
 		t.Errorf("a probe is pending, or was not reported as moot: %+v", last)
 	}
 	if got := string(wrote.written); strings.Contains(got, "OPTIONS") || strings.Count(got, "TEARDOWN") != 1 {
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -249,13 +249,13 @@
 // endAttempt removes a and reports that it ended with status.
 func (n *node) endAttempt(a *attempt, status control.Status) {
 	n.removeAttempt(a)
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: status})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: status})
 }
 
 // reportReset reports that a set-up ended because its connection broke. nodeReachable says
 // that the node was heard from or reached since, so only the connection was at fault.
 func (n *node) reportReset(a *attempt, nodeReachable bool) {
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.Reset, Confined: nodeReachable})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: control.Reset, ConnectionOnly: nodeReachable})
 }
 
 // removeAttempt removes a from the actor's attempts and from its connection's count.
@@ -439,7 +439,7 @@
 		}
 	}
 	for ; n.queuedProbes > 0; n.queuedProbes-- {
-		n.report(broker.Report{Kind: broker.Probed, Status: status})
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: status})
 	}
 	n.resolveInterrupted(atLimit)
 	if atLimit {
@@ -471,7 +471,7 @@
 		// be reached.
 		until := time.Now().Add(lostNodeReleaseTTL)
 		for id := range n.established {
-			n.pendingReleases[id] = pendingRelease{broker.CauseCut, until}
+			n.pendingReleases[id] = pendingRelease{broker.CauseInterrupted, until}
 		}
 		n.cutSessions(why, time.Now())
 		n.closeUnusedSince(time.Now())
@@ -514,7 +514,7 @@
 	for id, s := range n.established {
 		if s.setUpSentAt.Before(before) {
 			delete(n.established, id)
-			n.report(broker.Report{Kind: broker.Ended, ID: id, Status: control.Reset, Cause: broker.CauseCut})
+			n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: control.Reset, Cause: broker.CauseInterrupted})
 		}
 	}
 }
@@ -644,7 +644,7 @@
 				}
 				continue
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: control.TimedOut})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: control.TimedOut})
 		}
 	}
 	for id, r := range n.pendingReleases {
@@ -888,7 +888,7 @@
 		return
 	}
 	if !n.sendProbe(c, false, probeTimeout) {
-		n.report(broker.Report{Kind: broker.Probed, Status: control.Reset})
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: control.Reset})
 	}
 }
 
@@ -931,12 +931,12 @@
 			if m.status != 200 {
 				status = control.Errored
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: status, Load: m.load})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: status, Load: m.load})
 		}
 	case kindTearDown:
 		n.handleTearDown(m)
 	case kindAnnounce:
-		n.report(broker.Report{Kind: broker.Noted, ID: m.id, Note: m.note, Value: m.value})
+		n.report(broker.Report{Kind: broker.ReportNote, ID: m.id, Note: m.note, Value: m.value})
 	}
 	if n.dialling { // an answer may have made room for a queued set-up
 		n.sendQueued()
@@ -1011,7 +1011,7 @@
 	}
 	if m.status == 200 {
 		n.established[m.id] = &establishedSession{conn: m.conn, setUpSentAt: a.sentAt}
-		n.report(broker.Report{Kind: broker.Started, ID: m.id, Number: a.Number, Load: m.load, Description: m.description})
+		n.report(broker.Report{Kind: broker.ReportStarted, ID: m.id, AttemptNumber: a.Number, Load: m.load, Description: m.description})
 		return
 	}
 	status := control.Errored
@@ -1023,7 +1023,7 @@
 	case 504:
 		status = control.Reset
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: m.id, Number: a.Number, Status: status, Load: m.load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: m.id, AttemptNumber: a.Number, Status: status, Load: m.load})
 }
 
 // handleTearDown handles the node's TEARDOWN of a session or of a set-up.
@@ -1068,7 +1068,7 @@
 	case broker.CauseCancelled:
 		status = control.Cancelled
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: id, Status: status, Cause: cause, Load: load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: status, Cause: cause, Load: load})
 }
 
 // formatSessionID returns id as the 16 hexadecimal digits of the Session header.
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -182,13 +182,13 @@
 	return p.post(s, setUpRequest{a}, true)
 }
 
-// GiveUp implements broker.Nodes.
-func (p *Pool) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
+// Abandon implements broker.Nodes.
+func (p *Pool) Abandon(s control.Server, id control.SessionID, number int, timedOut bool) {
 	p.post(s, abandonRequest{id, number, timedOut}, false)
 }
 
-// Stands implements broker.Nodes.
-func (p *Pool) Stands(s control.Server, id control.SessionID) bool {
+// AddEstablished implements broker.Nodes.
+func (p *Pool) AddEstablished(s control.Server, id control.SessionID) bool {
 	return p.post(s, adoptRequest{id}, false)
 }
 
@@ -205,7 +205,7 @@
 // Probe implements broker.Nodes. A probe that cannot be sent is reported as moot.
 func (p *Pool) Probe(s control.Server) {
 	if p.cfg.DisableProbes || !p.post(s, probeRequest{}, true) {
-		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
+		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.Moot})
 	}
 }
 
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	modify(&cfg)
-	cfg.Drain = broker.Drain{Take: testTimeout, Stay: 900 * time.Millisecond} // long enough on a slow machine
+	cfg.Drain = broker.DrainTimes{AcceptFor: testTimeout, KeepFor: 900 * time.Millisecond} // long enough on a slow machine
 	mgr := &manager{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
 	if mgr.listeners, err = Listen(cfg); err != nil {
 		t.Fatal(err)
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -35,7 +35,7 @@
 type adminService struct {
 	cfg           *config.Config
 	gate          *duty.Gate
-	counts        *broker.Counts
+	counts        *broker.Counters
 	nodeList      *directory.List
 	listSink      directory.Sink // takes list changes to which the overrides have been applied
 	sessionBroker *broker.Broker
@@ -62,7 +62,7 @@
 	if cfg.Admin == "" {
 		return nil
 	}
-	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounts(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
 	if cfg.Temp == "" {
 		return s
 	}
@@ -112,7 +112,7 @@
 }
 
 // Counts returns the counts of results by class, or nil for a nil s.
-func (s *adminService) Counts() *broker.Counts {
+func (s *adminService) Counts() *broker.Counters {
 	if s == nil {
 		return nil
 	}
@@ -306,7 +306,7 @@
 	if s.folder == nil || s.finalHandover {
 		return
 	}
-	s.finalHandover = h.Last
+	s.finalHandover = h.Final
 	// Guard: the successor may have ended, or may have been asked to end, since it was chosen,
 	// so it is chosen anew.
 	if others, err := s.process.Others(); err == nil {
@@ -407,7 +407,7 @@
 		}
 		return m
 	}
-	c, err := s.sessionBroker.Census(ctx)
+	c, err := s.sessionBroker.Stats(ctx)
 	if err != nil {
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
@@ -424,7 +424,7 @@
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
 	return admin.Figures{
-		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Tries.Load(),
+		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Attempts.Load(),
 		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.disabled + c.Avoided,
 	}, nil
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -106,22 +106,22 @@
 		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
 		DrainGrace:        cfg.DrainGrace,
 		DisableProbes:     !cfg.Settings.Probes,
-		UpgradeInProgress: service.Shared, OnSetUpSent: counts.Tried,
+		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
 			coordinator.Ask()
-			sessionBroker.Stalled(d)
+			sessionBroker.ProcessPaused(d)
 		},
 	})
 	sessionBroker, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: service.HandoverFunc(), Log: log,
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counters: counts, HandOver: service.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
 	}
 	nodeList := directory.NewList(service.withOverrides(func(c directory.Change) {
 		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
-		sessionBroker.List(brokerList(c))
+		sessionBroker.UpdateList(brokerList(c))
 	}))
 	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
 	coordinator.Heard = func(requested time.Time) {
@@ -215,11 +215,11 @@
 				case draining:
 				case service.leaveToSuccessor(listeners.Viewers, listeners.Players):
 					log.Info("leaving to a younger process", zap.Stringer("signal", s))
-					sessionBroker.Leave()
+					sessionBroker.DrainForSuccessor()
 					draining = true
 				default:
 					log.Info("draining", zap.Stringer("signal", s))
-					sessionBroker.Finish()
+					sessionBroker.Drain()
 					leaveFleet()
 					draining = true
 				}
@@ -282,8 +282,8 @@
 const finalWriteDelay = 50 * time.Millisecond
 
 // brokerList converts a change of the list of media nodes to the broker's form.
-func brokerList(c directory.Change) broker.List {
-	var l broker.List
+func brokerList(c directory.Change) broker.ListUpdate {
+	var l broker.ListUpdate
 	for _, m := range c.Members {
 		l.Entries = append(l.Entries, m.Entry)
 	}
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -124,14 +124,14 @@
 		defer services[i].close()
 	}
 	sendHandover := func(from, n int, last bool) {
-		services[from].handOver(broker.Handover{Standing: make([]broker.Standing, n), Last: last})
+		services[from].handOver(broker.Handover{Sessions: make([]broker.EstablishedSession, n), Final: last})
 	}
 	expect := func(want string) {
 		t.Helper()
 		var taken []string
 		for i, s := range services {
 			for h, changed, err := s.process.Handover(); changed || err != nil; h, changed, err = s.process.Handover() {
-				taken = append(taken, fmt.Sprint(i, " takes ", len(h.Standing)))
+				taken = append(taken, fmt.Sprint(i, " takes ", len(h.Sessions)))
 			}
 		}
 		if have := strings.Join(taken, ", "); have != want {
