--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -67,13 +67,13 @@
 
 func (p coldPlay) settings() Settings {
 	s := settings()
-	s.Classes[0] = Class{Effect: AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 3, Scale: 1}
-	s.Classes[1] = Class{Effect: Idempotent, GoalS: 1.5, Worth: 1, Top: 3, Scale: 1}
+	s.Classes[0] = Class{RepeatEffect: AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 3, RateScale: 1}
+	s.Classes[1] = Class{RepeatEffect: Idempotent, StartGoalS: 1.5, Worth: 1, TopRung: 3, RateScale: 1}
 	s.RatesKB, s.LadderWorth = []float64{200, 420, 640, 1900}, []float64{0.24, 0.55, 0.77, 1}
-	s.Fronts, s.Cells, s.Racks, s.KindStreams = p.fronts, coldCells, 1, []int{30}
-	s.LinkKB, s.FleetKB, s.RackKB, s.Guard = coldLink, coldCells*coldLink, 1e9, 1.2
-	s.Fields, s.Feed, s.Probes, s.ProbeCost = []string{"load_share", "x1"}, FeedProbe, true, 0.01
-	s.FallMultiple, s.StartCapacity, s.WarmAfterS = 3, 0.4, 12
+	s.Managers, s.Cells, s.Racks, s.MaxStreamsByKind = p.fronts, coldCells, 1, []int{30}
+	s.LinkKBPerWeight, s.FleetLinkKB, s.RackUplinkKB, s.FullAtUtilization = coldLink, coldCells*coldLink, 1e9, 1.2
+	s.LoadFields, s.LoadReporting, s.ProbesAllowed, s.ProbeCost = []string{"load_share", "x1"}, LoadReportsInProbes, true, 0.01
+	s.ColdSetupMultiple, s.StartCapacityShare, s.WarmAfterS = 3, 0.4, 12
 	return s
 }
 
@@ -108,9 +108,9 @@
 	}
 	link := func(node int) float64 {
 		if warm := (now - coldStart) / set.WarmAfterS; node == 1 && warm >= 0 {
-			return set.LinkKB * (set.StartCapacity + (1-set.StartCapacity)*min(warm, 1))
+			return set.LinkKBPerWeight * (set.StartCapacityShare + (1-set.StartCapacityShare)*min(warm, 1))
 		}
-		return set.LinkKB
+		return set.LinkKBPerWeight
 	}
 	asked := func(node int) (kb float64) {
 		for _, s := range nodes[node] {
@@ -122,9 +122,9 @@
 	down := func(node int) bool { return node == 1 && now < coldStart && (p.fresh || now >= coldStart-0.5) }
 	entries := func(told bool) (l []Entry) {
 		for i := 1; i <= set.Cells; i++ {
-			e := Entry{Server: Server(i), State: Ready, Cell: i - 1, Weight: 1}
+			e := Entry{Server: ServerID(i), State: Ready, Cell: i - 1, Weight: 1}
 			if i == 1 && told {
-				e.SinceS = coldStart
+				e.StartedAtS = coldStart
 			}
 			if i > 1 || told || !p.fresh {
 				l = append(l, e)
@@ -140,8 +140,8 @@
 		}
 		if age := now - coldStart; age <= set.WarmAfterS {
 			r.cold++
-			most := set.FallMultiple * float64(set.KindStreams[0]) / set.WarmAfterS *
-				(set.StartCapacity + (1-set.StartCapacity)*age/set.WarmAfterS)
+			most := set.ColdSetupMultiple * float64(set.MaxStreamsByKind[0]) / set.WarmAfterS *
+				(set.StartCapacityShare + (1-set.StartCapacityShare)*age/set.WarmAfterS)
 			most += 2*math.Sqrt(most) + 2
 			if r.most = max(r.most, float64(len(sent))/most); float64(len(sent)) > most {
 				r.over++
@@ -153,8 +153,8 @@
 		delete(nodes[s.node], id)
 		node := s.node
 		s.node = 0
-		handle(s.front, Event{Kind: EvEnd, Session: id, Attempt: s.attempt - 1, Server: Server(node), Status: st,
-			Down: st == ConnectFailed, Finished: finished}) // a node that is down refuses connections
+		handle(s.front, Event{Kind: EventAttemptEnded, Session: id, Attempt: s.attempt - 1, Server: ServerID(node), Status: st,
+			ProcessDown: st == ConnectFailed, RequestFinished: finished}) // a node that is down refuses connections
 	}
 	handle = func(f *coldFront, e Event) {
 		if f.dead {
@@ -163,20 +163,20 @@
 		for _, a := range append([]Action(nil), f.c.Handle(now, e)...) {
 			s := sessions[a.Session]
 			switch a.Kind {
-			case ActWake:
-				at(now+a.DelayS, func() { handle(f, Event{Kind: EvTimer, Token: a.Token}) })
-			case ActProbe:
+			case ActionSetTimer:
+				at(now+a.DelayS, func() { handle(f, Event{Kind: EventTimer, Token: a.Token}) })
+			case ActionProbe:
 				node := int(a.Server)
 				at(now+2*coldWay, func() {
 					if down(node) {
-						handle(f, Event{Kind: EvProbed, Server: a.Server, Status: ConnectFailed, Down: true})
+						handle(f, Event{Kind: EventProbeResult, Server: a.Server, Status: ConnectFailed, ProcessDown: true})
 						return
 					}
-					handle(f, Event{Kind: EvProbed, Server: a.Server, Load: load(node)})
+					handle(f, Event{Kind: EventProbeResult, Server: a.Server, Load: load(node)})
 				})
-			case ActRung:
+			case ActionSetRung:
 				s.rung = a.Rung
-			case ActHandOff:
+			case ActionSetUp:
 				s.attempt++
 				s.node = int(a.Server)
 				attempt := s.attempt
@@ -191,13 +191,13 @@
 					if s.node == 1 && now >= coldStart {
 						count()
 					}
-					if asked(s.node) >= set.Guard*link(s.node) {
+					if asked(s.node) >= set.FullAtUtilization*link(s.node) {
 						end(a.Session, s, Full, false)
 						return
 					}
 					nodes[s.node][a.Session] = s
 					at(now+coldWay, func() {
-						handle(f, Event{Kind: EvFirst, Session: a.Session, Server: a.Server, Attempt: attempt - 1})
+						handle(f, Event{Kind: EventStarted, Session: a.Session, Server: a.Server, Attempt: attempt - 1})
 					})
 					at(now+coldHold*(0.5+rng.Float64()), func() {
 						if nodes[s.node][a.Session] == s {
@@ -215,11 +215,11 @@
 			t.Fatal(err)
 		}
 		fronts[i] = &coldFront{c: c}
-		handle(fronts[i], Event{Kind: EvList, List: ListCached, Entries: entries(told)})
+		handle(fronts[i], Event{Kind: EventList, List: ListCached, Entries: entries(told)})
 	}
 	tell := func(i int, when float64) {
 		at(when, func() {
-			handle(fronts[i], Event{Kind: EvList, List: ListDelta, Entries: entries(true)[:1]})
+			handle(fronts[i], Event{Kind: EventList, List: ListDelta, Entries: entries(true)[:1]})
 		})
 	}
 	weights, all := make([]float64, p.fronts), 0.0
@@ -277,12 +277,12 @@
 				}
 			})
 		}
-		handle(fronts[i], Event{Kind: EvArrive, Session: id, Class: class, Title: uint64(title), LeftS: 3, Home: title % coldCells, Span: coldSpan, MaxRung: 3})
+		handle(fronts[i], Event{Kind: EventArrival, Session: id, Class: class, Title: uint64(title), TimeLeftS: 3, HomeCell: title % coldCells, Copies: coldSpan, MaxRung: 3})
 	}
 	at(0.1, arrive)
 	at(coldStart-0.5, func() {
 		for _, id := range slices.Sorted(maps.Keys(nodes[1])) {
-			end(id, nodes[1][id], Reset, true)
+			end(id, nodes[1][id], ConnectionReset, true)
 		}
 	})
 	const step = 0.5
@@ -301,7 +301,7 @@
 					earned += step * part * set.Classes[s.class].Worth * set.LadderWorth[s.rung]
 				}
 				if share < 0.98 && math.Mod(now, 1) < step {
-					handle(s.front, Event{Kind: EvNote, Session: id, Server: Server(i), Note: NoteShare, Value: share})
+					handle(s.front, Event{Kind: EventNote, Session: id, Server: ServerID(i), Note: NoteDeliveredShare, Value: share})
 				}
 			}
 		}
@@ -375,24 +375,24 @@
 		listed float64 // s after the failure at which the list dates a start; 0: not told
 		til    float64 // s after the failure at which the pace ends, beside the warm-up
 	}{
-		{"its process was down", Reset, true, 0, 3},
+		{"its process was down", ConnectionReset, true, 0, 3},
 		{"likewise, by a failed connection", ConnectFailed, true, 0, 3},
-		{"the list tells of the start first", Reset, true, 1, 1},
+		{"the list tells of the start first", ConnectionReset, true, 1, 1},
 		{"only out of reach", ConnectFailed, false, 0, 0},
 	} {
 		b := newBed(t, settings())
 		bad := b.mustSend(b.arrive(1, 1))
-		b.do(Event{Kind: EvEnd, Session: 1, Server: bad, Status: e.status, Down: e.down, Finished: true})
+		b.do(Event{Kind: EventAttemptEnded, Session: 1, Server: bad, Status: e.status, ProcessDown: e.down, RequestFinished: true})
 		failed, sv := b.now, b.c.servers[bad]
 		if e.listed > 0 {
 			n := sv.Entry
-			n.SinceS = failed + e.listed
+			n.StartedAtS = failed + e.listed
 			b.now += 2
-			b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{n}})
+			b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{n}})
 		}
 		b.now = failed + 3
 		for range 2 { // only the first sign of life dates it
-			b.do(Event{Kind: EvProbed, Server: bad, Load: []float64{0.1, 0.1}})
+			b.do(Event{Kind: EventProbeResult, Server: bad, Load: []float64{0.1, 0.1}})
 			b.now++
 		}
 		if want := failed + e.til + b.c.set.WarmAfterS; math.Abs(sv.coldTil-want) > 0.01 {
@@ -417,10 +417,10 @@
 		{"fills after its warm-up", 0.95, 0.02, 0.95, 5, false},
 	} {
 		b := many(t)
-		report := func(sv Server, use float64) {
-			b.do(Event{Kind: EvProbed, Server: sv, Load: []float64{use, use}})
+		report := func(sv ServerID, use float64) {
+			b.do(Event{Kind: EventProbeResult, Server: sv, Load: []float64{use, use}})
 		}
-		for sv := Server(2); sv <= 12; sv++ {
+		for sv := ServerID(2); sv <= 12; sv++ {
 			report(sv, e.all)
 		}
 		report(1, e.before)
@@ -428,7 +428,7 @@
 			b.c.servers[1].coldTil = b.now - e.warmed
 		}
 		b.now++
-		for sv := Server(2); sv <= 12; sv++ {
+		for sv := ServerID(2); sv <= 12; sv++ {
 			report(sv, e.all)
 		}
 		report(1, e.now)
--- a/control/control.go
+++ b/control/control.go
@@ -1,8 +1,6 @@
-// The decisions of a front. The interface (Settings, Event, Action) is in api.go,
-// the state that is kept in state.go.
-//
-// In the order in which a session meets them: the server list, load and room,
-// admission, attempts, notes and reports, rungs in play, and re-scoring.
+// The decisions of a manager. The interface (Settings, Event, Action) is in api.go, the state that is kept
+// in state.go. In the order in which a session meets them: the server list, load and room, admission,
+// attempts, notes and reports, rungs in play, and re-scoring.
 
 package control
 
@@ -15,14 +13,14 @@
 
 const (
 	// Slots.
-	TargetUse = 0.9 // of a link or uplink that slots may fill; room for the spread of true rates
-	penalty   = 0.5 // a refusal's cost, in parts of the worth (Eq. 6's q)
-	rescoreS  = 10  // s between re-scorings of the reserves
-	ratesS    = 30  // s of arrivals that a re-scoring measures
-	priorHold = 60  // s, a session's length until ends are seen; long errs to caution in raising rungs
-	usualGoal = 1.5 // s, the goal that all times here suit; where it is shorter, they shrink with it
-	mostSlots = 256 // slots that a re-scoring searches; it takes their square in time
-	staleS    = 12  // s after which what a report said of others' load is dropped
+	TargetUtilization = 0.9 // of a link or uplink that slots may fill; the rest absorbs spread
+	penalty           = 0.5 // a refusal's cost, in parts of the worth (Eq. 6's q)
+	rescoreS          = 10  // s between re-scorings of the reserves
+	ratesS            = 30  // s of arrivals that a re-scoring measures
+	priorHold         = 60  // s, a session's length till ends are seen; long errs to caution in raising rungs
+	usualGoal         = 1.5 // s, the goal that all times here suit; where it is shorter, they shrink with it
+	mostSlots         = 256 // slots that a re-scoring searches; it takes their square in time
+	staleS            = 12  // s after which what a report said of others' load is dropped
 
 	// Rungs in play.
 	tickS       = 0.5  // s between looks at the links; shorter answers a shortage sooner, for more CPU
@@ -86,14 +84,14 @@
 	}
 	unit := 0.0
 	for _, k := range set.Classes {
-		unit = min(max(unit, k.GoalS/usualGoal), 1)
+		unit = min(max(unit, k.StartGoalS/usualGoal), 1)
 	}
 	set = inUnits(set, unit)
 	c := &Controller{
 		set: set, unit: unit, seed: seed,
-		servers: make(map[Server]*server), sessions: make(map[SessionID]*session),
+		servers: make(map[ServerID]*server), sessions: make(map[SessionID]*session),
 		seats: make(map[seatKey]int), cells: make([][]*server, set.Cells),
-		shares: make([]bucket, len(set.Quotas)), arrivals: make([][]float64, len(set.Classes)),
+		shares: make([]bucket, len(set.TenantQuotas)), arrivals: make([][]float64, len(set.Classes)),
 		reserve: make([]float64, len(set.Classes)),
 		mix:     make([]float64, len(set.Classes)),
 		middle:  set.RatesKB[len(set.RatesKB)/2],
@@ -112,37 +110,37 @@
 // until the next call.
 func (c *Controller) Handle(now float64, e Event) []Action {
 	c.now, c.out = now/c.unit, c.out[:0]
-	e.LeftS, e.HintS = e.LeftS/c.unit, e.HintS/c.unit
+	e.TimeLeftS, e.ExpectedLengthS = e.TimeLeftS/c.unit, e.ExpectedLengthS/c.unit
 	if !c.begun {
 		c.begun, c.started, c.rescoreAt = true, c.now, c.now+rescoreS/5
 		c.wake(tickS, tokenTick)
-		if c.set.Subscribe {
-			c.emit(Action{Kind: ActWatch})
+		if c.set.SubscribeToList {
+			c.emit(Action{Kind: ActionSubscribe})
 		}
 	}
 	switch s := c.sessions[e.Session]; {
-	case e.Kind == EvList:
+	case e.Kind == EventList:
 		c.onList(e)
-	case e.Kind == EvArrive:
+	case e.Kind == EventArrival:
 		c.onArrive(e)
-	case e.Kind == EvOpen:
+	case e.Kind == EventEstablished:
 		c.onOpen(e)
-	case e.Kind == EvTimer:
+	case e.Kind == EventTimer:
 		c.onTimer(e.Token)
-	case e.Kind == EvProbed:
+	case e.Kind == EventProbeResult:
 		c.onProbed(e)
-	case e.Kind == EvHold || e.Kind == EvRation:
+	case e.Kind == EventHold || e.Kind == EventRation:
 		c.planned(e)
 	case s == nil: // the rest is news of a session; this one has ended
-	case e.Kind == EvFirst:
+	case e.Kind == EventStarted:
 		c.onFirst(s, e)
-	case e.Kind == EvEnd:
+	case e.Kind == EventAttemptEnded:
 		c.onEnd(s, e)
-	case e.Kind == EvAborted:
+	case e.Kind == EventAbandoned:
 		if s.gone = true; s.server == nil { // else its attempt still gets an end
 			delete(c.sessions, s.id)
 		}
-	case e.Kind == EvNote:
+	case e.Kind == EventNote:
 		c.onNote(s, e)
 	}
 	return c.inSeconds()
@@ -152,7 +150,7 @@
 
 func (c *Controller) onList(e Event) {
 	if e.List == ListFailed {
-		if c.set.Subscribe {
+		if c.set.SubscribeToList {
 			c.wake(1, tokenWatch)
 		}
 		return
@@ -169,7 +167,7 @@
 }
 
 func (c *Controller) listEntry(n Entry) {
-	n.SinceS /= c.unit
+	n.StartedAtS /= c.unit
 	if n.Cell < 0 || n.Cell >= c.set.Cells {
 		return
 	}
@@ -179,7 +177,7 @@
 		c.servers[n.Server] = sv
 		c.order = append(c.order, sv)
 	}
-	if n.SinceS > sv.SinceS && n.SinceS+c.set.WarmAfterS > c.now {
+	if n.StartedAtS > sv.StartedAtS && n.StartedAtS+c.set.WarmAfterS > c.now {
 		c.welcome(sv, n)
 	}
 	sv.Entry, sv.rack = n, c.racks[n.Cell%len(c.racks)]
@@ -196,11 +194,11 @@
 
 // pace is the least time between this front's sends to a cold server.
 func (c *Controller) pace(sv *server) float64 {
-	rate := c.set.FallMultiple * c.streams(sv) * c.set.StartCapacity * paceShare
+	rate := c.set.ColdSetupMultiple * c.streams(sv) * c.set.StartCapacityShare * paceShare
 	if rate <= 0 {
 		return 0
 	}
-	return c.set.WarmAfterS * float64(c.set.Fronts) / rate
+	return c.set.WarmAfterS * float64(c.set.Managers) / rate
 }
 
 // admitCold tells whether a session may be sent to a cold server at all. Each front's
@@ -243,7 +241,7 @@
 	if c.fleetUse.seen {
 		return max(c.fleetUse.v/c.links()*c.link(sv)-sv.own, 0)
 	}
-	return c.own * float64(c.set.Fronts-1) / float64(max(len(c.order), 1))
+	return c.own * float64(c.set.Managers-1) / float64(max(len(c.order), 1))
 }
 
 func (c *Controller) othersOnRack(r *rack) float64 {
@@ -251,7 +249,7 @@
 		return r.others
 	}
 	if c.rackUse.seen {
-		return max(c.rackUse.v/c.links()*c.set.RackKB-r.own, 0)
+		return max(c.rackUse.v/c.links()*c.set.RackUplinkKB-r.own, 0)
 	}
 	if c.fleetUse.seen { // how racks differ is not told; a guess sends all fronts to the same one
 		return max(c.fleetUse.v/float64(len(c.racks))-r.own, 0)
@@ -265,13 +263,13 @@
 
 // use is the share of the tighter of link and uplink that is asked for.
 func (c *Controller) use(sv *server) float64 {
-	return max((sv.own+c.othersOn(sv))/c.link(sv), (sv.rack.own+c.othersOnRack(sv.rack))/c.set.RackKB)
+	return max((sv.own+c.othersOn(sv))/c.link(sv), (sv.rack.own+c.othersOnRack(sv.rack))/c.set.RackUplinkKB)
 }
 
 // room is what is free of a server's slots, in kB a second.
 func (c *Controller) room(sv *server) float64 {
 	others := c.othersOn(sv)
-	room := min(TargetUse*c.link(sv)-sv.own-others, c.rackRoom(sv.rack))
+	room := min(TargetUtilization*c.link(sv)-sv.own-others, c.rackRoom(sv.rack))
 	if held := float64(len(sv.sessions)) + others/c.meanSize(); held+1 > c.streams(sv) {
 		return min(room, 0)
 	}
@@ -299,7 +297,7 @@
 		return
 	}
 	if e.Class < 0 || e.Class >= len(c.set.Classes) {
-		c.emit(Action{Kind: ActDeny, Session: e.Session, WaitS: awayS})
+		c.emit(Action{Kind: ActionRefuse, Session: e.Session, RetryAfterS: awayS})
 		return
 	}
 	s := c.newSession(e)
@@ -309,7 +307,7 @@
 		c.takenAt = append(c.takenAt, c.now)
 	}
 	if c.flooded(e.Tenant) && max(c.fleetUse.v, c.rackUse.v) > slackUse*c.links() || c.rationed(s) {
-		c.answer(s, ActDeny)
+		c.answer(s, ActionRefuse)
 		return
 	}
 	c.place(s)
@@ -320,11 +318,11 @@
 // or they take the room of sessions that are worth ten times as much. It harms
 // where the front's own viewers of a tenant are many by chance.
 func (c *Controller) flooded(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.set.Quotas) || c.set.Quotas[tenant] <= 0 {
+	if tenant < 0 || tenant >= len(c.set.TenantQuotas) || c.set.TenantQuotas[tenant] <= 0 {
 		return false
 	}
 	b := &c.shares[tenant]
-	rate := floodTimes * c.set.Quotas[tenant] / float64(c.set.Fronts)
+	rate := floodTimes * c.set.TenantQuotas[tenant] / float64(c.set.Managers)
 	b.left, b.at = min(b.left+(c.now-b.at)*rate, floodBurst), c.now
 	if b.left < 1 {
 		return true
@@ -335,20 +333,20 @@
 
 func (c *Controller) newSession(e Event) *session {
 	k := c.set.Classes[e.Class]
-	left := e.LeftS
+	left := e.TimeLeftS
 	if !notNegative(left) {
 		left = 0
 	}
 	s := &session{
-		id: e.Session, class: e.Class, title: e.Title, home: e.Home, span: e.Span,
-		rung: k.Floor, worth: k.Worth, deadline: c.now + left, goal: c.now + k.GoalS,
-		top: min(k.Top, len(c.set.RatesKB)-1), own: e.Own,
+		id: e.Session, class: e.Class, title: e.Title, home: e.HomeCell, span: e.Copies,
+		rung: k.FloorRung, worth: k.Worth, deadline: c.now + left, goal: c.now + k.StartGoalS,
+		top: min(k.TopRung, len(c.set.RatesKB)-1), own: e.InPeak,
 	}
 	if e.MaxRung < float64(s.top) {
 		s.top = int(max(e.MaxRung, -1))
 	}
-	if positive(e.HintS) {
-		s.hintEnd = c.now + e.HintS
+	if positive(e.ExpectedLengthS) {
+		s.hintEnd = c.now + e.ExpectedLengthS
 	}
 	c.sessions[s.id] = s
 	return s
@@ -370,8 +368,8 @@
 func (c *Controller) place(s *session) {
 	k := &c.set.Classes[s.class]
 	if c.now >= s.deadline-marginS || s.attempt >= c.set.AttemptsCap || s.attempt > 0 && !c.mayRepeat() ||
-		s.top < k.Floor || k.Seats > 0 && c.seats[seatKey{s.title, s.class}] >= k.Seats {
-		c.answer(s, ActDeny)
+		s.top < k.FloorRung || k.MaxPerTitle > 0 && c.seats[seatKey{s.title, s.class}] >= k.MaxPerTitle {
+		c.answer(s, ActionRefuse)
 		return
 	}
 	if c.ask(s) {
@@ -380,7 +378,7 @@
 	}
 	list, later := c.holders(s)
 	for _, h := range list {
-		if free := c.free(h.sv, s); free >= c.size(s, k.Floor) {
+		if free := c.free(h.sv, s); free >= c.size(s, k.FloorRung) {
 			c.send(s, h.sv, c.fit(s, h.sv, free))
 			return
 		}
@@ -391,11 +389,11 @@
 	}
 	for _, h := range list {
 		if c.makeRoom(s, h.sv) {
-			c.send(s, h.sv, k.Floor)
+			c.send(s, h.sv, k.FloorRung)
 			return
 		}
 	}
-	c.answer(s, ActDeny)
+	c.answer(s, ActionRefuse)
 }
 
 // makeRoom lowers sessions in play on a full holder, where that costs less than a
@@ -405,7 +403,7 @@
 	if c.quiet(sv, 0) > roomLife || float64(len(sv.sessions)+1)+c.othersOn(sv)/c.meanSize() > c.streams(sv) {
 		return false
 	}
-	floor := c.set.Classes[s.class].Floor
+	floor := c.set.Classes[s.class].FloorRung
 	need := c.size(s, floor) - c.free(sv, s)
 	gain := s.worth * c.set.LadderWorth[floor] * c.hold()
 	var down []*session
@@ -413,12 +411,12 @@
 		var best *session
 		cost, freed := 0.0, 0.0
 		for _, o := range sv.sessions {
-			if !o.playing || o.rung <= c.set.Classes[o.class].Floor || slices.Contains(down, o) {
+			if !o.playing || o.rung <= c.set.Classes[o.class].FloorRung || slices.Contains(down, o) {
 				continue
 			}
 			kb := c.size(o, o.rung) - c.size(o, o.rung-1)
 			loss := o.worth * (c.set.LadderWorth[o.rung] - c.set.LadderWorth[o.rung-1]) * c.leftOf(o)
-			if loss += o.worth * c.set.SwitchS; best == nil || loss/kb < cost/freed {
+			if loss += o.worth * c.set.RungChangeCostS; best == nil || loss/kb < cost/freed {
 				best, cost, freed = o, loss, kb
 			}
 		}
@@ -445,7 +443,7 @@
 // session is placed, and tells whether an answer is still awaited. Each probe is
 // priced; where they are dear, none is made here.
 func (c *Controller) ask(s *session) bool {
-	if s.askTil > 0 || c.set.Feed == FeedNone || !c.set.Probes || c.dear {
+	if s.askTil > 0 || c.set.LoadReporting == LoadReportsNone || !c.set.ProbesAllowed || c.dear {
 		return c.now < s.askTil-tinyS && c.probesOut > 0
 	}
 	s.askTil = c.now
@@ -534,14 +532,14 @@
 // part of the room: the rung it would have if this front's sessions there were
 // levelled out over what they may fill.
 func (c *Controller) fit(s *session, sv *server, free float64) int {
-	floor := c.set.Classes[s.class].Floor
+	floor := c.set.Classes[s.class].FloorRung
 	if c.now-sv.seenAt >= staleS && c.fleetUse.seen && !c.dear {
 		return floor
 	}
 	list := append(append([]*session(nil), sv.sessions...), s)
-	part := 1 - roomPart*(1-1/float64(c.set.Fronts)) // the others' arrivals count on the rest
+	part := 1 - roomPart*(1-1/float64(c.set.Managers)) // the others' arrivals count on the rest
 	kb := sv.own + free*part
-	if c.slots(sv) < c.middle*float64(c.set.Fronts) {
+	if c.slots(sv) < c.middle*float64(c.set.Managers) {
 		list, kb = c.fleetShare(s)
 	}
 	rung := c.level(list, kb)[len(list)-1]
@@ -563,9 +561,9 @@
 	list = append(list, s)
 	n := float64(len(list))
 	if c.crowd.seen {
-		return list, n / (n + evenHeld) * TargetUse * c.links() / c.crowd.v
+		return list, n / (n + evenHeld) * TargetUtilization * c.links() / c.crowd.v
 	}
-	return list, min(TargetUse*c.links()/float64(c.set.Fronts), n*c.middle)
+	return list, min(TargetUtilization*c.links()/float64(c.set.Managers), n*c.middle)
 }
 
 // level gives each session the rung that earns most within kb: from the floors
@@ -573,7 +571,7 @@
 func (c *Controller) level(list []*session, kb float64) []int {
 	rungs := make([]int, len(list))
 	for i, s := range list {
-		rungs[i] = c.set.Classes[s.class].Floor
+		rungs[i] = c.set.Classes[s.class].FloorRung
 		kb -= c.size(s, rungs[i])
 	}
 	for {
@@ -624,20 +622,20 @@
 	s.attempt++
 	s.sentAt, s.rung = c.now, rung
 	sv.nextSend = c.now + c.pace(sv)
-	c.emit(Action{Kind: ActRung, Session: s.id, Rung: rung})
+	c.emit(Action{Kind: ActionSetRung, Session: s.id, Rung: rung})
 	patience := 0.0 // an early time-out of a set-up that must not run twice forfeits it
-	if left := s.goal - c.now; k.Effect != AtMostOnce && left > 0 {
+	if left := s.goal - c.now; k.RepeatEffect != AtMostOnce && left > 0 {
 		patience = max(left/2, patienceS)
 	}
-	c.emit(Action{Kind: ActHandOff, Session: s.id, Server: sv.Server, PatienceS: patience})
+	c.emit(Action{Kind: ActionSetUp, Session: s.id, Server: sv.Server, SetupTimeoutS: patience})
 	c.attach(s, sv)
 }
 
 // answer gives the final answer to a session that has no attempt out.
 func (c *Controller) answer(s *session, kind ActionKind) {
 	a := Action{Kind: kind, Session: s.id}
-	if kind == ActDeny {
-		a.WaitS = c.away(s)
+	if kind == ActionRefuse {
+		a.RetryAfterS = c.away(s)
 	}
 	c.emit(a)
 	s.gone = true
@@ -667,14 +665,14 @@
 	c.onLoad(sv, e.Load)
 	c.detach(s)
 	c.judge(s, sv, e)
-	if e.Finished || s.gone {
+	if e.RequestFinished || s.gone {
 		delete(c.sessions, s.id)
 		return
 	}
 	s.tried = append(s.tried, sv)
-	unseen := e.Status == Full || e.Status == ConnectFailed || e.Status == Moot
-	if !unseen && c.set.Classes[s.class].Effect != Idempotent { // it may have run, and must not run twice
-		c.answer(s, ActFail)
+	unseen := e.Status == Full || e.Status == ConnectFailed || e.Status == NotSent
+	if !unseen && c.set.Classes[s.class].RepeatEffect != Idempotent { // it may have run, not to be repeated
+		c.answer(s, ActionFail)
 		return
 	}
 	c.place(s)
@@ -685,10 +683,10 @@
 // serves others, or a few bad viewers would rest the whole fleet.
 func (c *Controller) judge(s *session, sv *server, e Event) {
 	switch e.Status {
-	case OK, Cancelled, Moot:
+	case OK, Cancelled, NotSent:
 		return
-	case Reset, ConnectFailed: // its process may be gone or have come back cold
-		if e.Confined {
+	case ConnectionReset, ConnectFailed: // its process may be gone or have come back cold
+		if e.ConnectionOnly {
 			return
 		}
 		c.markCold(sv, c.now)
@@ -705,8 +703,8 @@
 		}
 	case Full:
 		c.heard(sv)
-		if c.set.Guard > 0 {
-			sv.observe(c.now, max(c.set.Guard*c.link(sv), sv.own+c.othersOn(sv)), smooth)
+		if c.set.FullAtUtilization > 0 {
+			sv.observe(c.now, max(c.set.FullAtUtilization*c.link(sv), sv.own+c.othersOn(sv)), smooth)
 		}
 	}
 	c.rest(sv, e)
@@ -734,8 +732,8 @@
 		return
 	}
 	c.lost[sv.Zone] = 0
-	at := c.now - c.set.SeeS
-	if e.Note != NoteShare && c.now-s.sentAt < c.set.SeeS { // sent at set-up: of now
+	at := c.now - c.set.NoteDelayS
+	if e.Note != NoteDeliveredShare && c.now-s.sentAt < c.set.NoteDelayS { // sent at set-up: of now
 		at = c.now
 	}
 	switch e.Note {
@@ -744,15 +742,15 @@
 			s.rung = r
 			c.account(sv)
 		}
-	case NoteShare:
+	case NoteDeliveredShare:
 		kb := c.link(sv) / max(e.Value, leastShare)
 		if e.Value < fullShare && kb > sv.own+c.othersOn(sv) {
 			sv.observe(at, kb, 1) // smoothed where it is measured
 		}
-	case NoteLink:
+	case NoteLinkUtilization:
 		sv.observe(at, e.Value*c.link(sv), smooth)
-	case NoteUplink:
-		sv.rack.observe(at, e.Value*c.set.RackKB, smooth)
+	case NoteUplinkUtilization:
+		sv.rack.observe(at, e.Value*c.set.RackUplinkKB, smooth)
 	}
 }
 
@@ -761,7 +759,7 @@
 	if sv := c.servers[e.Server]; sv != nil && e.Status == OK {
 		c.heard(sv)
 		c.onLoad(sv, e.Load)
-	} else if sv != nil && e.Status != Moot && c.quiet(sv, 0) > patienceS {
+	} else if sv != nil && e.Status != NotSent && c.quiet(sv, 0) > patienceS {
 		c.rest(sv, e)
 	}
 	c.placeWaiting(true)
@@ -770,10 +768,10 @@
 func (c *Controller) onLoad(sv *server, load []float64) {
 	at, tight := c.now-reportLagS, -1.0 // the tighter use; other fields, such as counts, say nothing of it
 	for i, v := range load {
-		if sv == nil || i >= len(c.set.Fields) || !notNegative(v) || v > 100 {
+		if sv == nil || i >= len(c.set.LoadFields) || !notNegative(v) || v > 100 {
 			continue
 		}
-		switch c.set.Fields[i] {
+		switch c.set.LoadFields[i] {
 		case "x0", "load_share": // at its cap, a share of load says no more than that
 			tight = max(tight, v)
 			kb := v * c.link(sv)
@@ -781,13 +779,13 @@
 				c.markCold(sv, at)
 			}
 			c.fleetUse.add(min(v, 2) * c.links())
-			if c.set.Fields[i] == "x0" || v < capped || kb > sv.own+c.othersOn(sv) {
+			if c.set.LoadFields[i] == "x0" || v < capped || kb > sv.own+c.othersOn(sv) {
 				sv.observe(at, kb, smoothLoad)
 			}
 		case "x1":
 			tight = max(tight, v)
 			c.rackUse.add(min(v, 2) * c.links())
-			sv.rack.observe(at, v*c.set.RackKB, smoothLoad)
+			sv.rack.observe(at, v*c.set.RackUplinkKB, smoothLoad)
 		}
 	}
 	if tight >= 0 {
@@ -802,7 +800,7 @@
 	case tokenPace:
 		c.placeWaiting(false)
 	case tokenWatch:
-		c.emit(Action{Kind: ActWatch})
+		c.emit(Action{Kind: ActionSubscribe})
 	case tokenTick:
 		c.wake(tickS, tokenTick)
 		c.placeWaiting(false)
@@ -835,7 +833,7 @@
 // way. Where probes are dear it asks one at a time, of the rack that was heard of
 // least lately, as often as its arrivals pay for: so fronts don't ask in step.
 func (c *Controller) probeAll() {
-	if c.set.Feed != FeedProbe || !c.set.Probes {
+	if c.set.LoadReporting != LoadReportsInProbes || !c.set.ProbesAllowed {
 		return
 	}
 	var best *server
@@ -865,7 +863,7 @@
 		for _, sv := range r.servers {
 			list = append(list, sv.sessions...)
 		}
-		c.ease(&r.pipe, list, (r.own+c.othersOnRack(r))/c.set.RackKB)
+		c.ease(&r.pipe, list, (r.own+c.othersOnRack(r))/c.set.RackUplinkKB)
 	}
 	for _, sv := range c.order {
 		if len(sv.sessions) == 0 {
@@ -907,7 +905,7 @@
 		}
 		gain := c.set.LadderWorth[to] - c.set.LadderWorth[s.rung]
 		need := c.size(s, to) - c.size(s, s.rung)
-		if gain*c.leftOf(s) > raiseGain*c.set.SwitchS && c.draw()*need < kb {
+		if gain*c.leftOf(s) > raiseGain*c.set.RungChangeCostS && c.draw()*need < kb {
 			kb -= need
 			c.setRung(s, to)
 		}
@@ -942,11 +940,12 @@
 	lambda, v, q := make([]float64, len(held)), make([]float64, len(held)), make([]float64, len(held))
 	total := 0.0
 	for k := range held {
-		size, worth := c.set.Classes[k].Scale, c.set.Classes[k].Worth*c.set.LadderWorth[len(c.set.RatesKB)/2]
+		size, worth := c.set.Classes[k].RateScale,
+			c.set.Classes[k].Worth*c.set.LadderWorth[len(c.set.RatesKB)/2]
 		if count[k] > 0 {
 			size, worth = held[k]/count[k], earned[k]/count[k]
 		}
-		lambda[k] = c.rate(k) * float64(c.set.Fronts) / servers * size
+		lambda[k] = c.rate(k) * float64(c.set.Managers) / servers * size
 		v[k] = worth / size
 		q[k] = penalty * v[k]
 		total += lambda[k]
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -35,15 +35,15 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Effect: AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 4, Scale: 1.2, Seats: 3},
-			{Effect: Idempotent, GoalS: 1, Worth: 1, Floor: 0, Top: 3, Scale: 1},
+			{RepeatEffect: AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 4, RateScale: 1.2, MaxPerTitle: 3},
+			{RepeatEffect: Idempotent, StartGoalS: 1, Worth: 1, FloorRung: 0, TopRung: 3, RateScale: 1},
 		},
-		Fronts:  1,
-		RatesKB: []float64{100, 200, 400, 700, 1200}, LadderWorth: []float64{0.2, 0.4, 0.6, 0.8, 1},
-		KindStreams: []int{30}, Cells: 4, Racks: 2, FleetKB: 16000, LinkKB: 4000, RackKB: 8000,
-		Guard: 1, SeeS: 1, SwitchS: 0.5,
-		Feed: FeedAnswers, Fields: []string{"x0", "x1"}, AttemptsCap: 4,
-		FallMultiple: 2, StartCapacity: 0.4, WarmAfterS: 10,
+		Managers: 1,
+		RatesKB:  []float64{100, 200, 400, 700, 1200}, LadderWorth: []float64{0.2, 0.4, 0.6, 0.8, 1},
+		MaxStreamsByKind: []int{30}, Cells: 4, Racks: 2, FleetLinkKB: 16000, LinkKBPerWeight: 4000, RackUplinkKB: 8000,
+		FullAtUtilization: 1, NoteDelayS: 1, RungChangeCostS: 0.5,
+		LoadReporting: LoadReportsInAnswers, LoadFields: []string{"x0", "x1"}, AttemptsCap: 4,
+		ColdSetupMultiple: 2, StartCapacityShare: 0.4, WarmAfterS: 10,
 	}
 }
 
@@ -70,31 +70,31 @@
 	return append([]Action(nil), b.c.Handle(b.now, e)...)
 }
 
-func (b *bed) list(kind ListKind, states ...State) {
-	e := Event{Kind: EvList, List: kind}
+func (b *bed) list(kind ListKind, states ...ServerState) {
+	e := Event{Kind: EventList, List: kind}
 	for i, s := range states {
-		e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: s, Cell: i, Weight: 1})
+		e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: s, Cell: i, Weight: 1})
 	}
 	b.do(e)
 }
 
 func (b *bed) arrive(id SessionID, class int) []Action {
-	return b.do(Event{Kind: EvArrive, Session: id, Class: class, Title: 9, LeftS: 5, Span: 4, MaxRung: 4})
+	return b.do(Event{Kind: EventArrival, Session: id, Class: class, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4})
 }
 
 // answered answers the probes among acts, and returns all that was done.
 func (b *bed) answered(acts []Action, load float64) []Action {
 	all := append([]Action(nil), acts...)
 	for _, a := range acts {
-		if a.Kind == ActProbe {
-			all = append(all, b.do(Event{Kind: EvProbed, Server: a.Server, Load: []float64{load, load}})...)
+		if a.Kind == ActionProbe {
+			all = append(all, b.do(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{load, load}})...)
 		}
 	}
 	return all
 }
 
-func (b *bed) end(id SessionID, attempt int, on Server, st Status, finished bool) []Action {
-	return b.do(Event{Kind: EvEnd, Session: id, Attempt: attempt, Server: on, Status: st, Finished: finished})
+func (b *bed) end(id SessionID, attempt int, on ServerID, st Status, finished bool) []Action {
+	return b.do(Event{Kind: EventAttemptEnded, Session: id, Attempt: attempt, Server: on, Status: st, RequestFinished: finished})
 }
 
 func find(acts []Action, kind ActionKind) *Action {
@@ -106,9 +106,9 @@
 	return nil
 }
 
-func (b *bed) mustSend(acts []Action) Server {
+func (b *bed) mustSend(acts []Action) ServerID {
 	b.t.Helper()
-	a := find(acts, ActHandOff)
+	a := find(acts, ActionSetUp)
 	if a == nil {
 		b.t.Fatalf("no HandOff in %+v", acts)
 	}
@@ -165,18 +165,18 @@
 		status Status
 		want   ActionKind
 	}{
-		{Errored, ActFail}, {TimedOut, ActFail}, {Reset, ActFail}, {Cancelled, ActFail},
-		{Full, ActHandOff}, {ConnectFailed, ActHandOff}, {Moot, ActHandOff},
+		{Errored, ActionFail}, {TimedOut, ActionFail}, {ConnectionReset, ActionFail}, {Cancelled, ActionFail},
+		{Full, ActionSetUp}, {ConnectFailed, ActionSetUp}, {NotSent, ActionSetUp},
 	} {
 		b := newBed(t, settings())
 		acts := b.arrive(1, 0)
 		sv := b.mustSend(acts)
-		if p := find(acts, ActHandOff).PatienceS; p != 0 {
+		if p := find(acts, ActionSetUp).SetupTimeoutS; p != 0 {
 			t.Errorf("a set-up that can't be repeated has a time-out of %v", p)
 		}
 		b.now += 0.2
 		acts = b.end(1, 0, sv, e.status, false)
-		for _, k := range []ActionKind{ActFail, ActHandOff, ActDeny} {
+		for _, k := range []ActionKind{ActionFail, ActionSetUp, ActionRefuse} {
 			if got := find(acts, k) != nil; got != (k == e.want) {
 				t.Errorf("after %d: action %d is %v: %+v", e.status, k, got, acts)
 			}
@@ -185,7 +185,7 @@
 }
 
 func TestTimeOutAtTheDeadlineIsAnsweredAtOnce(t *testing.T) {
-	for class, want := range []ActionKind{ActFail, ActDeny} {
+	for class, want := range []ActionKind{ActionFail, ActionRefuse} {
 		b := newBed(t, settings())
 		sv := b.mustSend(b.arrive(1, class))
 		b.now += 5
@@ -201,7 +201,7 @@
 	for range 20 {
 		b.now += 0.1
 		for _, tok := range []uint32{tokenTick, tokenPace} {
-			if acts := b.do(Event{Kind: EvTimer, Token: tok}); find(acts, ActHandOff) != nil {
+			if acts := b.do(Event{Kind: EventTimer, Token: tok}); find(acts, ActionSetUp) != nil {
 				t.Fatal("a second attempt while one is out")
 			}
 		}
@@ -212,16 +212,16 @@
 	for _, e := range []struct {
 		name   string
 		kind   ListKind
-		states []State
+		states []ServerState
 	}{
-		{"draining", ListDelta, []State{Draining, Draining, Draining}},
-		{"gone", ListDelta, []State{Gone, Gone, Gone}},
+		{"draining", ListDelta, []ServerState{Draining, Draining, Draining}},
+		{"gone", ListDelta, []ServerState{Gone, Gone, Gone}},
 		{"missing from a full list", ListFull, nil},
 	} {
 		b := newBed(t, settings())
 		b.list(e.kind, e.states...)
 		if e.kind == ListFull {
-			b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{{Server: 4, State: Ready, Cell: 3, Weight: 1}}})
+			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 4, State: Ready, Cell: 3, Weight: 1}}})
 		}
 		for id := SessionID(1); id < 4; id++ {
 			if sv := b.mustSend(b.arrive(id, 1)); sv != 4 {
@@ -238,35 +238,35 @@
 		warm func(*bed)
 	}{
 		{"listed as fresh", func(b *bed) {
-			b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-				{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5}}})
+			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+				{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 		}},
 		{"seen to break", func(b *bed) {
 			b.list(ListFull, Ready)
 			sv := b.mustSend(b.arrive(99, 1))
-			b.end(99, 0, sv, Reset, true)
+			b.end(99, 0, sv, ConnectionReset, true)
 			b.now += restS * 2
 		}},
 		{"listed as fresh to a young front", func(b *bed) {
 			b.c.started = b.now
-			b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-				{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5}}})
+			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+				{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 		}},
 	} {
 		set := settings()
-		set.Fronts = 3
+		set.Managers = 3
 		b := newBed(t, set)
 		e.warm(b)
-		allowed := set.FallMultiple * 30 / set.WarmAfterS * set.StartCapacity / float64(set.Fronts)
+		allowed := set.ColdSetupMultiple * 30 / set.WarmAfterS * set.StartCapacityShare / float64(set.Managers)
 		sends := 0
 		for i := range 30 { // three seconds
 			b.now += 0.1
 			id := SessionID(i + 1)
-			if a := find(b.arrive(id, 1), ActHandOff); a != nil {
+			if a := find(b.arrive(id, 1), ActionSetUp); a != nil {
 				sends++
 				b.end(id, 0, a.Server, OK, true)
 			}
-			if a := find(b.do(Event{Kind: EvTimer, Token: tokenPace}), ActHandOff); a != nil {
+			if a := find(b.do(Event{Kind: EventTimer, Token: tokenPace}), ActionSetUp); a != nil {
 				sends++
 				b.end(a.Session, 0, a.Server, OK, true)
 			}
@@ -283,7 +283,7 @@
 // a tenth of the fleet restarting paid for it in handshakes and refusals.
 func TestYoungFrontSendsToWarmServers(t *testing.T) {
 	set := settings()
-	set.Fronts = 3
+	set.Managers = 3
 	b := newBed(t, set)
 	b.list(ListFull, Ready) // up since before the list began
 	b.c.started = b.now
@@ -297,11 +297,11 @@
 
 func TestPaceWakesDoNotMultiply(t *testing.T) {
 	b := newBed(t, settings())
-	b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5}}})
+	b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 	wakes := 0
 	for id := SessionID(1); id <= 40; id++ {
 		for _, a := range b.arrive(id, 1) {
-			if a.Kind == ActWake && a.Token == tokenPace {
+			if a.Kind == ActionSetTimer && a.Token == tokenPace {
 				wakes++
 			}
 		}
@@ -309,8 +309,8 @@
 	kept := len(b.c.waiting)
 	b.now = b.c.waiting[0].keptTil
 	for range 50 { // all fire in one batch
-		for _, a := range b.do(Event{Kind: EvTimer, Token: tokenPace}) {
-			if a.Kind == ActWake {
+		for _, a := range b.do(Event{Kind: EventTimer, Token: tokenPace}) {
+			if a.Kind == ActionSetTimer {
 				wakes++
 			}
 		}
@@ -324,16 +324,16 @@
 	b := newBed(t, settings())
 	for id := SessionID(1); id <= 4; id++ {
 		acts := b.arrive(id, 0)
-		if got := find(acts, ActHandOff) != nil; got != (id <= 3) {
+		if got := find(acts, ActionSetUp) != nil; got != (id <= 3) {
 			t.Errorf("session %d of a title with 3 seats: sent is %v", id, got)
 		}
-		if a := find(acts, ActRung); a != nil && a.Rung < 1 {
+		if a := find(acts, ActionSetRung); a != nil && a.Rung < 1 {
 			t.Errorf("rung %d under the floor", a.Rung)
 		}
 	}
 	b = newBed(t, settings())
-	acts := b.do(Event{Kind: EvArrive, Session: 1, LeftS: 3, Span: 4, MaxRung: 0})
-	if find(acts, ActDeny) == nil || find(acts, ActHandOff) != nil {
+	acts := b.do(Event{Kind: EventArrival, Session: 1, TimeLeftS: 3, Copies: 4, MaxRung: 0})
+	if find(acts, ActionRefuse) == nil || find(acts, ActionSetUp) != nil {
 		t.Errorf("a viewer whose best rung is under the floor: %+v", acts)
 	}
 }
@@ -345,9 +345,9 @@
 	further := 0
 	for id := SessionID(1); id <= 3; id++ {
 		sv := b.mustSend(b.arrive(id, 1))
-		if acts := b.end(id, 0, sv, Moot, false); find(acts, ActHandOff) != nil {
+		if acts := b.end(id, 0, sv, NotSent, false); find(acts, ActionSetUp) != nil {
 			further++
-		} else if find(acts, ActDeny) == nil {
+		} else if find(acts, ActionRefuse) == nil {
 			t.Errorf("no answer in %+v", acts)
 		}
 		b.now += 0.1
@@ -359,10 +359,10 @@
 
 func TestDeduplicatedRunsOnce(t *testing.T) {
 	set := settings()
-	set.Classes[1].Effect = Deduplicated
+	set.Classes[1].RepeatEffect = Deduplicated
 	b := newBed(t, set)
 	sv := b.mustSend(b.arrive(1, 1))
-	if acts := b.end(1, 0, sv, Errored, false); find(acts, ActFail) == nil || find(acts, ActHandOff) != nil {
+	if acts := b.end(1, 0, sv, Errored, false); find(acts, ActionFail) == nil || find(acts, ActionSetUp) != nil {
 		t.Errorf("after an attempt that may have run: %+v", acts)
 	}
 }
@@ -371,15 +371,15 @@
 // other class fills all that is shared, and is refused at once beyond it.
 func TestReserveThenShared(t *testing.T) {
 	set := settings()
-	set.Classes[0].Seats = 0
+	set.Classes[0].MaxPerTitle = 0
 	b := newBed(t, set)
 	b.list(ListFull, Ready)
 	b.c.meanSlots, b.c.reserve = 9, []float64{3, 0} // of 9 slots of 400 kB/s
 	free := 0
 	for id := SessionID(1); id <= 100; id++ {
-		acts := b.do(Event{Kind: EvArrive, Session: id, Class: 1, Title: 9, LeftS: 5, Span: 4, MaxRung: 2})
-		if find(acts, ActHandOff) == nil {
-			if find(acts, ActDeny) == nil {
+		acts := b.do(Event{Kind: EventArrival, Session: id, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 2})
+		if find(acts, ActionSetUp) == nil {
+			if find(acts, ActionRefuse) == nil {
 				t.Fatalf("not refused at once: %+v", acts)
 			}
 			break
@@ -390,12 +390,12 @@
 	if sv.own > 6*400 || free < 5 {
 		t.Errorf("the free class fills %v kB/s with %d sessions, %v shared", sv.own, free, 6*400)
 	}
-	b.mustSend(b.do(Event{Kind: EvArrive, Session: 200, Class: 0, Title: 9, LeftS: 3, Span: 4, MaxRung: 2}))
+	b.mustSend(b.do(Event{Kind: EventArrival, Session: 200, Class: 0, Title: 9, TimeLeftS: 3, Copies: 4, MaxRung: 2}))
 }
 
 func TestLeastUsedHolder(t *testing.T) {
 	b := newBed(t, settings())
-	seen := map[Server]bool{}
+	seen := map[ServerID]bool{}
 	for id := SessionID(1); id <= 4; id++ {
 		seen[b.mustSend(b.arrive(id, 1))] = true
 	}
@@ -408,11 +408,11 @@
 func TestShortageLowersRungs(t *testing.T) {
 	b := newBed(t, settings())
 	sv := b.mustSend(b.arrive(1, 0))
-	b.do(Event{Kind: EvFirst, Session: 1, Server: sv})
+	b.do(Event{Kind: EventStarted, Session: 1, Server: sv})
 	for range 6 {
 		b.now += 1.5
-		b.do(Event{Kind: EvNote, Session: 1, Note: NoteLink, Value: 3, Server: sv})
-		b.do(Event{Kind: EvTimer, Token: tokenTick})
+		b.do(Event{Kind: EventNote, Session: 1, Note: NoteLinkUtilization, Value: 3, Server: sv})
+		b.do(Event{Kind: EventTimer, Token: tokenTick})
 	}
 	if r := b.c.sessions[1].rung; r != 1 {
 		t.Errorf("rung %d after a lasting shortage, want the floor 1", r)
@@ -443,7 +443,7 @@
 		bad := b.mustSend(b.arrive(1, 1))
 		sv, title := b.c.servers[bad], b.c.sessions[1].title
 		if e.played {
-			b.do(Event{Kind: EvFirst, Session: 1, Server: bad})
+			b.do(Event{Kind: EventStarted, Session: 1, Server: bad})
 		}
 		b.end(1, 0, bad, OK, true)
 		for range e.errors {
@@ -466,18 +466,18 @@
 		life  bool
 		rests bool
 	}{
-		{Event{Status: Reset}, false, true}, {Event{Status: Reset, Confined: true}, false, false},
+		{Event{Status: ConnectionReset}, false, true}, {Event{Status: ConnectionReset, ConnectionOnly: true}, false, false},
 		{Event{Status: TimedOut}, false, true}, {Event{Status: TimedOut}, true, false},
 	} {
 		b := newBed(t, settings())
 		bad := b.mustSend(b.arrive(1, 1))
 		b.now += 2 * silentS
 		if e.life {
-			b.do(Event{Kind: EvProbed, Server: bad, Load: []float64{0.1, 0.1}})
+			b.do(Event{Kind: EventProbeResult, Server: bad, Load: []float64{0.1, 0.1}})
 		}
-		e.end.Kind, e.end.Session, e.end.Server, e.end.Finished = EvEnd, 1, bad, true
+		e.end.Kind, e.end.Session, e.end.Server, e.end.RequestFinished = EventAttemptEnded, 1, bad, true
 		b.do(e.end)
-		if sv := b.c.servers[bad]; sv.restTil > b.now != e.rests || sv.coldTil > b.now != (e.rests && e.end.Status == Reset) {
+		if sv := b.c.servers[bad]; sv.restTil > b.now != e.rests || sv.coldTil > b.now != (e.rests && e.end.Status == ConnectionReset) {
 			t.Errorf("%+v: rests till %v, cold till %v, now %v", e, sv.restTil, sv.coldTil, b.now)
 		}
 	}
@@ -496,17 +496,17 @@
 				b.now += roomLife + 0.1
 			}
 			acts := b.answered(b.arrive(id, 1), 0.1)
-			refused += count(acts, ActDeny)
+			refused += count(acts, ActionRefuse)
 			for _, a := range acts {
-				if a.Kind == ActRung && a.Session != id {
+				if a.Kind == ActionSetRung && a.Session != id {
 					lowered++
-					if s := b.c.sessions[a.Session]; a.Rung < b.c.set.Classes[s.class].Floor {
+					if s := b.c.sessions[a.Session]; a.Rung < b.c.set.Classes[s.class].FloorRung {
 						t.Fatalf("session %d is on rung %d", a.Session, a.Rung)
 					}
 				}
 			}
-			if sent := find(acts, ActHandOff); sent != nil {
-				b.do(Event{Kind: EvFirst, Session: id, Server: sent.Server})
+			if sent := find(acts, ActionSetUp); sent != nil {
+				b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 			}
 		}
 		if refused == 0 || (lowered == 0) != silent {
@@ -521,9 +521,9 @@
 	play := func(unit float64) (all []Action) {
 		set := settings()
 		for i := range set.Classes {
-			set.Classes[i].GoalS *= unit
+			set.Classes[i].StartGoalS *= unit
 		}
-		set.SeeS, set.SwitchS, set.WarmAfterS = set.SeeS*unit, set.SwitchS*unit, set.WarmAfterS*unit
+		set.NoteDelayS, set.RungChangeCostS, set.WarmAfterS = set.NoteDelayS*unit, set.RungChangeCostS*unit, set.WarmAfterS*unit
 		c, err := New(set, 7)
 		if err != nil {
 			t.Fatal(err)
@@ -538,21 +538,21 @@
 			case step == 0:
 				b.list(ListCached, Ready, Ready, Ready, Ready)
 			case step%3 == 0:
-				out = b.do(Event{Kind: EvArrive, Session: id, Class: step % 2, Title: uint64(step % 7), LeftS: 5 * unit, Span: 4, MaxRung: 4})
+				out = b.do(Event{Kind: EventArrival, Session: id, Class: step % 2, Title: uint64(step % 7), TimeLeftS: 5 * unit, Copies: 4, MaxRung: 4})
 			case len(wakes) > 0:
-				out = b.do(Event{Kind: EvTimer, Token: wakes[0].Token})
+				out = b.do(Event{Kind: EventTimer, Token: wakes[0].Token})
 				wakes = wakes[1:]
 			}
 			for _, a := range out {
 				switch a.Kind {
-				case ActWake:
+				case ActionSetTimer:
 					wakes = append(wakes, a)
-				case ActProbe:
-					b.do(Event{Kind: EvProbed, Server: a.Server, Load: []float64{0.5, 0.5}})
-				case ActHandOff:
-					b.do(Event{Kind: EvFirst, Session: a.Session, Server: a.Server})
+				case ActionProbe:
+					b.do(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{0.5, 0.5}})
+				case ActionSetUp:
+					b.do(Event{Kind: EventStarted, Session: a.Session, Server: a.Server})
 				}
-				a.PatienceS, a.DelayS, a.WaitS = a.PatienceS/unit, a.DelayS/unit, a.WaitS/unit
+				a.SetupTimeoutS, a.DelayS, a.RetryAfterS = a.SetupTimeoutS/unit, a.DelayS/unit, a.RetryAfterS/unit
 				all = append(all, a)
 			}
 		}
@@ -568,21 +568,21 @@
 func TestOddEvents(t *testing.T) {
 	b := newBed(t, settings())
 	sv := b.mustSend(b.arrive(1, 1))
-	b.do(Event{Kind: EvFirst, Session: 1, Server: sv})
+	b.do(Event{Kind: EventStarted, Session: 1, Server: sv})
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e30, 0} {
 		for kind := NoteKind(0); kind < 7; kind++ {
-			b.do(Event{Kind: EvNote, Session: 1, Server: sv, Note: kind, Value: v})
+			b.do(Event{Kind: EventNote, Session: 1, Server: sv, Note: kind, Value: v})
 		}
-		b.do(Event{Kind: EvProbed, Server: sv, Load: []float64{v, v, v}})
-		b.do(Event{Kind: EvArrive, Session: 50, Class: 1, LeftS: v, HintS: v, MaxRung: v, Home: -1, Span: 9})
+		b.do(Event{Kind: EventProbeResult, Server: sv, Load: []float64{v, v, v}})
+		b.do(Event{Kind: EventArrival, Session: 50, Class: 1, TimeLeftS: v, ExpectedLengthS: v, MaxRung: v, HomeCell: -1, Copies: 9})
 	}
-	b.do(Event{Kind: EvProbed, Server: 77, Load: []float64{1}})
-	for kind := EvList; kind <= EvNote; kind++ {
+	b.do(Event{Kind: EventProbeResult, Server: 77, Load: []float64{1}})
+	for kind := EventList; kind <= EventNote; kind++ {
 		b.do(Event{Kind: kind, Session: 12345, Class: 99, Server: 99, Token: 99, List: ListDelta,
 			Entries: []Entry{{Server: 70, Cell: 99}}})
 	}
-	acts := b.do(Event{Kind: EvArrive, Session: 60, Class: 1, LeftS: 5, Home: 2, Span: 0})
-	if find(acts, ActDeny) == nil {
+	acts := b.do(Event{Kind: EventArrival, Session: 60, Class: 1, TimeLeftS: 5, HomeCell: 2, Copies: 0})
+	if find(acts, ActionRefuse) == nil {
 		t.Errorf("a title without a holder gets no answer: %+v", acts)
 	}
 	if u := b.c.use(b.c.servers[sv]); math.IsNaN(u) || math.IsInf(u, 0) {
@@ -596,11 +596,11 @@
 		"RatesKB[1]":  func(s *Settings) { s.RatesKB = []float64{2, 1, 3, 4, 5} },
 		"LadderWorth": func(s *Settings) { s.LadderWorth = s.LadderWorth[:2] },
 		"Classes":     func(s *Settings) { s.Classes = nil },
-		"Scale":       func(s *Settings) { s.Classes[1].Scale = math.NaN() },
-		"Floor":       func(s *Settings) { s.Classes[0].Floor = 5 },
-		"LinkKB":      func(s *Settings) { s.LinkKB = math.Inf(1) },
+		"Scale":       func(s *Settings) { s.Classes[1].RateScale = math.NaN() },
+		"Floor":       func(s *Settings) { s.Classes[0].FloorRung = 5 },
+		"LinkKB":      func(s *Settings) { s.LinkKBPerWeight = math.Inf(1) },
 		"WarmAfterS":  func(s *Settings) { s.WarmAfterS = -1 },
-		"Fronts":      func(s *Settings) { s.Fronts = 0 },
+		"Fronts":      func(s *Settings) { s.Managers = 0 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -614,17 +614,17 @@
 func TestDeterministic(t *testing.T) {
 	play := func() []Action {
 		set := settings()
-		set.Fronts = 2
+		set.Managers = 2
 		b := newBed(t, set)
 		var all []Action
 		for i := range 300 {
 			b.now += 0.07
 			id := SessionID(i + 1)
 			acts := b.arrive(id, i%2)
-			if a := find(acts, ActHandOff); a != nil && i%3 > 0 {
+			if a := find(acts, ActionSetUp); a != nil && i%3 > 0 {
 				acts = append(acts, b.end(id, 0, a.Server, []Status{OK, Errored, Full}[i%3], i%3 == 0)...)
 			}
-			acts = append(acts, b.do(Event{Kind: EvTimer, Token: tokenTick})...)
+			acts = append(acts, b.do(Event{Kind: EventTimer, Token: tokenTick})...)
 			all = append(all, acts...)
 		}
 		return all
@@ -637,10 +637,10 @@
 // The rung of one session counts on a part of the room only: others fill it too.
 func TestRungLeavesUplinkRoom(t *testing.T) {
 	set := settings()
-	set.Racks, set.RackKB, set.Fronts = 1, 1500, 100
+	set.Racks, set.RackUplinkKB, set.Managers = 1, 1500, 100
 	b := newBed(t, set)
 	b.mustSend(b.arrive(1, 1))
-	if s := b.c.sessions[1]; b.c.size(s, s.rung) > roomPart*TargetUse*1500 {
+	if s := b.c.sessions[1]; b.c.size(s, s.rung) > roomPart*TargetUtilization*1500 {
 		t.Errorf("rung %d takes %v of an uplink of 1500", s.rung, b.c.size(s, s.rung))
 	}
 }
@@ -652,13 +652,13 @@
 	b := newBed(t, set)
 	for id := SessionID(1); id <= 4; id++ {
 		sv := b.mustSend(b.arrive(id, 1))
-		b.do(Event{Kind: EvFirst, Session: id, Server: sv})
+		b.do(Event{Kind: EventStarted, Session: id, Server: sv})
 	}
 	b.now += 2
 	before, lowered := b.c.own, 0
-	b.do(Event{Kind: EvNote, Session: 1, Note: NoteUplink, Value: 2, Server: b.c.sessions[1].server.Server})
-	for _, a := range b.do(Event{Kind: EvTimer, Token: tokenTick}) {
-		if a.Kind == ActRung {
+	b.do(Event{Kind: EventNote, Session: 1, Note: NoteUplinkUtilization, Value: 2, Server: b.c.sessions[1].server.Server})
+	for _, a := range b.do(Event{Kind: EventTimer, Token: tokenTick}) {
+		if a.Kind == ActionSetRung {
 			lowered++
 		}
 	}
@@ -670,16 +670,16 @@
 // Every optional input may be absent: each session gets one answer all the same.
 func TestWithoutOptionalInputs(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no reports":   func(s *Settings) { s.Feed, s.Fields = FeedNone, nil },
-		"probes only":  func(s *Settings) { s.Feed, s.Probes = FeedProbe, true },
-		"many fronts":  func(s *Settings) { s.Fronts = 5 },
-		"no racks":     func(s *Settings) { s.Racks, s.RackKB = 0, 0 },
-		"no guard":     func(s *Settings) { s.Guard = 0 },
+		"no reports":   func(s *Settings) { s.LoadReporting, s.LoadFields = LoadReportsNone, nil },
+		"probes only":  func(s *Settings) { s.LoadReporting, s.ProbesAllowed = LoadReportsInProbes, true },
+		"many fronts":  func(s *Settings) { s.Managers = 5 },
+		"no racks":     func(s *Settings) { s.Racks, s.RackUplinkKB = 0, 0 },
+		"no guard":     func(s *Settings) { s.FullAtUtilization = 0 },
 		"no warm-up":   func(s *Settings) { s.WarmAfterS = 0 },
-		"no kinds":     func(s *Settings) { s.KindStreams = nil },
-		"live weights": func(s *Settings) { s.Weights = WeighLive },
+		"no kinds":     func(s *Settings) { s.MaxStreamsByKind = nil },
+		"live weights": func(s *Settings) { s.Weights = WeightSizePerLoad },
 		"one rung": func(s *Settings) {
-			s.RatesKB, s.LadderWorth, s.Classes[0].Floor = []float64{400}, []float64{1}, 0
+			s.RatesKB, s.LadderWorth, s.Classes[0].FloorRung = []float64{400}, []float64{1}, 0
 		},
 	} {
 		set := settings()
@@ -688,14 +688,14 @@
 		for id := SessionID(1); id <= 60; id++ {
 			b.now += 0.05
 			acts := b.answered(b.arrive(id, int(id)%2), 0.5)
-			sent, denied := find(acts, ActHandOff), find(acts, ActDeny)
+			sent, denied := find(acts, ActionSetUp), find(acts, ActionRefuse)
 			if (sent != nil) == (denied != nil) {
 				t.Fatalf("%s: session %d is not sent or refused: %+v", name, id, acts)
 			}
 			if sent != nil {
-				b.do(Event{Kind: EvFirst, Session: id, Server: sent.Server})
+				b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 			}
-			b.answered(b.do(Event{Kind: EvTimer, Token: tokenTick}), 0.5)
+			b.answered(b.do(Event{Kind: EventTimer, Token: tokenTick}), 0.5)
 		}
 	}
 }
@@ -704,22 +704,22 @@
 // at once, and the old list holds.
 func TestSubscribe(t *testing.T) {
 	set := settings()
-	set.Subscribe = true
+	set.SubscribeToList = true
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bed{t: t, c: c, now: 5}
-	acts := b.do(Event{Kind: EvList, List: ListCached, Entries: []Entry{{Server: 1, State: Ready, Weight: 1}}})
-	if find(acts, ActWatch) == nil {
+	acts := b.do(Event{Kind: EventList, List: ListCached, Entries: []Entry{{Server: 1, State: Ready, Weight: 1}}})
+	if find(acts, ActionSubscribe) == nil {
 		t.Fatalf("no subscription in %+v", acts)
 	}
-	acts = b.do(Event{Kind: EvList, List: ListFailed})
-	if find(acts, ActWatch) != nil || find(acts, ActWake) == nil {
+	acts = b.do(Event{Kind: EventList, List: ListFailed})
+	if find(acts, ActionSubscribe) != nil || find(acts, ActionSetTimer) == nil {
 		t.Errorf("after a failure: %+v", acts)
 	}
 	b.now++
-	if acts = b.do(Event{Kind: EvTimer, Token: tokenWatch}); find(acts, ActWatch) == nil {
+	if acts = b.do(Event{Kind: EventTimer, Token: tokenWatch}); find(acts, ActionSubscribe) == nil {
 		t.Errorf("not asked again: %+v", acts)
 	}
 	b.now += 20
@@ -730,12 +730,12 @@
 // look as dear as paid sessions, so that something is reserved for these.
 func TestDearClassIsReservedFor(t *testing.T) {
 	set := settings()
-	set.Classes[0].Seats = 0
+	set.Classes[0].MaxPerTitle = 0
 	b := newBed(t, set)
 	for id := SessionID(1); id <= 200; id++ {
 		b.now += 0.1
-		if sent := find(b.arrive(id, int(id)%2), ActHandOff); sent != nil {
-			b.do(Event{Kind: EvFirst, Session: id, Server: sent.Server})
+		if sent := find(b.arrive(id, int(id)%2), ActionSetUp); sent != nil {
+			b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 		}
 	}
 	b.c.rescore()
@@ -748,11 +748,11 @@
 // their square in time.
 func TestRescoreIsBounded(t *testing.T) {
 	set := settings()
-	set.LinkKB, set.RackKB, set.KindStreams = 1e12, 1e12, []int{1 << 30}
+	set.LinkKBPerWeight, set.RackUplinkKB, set.MaxStreamsByKind = 1e12, 1e12, []int{1 << 30}
 	b := newBed(t, set)
 	b.arrive(1, 0)
 	b.now += 2 * rescoreS
-	b.do(Event{Kind: EvTimer, Token: tokenTick})
+	b.do(Event{Kind: EventTimer, Token: tokenTick})
 	if b.c.meanSlots < 1e6 {
 		t.Errorf("%v slots scored", b.c.meanSlots)
 	}
@@ -761,7 +761,7 @@
 func TestRefusalSaysWhenToComeAgain(t *testing.T) {
 	b := newBed(t, settings())
 	b.list(ListFull)
-	if a := find(b.arrive(1, 0), ActDeny); a == nil || a.WaitS != awayS {
+	if a := find(b.arrive(1, 0), ActionRefuse); a == nil || a.RetryAfterS != awayS {
 		t.Errorf("refusal %+v", a)
 	}
 }
--- a/control/hold_test.go
+++ b/control/hold_test.go
@@ -8,16 +8,16 @@
 	set := settings()
 	set.Zone = 0
 	b := newBed(t, set)
-	b.c.Handle(b.now, Event{Kind: EvNote}) // only moves the clock
-	all := b.c.Room()
+	b.c.Handle(b.now, Event{Kind: EventNote}) // only moves the clock
+	all := b.c.CapacitySlots()
 	one := all / 4
 	if want := 0.9 * 4000 / 400; one < want-1e-9 || one > want+1e-9 {
 		t.Fatalf("a server has %v slots, want %v", one, want)
 	}
 	near := func(what string, want float64) {
 		t.Helper()
-		b.c.Handle(b.now, Event{Kind: EvNote})
-		if got := b.c.Room() / one; got < want-1e-6 || got > want+1e-6 {
+		b.c.Handle(b.now, Event{Kind: EventNote})
+		if got := b.c.CapacitySlots() / one; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("%s: %v servers' room, want %v", what, got, want)
 		}
 	}
@@ -27,10 +27,10 @@
 	near("one is gone", 3)
 	// It comes back cold, and half of its warm-up passes.
 	at := b.now
-	b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, SinceS: at}}})
+	b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: at}}})
 	near("it is back, cold", 3)
 	b.now += set.WarmAfterS / 2
-	b.c.Handle(b.now, Event{Kind: EvNote})
+	b.c.Handle(b.now, Event{Kind: EventNote})
 	near("half warm", 3+b.c.slots(b.c.servers[1])/b.c.middle/one/2) // its slots are few as yet
 	b.now += set.WarmAfterS
 	near("warm", 4)
@@ -42,15 +42,15 @@
 // the whole.
 func TestShare(t *testing.T) {
 	set := settings()
-	set.Fronts = 4
+	set.Managers = 4
 	b := newBed(t, set)
-	if got := b.c.Share(); got != 0.25 {
+	if got := b.c.LoadShare(); got != 0.25 {
 		t.Errorf("%v", got)
 	}
 	b.c.fleetUse.v, b.c.fleetUse.seen = 8000, true
 	for own, want := range map[float64]float64{4000: 0.5, 1: 0.0625, 9000: 1, 0: 0.25} {
-		if b.c.own = own; b.c.Share() != want {
-			t.Errorf("%v of 8000: %v, want %v", own, b.c.Share(), want)
+		if b.c.own = own; b.c.LoadShare() != want {
+			t.Errorf("%v of 8000: %v, want %v", own, b.c.LoadShare(), want)
 		}
 	}
 }
@@ -60,12 +60,12 @@
 func TestHold(t *testing.T) {
 	rung := func(hold []float64, own bool) int {
 		b := newBed(t, settings())
-		b.do(Event{Kind: EvHold, Hold: hold})
-		acts := b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 4, MaxRung: 4, Own: own})
-		if a := find(acts, ActRung); a != nil {
+		b.do(Event{Kind: EventHold, HeldShares: hold})
+		acts := b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4, InPeak: own})
+		if a := find(acts, ActionSetRung); a != nil {
 			return a.Rung
 		}
-		if find(acts, ActDeny) == nil {
+		if find(acts, ActionRefuse) == nil {
 			t.Error("neither sent nor refused")
 		}
 		return -1
@@ -86,9 +86,9 @@
 		t.Errorf("rung %d without a hold", free)
 	}
 	b := newBed(t, settings())
-	b.do(Event{Kind: EvHold, Hold: []float64{0, 1}})
-	b.do(Event{Kind: EvHold})
-	if find(b.arrive(2, 1), ActHandOff) == nil {
+	b.do(Event{Kind: EventHold, HeldShares: []float64{0, 1}})
+	b.do(Event{Kind: EventHold})
+	if find(b.arrive(2, 1), ActionSetUp) == nil {
 		t.Error("what was given back is still held")
 	}
 }
--- a/control/ration.go
+++ b/control/ration.go
@@ -8,12 +8,12 @@
 // A Ration is this front's part of what a plan for the whole fleet allows. A nil one
 // allows everything; so does a figure under 0, or one that is missing.
 type Ration struct {
-	Limit []float64 // by class, sessions that this front may hold at a time
-	Every []float64 // by class, s between two refused viewers that come again; 0: not spread
-	Pace  []float64 // by zone, sessions a second that this front may send there
+	SessionLimits   []float64 // by class, sessions that this front may hold at a time
+	RetryIntervalsS []float64 // by class, s between two refused viewers that come again; 0: not spread
+	ZoneRates       []float64 // by zone, sessions a second that this front may send there
 	// Rungs is, by class and rung, the part of its sessions that plays on that rung or a
 	// lower one. Those that play higher are lowered at once: the room is wanted.
-	Rungs [][]float64
+	RungShares [][]float64
 }
 
 // rations is what is left of a Ration.
@@ -26,8 +26,8 @@
 // planned takes what plans outside the module ask for: room for announced peaks, and
 // a ration of the fleet.
 func (c *Controller) planned(e Event) {
-	if e.Kind == EvHold {
-		c.held = append(c.held[:0], e.Hold...)
+	if e.Kind == EventHold {
+		c.held = append(c.held[:0], e.HeldShares...)
 		return
 	}
 	c.ration.Ration = e.Ration
@@ -35,8 +35,8 @@
 		c.ration = rations{}
 		return
 	}
-	c.ration.due = grown(c.ration.due, len(e.Ration.Every))
-	c.ration.next = grown(c.ration.next, len(e.Ration.Pace))
+	c.ration.due = grown(c.ration.due, len(e.Ration.RetryIntervalsS))
+	c.ration.next = grown(c.ration.next, len(e.Ration.ZoneRates))
 	for _, sv := range c.order {
 		for _, s := range sv.sessions {
 			if top := c.topOf(s); s.playing && s.rung > top {
@@ -50,13 +50,13 @@
 // a ration gives it by a lot of its own.
 func (c *Controller) topOf(s *session) int {
 	r := c.ration.Ration
-	if r == nil || s.class >= len(r.Rungs) || len(r.Rungs[s.class]) == 0 {
+	if r == nil || s.class >= len(r.RungShares) || len(r.RungShares[s.class]) == 0 {
 		return s.top
 	}
-	lot := chance(c.seed^uint64(s.id), uint64(len(r.Rungs)))
-	for rung, part := range r.Rungs[s.class] {
+	lot := chance(c.seed^uint64(s.id), uint64(len(r.RungShares)))
+	for rung, part := range r.RungShares[s.class] {
 		if lot <= part {
-			return max(min(rung, s.top), min(c.set.Classes[s.class].Floor, s.top))
+			return max(min(rung, s.top), min(c.set.Classes[s.class].FloorRung, s.top))
 		}
 	}
 	return s.top
@@ -71,7 +71,7 @@
 // plan takes this front's share for smaller than it is.
 func (c *Controller) rationed(s *session) bool {
 	r := c.ration.Ration
-	if r == nil || s.class >= len(r.Limit) || r.Limit[s.class] < 0 {
+	if r == nil || s.class >= len(r.SessionLimits) || r.SessionLimits[s.class] < 0 {
 		return false
 	}
 	n := chance(c.seed, uint64(s.id))
@@ -80,7 +80,7 @@
 			n++
 		}
 	}
-	return n > r.Limit[s.class]
+	return n > r.SessionLimits[s.class]
 }
 
 // away is how long a refused viewer is asked to stay away. Where a ration tells how often
@@ -88,11 +88,11 @@
 // come back all at once.
 func (c *Controller) away(s *session) float64 {
 	r := c.ration.Ration
-	if r == nil || s.class >= len(r.Every) || r.Every[s.class] <= 0 {
+	if r == nil || s.class >= len(r.RetryIntervalsS) || r.RetryIntervalsS[s.class] <= 0 {
 		return awayS
 	}
 	due := &c.ration.due[s.class]
-	*due = max(*due, c.now) + r.Every[s.class]/c.unit
+	*due = max(*due, c.now) + r.RetryIntervalsS[s.class]/c.unit
 	if *due-c.now > mostAwayS {
 		*due = c.now + mostAwayS // who has no time left to be given comes by lot
 		return max(awayS, mostAwayS*c.draw())
@@ -103,7 +103,7 @@
 // shutTil is until when nothing is sent to a zone: it seems lost, or its pace is used up.
 func (c *Controller) shutTil(zone int) float64 {
 	til := c.lostTil[zone]
-	if r := c.ration.Ration; r != nil && zone >= 0 && zone < len(r.Pace) && r.Pace[zone] >= 0 {
+	if r := c.ration.Ration; r != nil && zone >= 0 && zone < len(r.ZoneRates) && r.ZoneRates[zone] >= 0 {
 		til = max(til, c.ration.next[zone])
 	}
 	return til
@@ -111,9 +111,9 @@
 
 // sentTo takes a session from a zone's pace.
 func (c *Controller) sentTo(zone int) {
-	if r := c.ration.Ration; r != nil && zone >= 0 && zone < len(r.Pace) && r.Pace[zone] >= 0 {
+	if r := c.ration.Ration; r != nil && zone >= 0 && zone < len(r.ZoneRates) && r.ZoneRates[zone] >= 0 {
 		gap := math.Inf(1)
-		if p := r.Pace[zone] * c.unit; p > 0 {
+		if p := r.ZoneRates[zone] * c.unit; p > 0 {
 			gap = 1 / p
 		}
 		c.ration.next[zone] = max(c.ration.next[zone], c.now) + min(gap, mostAwayS)
--- a/control/settings.go
+++ b/control/settings.go
@@ -8,12 +8,12 @@
 // unbounded, in kB a second, stands for an uplink that is not told.
 const unbounded = 1e15
 
-// Link is what the link of one of so many listed servers should give, warm, in kB a
+// ExpectedLinkKB is what the link of one of so many listed servers should give, warm, in kB a
 // second.
-func (s *Settings) Link(e Entry, servers int) float64 {
-	kb := e.Weight * s.LinkKB
-	if s.Weights == WeighLive || !positive(kb) {
-		kb = s.FleetKB / float64(max(servers, 1))
+func (s *Settings) ExpectedLinkKB(e Entry, servers int) float64 {
+	kb := e.Weight * s.LinkKBPerWeight
+	if s.Weights == WeightSizePerLoad || !positive(kb) {
+		kb = s.FleetLinkKB / float64(max(servers, 1))
 	}
 	return kb
 }
@@ -41,29 +41,29 @@
 		for _, f := range []struct {
 			name string
 			v    float64
-		}{{"Scale", k.Scale}, {"GoalS", k.GoalS}} {
+		}{{"Scale", k.RateScale}, {"GoalS", k.StartGoalS}} {
 			if !positive(f.v) {
 				return fmt.Errorf("settings: Classes[%d].%s = %v", i, f.name, f.v)
 			}
 		}
-		if !notNegative(k.Worth) || k.Seats < 0 {
+		if !notNegative(k.Worth) || k.MaxPerTitle < 0 {
 			return fmt.Errorf("settings: Classes[%d].Worth or Seats", i)
 		}
-		if k.Floor < 0 || k.Floor >= len(s.RatesKB) {
-			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, k.Floor)
+		if k.FloorRung < 0 || k.FloorRung >= len(s.RatesKB) {
+			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, k.FloorRung)
 		}
 	}
-	if s.Fronts < 1 || s.Cells < 1 || s.AttemptsCap < 1 || s.Racks < 0 {
+	if s.Managers < 1 || s.Cells < 1 || s.AttemptsCap < 1 || s.Racks < 0 {
 		return fmt.Errorf("settings: Fronts, Cells, AttemptsCap or Racks out of range")
 	}
 	for _, f := range []struct {
 		name string
 		v    float64
 	}{
-		{"LinkKB", s.LinkKB}, {"FleetKB", s.FleetKB}, {"RackKB", s.RackKB}, {"Guard", s.Guard},
-		{"SeeS", s.SeeS}, {"SwitchS", s.SwitchS},
+		{"LinkKB", s.LinkKBPerWeight}, {"FleetKB", s.FleetLinkKB}, {"RackKB", s.RackUplinkKB}, {"Guard", s.FullAtUtilization},
+		{"SeeS", s.NoteDelayS}, {"SwitchS", s.RungChangeCostS},
 		{"CrossZoneCost", s.CrossZoneCost}, {"ProbeCost", s.ProbeCost}, {"HandshakeCost", s.HandshakeCost},
-		{"FallMultiple", s.FallMultiple}, {"StartCapacity", s.StartCapacity},
+		{"FallMultiple", s.ColdSetupMultiple}, {"StartCapacity", s.StartCapacityShare},
 		{"WarmAfterS", s.WarmAfterS}, {"BudgetWindowS", s.BudgetWindowS}, {"BudgetFree", s.BudgetFree},
 		{"BudgetShare", s.BudgetShare},
 	} {
@@ -71,8 +71,8 @@
 			return fmt.Errorf("settings: %s = %v", f.name, f.v)
 		}
 	}
-	if s.RackKB == 0 {
-		s.RackKB = unbounded
+	if s.RackUplinkKB == 0 {
+		s.RackUplinkKB = unbounded
 	}
 	return nil
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -7,10 +7,10 @@
 func many(t *testing.T) *bed {
 	t.Helper()
 	set := settings()
-	set.Fronts, set.Cells, set.Probes, set.Feed = 100, 12, true, FeedProbe
-	set.FleetKB, set.RackKB = 48000, 24000
+	set.Managers, set.Cells, set.ProbesAllowed, set.LoadReporting = 100, 12, true, LoadReportsInProbes
+	set.FleetLinkKB, set.RackUplinkKB = 48000, 24000
 	b := newBed(t, set)
-	states := make([]State, 12)
+	states := make([]ServerState, 12)
 	for i := range states {
 		states[i] = Ready
 	}
@@ -32,37 +32,37 @@
 func TestAsksBeforeItPlaces(t *testing.T) {
 	b := many(t)
 	acts := b.arrive(1, 1)
-	if count(acts, ActProbe) != askN || find(acts, ActHandOff) != nil {
+	if count(acts, ActionProbe) != askN || find(acts, ActionSetUp) != nil {
 		t.Fatalf("at the arrival %+v", acts)
 	}
 	first, second := acts[0].Server, acts[1].Server
-	acts = b.do(Event{Kind: EvProbed, Server: first, Load: []float64{0.8, 0.5}})
-	if find(acts, ActHandOff) != nil {
+	acts = b.do(Event{Kind: EventProbeResult, Server: first, Load: []float64{0.8, 0.5}})
+	if find(acts, ActionSetUp) != nil {
 		t.Fatalf("placed before the second answer: %+v", acts)
 	}
-	acts = b.do(Event{Kind: EvProbed, Server: second, Load: []float64{0.3, 0.5}})
+	acts = b.do(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.3, 0.5}})
 	if got := b.mustSend(acts); got != second {
 		t.Errorf("sent to %d, the least used is %d", got, second)
 	}
 	b.now += freshS + 1
-	acts = b.do(Event{Kind: EvArrive, Session: 2, Class: 1, Title: 7, LeftS: 5, Home: 6, Span: 4, MaxRung: 4})
-	if count(acts, ActProbe) == 0 {
+	acts = b.do(Event{Kind: EventArrival, Session: 2, Class: 1, Title: 7, TimeLeftS: 5, HomeCell: 6, Copies: 4, MaxRung: 4})
+	if count(acts, ActionProbe) == 0 {
 		t.Fatalf("no probe in %+v", acts)
 	}
 	b.now += askS + 0.01
-	if acts = b.do(Event{Kind: EvTimer, Token: tokenPace}); find(acts, ActHandOff) == nil {
+	if acts = b.do(Event{Kind: EventTimer, Token: tokenPace}); find(acts, ActionSetUp) == nil {
 		t.Errorf("no answer and no send: %+v", acts)
 	}
 }
 
 // Fronts draw the holders they ask by lot, or all would meet on the same two.
 func TestFrontsAskDifferentHolders(t *testing.T) {
-	asked := map[Server]bool{}
+	asked := map[ServerID]bool{}
 	for seed := uint64(1); seed <= 20; seed++ {
 		b := many(t)
 		b.c.seed = seed
 		for _, a := range b.arrive(1, 1) {
-			if a.Kind == ActProbe {
+			if a.Kind == ActionProbe {
 				asked[a.Server] = true
 			}
 		}
@@ -77,8 +77,8 @@
 	b := many(t)
 	acts := b.arrive(1, 1)
 	first, second := acts[0].Server, acts[1].Server
-	b.do(Event{Kind: EvProbed, Server: second, Load: []float64{0.85, 0.5}})
-	if got := b.mustSend(b.do(Event{Kind: EvProbed, Server: first, Status: TimedOut})); got == first {
+	b.do(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.85, 0.5}})
+	if got := b.mustSend(b.do(Event{Kind: EventProbeResult, Server: first, Status: TimedOut})); got == first {
 		t.Errorf("sent to the server that did not answer")
 	}
 }
@@ -95,9 +95,9 @@
 	b.c.fleetUse.add(0.5)
 	acts = b.arrive(2, 1)
 	b.now += askS + 0.01
-	acts = b.do(Event{Kind: EvTimer, Token: tokenPace})
+	acts = b.do(Event{Kind: EventTimer, Token: tokenPace})
 	b.mustSend(acts)
-	if a := find(acts, ActRung); a.Rung != 0 {
+	if a := find(acts, ActionSetRung); a.Rung != 0 {
 		t.Errorf("rung %d on a server of unknown load", a.Rung)
 	}
 }
@@ -121,14 +121,14 @@
 	sent := make([]int, 2)
 	for seed := uint64(1); seed <= 100; seed++ {
 		b := many(t)
-		b.c.seed, b.c.dear, b.c.set.Fields = seed, true, []string{"x0"}
-		e := Event{Kind: EvList, List: ListFull}
+		b.c.seed, b.c.dear, b.c.set.LoadFields = seed, true, []string{"x0"}
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 12 {
-			e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
 		}
 		b.do(e)
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.5}})
-		got := b.mustSend(b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 12, MaxRung: 4}))
+		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.5}})
+		got := b.mustSend(b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}))
 		sent[int(got-1)%2]++
 	}
 	if min(sent[0], sent[1]) < 20 {
@@ -143,10 +143,10 @@
 	for seed := uint64(1); seed <= 100; seed++ {
 		b := many(t)
 		b.c.seed = seed
-		b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5},
+		b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5},
 			{Server: 2, State: Draining, Cell: 1, Weight: 1}}})
-		sent += count(b.answered(b.arrive(1, 1), 0), ActHandOff)
+		sent += count(b.answered(b.arrive(1, 1), 0), ActionSetUp)
 	}
 	if sent == 0 || sent > 50 {
 		t.Errorf("%d of 100 fronts sent at once", sent)
@@ -160,10 +160,10 @@
 	for seed := uint64(1); seed <= 200; seed++ {
 		b := many(t)
 		b.c.seed = seed
-		b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.6, 0.3}})
+		b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.6, 0.3}})
 		for range 5 { // one report is used once, however often it is looked at
-			raised += count(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung)
+			raised += count(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
 		}
 	}
 	// 0.3 of the link is free, 0.6 taken: half of the load may be added, a step doubles it.
@@ -179,11 +179,11 @@
 	for seed := uint64(1); seed <= 200; seed++ {
 		b := many(t)
 		b.c.seed = seed
-		b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-		b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
+		b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
 		b.now += 3
-		b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteShare, Value: 0.8})
-		lowered += count(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung)
+		b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
+		lowered += count(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
 	}
 	// 1.25 to 0.95 of a link saves a quarter of the load; a step saves half or more.
 	if lowered < 40 || lowered > 120 {
@@ -194,10 +194,10 @@
 // A note of a short share counts in full, whatever an older report said.
 func TestShortShareCountsInFull(t *testing.T) {
 	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 0.3}})
+	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.3}})
 	b.now += 2
-	b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteShare, Value: 0.8})
+	b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
 	if u := b.c.use(b.c.servers[1]); u < 1.2 {
 		t.Errorf("use %v at a delivered share of 0.8", u)
 	}
@@ -207,9 +207,9 @@
 func TestOldReportsFade(t *testing.T) {
 	for _, e := range []struct{ wait, low, high float64 }{{0.1, 0.25, 0.45}, {5, 0.75, 0.85}} {
 		b := many(t)
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.2, 0.2}})
+		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
 		b.now += e.wait
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.8, 0.2}})
+		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.8, 0.2}})
 		if u := b.c.use(b.c.servers[1]); u < e.low || u > e.high {
 			t.Errorf("use %v after %v s, want %v to %v", u, e.wait, e.low, e.high)
 		}
@@ -219,9 +219,9 @@
 // Sessions handed over at the start rise at the first report of slack.
 func TestHandedOverRiseAtOnce(t *testing.T) {
 	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.1, 0.1}})
-	if acts := b.do(Event{Kind: EvTimer, Token: tokenTick}); find(acts, ActRung) == nil {
+	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.1, 0.1}})
+	if acts := b.do(Event{Kind: EventTimer, Token: tokenTick}); find(acts, ActionSetRung) == nil {
 		t.Errorf("no raise in %+v", acts)
 	}
 }
@@ -230,8 +230,8 @@
 // would seem to be no streams left.
 func TestStreamsOfOthersAtTheMeanSize(t *testing.T) {
 	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.75, 0.1}})
+	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.75, 0.1}})
 	if r := b.c.room(b.c.servers[1]); r <= 0 {
 		t.Errorf("room %v at three quarters of a link", r)
 	}
@@ -242,9 +242,9 @@
 func TestGoneServersAreForgotten(t *testing.T) {
 	b := many(t)
 	for round := range 30 {
-		e := Event{Kind: EvList, List: ListFull}
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 3000 {
-			e.Entries = append(e.Entries, Entry{Server: Server(round*3000 + i), State: Ready, Cell: i % 12, Weight: 1})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(round*3000 + i), State: Ready, Cell: i % 12, Weight: 1})
 		}
 		b.now += 2
 		b.do(e)
@@ -259,8 +259,8 @@
 	b := many(t)
 	b.arrive(1, 1)
 	b.now += 60
-	acts := b.do(Event{Kind: EvTimer, Token: tokenTick})
-	if count(acts, ActHandOff) != 0 || find(acts, ActDeny) == nil {
+	acts := b.do(Event{Kind: EventTimer, Token: tokenTick})
+	if count(acts, ActionSetUp) != 0 || find(acts, ActionRefuse) == nil {
 		t.Errorf("long after the deadline: %+v", acts)
 	}
 }
@@ -270,13 +270,13 @@
 	for seed := uint64(1); seed <= 20; seed++ {
 		b := many(t)
 		b.c.seed = seed
-		e := Event{Kind: EvList, List: ListFull}
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 4 {
-			e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Zone: i % 2, Weight: 1})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: i % 2, Weight: 1})
 		}
 		b.do(e)
 		for _, a := range b.arrive(1, 1) {
-			if a.Kind == ActProbe && a.Server%2 == 0 {
+			if a.Kind == ActionProbe && a.Server%2 == 0 {
 				t.Fatalf("asked %d of another zone", a.Server)
 			}
 		}
@@ -289,10 +289,10 @@
 	for seed := uint64(1); seed <= 100; seed++ {
 		b := many(t)
 		b.c.seed = seed
-		b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5}}})
+		b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 		for id := SessionID(1); id <= 5; id++ {
-			sent += count(b.answered(b.arrive(id, 1), 0), ActHandOff)
+			sent += count(b.answered(b.arrive(id, 1), 0), ActionSetUp)
 		}
 	}
 	if sent == 0 || sent > 38 {
@@ -309,17 +309,17 @@
 		denied bool
 	}{{0.8, 0, true}, {0.3, 0, false}, {0.8, 1, false}} {
 		b := many(t)
-		b.c.set.Quotas, b.c.shares = []float64{1, 1}, make([]bucket, 2)
+		b.c.set.TenantQuotas, b.c.shares = []float64{1, 1}, make([]bucket, 2)
 		denied := 0
 		for id := SessionID(1); id <= 12; id++ {
 			b.now += 0.1
-			b.do(Event{Kind: EvProbed, Server: Server(id), Load: []float64{e.load, e.load}})
+			b.do(Event{Kind: EventProbeResult, Server: ServerID(id), Load: []float64{e.load, e.load}})
 			tenant := 0
 			if id == 12 {
 				tenant = e.tenant
 			}
-			denied = count(b.do(Event{Kind: EvArrive, Session: id, Class: 1, Tenant: tenant, Title: 9,
-				LeftS: 5, Span: 4, MaxRung: 4}), ActDeny)
+			denied = count(b.do(Event{Kind: EventArrival, Session: id, Class: 1, Tenant: tenant, Title: 9,
+				TimeLeftS: 5, Copies: 4, MaxRung: 4}), ActionRefuse)
 		}
 		if (denied > 0) != e.denied {
 			t.Errorf("load %v, tenant %d: refused %v", e.load, e.tenant, denied > 0)
@@ -330,7 +330,7 @@
 // An uplink never seen is taken to be as full as those seen, though links are not.
 func TestUplinksNotSeen(t *testing.T) {
 	b := many(t)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 0.8}})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.8}})
 	if u := b.c.use(b.c.servers[12]); u < 0.75 || u > 0.85 {
 		t.Errorf("use %v in a rack never seen, 0.8 was seen in another", u)
 	}
@@ -339,8 +339,8 @@
 // A rack on which this front has nothing is not eased: later reports count.
 func TestNothingToEase(t *testing.T) {
 	b := many(t)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 2}})
-	b.do(Event{Kind: EvTimer, Token: tokenTick})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 2}})
+	b.do(Event{Kind: EventTimer, Token: tokenTick})
 	if b.c.now < b.c.racks[0].quietTil {
 		t.Error("reports of the rack are thrown away")
 	}
@@ -352,7 +352,7 @@
 	b.list(ListFull, Ready)
 	b.mustSend(b.arrive(1, 1))
 	b.now += silentS + 0.1
-	if acts := b.arrive(2, 1); find(acts, ActHandOff) != nil {
+	if acts := b.arrive(2, 1); find(acts, ActionSetUp) != nil {
 		t.Errorf("sent to a silent server: %+v", acts)
 	}
 }
@@ -363,9 +363,9 @@
 	b := newBed(t, settings())
 	for id := SessionID(1); id <= 8; id++ {
 		class := int(id) % 2
-		sv := Server(id%4 + 1)
-		b.do(Event{Kind: EvOpen, Session: id, Class: class, Server: sv, Title: uint64(id), Span: 4, MaxRung: 4})
-		b.do(Event{Kind: EvNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
+		sv := ServerID(id%4 + 1)
+		b.do(Event{Kind: EventEstablished, Session: id, Class: class, Server: sv, Title: uint64(id), Copies: 4, MaxRung: 4})
+		b.do(Event{Kind: EventNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
 	}
 	for range 300 {
 		b.c.arrivals[0], b.c.arrivals[1] = append(b.c.arrivals[0], b.now), append(b.c.arrivals[1], b.now)
@@ -391,16 +391,16 @@
 	if c, err := New(set, 1); err != nil || !c.dear {
 		t.Errorf("a probe at 0.08 of a session is not dear: %v", err)
 	}
-	sent := map[Server]int{}
+	sent := map[ServerID]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
 		b := dear(t, seed)
 		b.c.fleetUse.add(0.5)
 		acts := b.arrive(1, 1)
-		if count(acts, ActProbe) > 0 {
+		if count(acts, ActionProbe) > 0 {
 			t.Fatalf("front %d probed at an arrival", seed)
 		}
 		sent[b.mustSend(acts)]++
-		if a := find(acts, ActRung); a.Rung == 0 {
+		if a := find(acts, ActionSetRung); a.Rung == 0 {
 			t.Fatalf("front %d took a server at the fleet's mean use of 0.5 for full", seed)
 		}
 	}
@@ -424,10 +424,10 @@
 			b.now = start + float64(tick)/2
 			if tick > 2 && chance(seed, uint64(tick)) < 0.5 {
 				came++
-				b.do(Event{Kind: EvArrive, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
-					LeftS: 5, Span: 12, MaxRung: 4})
+				b.do(Event{Kind: EventArrival, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
+					TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			}
-			n := count(b.answered(b.do(Event{Kind: EvTimer, Token: tokenTick}), 0.5), ActProbe)
+			n := count(b.answered(b.do(Event{Kind: EventTimer, Token: tokenTick}), 0.5), ActionProbe)
 			probes += n
 			if at[tick] += n; tick > 10 {
 				most = max(most, at[tick])
@@ -456,11 +456,11 @@
 		told := asked / fleet
 		for _, b := range beds {
 			if round > 1 {
-				b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{told, told}})
+				b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{told, told}})
 			}
 			acts := b.arrive(round, 1)
 			b.mustSend(acts)
-			asked += b.c.set.RatesKB[find(acts, ActRung).Rung]
+			asked += b.c.set.RatesKB[find(acts, ActionSetRung).Rung]
 		}
 		if most := 0.9 + 0.2*float64(round); asked > most*fleet || asked < 0.6*fleet {
 			t.Errorf("after round %d the fleet is asked for %.2f of what it gives", round, asked/fleet)
@@ -471,9 +471,9 @@
 // zones is dear with twelve servers in two zones, the odd ones in zone 1.
 func zones(t *testing.T, seed uint64) *bed {
 	b := dear(t, seed)
-	e := Event{Kind: EvList, List: ListFull}
+	e := Event{Kind: EventList, List: ListFull}
 	for i := range 12 {
-		e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Zone: (i + 1) % 2, Weight: 1})
+		e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: (i + 1) % 2, Weight: 1})
 	}
 	b.do(e)
 	return b
@@ -490,11 +490,11 @@
 		id := SessionID(0)
 		place := func(lost bool) (zone1 bool) {
 			id++
-			acts := b.do(Event{Kind: EvArrive, Session: id, Class: 1, Title: uint64(id), LeftS: 5, Span: 12, MaxRung: 4})
+			acts := b.do(Event{Kind: EventArrival, Session: id, Class: 1, Title: uint64(id), TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			for n := 0; ; n++ {
 				sv := b.mustSend(acts)
 				if zone1 = sv%2 == 1; !zone1 || !lost {
-					b.do(Event{Kind: EvFirst, Session: id, Server: sv, Attempt: n})
+					b.do(Event{Kind: EventStarted, Session: id, Server: sv, Attempt: n})
 					b.end(id, n, sv, OK, true)
 					return zone1
 				}
@@ -509,7 +509,7 @@
 		if !(b.now < b.c.lostTil[1]) || b.c.links() > 0.6*48000 {
 			t.Fatalf("front %d does not know the zone as lost", seed)
 		}
-		b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, SinceS: b.now}}})
+		b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, StartedAtS: b.now}}})
 		back := false
 		for range 40 {
 			b.now += 0.05
@@ -525,7 +525,7 @@
 	b := zones(t, 1)
 	for i := range 6 { // servers short of connections in a zone that lives
 		b.c.heard(b.c.servers[11])
-		b.c.rest(b.c.servers[Server(2*(i%4)+1)], Event{Status: ConnectFailed})
+		b.c.rest(b.c.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
 	}
 	if b.now < b.c.lostTil[1] {
 		t.Error("a zone that is heard of was given up")
@@ -537,7 +537,7 @@
 // short delivery lowers rungs.
 func TestCrowdAndShortage(t *testing.T) {
 	b := dear(t, 1)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.2, 0.2}})
+	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
 	each := func() float64 {
 		list, kb := b.c.fleetShare(b.c.newSession(Event{Session: 99, Class: 1, MaxRung: 4}))
 		delete(b.c.sessions, 99)
@@ -545,16 +545,16 @@
 	}
 	before := each()
 	for id := SessionID(1); id <= 20; id++ {
-		b.do(Event{Kind: EvOpen, Session: id, Server: Server(id%12 + 1), Class: 1, MaxRung: 4})
+		b.do(Event{Kind: EventEstablished, Session: id, Server: ServerID(id%12 + 1), Class: 1, MaxRung: 4})
 	}
 	if now := each(); now > before/2 {
 		t.Errorf("%.0f kB/s for a newcomer, %.0f before twenty sessions came", now, before)
 	}
-	b.do(Event{Kind: EvNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
+	b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
 	for range 20 {
 		b.now += 2 * reactS
-		b.do(Event{Kind: EvNote, Session: 1, Server: 2, Note: NoteShare, Value: 0.95})
-		if find(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung) != nil {
+		b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteDeliveredShare, Value: 0.95})
+		if find(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung) != nil {
 			return
 		}
 	}
@@ -570,11 +570,11 @@
 		load   []float64
 	}{{[]string{"x0"}, []float64{0.2}}, {[]string{"concurrent", "x0"}, []float64{12, 0.2}}, {[]string{"x1", "x0"}, []float64{1e30, 0.2}}} {
 		b := many(t)
-		b.c.set.Fields = f.fields
+		b.c.set.LoadFields = f.fields
 		for i := range 12 {
-			b.do(Event{Kind: EvProbed, Server: Server(i + 1), Load: f.load})
+			b.do(Event{Kind: EventProbeResult, Server: ServerID(i + 1), Load: f.load})
 		}
-		rung := find(b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 12, MaxRung: 4}), ActRung).Rung
+		rung := find(b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}), ActionSetRung).Rung
 		if want < 0 {
 			want = rung
 		}
--- a/control/state.go
+++ b/control/state.go
@@ -105,7 +105,7 @@
 	seed     uint64
 	started  float64
 	begun    bool
-	servers  map[Server]*server
+	servers  map[ServerID]*server
 	order    []*server // as first listed
 	cells    [][]*server
 	racks    []*rack
@@ -146,14 +146,14 @@
 // are shorter all else is quicker too, and the module's times are chosen for one
 // pace. Rates grow likewise.
 func inUnits(s Settings, unit float64) Settings {
-	s.Classes, s.Quotas = slices.Clone(s.Classes), slices.Clone(s.Quotas)
+	s.Classes, s.TenantQuotas = slices.Clone(s.Classes), slices.Clone(s.TenantQuotas)
 	for i := range s.Classes {
-		s.Classes[i].GoalS /= unit
+		s.Classes[i].StartGoalS /= unit
 	}
-	for i := range s.Quotas {
-		s.Quotas[i] *= unit
+	for i := range s.TenantQuotas {
+		s.TenantQuotas[i] *= unit
 	}
-	for _, t := range []*float64{&s.SeeS, &s.SwitchS, &s.WarmAfterS, &s.BudgetWindowS} {
+	for _, t := range []*float64{&s.NoteDelayS, &s.RungChangeCostS, &s.WarmAfterS, &s.BudgetWindowS} {
 		*t /= unit
 	}
 	return s
@@ -253,7 +253,7 @@
 // failed has a server rest, and tells whether it could not be reached.
 func (sv *server) failed(now float64, e Event) (silent bool) {
 	sv.restTil = now + restS
-	if e.Down {
+	if e.ProcessDown {
 		sv.downAt = now
 	}
 	return e.Status == ConnectFailed
@@ -263,7 +263,7 @@
 // was down is where the start is dated that the list doesn't tell yet. Dated at the failure,
 // every front's pace ended before the process was warm, by as long as it had been down.
 func (c *Controller) heard(sv *server) {
-	if max(sv.heardAt, sv.SinceS) < sv.downAt {
+	if max(sv.heardAt, sv.StartedAtS) < sv.downAt {
 		c.markCold(sv, c.now)
 	}
 	sv.heardAt, c.lost[sv.Zone] = c.now, 0
@@ -274,10 +274,10 @@
 
 // link is what a server's link should give. A cold server's link is cold too.
 func (c *Controller) link(sv *server) float64 {
-	kb := c.set.Link(sv.Entry, len(c.order))
+	kb := c.set.ExpectedLinkKB(sv.Entry, len(c.order))
 	if c.now < sv.coldTil && c.set.WarmAfterS > 0 {
 		warm := (c.now - sv.coldAt) / c.set.WarmAfterS
-		kb *= c.set.StartCapacity + (1-c.set.StartCapacity)*min(max(warm, 0), 1)
+		kb *= c.set.StartCapacityShare + (1-c.set.StartCapacityShare)*min(max(warm, 0), 1)
 	}
 	return kb
 }
@@ -298,8 +298,8 @@
 
 // streams is how many streams a server runs at most, by its kind.
 func (c *Controller) streams(sv *server) float64 {
-	if sv.Kind >= 0 && sv.Kind < len(c.set.KindStreams) {
-		return float64(c.set.KindStreams[sv.Kind])
+	if sv.MachineKind >= 0 && sv.MachineKind < len(c.set.MaxStreamsByKind) {
+		return float64(c.set.MaxStreamsByKind[sv.MachineKind])
 	}
 	return math.Inf(1)
 }
@@ -322,7 +322,7 @@
 
 // size is the ladder's rate of a session at a rung, in kB a second.
 func (c *Controller) size(s *session, rung int) float64 {
-	return c.set.RatesKB[rung] * c.set.Classes[s.class].Scale
+	return c.set.RatesKB[rung] * c.set.Classes[s.class].RateScale
 }
 
 // meanSize is what a session of this front asks for.
@@ -398,19 +398,19 @@
 func (c *Controller) emit(a Action) { c.out = append(c.out, a) }
 
 func (c *Controller) wake(d float64, token uint32) {
-	c.emit(Action{Kind: ActWake, DelayS: d, Token: token})
+	c.emit(Action{Kind: ActionSetTimer, DelayS: d, Token: token})
 }
 
 func (c *Controller) probe(sv *server) {
 	sv.probedAt = c.now
 	c.probesOut++
-	c.emit(Action{Kind: ActProbe, Server: sv.Server})
+	c.emit(Action{Kind: ActionProbe, Server: sv.Server})
 }
 
 func (c *Controller) setRung(s *session, rung int) {
 	s.rung, s.changedAt = rung, c.now
 	c.account(s.server)
-	c.emit(Action{Kind: ActRung, Session: s.id, Rung: rung})
+	c.emit(Action{Kind: ActionSetRung, Session: s.id, Rung: rung})
 }
 
 // heldFrom is what of a server's slots is held for others than s, in kB a second: for
@@ -436,28 +436,28 @@
 
 // rackRoom is what is free of an uplink, in kB a second.
 func (c *Controller) rackRoom(r *rack) float64 {
-	return TargetUse*c.set.RackKB - r.own - c.othersOnRack(r)
+	return TargetUtilization*c.set.RackUplinkKB - r.own - c.othersOnRack(r)
 }
 
 // wide is what a server's link and its part of the uplink let through, in kB a
 // second.
 func (c *Controller) wide(sv *server) float64 {
-	return min(TargetUse*c.link(sv), TargetUse*c.set.RackKB/float64(max(len(sv.rack.servers), 1)))
+	return min(TargetUtilization*c.link(sv), TargetUtilization*c.set.RackUplinkKB/float64(max(len(sv.rack.servers), 1)))
 }
 
 // inSeconds is what is to be done, with its times counted as the broker does.
 func (c *Controller) inSeconds() []Action {
 	for i := range c.out {
 		a := &c.out[i]
-		a.PatienceS, a.DelayS, a.WaitS = a.PatienceS*c.unit, a.DelayS*c.unit, a.WaitS*c.unit
+		a.SetupTimeoutS, a.DelayS, a.RetryAfterS = a.SetupTimeoutS*c.unit, a.DelayS*c.unit, a.RetryAfterS*c.unit
 	}
 	return c.out
 }
 
-// Room is what the usable servers give, in slots of the middle rung's rate: nothing
+// CapacitySlots is what the usable servers give, in slots of the middle rung's rate: nothing
 // of one that drains, is gone or stands in a zone that seems lost, and of a cold one
 // what has warmed.
-func (c *Controller) Room() float64 {
+func (c *Controller) CapacitySlots() float64 {
 	slots := 0.0
 	for _, sv := range c.order {
 		if sv.State != Ready || c.now < c.lostTil[sv.Zone] {
@@ -472,19 +472,19 @@
 	return slots
 }
 
-// Share is the part of all fronts' sessions that this one seems to have: by what it
+// LoadShare is the part of all fronts' sessions that this one seems to have: by what it
 // asks for of what is reported, or even without reports.
-func (c *Controller) Share() float64 {
-	even := 1 / float64(c.set.Fronts)
+func (c *Controller) LoadShare() float64 {
+	even := 1 / float64(c.set.Managers)
 	if all := c.fleetUse.v; c.fleetUse.seen && all > 0 && c.own > 0 {
 		return min(max(c.own/all, even/4), 1)
 	}
 	return even
 }
 
-// Avoided returns how many servers in service are left out at a time in s: resting
+// AvoidedServers returns how many servers in service are left out at a time in s: resting
 // after a fault, or in a zone that seems lost.
-func (c *Controller) Avoided(now float64) (n int) {
+func (c *Controller) AvoidedServers(now float64) (n int) {
 	for _, sv := range c.order {
 		if sv.State == Ready && now/c.unit < max(sv.restTil, c.shutTil(sv.Zone)) {
 			n++
@@ -495,9 +495,9 @@
 
 // welcome takes a server as just started, as its list tells.
 func (c *Controller) welcome(sv *server, n Entry) {
-	c.markCold(sv, n.SinceS)
+	c.markCold(sv, n.StartedAtS)
 	sv.restTil, c.lost[n.Zone], c.lostTil[n.Zone], sv.backAt = 0, 0, 0, 0
-	if n.Back { // it was restarted while it was out: what reports said of it is of before
+	if n.Reenabled { // it was restarted while it was out: what reports said of it is of before
 		sv.backAt, sv.others, sv.seenAt = c.now, 0, c.now
 	}
 }
--- a/internal/broker/api.go
+++ b/internal/broker/api.go
@@ -35,7 +35,7 @@
 	Left    time.Duration // from Came
 	Came    time.Time     // when its last byte was read
 
-	Playing     control.Server // set: it plays there already; no answer is owed
+	Playing     control.ServerID // set: it plays there already; no answer is owed
 	Description []byte
 	Client      Client
 	// Grace is how long a session outlives its client's connection. With 0 a
@@ -100,15 +100,15 @@
 // broker by Report.
 type Nodes interface {
 	// SetUp sends an attempt. False: the list names no such node.
-	SetUp(control.Server, Attempt) bool
+	SetUp(control.ServerID, Attempt) bool
 	// GiveUp ends an attempt that is out: an Ended report follows once its
 	// TEARDOWN is written or it is certain that none is needed.
-	GiveUp(server control.Server, id control.SessionID, number int, timedOut bool)
+	GiveUp(server control.ServerID, id control.SessionID, number int, timedOut bool)
 	// Stands names a session that plays at a node since before the start.
-	Stands(control.Server, control.SessionID) bool
-	Release(server control.Server, id control.SessionID, cause int)
-	SetRung(server control.Server, id control.SessionID, rung int)
-	Probe(control.Server)
+	Stands(control.ServerID, control.SessionID) bool
+	Release(server control.ServerID, id control.SessionID, cause int)
+	SetRung(server control.ServerID, id control.SessionID, rung int)
+	Probe(control.ServerID)
 }
 
 // ReportKind says what a Report is.
@@ -124,7 +124,7 @@
 // Report is what a media node tells.
 type Report struct {
 	Kind        ReportKind
-	Server      control.Server
+	Server      control.ServerID
 	ID          control.SessionID
 	Number      int // of the attempt; 0: whichever
 	Status      control.Status
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -82,7 +82,7 @@
 func New(cfg Config) (*Broker, error) {
 	set := cfg.Settings
 	for _, t := range cfg.Teams {
-		set.Quotas = append(set.Quotas, t.Rate)
+		set.TenantQuotas = append(set.TenantQuotas, t.Rate)
 	}
 	ctl, err := control.New(set, cfg.Seed)
 	if err != nil {
@@ -94,12 +94,12 @@
 		sessions: make(map[control.SessionID]*session),
 		ended:    make(map[control.SessionID]Reply),
 		open:     make(map[control.SessionID]bool),
-		ledgers:  newLedgers(cfg.Teams, len(cfg.Settings.Quotas)),
+		ledgers:  newLedgers(cfg.Teams, len(cfg.Settings.TenantQuotas)),
 		drained:  make(chan struct{}),
 		drain:    cfg.Drain,
 		counts:   cfg.Counts,
 		hand:     cfg.Hand,
-		parts:    parts(&cfg, set.Fronts, cfg.Log),
+		parts:    parts(&cfg, set.Managers, cfg.Log),
 	}
 	for i := range b.parts {
 		b.timers.add(b.clock.now(), timerPart, 0, uint32(i))
@@ -180,7 +180,7 @@
 		for _, p := range b.parts {
 			p.Listed(b.clock.now(), m.Entries)
 		}
-		b.tell(control.Event{Kind: control.EvList, List: control.ListDelta, Entries: m.Entries})
+		b.tell(control.Event{Kind: control.EventList, List: control.ListDelta, Entries: m.Entries})
 	case stood:
 		for _, p := range b.parts {
 			p.Stalled(b.clock.now(), m.d)
@@ -252,29 +252,29 @@
 func (b *Broker) act(now time.Time, a control.Action) {
 	s := b.sessions[a.Session]
 	switch a.Kind {
-	case control.ActHandOff:
+	case control.ActionSetUp:
 		b.handOff(now, s, a)
-	case control.ActRung:
+	case control.ActionSetRung:
 		if s != nil {
 			// Guard: no class plays under its floor, whatever the module says.
-			s.rung = max(a.Rung, b.set.Classes[s.Class].Floor)
+			s.rung = max(a.Rung, b.set.Classes[s.Class].FloorRung)
 			if s.out || s.playing && !b.leaving { // what was handed over has another master
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
-	case control.ActDeny:
+	case control.ActionRefuse:
 		if s != nil && !s.answered {
-			b.refuse(s, seconds(a.WaitS))
+			b.refuse(s, seconds(a.RetryAfterS))
 		}
-	case control.ActFail:
+	case control.ActionFail:
 		if s != nil && !s.answered {
 			b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
 		}
-	case control.ActWake:
+	case control.ActionSetTimer:
 		b.timers.add(now.Add(seconds(a.DelayS)), timerWake, 0, a.Token)
-	case control.ActProbe:
+	case control.ActionProbe:
 		b.nodes.Probe(a.Server)
-	case control.ActMove:
+	case control.ActionMove:
 		// Guard: a move ends the session on both sides. The module hears of the
 		// end after its present actions.
 		if s != nil && s.playing {
@@ -283,7 +283,7 @@
 			b.Report(Report{Kind: Ended, Server: s.server, ID: s.ID, Number: s.attempt,
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
-	case control.ActRemark:
+	case control.ActionRemark:
 		b.log.Info("module", zap.String("remark", a.Text))
 	}
 }
@@ -298,7 +298,7 @@
 		s := b.sessions[t.session]
 		switch t.kind {
 		case timerWake:
-			b.tell(control.Event{Kind: control.EvTimer, Token: t.token})
+			b.tell(control.Event{Kind: control.EventTimer, Token: t.token})
 		case timerAttempt:
 			if s != nil && s.out && s.attempt == int(t.token) {
 				b.nodes.GiveUp(s.server, s.ID, s.attempt, true)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -23,17 +23,19 @@
 	f.told = append(f.told, fmt.Sprintf(format, args...))
 }
 
-func (f *fake) SetUp(s control.Server, a Attempt) bool {
+func (f *fake) SetUp(s control.ServerID, a Attempt) bool {
 	f.note("setup %d", a.ID)
 	return !f.none
 }
-func (f *fake) GiveUp(s control.Server, id control.SessionID, n int, timedOut bool) {
+func (f *fake) GiveUp(s control.ServerID, id control.SessionID, n int, timedOut bool) {
 	f.note("giveup %d", id)
 }
-func (f *fake) Stands(control.Server, control.SessionID) bool             { return true }
-func (f *fake) Release(s control.Server, id control.SessionID, cause int) { f.note("teardown %d", id) }
-func (f *fake) SetRung(s control.Server, id control.SessionID, rung int)  { f.note("rung %d", rung) }
-func (f *fake) Probe(control.Server)                                      {}
+func (f *fake) Stands(control.ServerID, control.SessionID) bool { return true }
+func (f *fake) Release(s control.ServerID, id control.SessionID, cause int) {
+	f.note("teardown %d", id)
+}
+func (f *fake) SetRung(s control.ServerID, id control.SessionID, rung int) { f.note("rung %d", rung) }
+func (f *fake) Probe(control.ServerID)                                     {}
 func (f *fake) Deliver(r Reply) bool {
 	if r.Kind == GivenUp || r.Kind == Closed {
 		return true
@@ -57,11 +59,11 @@
 func settings() control.Settings {
 	return control.Settings{
 		Classes: []control.Class{
-			{Effect: control.AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 2, Scale: 1},
-			{Effect: control.Idempotent, GoalS: 1.5, Worth: 1, Top: 2, Scale: 1},
+			{RepeatEffect: control.AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 2, RateScale: 1},
+			{RepeatEffect: control.Idempotent, StartGoalS: 1.5, Worth: 1, TopRung: 2, RateScale: 1},
 		},
-		RatesKB: []float64{1, 2, 3}, LadderWorth: []float64{0.3, 0.6, 1}, KindStreams: []int{100},
-		Fronts: 1, Cells: 1, Racks: 1, FleetKB: 1e4, LinkKB: 1e3, RackKB: 1e5, AttemptsCap: 4,
+		RatesKB: []float64{1, 2, 3}, LadderWorth: []float64{0.3, 0.6, 1}, MaxStreamsByKind: []int{100},
+		Managers: 1, Cells: 1, Racks: 1, FleetLinkKB: 1e4, LinkKBPerWeight: 1e3, RackUplinkKB: 1e5, AttemptsCap: 4,
 	}
 }
 
@@ -101,9 +103,9 @@
 		{"clip full", clip, control.Full, "setup 1, setup 1"},
 		{"clip not connected", clip, control.ConnectFailed, "setup 1, setup 1"},
 		{"clip errored", clip, control.Errored, "setup 1, failed 1"},
-		{"clip reset", clip, control.Reset, "setup 1, failed 1"},
+		{"clip reset", clip, control.ConnectionReset, "setup 1, failed 1"},
 		{"clip timed out", clip, control.TimedOut, "setup 1, failed 1"},
-		{"feed reset", feed, control.Reset, "setup 1, setup 1"},
+		{"feed reset", feed, control.ConnectionReset, "setup 1, setup 1"},
 		{"feed timed out", feed, control.TimedOut, "setup 1, setup 1"},
 	} {
 		b, f := bed(t)
@@ -120,13 +122,13 @@
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, 0)
 	s := b.sessions[1]
-	b.act(b.clock.now(), control.Action{Kind: control.ActDeny, Session: 1})
+	b.act(b.clock.now(), control.Action{Kind: control.ActionRefuse, Session: 1})
 	if got := f.take(); got != "setup 1, failed 1" || !s.answered {
 		t.Error(got)
 	}
 	// Nor does a second attempt leave beside one that is out.
 	b.ask(f, 2, clip, -1, 0)
-	b.act(b.clock.now(), control.Action{Kind: control.ActHandOff, Session: 2, Server: 2})
+	b.act(b.clock.now(), control.Action{Kind: control.ActionSetUp, Session: 2, Server: 2})
 	if got := f.take(); got != "setup 2" {
 		t.Error(got)
 	}
@@ -196,10 +198,10 @@
 	}
 	b.handle(ViewerEnd{ID: 2, Cause: 16})
 	b.tells(2, Ended, control.Cancelled)
-	b.tells(3, Ended, control.Moot) // its one further attempt
+	b.tells(3, Ended, control.NotSent) // its one further attempt
 	b.ask(f, 5, clip, 0, 0)
-	b.tells(5, Ended, control.Moot) // none is left
-	b.tells(5, Ended, control.Moot)
+	b.tells(5, Ended, control.NotSent) // none is left
+	b.tells(5, Ended, control.NotSent)
 	b.handle(ViewerEnd{ID: 3, Cause: 16})
 	b.tells(3, Ended, control.Cancelled)
 	b.ask(f, 6, clip, 0, 0) // the budget is spent
@@ -218,7 +220,7 @@
 	b, f := bed(t)
 	b.ask(f, 1, clip, -1, 0)
 	b.tells(1, Started, 0)
-	b.act(b.clock.now(), control.Action{Kind: control.ActRung, Session: 1, Rung: 0})
+	b.act(b.clock.now(), control.Action{Kind: control.ActionSetRung, Session: 1, Rung: 0})
 	if got := f.take(); got != "setup 1, served 1, rung 1" {
 		t.Error(got)
 	}
@@ -339,7 +341,7 @@
 	b, f := bed(t)
 	b.ask(f, 1, feed, -1, 0)
 	b.tells(1, Started, 0)
-	b.act(b.clock.now(), control.Action{Kind: control.ActMove, Session: 1})
+	b.act(b.clock.now(), control.Action{Kind: control.ActionMove, Session: 1})
 	for _, m := range b.inbox.Take(nil) {
 		b.handle(m)
 	}
@@ -389,7 +391,7 @@
 	}
 	var entries []control.Entry
 	for i := range 16 {
-		entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Weight: 1})
+		entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1})
 	}
 	br.handle(List{Entries: entries})
 	id := control.SessionID(0)
@@ -410,11 +412,11 @@
 // silent is nodes and a client that note nothing.
 type silent struct{}
 
-func (silent) SetUp(control.Server, Attempt) bool                  { return true }
-func (silent) GiveUp(control.Server, control.SessionID, int, bool) {}
-func (silent) Stands(control.Server, control.SessionID) bool       { return true }
-func (silent) Release(control.Server, control.SessionID, int)      {}
-func (silent) SetRung(control.Server, control.SessionID, int)      {}
-func (silent) Probe(control.Server)                                {}
-func (silent) Deliver(Reply) bool                                  { return true }
-func (silent) Gone(control.SessionID) bool                         { return false }
+func (silent) SetUp(control.ServerID, Attempt) bool                  { return true }
+func (silent) GiveUp(control.ServerID, control.SessionID, int, bool) {}
+func (silent) Stands(control.ServerID, control.SessionID) bool       { return true }
+func (silent) Release(control.ServerID, control.SessionID, int)      {}
+func (silent) SetRung(control.ServerID, control.SessionID, int)      {}
+func (silent) Probe(control.ServerID)                                {}
+func (silent) Deliver(Reply) bool                                    { return true }
+func (silent) Gone(control.SessionID) bool                           { return false }
--- a/internal/broker/counts.go
+++ b/internal/broker/counts.go
@@ -69,5 +69,5 @@
 			playing++
 		}
 	}
-	return Census{len(b.open), playing, b.ctl.Avoided(unix(b.clock.now()))}
+	return Census{len(b.open), playing, b.ctl.AvoidedServers(unix(b.clock.now()))}
 }
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -56,12 +56,12 @@
 	rates := []float64{200, 420, 640, 1900}
 	return control.Settings{
 		Classes: []control.Class{
-			{Effect: control.AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 3, Scale: 1},
-			{Effect: control.Idempotent, GoalS: 1.5, Worth: 1, Top: 3, Scale: 1},
+			{RepeatEffect: control.AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 3, RateScale: 1},
+			{RepeatEffect: control.Idempotent, StartGoalS: 1.5, Worth: 1, TopRung: 3, RateScale: 1},
 		},
-		RatesKB: rates, LadderWorth: []float64{0.24, 0.55, 0.77, 1}, KindStreams: []int{30},
-		Fronts: managers, Cells: nodes, Racks: 1, FleetKB: 7000 * float64(nodes), LinkKB: 7000, RackKB: 1e9, Guard: 1.2, SeeS: 1, SwitchS: 0.6,
-		Feed: control.FeedProbe, Fields: []string{"load_share", "x1"}, Probes: true, AttemptsCap: 4,
+		RatesKB: rates, LadderWorth: []float64{0.24, 0.55, 0.77, 1}, MaxStreamsByKind: []int{30},
+		Managers: managers, Cells: nodes, Racks: 1, FleetLinkKB: 7000 * float64(nodes), LinkKBPerWeight: 7000, RackUplinkKB: 1e9, FullAtUtilization: 1.2, NoteDelayS: 1, RungChangeCostS: 0.6,
+		LoadReporting: control.LoadReportsInProbes, LoadFields: []string{"load_share", "x1"}, ProbesAllowed: true, AttemptsCap: 4,
 	}
 }
 
@@ -85,8 +85,8 @@
 			},
 		}, e.seed)
 		defer fleet.Close()
-		slots := 0.9 * set.FleetKB / 640
-		sessions := 0.45 * set.FleetKB / 640
+		slots := 0.9 * set.FleetLinkKB / 640
+		sessions := 0.45 * set.FleetLinkKB / 640
 		rate := sessions / (0.35*45.5 + 0.65*35)
 		start := time.Now()
 		var plan broker.Peaks
@@ -97,7 +97,7 @@
 			plan.Lasts = []float64{45, 35}
 		}
 		for k, c := range set.Classes {
-			one := peaks.Class{Floor: c.Floor, Top: c.Top, Rate: rate * []float64{0.35, 0.65}[k]}
+			one := peaks.Class{Floor: c.FloorRung, Top: c.TopRung, Rate: rate * []float64{0.35, 0.65}[k]}
 			for r, kb := range set.RatesKB {
 				one.Sizes, one.Worth = append(one.Sizes, kb/640), append(one.Worth, c.Worth*set.LadderWorth[r])
 			}
@@ -105,7 +105,7 @@
 		}
 		var entries []control.Entry
 		for i := range nodes {
-			entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Cell: i, Weight: 1})
+			entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Cell: i, Weight: 1})
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
--- a/internal/broker/export_test.go
+++ b/internal/broker/export_test.go
@@ -5,5 +5,5 @@
 // HoldAlways has a part of the room held from the start on, as a plain reserve
 // would. It is to be called before Run.
 func (b *Broker) HoldAlways(parts []float64) {
-	b.tell(control.Event{Kind: control.EvHold, Hold: parts})
+	b.tell(control.Event{Kind: control.EventHold, HeldShares: parts})
 }
--- a/internal/broker/gone_test.go
+++ b/internal/broker/gone_test.go
@@ -26,7 +26,7 @@
 	again := func(b *Broker, f *fake) { f.left = false; b.look(1) } // it is heard again
 	look := func(b *Broker, f *fake) { b.look(1) }
 	feedAsks := func(b *Broker, f *fake) { b.ask(f, 1, feed, -1, 0) }
-	reset := func(b *Broker, f *fake) { b.tells(1, Ended, control.Reset) }
+	reset := func(b *Broker, f *fake) { b.tells(1, Ended, control.ConnectionReset) }
 	late := func(b *Broker, f *fake) { b.overdue(1) }
 	gone := func(b *Broker, f *fake) { b.abandon(b.sessions[1]) } // its grace is over
 	for name, e := range map[string]struct {
@@ -84,7 +84,7 @@
 // to say of the first ends no claim of the second, which the front has read by then.
 func TestAskedAgainAtOnce(t *testing.T) {
 	set := settings()
-	set.Fields, set.Feed, set.Probes = []string{"x0", "x1"}, control.FeedAnswers, true // the first waits for a report
+	set.LoadFields, set.LoadReporting, set.ProbesAllowed = []string{"x0", "x1"}, control.LoadReportsInAnswers, true // the first waits for a report
 	f := &fake{}
 	b, err := New(Config{Settings: set, Seed: 1, Nodes: f, Log: zap.NewNop()})
 	if err != nil {
@@ -96,7 +96,7 @@
 	b.handle(r)
 	b.handle(ViewerEnd{ID: 1, Cause: CauseEnded, Client: p})
 	b.handle(r)
-	for _, s := range []control.Server{1, 2, 1, 2} { // each was asked for both
+	for _, s := range []control.ServerID{1, 2, 1, 2} { // each was asked for both
 		b.handle(Report{Kind: Probed, Server: s, Status: control.OK, Load: []float64{0, 0}})
 	}
 	if got := f.take(); got != "setup 1" {
--- a/internal/broker/hand.go
+++ b/internal/broker/hand.go
@@ -21,7 +21,7 @@
 	Home    int               `cbor:"6,keyasint"`
 	Span    int               `cbor:"7,keyasint"`
 	MaxRung float64           `cbor:"8,keyasint"`
-	Server  control.Server    `cbor:"9,keyasint"`
+	Server  control.ServerID  `cbor:"9,keyasint"`
 	Rung    int               `cbor:"10,keyasint"`
 	Since   int64             `cbor:"11,keyasint"` // Unix time in ns; 0: not known
 	Host    string            `cbor:"12,keyasint"` // where its viewer is
@@ -89,8 +89,8 @@
 			s.stood = now.Add(-max(time.Duration(now.UnixNano()-st.Since), 0))
 		}
 		b.sessions[st.ID], b.taken[st.ID] = s, true
-		b.tell(control.Event{Kind: control.EvOpen, Session: st.ID, Class: st.Class, Tenant: st.Team, Title: st.Title,
-			Home: st.Home, Span: st.Span, MaxRung: st.MaxRung, Server: st.Server, Rung: st.Rung})
+		b.tell(control.Event{Kind: control.EventEstablished, Session: st.ID, Class: st.Class, Tenant: st.Team, Title: st.Title,
+			HomeCell: st.Home, Copies: st.Span, MaxRung: st.MaxRung, Server: st.Server, Rung: st.Rung})
 		taken++
 	}
 	for id, cause := range a.Over {
--- a/internal/broker/hand_test.go
+++ b/internal/broker/hand_test.go
@@ -27,13 +27,13 @@
 		old.sessions[id].client = at{f, "h1"}
 	}
 	f.take()
-	on := func(id control.SessionID) control.Server { return old.sessions[id].server }
+	on := func(id control.SessionID) control.ServerID { return old.sessions[id].server }
 	at1, at2, at3 := on(1), on(2), on(3)
 	old.handle(finish{leave: true})
 	if len(first.Standing) != 3 || first.Last || first.Standing[0].Host != "h1" {
 		t.Fatalf("%+v", first)
 	}
-	old.handle(Report{Kind: Ended, Server: at2, ID: 2, Status: control.Reset, Cause: CauseCut})
+	old.handle(Report{Kind: Ended, Server: at2, ID: 2, Status: control.ConnectionReset, Cause: CauseCut})
 	old.stopping = old.stopping.Add(-old.stay())
 	old.checkDrained()
 	last := old.Handover()
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -22,8 +22,8 @@
 func lossSettings(managers, nodes int) control.Settings {
 	const big = 8
 	set := daySettings(managers, nodes)
-	set.LinkKB, set.FleetKB, set.KindStreams = big*set.LinkKB, big*set.FleetKB, []int{big * 30}
-	set.CrossZoneCost, set.WarmAfterS, set.StartCapacity, set.FallMultiple = 0.021, 3, 0.2, 3
+	set.LinkKBPerWeight, set.FleetLinkKB, set.MaxStreamsByKind = big*set.LinkKBPerWeight, big*set.FleetLinkKB, []int{big * 30}
+	set.CrossZoneCost, set.WarmAfterS, set.StartCapacityShare, set.ColdSetupMultiple = 0.021, 3, 0.2, 3
 	return set
 }
 
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -42,7 +42,7 @@
 	// Ages are, by class, how long the sessions that play have done so, in seconds.
 	Ages() [][]float64
 	// Probe asks a node for its report, which comes as any other does.
-	Probe(control.Server)
+	Probe(control.ServerID)
 }
 
 // Unmoved is a part that does nothing, to be embedded.
@@ -58,10 +58,10 @@
 // view is the broker as parts see it.
 type view struct{ *Broker }
 
-func (v view) Room() float64  { return v.ctl.Room() }
-func (v view) Share() float64 { return v.ctl.Share() }
+func (v view) Room() float64  { return v.ctl.CapacitySlots() }
+func (v view) Share() float64 { return v.ctl.LoadShare() }
 
-func (v view) Probe(s control.Server) { v.nodes.Probe(s) }
+func (v view) Probe(s control.ServerID) { v.nodes.Probe(s) }
 
 func (v view) Ages() [][]float64 {
 	now, ages := v.clock.now(), make([][]float64, len(v.set.Classes))
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -107,5 +107,5 @@
 		return nil
 	}
 	h.held = held
-	return []control.Event{{Kind: control.EvHold, Hold: held}}
+	return []control.Event{{Kind: control.EventHold, HeldShares: held}}
 }
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -26,13 +26,13 @@
 		}
 		b.handle(r)
 	}
-	b.tell(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all is held for feeds of the peak
+	b.tell(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 1}}) // all is held for feeds of the peak
 	ask(1, feed, "")
 	ask(2, clip, "")
 	ask(3, feed, "quincena")
 	ask(4, clip, "quincena") // its class has none held
 	ask(5, feed, "another")
-	b.tell(control.Event{Kind: control.EvHold, Hold: []float64{0, 0}})
+	b.tell(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 0}})
 	ask(6, feed, "")
 	if got := f.take(); got != "refused 1, refused 2, setup 3, refused 4, refused 5, setup 6" {
 		t.Error(got)
@@ -67,7 +67,7 @@
 			return peaks.Class{Rate: rate, Sizes: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
 		}
 		set := settings()
-		set.FleetKB, set.LinkKB = 200, 100
+		set.FleetLinkKB, set.LinkKBPerWeight = 200, 100
 		b, err := New(Config{Settings: set, Seed: 1, Nodes: &fake{}, Log: zap.NewNop(),
 			Peaks: Peaks{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, Lasts: []float64{40, 40}}})
 		if err != nil {
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -26,7 +26,7 @@
 	answered bool // the final answer is given, or none is owed
 	reply    Reply
 	attempt  int // number of the last attempt
-	server   control.Server
+	server   control.ServerID
 	rung     int
 	out      bool            // an attempt is out
 	paused   *control.Action // the attempt that is out has not begun: its client has gone
@@ -56,10 +56,10 @@
 		r.Client.Deliver(Reply{Kind: Refused, ID: r.ID, Cause: CauseRefused, Wait: lastWait})
 		return
 	}
-	s := &session{Request: r, client: r.Client, deadline: r.Came.Add(r.Left), rung: b.set.Classes[r.Class].Floor}
+	s := &session{Request: r, client: r.Client, deadline: r.Came.Add(r.Left), rung: b.set.Classes[r.Class].FloorRung}
 	e := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
-		Home: r.Home, Span: r.Span, MaxRung: r.MaxRung,
+		HomeCell: r.Home, Copies: r.Span, MaxRung: r.MaxRung,
 	}
 	if r.Playing != 0 {
 		if !b.nodes.Stands(r.Playing, r.ID) {
@@ -70,8 +70,8 @@
 		s.playing, s.answered, s.server, s.attempt = true, true, r.Playing, 1
 		s.reply = Reply{Kind: Failed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
 		b.sessions[r.ID] = s
-		e.Kind, e.Server = control.EvOpen, r.Playing
-		e.LeftS = r.Left.Seconds()
+		e.Kind, e.Server = control.EventEstablished, r.Playing
+		e.TimeLeftS = r.Left.Seconds()
 		b.tell(e)
 		return
 	}
@@ -82,8 +82,8 @@
 		b.refuse(s, wait)
 		return
 	}
-	e.Kind, e.Own = control.EvArrive, b.arrived(now, &r)
-	e.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
+	e.Kind, e.InPeak = control.EventArrival, b.arrived(now, &r)
+	e.TimeLeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
 	b.tell(e)
 }
 
@@ -193,7 +193,7 @@
 		s.client.Deliver(Reply{Kind: GivenUp, ID: s.ID})
 	}
 	b.giveUp(s, false)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.tell(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
@@ -227,7 +227,7 @@
 func (b *Broker) fail(s *session) {
 	b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
 	b.giveUp(s, true)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.tell(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
@@ -238,7 +238,7 @@
 		return
 	}
 	s.attempt++
-	if s.mayRun && b.set.Classes[s.Class].Effect != control.Idempotent {
+	if s.mayRun && b.set.Classes[s.Class].RepeatEffect != control.Idempotent {
 		// Guard: a paid session is sent again only if no attempt can have run.
 		b.moot(s, a.Server)
 		return
@@ -276,8 +276,8 @@
 // send has the attempt that is out begin.
 func (b *Broker) send(now time.Time, s *session, a control.Action) {
 	end := s.deadline.Add(-answerMargin)
-	if a.PatienceS > 0 {
-		if t := now.Add(seconds(a.PatienceS)); t.Before(end) {
+	if a.SetupTimeoutS > 0 {
+		if t := now.Add(seconds(a.SetupTimeoutS)); t.Before(end) {
 			end = t
 		}
 	}
@@ -293,15 +293,15 @@
 }
 
 // moot reports an attempt that never left, after the module's present actions.
-func (b *Broker) moot(s *session, server control.Server) {
+func (b *Broker) moot(s *session, server control.ServerID) {
 	s.out, s.server = true, server
-	b.Report(Report{Kind: Ended, Server: server, ID: s.ID, Number: s.attempt, Status: control.Moot})
+	b.Report(Report{Kind: Ended, Server: server, ID: s.ID, Number: s.attempt, Status: control.NotSent})
 }
 
 // refuse tells a viewer to come again later. The rule on paid sessions covers
 // every refusal: where an attempt may have run the answer is that it failed.
 func (b *Broker) refuse(s *session, wait time.Duration) {
-	if b.set.Classes[s.Class].Effect != control.Idempotent && (s.mayRun || s.out && s.paused == nil) {
+	if b.set.Classes[s.Class].RepeatEffect != control.Idempotent && (s.mayRun || s.out && s.paused == nil) {
 		b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
@@ -356,7 +356,7 @@
 		p.Reported(b.clock.now(), &r)
 	}
 	if r.Kind == Probed {
-		b.tell(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
+		b.tell(control.Event{Kind: control.EventProbeResult, Server: r.Server, Status: r.Status, ProcessDown: r.Down, Load: r.Load})
 		return
 	}
 	s := b.sessions[r.ID]
@@ -373,7 +373,7 @@
 	case Ended:
 		b.attemptEnded(s, r)
 	case Noted:
-		b.tell(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
+		b.tell(control.Event{Kind: control.EventNote, Session: s.ID, Server: r.Server,
 			Attempt: s.attempt - 1, Note: r.Note, Value: r.Value})
 	}
 }
@@ -385,13 +385,13 @@
 	s.out = false
 	if s.answered {
 		b.nodes.Release(r.Server, s.ID, CauseEnded)
-		b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1,
-			Server: s.server, Status: control.Cancelled, Finished: true})
+		b.tell(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attempt - 1,
+			Server: s.server, Status: control.Cancelled, RequestFinished: true})
 		b.forget(s)
 		return
 	}
 	s.playing, s.stood = true, b.clock.now()
-	b.tell(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
+	b.tell(control.Event{Kind: control.EventStarted, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
 	if !b.answer(s, Reply{Kind: Served, ID: s.ID, Description: r.Description}) {
 		// Its connection is gone and nobody will come back for it.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
@@ -422,12 +422,12 @@
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
 	}
 	switch r.Status {
-	case control.Full, control.ConnectFailed, control.Moot: // proven not to have run
+	case control.Full, control.ConnectFailed, control.NotSent: // proven not to have run
 	default:
 		s.mayRun = true
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
-		Status: r.Status, Confined: r.Confined, Down: r.Down, Finished: s.answered, Load: r.Load})
+	b.tell(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+		Status: r.Status, ConnectionOnly: r.Confined, ProcessDown: r.Down, RequestFinished: s.answered, Load: r.Load})
 	b.forget(s)
 }
 
@@ -461,7 +461,7 @@
 			p.Over(now, s.Class, now.Sub(s.stood), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
-		Status: r.Status, Down: r.Down, Finished: true, Load: r.Load})
+	b.tell(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
+		Status: r.Status, ProcessDown: r.Down, RequestFinished: true, Load: r.Load})
 	b.forget(s)
 }
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -36,7 +36,7 @@
 	set    control.Settings
 	watch  *site.Watch
 	guide  *site.Guide
-	listed map[control.Server]bool
+	listed map[control.ServerID]bool
 	logged time.Time         // what comes
 	ration bool              // the module has one
 	began  map[int]time.Time // of episodes that last; -1: this manager's own
@@ -44,8 +44,8 @@
 }
 
 func newSites(s Sites, set control.Settings, log *zap.Logger) *sites {
-	return &sites{Sites: s, set: set, watch: site.NewWatch(s.Names), listed: map[control.Server]bool{}, began: map[int]time.Time{}, log: log,
-		guide: site.NewGuide(s.Names, s.Rules, s.Classes, s.Expect, set.CrossZoneCost, set.RackKB*control.TargetUse)}
+	return &sites{Sites: s, set: set, watch: site.NewWatch(s.Names), listed: map[control.ServerID]bool{}, began: map[int]time.Time{}, log: log,
+		guide: site.NewGuide(s.Names, s.Rules, s.Classes, s.Expect, set.CrossZoneCost, set.RackUplinkKB*control.TargetUtilization)}
 }
 
 // Every is part of Part.
@@ -72,9 +72,9 @@
 
 // SiteNode is an entry of a list of so many nodes as plans for sites count it.
 func SiteNode(set *control.Settings, e control.Entry, of, servers int) site.Node {
-	n := site.Node{Site: of, Rack: e.Cell % max(set.Racks, 1), LinkKB: set.Link(e, servers) * control.TargetUse, Places: manyStreams}
-	if e.Kind >= 0 && e.Kind < len(set.KindStreams) {
-		n.Places = float64(set.KindStreams[e.Kind])
+	n := site.Node{Site: of, Rack: e.Cell % max(set.Racks, 1), LinkKB: set.ExpectedLinkKB(e, servers) * control.TargetUtilization, Places: manyStreams}
+	if e.MachineKind >= 0 && e.MachineKind < len(set.MaxStreamsByKind) {
+		n.Places = float64(set.MaxStreamsByKind[e.MachineKind])
 	}
 	return n
 }
@@ -116,7 +116,7 @@
 		return site.NoWay, true
 	case control.TimedOut:
 		return site.Silence, true
-	case control.Reset:
+	case control.ConnectionReset:
 		if r.Confined { // only the connection broke; the node is there
 			return site.Heard, true
 		}
@@ -153,7 +153,7 @@
 		s.log.Info("site", fields...)
 	}
 	for _, node := range s.watch.Ask(now) {
-		v.Probe(control.Server(node))
+		v.Probe(control.ServerID(node))
 	}
 	if now.Sub(s.logged) >= demandEvery {
 		if rates, lasts, ok := s.guide.Demand(now); ok {
@@ -170,7 +170,7 @@
 		return nil
 	}
 	s.ration = r != nil
-	return []control.Event{{Kind: control.EvRation, Ration: s.told(r)}}
+	return []control.Event{{Kind: control.EventRation, Ration: s.told(r)}}
 }
 
 func (s *sites) returns(now time.Time, i int) int {
@@ -185,10 +185,10 @@
 	if r == nil {
 		return nil
 	}
-	to := &control.Ration{Limit: r.Limit, Every: r.Every, Pace: make([]float64, len(s.Of))}
+	to := &control.Ration{SessionLimits: r.Limit, RetryIntervalsS: r.Every, ZoneRates: make([]float64, len(s.Of))}
 	for zone, i := range s.Of {
-		if to.Pace[zone] = -1; i >= 0 && r.Pace[i] >= 0 {
-			to.Pace[zone] = r.Pace[i] / float64(s.zones(i))
+		if to.ZoneRates[zone] = -1; i >= 0 && r.Pace[i] >= 0 {
+			to.ZoneRates[zone] = r.Pace[i] / float64(s.zones(i))
 		}
 	}
 	return to
--- a/internal/broker/sites_test.go
+++ b/internal/broker/sites_test.go
@@ -29,11 +29,11 @@
 		{report: Report{Kind: Ended, Status: control.ConnectFailed}, sign: site.NoWay},
 		{report: Report{Kind: Probed, Status: control.ConnectFailed}, sign: site.NoWay},
 		{report: Report{Kind: Ended, Status: control.TimedOut}, sign: site.Silence},
-		{report: Report{Kind: Ended, Status: control.Reset}, sign: site.Broke},
-		{report: Report{Kind: Ended, Status: control.Reset, Confined: true}, sign: site.Heard},
+		{report: Report{Kind: Ended, Status: control.ConnectionReset}, sign: site.Broke},
+		{report: Report{Kind: Ended, Status: control.ConnectionReset, Confined: true}, sign: site.Heard},
 		{report: Report{Kind: Ended, Status: control.Cancelled}, none: true},
-		{report: Report{Kind: Ended, Status: control.Moot}, none: true},
-		{report: Report{Kind: Probed, Status: control.Moot}, none: true},
+		{report: Report{Kind: Ended, Status: control.NotSent}, none: true},
+		{report: Report{Kind: Probed, Status: control.NotSent}, none: true},
 	} {
 		if sign, ok := signOf(&e.report); ok == e.none || ok && sign != e.sign {
 			t.Errorf("%+v: %v, %v", e.report, sign, ok)
@@ -53,14 +53,14 @@
 	now := time.Unix(1000, 0)
 	var list []control.Entry
 	for n := range 8 {
-		list = append(list, control.Entry{Server: control.Server(n), State: control.Ready, Zone: n / 4})
+		list = append(list, control.Entry{Server: control.ServerID(n), State: control.Ready, Zone: n / 4})
 	}
 	list = append(list, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // of no zone that is known
 	s.Listed(now, list)
 	round := func(status control.Status) {
 		for n := range 8 {
 			now = now.Add(50 * time.Millisecond)
-			r := Report{Kind: Ended, Server: control.Server(n), Status: control.Full}
+			r := Report{Kind: Ended, Server: control.ServerID(n), Status: control.Full}
 			if n >= 4 {
 				r.Status = status
 			}
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -55,7 +55,7 @@
 	if l == nil {
 		return 0, true
 	}
-	billed := b.set.Classes[s.Class].Effect != control.Idempotent
+	billed := b.set.Classes[s.Class].RepeatEffect != control.Idempotent
 	switch {
 	case len(l.Classes) > 0 && !l.Classes[s.Class]:
 		return capWait, false
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -207,7 +207,7 @@
 	on := Deployment{Name: c.Name, Teams: c.Tenants, Zones: c.Names.Zones}
 	on.Room, on.Planned = planned(&c.Settings)
 	for i, k := range c.Settings.Classes {
-		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], Paid: k.Effect != control.Idempotent, Floor: k.Floor})
+		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], Paid: k.RepeatEffect != control.Idempotent, Floor: k.FloorRung})
 	}
 	return on
 }
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -31,14 +31,14 @@
 	}
 	middle := s.RatesKB[len(s.RatesKB)/2]
 	for _, k := range s.Classes {
-		c := peaks.Class{Floor: k.Floor, Top: min(k.Top, len(s.RatesKB)-1)}
+		c := peaks.Class{Floor: k.FloorRung, Top: min(k.TopRung, len(s.RatesKB)-1)}
 		for r, rate := range s.RatesKB {
-			c.Sizes = append(c.Sizes, rate*k.Scale/middle)
+			c.Sizes = append(c.Sizes, rate*k.RateScale/middle)
 			c.Worth = append(c.Worth, k.Worth*s.LadderWorth[r])
 		}
 		classes = append(classes, c)
 	}
-	return control.TargetUse * s.FleetKB / middle, classes
+	return control.TargetUtilization * s.FleetLinkKB / middle, classes
 }
 
 // ordinaryBlock tells what comes and how long it lasts, until that is measured.
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -199,7 +199,7 @@
 
 // stands takes a session that plays already. It is owed no answer, but an end
 // where it can't be held.
-func (c *conn) stands(m *message.Message, r broker.Request, at control.Server, err error) bool {
+func (c *conn) stands(m *message.Message, r broker.Request, at control.ServerID, err error) bool {
 	r.Playing = at
 	c.Stands()
 	if err == nil && c.front.Core.Submit(r) {
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -198,8 +198,8 @@
 }
 
 var notes = map[string]control.NoteKind{
-	"delivered": control.NoteShare, "rung": control.NoteRung,
-	"link": control.NoteLink, "uplink": control.NoteUplink,
+	"delivered": control.NoteDeliveredShare, "rung": control.NoteRung,
+	"link": control.NoteLinkUtilization, "uplink": control.NoteUplinkUtilization,
 }
 
 // parseCause reads "cause=N"; without it the end is an ordinary one.
--- a/internal/media/ends_test.go
+++ b/internal/media/ends_test.go
@@ -224,7 +224,7 @@
 		n.pool.watch.Fresh(time.Now())
 		n.handle(goOn{})
 		if drained {
-			status(t, reports, control.Moot)
+			status(t, reports, control.NotSent)
 		} else if a := n.attempts[1]; a == nil || a.conn == nil {
 			t.Errorf("%s: not sent", name)
 		}
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -71,7 +71,7 @@
 	n.handle(try(1))
 	n.state.Store(int32(control.Draining))
 	n.handle(dialled{conn: c})
-	status(t, reports, control.Moot)
+	status(t, reports, control.NotSent)
 }
 
 // Nor does anything go out whose client has gone by then, however it waited: not a byte
@@ -110,7 +110,7 @@
 		if got := <-lines; !strings.Contains(got, "Session: 0000000000000002") {
 			t.Errorf("waiting %s: wrote %q", name, got)
 		}
-		status(t, reports, control.Moot)
+		status(t, reports, control.NotSent)
 	}
 }
 
@@ -123,7 +123,7 @@
 		far.Close()
 	}()
 	n.handle(try(1))
-	status(t, reports, control.Reset)
+	status(t, reports, control.ConnectionReset)
 
 	n, c, far, reports = bed(t)
 	n.conns = []*conn{c}
@@ -141,7 +141,7 @@
 	n.dialling = true // to see whether the node is there
 	n.handle(closed{c, io.EOF})
 	n.handle(dialled{err: io.EOF})
-	status(t, reports, control.Reset)
+	status(t, reports, control.ConnectionReset)
 }
 
 // A given-up attempt is out until its TEARDOWN is written; a late 200 is torn
@@ -227,7 +227,7 @@
 		n.dialling = true
 		n.handle(stands{1})
 		lose(n)
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseCut {
+		if len(*reports) != 1 || (*reports)[0].Status != control.ConnectionReset || (*reports)[0].Cause != broker.CauseCut {
 			t.Errorf("%s: %+v", name, *reports)
 		}
 	}
@@ -277,7 +277,7 @@
 				if !strings.Contains(steps, "c") {
 					n.handle(closed{c, net.ErrClosed})
 				}
-				want := control.Reset
+				want := control.ConnectionReset
 				if strings.Contains(steps, "f") {
 					want = control.Full
 				}
@@ -289,20 +289,20 @@
 				}
 				status(t, reports, want)
 				last := (*reports)[len(*reports)-1] // only of a set-up: is the node there?
-				if len(n.standing)+len(n.attempts)+len(n.doubted) != 0 || last.Cause == 0 && last.Confined != (want == control.Reset && name == "restarted") {
+				if len(n.standing)+len(n.attempts)+len(n.doubted) != 0 || last.Cause == 0 && last.Confined != (want == control.ConnectionReset && name == "restarted") {
 					t.Errorf("%d stand, %d out, %d doubted; %+v", len(n.standing), len(n.attempts), len(n.doubted), last)
 				}
 			})
 		}
 	}
 	// What only waits for a connection ends at once, whatever becomes of the dial.
-	for _, state := range []control.State{control.Gone, control.Draining} {
+	for _, state := range []control.ServerState{control.Gone, control.Draining} {
 		n, _, _, reports := bed(t)
 		n.dialling = true
 		n.handle(try(1))
 		n.state.Store(int32(state))
 		n.handle(listChange{})
-		status(t, reports, control.Moot)
+		status(t, reports, control.NotSent)
 	}
 }
 
@@ -314,8 +314,8 @@
 		"RTSP/1.0 453 Full\r\nCSeq: 1\r\nSession: 0a\r\nLink-State: x1:2\r\nContent-Length: 0\r\n\r\n":                           {kind: answered, id: 10, status: 453, description: []byte{}},
 		"TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nReason: cause=41\r\nContent-Length: 0\r\n\r\n":                       {kind: ended, id: 10, cause: 41},
 		"TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nContent-Length: 0\r\n\r\n":                                           {kind: ended, id: 10, cause: 16},
-		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: 0.5\r\nContent-Length: 0\r\n\r\n": {kind: noted, id: 10, note: control.NoteShare, value: 0.5},
-		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: x\r\nContent-Length: 0\r\n\r\n":   {id: 10, note: control.NoteShare},
+		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: 0.5\r\nContent-Length: 0\r\n\r\n": {kind: noted, id: 10, note: control.NoteDeliveredShare, value: 0.5},
+		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: x\r\nContent-Length: 0\r\n\r\n":   {id: 10, note: control.NoteDeliveredShare},
 	} {
 		var raw rtsp.Message
 		if _, err := rtsp.Parse([]byte(text), &raw); err != nil {
@@ -373,7 +373,7 @@
 			status(t, reports)
 			n.handle(e.then)
 		}
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Confined != e.confined ||
+		if len(*reports) != 1 || (*reports)[0].Status != control.ConnectionReset || (*reports)[0].Confined != e.confined ||
 			(*reports)[0].Down != (name == "refused") ||
 			len(n.attempts)+len(n.doubted) != 0 {
 			t.Errorf("%s: %+v", name, *reports)
@@ -386,7 +386,7 @@
 	n.handle(closed{c, io.EOF})
 	n.handle(giveUp{1, 1, true}) // its time is up before that is known
 	n.handle(dialled{err: io.EOF})
-	status(t, reports, control.Reset)
+	status(t, reports, control.ConnectionReset)
 }
 
 // Nothing new is put on a connection that has been silent since a set-up, nor on
@@ -456,7 +456,7 @@
 	for _, m := range n.box.Take(nil) {
 		n.handle(m)
 	}
-	status(t, reports, control.Moot)
+	status(t, reports, control.NotSent)
 	for i := range 5 {
 		near, far := net.Pipe()
 		defer near.Close()
@@ -482,7 +482,7 @@
 func TestAddressIsTakenOver(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p := NewPool(ctx, new(errgroup.Group), Config{Report: func(broker.Report) {}, Log: zap.NewNop()})
-	at := func(s control.Server, state control.State) directory.Change {
+	at := func(s control.ServerID, state control.ServerState) directory.Change {
 		return directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: "127.0.0.1:1"}}}
 	}
 	p.Apply(at(1, control.Ready))
@@ -507,7 +507,7 @@
 		n, _, _, reports := bed(t)
 		n.pool.cfg.MaxConns = 0 // the script dials
 		n.pool.nodes[n.server] = n
-		told := func(s control.Server, state control.State, addr string, up time.Time) {
+		told := func(s control.ServerID, state control.ServerState, addr string, up time.Time) {
 			n.pool.Apply(directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: addr, Up: up}}})
 		}
 		n.member.Addr = "old:1"
@@ -538,7 +538,7 @@
 		}
 		n.handle(closed{c, net.ErrClosed})
 		n.handle(dialled{conn: stub(), addr: "new:1"})
-		status(t, reports, control.Reset, control.Reset)
+		status(t, reports, control.ConnectionReset, control.ConnectionReset)
 		if a := n.attempts[3]; a == nil || a.conn != n.conns[len(n.conns)-1] || there.used || since.dead || len(n.standing) != 0 {
 			t.Errorf("seen %s: %+v, %d stand; used there: %v, closed here: %v", name, a, len(n.standing), there.used, since.dead)
 		}
@@ -597,14 +597,14 @@
 		stands int
 	}{
 		strings.Replace(ok, "200", "453", 1): {want: []control.Status{control.Full}},
-		strings.Replace(ok, "200", "454", 1): {want: []control.Status{control.Moot}},
+		strings.Replace(ok, "200", "454", 1): {want: []control.Status{control.NotSent}},
 		ok:                                   {stands: 1},
 		ok + ok:                              {stands: 1}, // a second answer does nothing
 		ok + end:                             {want: []control.Status{control.OK}},
-		end + ok:                             {want: []control.Status{control.Reset}}, // as a set-up that broke
+		end + ok:                             {want: []control.Status{control.ConnectionReset}}, // as a set-up that broke
 		ok + end[:40]:                        {stands: 1},
-		ok[:40]:                              {want: []control.Status{control.Reset}},
-		"\x00" + ok + end:                    {want: []control.Status{control.Reset}},
+		ok[:40]:                              {want: []control.Status{control.ConnectionReset}},
+		"\x00" + ok + end:                    {want: []control.Status{control.ConnectionReset}},
 	} {
 		for _, reset := range []bool{false, true} {
 			for _, first := range []string{"read", "write"} {
@@ -794,7 +794,7 @@
 		}
 	}
 	n.pool.Probe(n.server)
-	if last := (*reports)[len(*reports)-1]; !n.box.Empty() || last.Kind != broker.Probed || last.Status != control.Moot {
+	if last := (*reports)[len(*reports)-1]; !n.box.Empty() || last.Kind != broker.Probed || last.Status != control.NotSent {
 		t.Errorf("a probe is under way: %+v", last)
 	}
 	if got := string(wrote.b); strings.Contains(got, "OPTIONS") || strings.Count(got, "TEARDOWN") != 1 {
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -57,7 +57,7 @@
 type node struct {
 	pool   *Pool
 	member directory.Member // as the list last said; the pool's, under its lock
-	server control.Server
+	server control.ServerID
 	id     string
 	up     time.Time
 	state  atomic.Int32 // control.State, as the list last said
@@ -183,7 +183,7 @@
 	return n.member.Addr
 }
 
-func (n *node) listed() control.State { return control.State(n.state.Load()) }
+func (n *node) listed() control.ServerState { return control.ServerState(n.state.Load()) }
 
 func (n *node) handle(m any) {
 	switch m := m.(type) {
@@ -228,7 +228,7 @@
 // broken ends a set-up that went down with its connection. confined: the node
 // was heard of or reached since, so the fault was the connection's alone.
 func (n *node) broken(a *attempt, confined bool) {
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.Reset, Confined: confined})
+	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.ConnectionReset, Confined: confined})
 }
 
 func (n *node) drop(a *attempt) {
@@ -391,7 +391,7 @@
 	n.refused = errors.Is(err, syscall.ECONNREFUSED)
 	status := control.ConnectFailed
 	if own {
-		status = control.Moot
+		status = control.NotSent
 	}
 	for _, a := range n.attempts {
 		if a.conn == nil {
@@ -470,7 +470,7 @@
 	for id, s := range n.standing {
 		if s.at.Before(before) {
 			delete(n.standing, id)
-			n.report(broker.Report{Kind: broker.Ended, ID: id, Status: control.Reset, Cause: broker.CauseCut})
+			n.report(broker.Report{Kind: broker.Ended, ID: id, Status: control.ConnectionReset, Cause: broker.CauseCut})
 		}
 	}
 }
@@ -679,7 +679,7 @@
 		now := time.Now()
 		// Nor does anything begin for a client that has gone meanwhile.
 		if n.listed() != control.Ready || now.After(a.Deadline) || a.Client.Gone(a.ID) {
-			n.end(a, control.Moot)
+			n.end(a, control.NotSent)
 			return
 		}
 		if n.pool.beat(now) {
@@ -828,7 +828,7 @@
 		return
 	}
 	if !n.test(c, false, probeTime) {
-		n.report(broker.Report{Kind: broker.Probed, Status: control.Reset})
+		n.report(broker.Report{Kind: broker.Probed, Status: control.ConnectionReset})
 	}
 }
 
@@ -957,9 +957,9 @@
 	case 453:
 		status = control.Full
 	case 454:
-		status = control.Moot
+		status = control.NotSent
 	case 504:
-		status = control.Reset
+		status = control.ConnectionReset
 	}
 	n.report(broker.Report{Kind: broker.Ended, ID: m.id, Number: a.Number, Status: status, Load: m.load})
 }
@@ -998,7 +998,7 @@
 // over ends a session that stood.
 func (n *node) over(id control.SessionID, cause int, load []float64) {
 	delete(n.standing, id)
-	status := control.Reset
+	status := control.ConnectionReset
 	switch cause {
 	case broker.CauseEnded:
 		status = control.OK
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -51,7 +51,7 @@
 	watch stall.Watch
 
 	mu    sync.RWMutex
-	nodes map[control.Server]*node
+	nodes map[control.ServerID]*node
 }
 
 func (c *Config) shared() bool { return c.Shared != nil && c.Shared() }
@@ -66,7 +66,7 @@
 
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
-	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.Server]*node),
+	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.ServerID]*node),
 		watch: stall.Watch{After: stall.Within(cfg.DrainGrace)}}
 }
 
@@ -147,7 +147,7 @@
 func (p *Pool) remove(n *node) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !n.box.Empty() || control.State(n.state.Load()) != control.Gone {
+	if !n.box.Empty() || control.ServerState(n.state.Load()) != control.Gone {
 		return false
 	}
 	delete(p.nodes, n.server)
@@ -155,7 +155,7 @@
 }
 
 // post hands a message to a node's actor.
-func (p *Pool) post(s control.Server, m any, bounded bool) bool {
+func (p *Pool) post(s control.ServerID, m any, bounded bool) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	n := p.nodes[s]
@@ -171,27 +171,27 @@
 
 // The calls of broker.Nodes.
 
-func (p *Pool) SetUp(s control.Server, a broker.Attempt) bool { return p.post(s, setUp{a}, true) }
+func (p *Pool) SetUp(s control.ServerID, a broker.Attempt) bool { return p.post(s, setUp{a}, true) }
 
-func (p *Pool) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
+func (p *Pool) GiveUp(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	p.post(s, giveUp{id, number, timedOut}, false)
 }
 
-func (p *Pool) Stands(s control.Server, id control.SessionID) bool {
+func (p *Pool) Stands(s control.ServerID, id control.SessionID) bool {
 	return p.post(s, stands{id}, false)
 }
 
-func (p *Pool) Release(s control.Server, id control.SessionID, cause int) {
+func (p *Pool) Release(s control.ServerID, id control.SessionID, cause int) {
 	p.post(s, release{id, cause}, false)
 }
 
-func (p *Pool) SetRung(s control.Server, id control.SessionID, rung int) {
+func (p *Pool) SetRung(s control.ServerID, id control.SessionID, rung int) {
 	p.post(s, setRung{id, rung}, false)
 }
 
-func (p *Pool) Probe(s control.Server) {
+func (p *Pool) Probe(s control.ServerID) {
 	if p.cfg.NoProbes || !p.post(s, probe{}, true) {
-		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
+		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.NotSent})
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -93,11 +93,11 @@
 	var core *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
-		Classes: cfg.Classes, Fields: cfg.Settings.Fields,
+		Classes: cfg.Classes, Fields: cfg.Settings.LoadFields,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle,
 		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), HalfConns: half.NodeConns(),
 		DrainGrace: cfg.DrainGrace,
-		NoProbes:   !cfg.Settings.Probes,
+		NoProbes:   !cfg.Settings.ProbesAllowed,
 		Shared:     hand.Shared, Tried: counts.Tried,
 		Report: func(r broker.Report) { core.Report(r) }, Log: log,
 		Stalled: func(d time.Duration) {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -53,7 +53,7 @@
 	factor  float64 // of its true rate
 	home    int     // zone of its manager
 	node    *fleetNode
-	server  control.Server
+	server  control.ServerID
 	to      *broker.Broker
 	began   time.Time
 	ends    time.Time
@@ -126,7 +126,7 @@
 		for _, p := range n.sessions {
 			f.end(p)
 			f.after(lostTime, func() {
-				p.to.Report(broker.Report{Kind: broker.Ended, Server: p.server, ID: p.id, Number: p.number, Status: control.Reset, Cause: broker.CauseCut})
+				p.to.Report(broker.Report{Kind: broker.Ended, Server: p.server, ID: p.id, Number: p.number, Status: control.ConnectionReset, Cause: broker.CauseCut})
 			})
 		}
 	}
@@ -157,13 +157,13 @@
 
 // bears counts a set-up against the fall-over rule.
 func (f *Fleet) bears(n *fleetNode) {
-	if !time.Now().Before(n.cold) || len(f.Settings.KindStreams) == 0 {
+	if !time.Now().Before(n.cold) || len(f.Settings.MaxStreamsByKind) == 0 {
 		return
 	}
 	t, warm := time.Since(n.began).Seconds(), f.Settings.WarmAfterS
-	streams, start := float64(f.Settings.KindStreams[0]), f.Settings.StartCapacity
+	streams, start := float64(f.Settings.MaxStreamsByKind[0]), f.Settings.StartCapacityShare
 	// What it bore so far: the pace grows from the start's share to the whole.
-	bore := f.Settings.FallMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
+	bore := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
 	if n.sent++; float64(n.sent) > bore+2 {
 		n.falls++
 	}
@@ -196,7 +196,7 @@
 	return max(1-7*max(0.98-share, 0), 0)
 }
 
-func (m *Manager) node(s control.Server) *fleetNode {
+func (m *Manager) node(s control.ServerID) *fleetNode {
 	if s < 1 || int(s) > len(m.nodes) {
 		return nil
 	}
@@ -204,7 +204,7 @@
 }
 
 // SetUp sends an attempt.
-func (m *Manager) SetUp(s control.Server, a broker.Attempt) bool {
+func (m *Manager) SetUp(s control.ServerID, a broker.Attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
@@ -221,7 +221,7 @@
 			return
 		}
 		m.bears(n)
-		if n.asked >= m.Settings.Guard*n.link {
+		if n.asked >= m.Settings.FullAtUtilization*n.link {
 			m.Full++
 			m.after(m.Way, func() {
 				m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.Full, Load: m.load(n)})
@@ -261,7 +261,7 @@
 func (f *Fleet) recount(n *fleetNode) {
 	n.asked = 0
 	for _, p := range n.sessions {
-		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].Scale * p.factor
+		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.factor
 	}
 }
 
@@ -282,7 +282,7 @@
 }
 
 // GiveUp ends an attempt.
-func (m *Manager) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
+func (m *Manager) GiveUp(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
@@ -294,10 +294,10 @@
 }
 
 // Stands knows of no session from before the start.
-func (m *Manager) Stands(control.Server, control.SessionID) bool { return false }
+func (m *Manager) Stands(control.ServerID, control.SessionID) bool { return false }
 
 // Release ends a session that stands.
-func (m *Manager) Release(_ control.Server, id control.SessionID, _ int) {
+func (m *Manager) Release(_ control.ServerID, id control.SessionID, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
@@ -306,19 +306,19 @@
 }
 
 // SetRung changes a rung, which costs a part of the session's worth.
-func (m *Manager) SetRung(_ control.Server, id control.SessionID, rung int) {
+func (m *Manager) SetRung(_ control.ServerID, id control.SessionID, rung int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil && p.rung != rung {
 		m.settle(p.node)
-		p.earned -= m.Settings.SwitchS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
+		p.earned -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
 		p.rung = rung
 		m.recount(p.node)
 	}
 }
 
 // Probe reports a node's load.
-func (m *Manager) Probe(s control.Server) {
+func (m *Manager) Probe(s control.ServerID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
@@ -345,7 +345,7 @@
 	for _, n := range f.nodes {
 		if share := n.link / math.Max(n.asked, 1); share < 0.98 {
 			for _, p := range n.sessions {
-				p.to.Report(broker.Report{Kind: broker.Noted, Server: p.server, ID: p.id, Number: p.number, Note: control.NoteShare, Value: share})
+				p.to.Report(broker.Report{Kind: broker.Noted, Server: p.server, ID: p.id, Number: p.number, Note: control.NoteDeliveredShare, Value: share})
 			}
 		}
 	}
