--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -395,8 +395,8 @@
 			b.do(Event{Kind: EventProbeResult, Server: bad, Load: []float64{0.1, 0.1}})
 			b.now++
 		}
-		if want := failed + e.til + b.c.set.WarmAfterS; math.Abs(sv.coldTil-want) > 0.01 {
-			t.Errorf("%s: paced until %.2f s, want %.2f", e.name, sv.coldTil, want)
+		if want := failed + e.til + b.c.cfg.WarmAfterS; math.Abs(sv.coldUntil-want) > 0.01 {
+			t.Errorf("%s: paced until %.2f s, want %.2f", e.name, sv.coldUntil, want)
 		}
 	}
 }
@@ -425,14 +425,14 @@
 		}
 		report(1, e.before)
 		if e.warmed > 0 {
-			b.c.servers[1].coldTil = b.now - e.warmed
+			b.c.servers[1].coldUntil = b.now - e.warmed
 		}
 		b.now++
 		for sv := ServerID(2); sv <= 12; sv++ {
 			report(sv, e.all)
 		}
 		report(1, e.now)
-		if got := b.c.paced(b.c.servers[1]); got != e.paced {
+		if got := b.c.isCold(b.c.servers[1]); got != e.paced {
 			t.Errorf("%s: paced is %v", e.name, got)
 		}
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -117,7 +117,7 @@
 
 func TestPaperExample(t *testing.T) {
 	// Section 4's worked example, n = 20.
-	got := search(20, []float64{5, 40}, 1, []float64{10, 2}, []float64{2, 1})
+	got := searchReserves(20, []float64{5, 40}, 1, []float64{10, 2}, []float64{2, 1})
 	if want := []int{7, 0}; !reflect.DeepEqual(got, want) {
 		t.Errorf("search = %v, want %v", got, want)
 	}
@@ -152,7 +152,7 @@
 				best = max(best, payoff([]int{nh, nl}, e.n-nh-nl, l, 1, v, q))
 			}
 		}
-		r := search(e.n, l, 1, v, q)
+		r := searchReserves(e.n, l, 1, v, q)
 		found := payoff(r, e.n-r[0]-r[1], l, 1, v, q)
 		if best-found > 0.005*math.Abs(best) {
 			t.Errorf("%+v: search %v pays %.3f, the best split %.3f", e, r, found, best)
@@ -200,7 +200,7 @@
 	b.mustSend(b.arrive(1, 1))
 	for range 20 {
 		b.now += 0.1
-		for _, tok := range []uint32{tokenTick, tokenPace} {
+		for _, tok := range []uint32{tokenTick, tokenRetryWaiting} {
 			if acts := b.do(Event{Kind: EventTimer, Token: tok}); find(acts, ActionSetUp) != nil {
 				t.Fatal("a second attempt while one is out")
 			}
@@ -245,10 +245,10 @@
 			b.list(ListFull, Ready)
 			sv := b.mustSend(b.arrive(99, 1))
 			b.end(99, 0, sv, ConnectionReset, true)
-			b.now += restS * 2
+			b.now += ejectionS * 2
 		}},
 		{"listed as fresh to a young front", func(b *bed) {
-			b.c.started = b.now
+			b.c.startedAt = b.now
 			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
 				{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 		}},
@@ -266,7 +266,7 @@
 				sends++
 				b.end(id, 0, a.Server, OK, true)
 			}
-			if a := find(b.do(Event{Kind: EventTimer, Token: tokenPace}), ActionSetUp); a != nil {
+			if a := find(b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}), ActionSetUp); a != nil {
 				sends++
 				b.end(a.Session, 0, a.Server, OK, true)
 			}
@@ -286,7 +286,7 @@
 	set.Managers = 3
 	b := newBed(t, set)
 	b.list(ListFull, Ready) // up since before the list began
-	b.c.started = b.now
+	b.c.startedAt = b.now
 	for i := range 30 { // three seconds, one viewer at a time
 		b.now += 0.1
 		id := SessionID(i + 1)
@@ -301,15 +301,15 @@
 	wakes := 0
 	for id := SessionID(1); id <= 40; id++ {
 		for _, a := range b.arrive(id, 1) {
-			if a.Kind == ActionSetTimer && a.Token == tokenPace {
+			if a.Kind == ActionSetTimer && a.Token == tokenRetryWaiting {
 				wakes++
 			}
 		}
 	}
 	kept := len(b.c.waiting)
-	b.now = b.c.waiting[0].keptTil
+	b.now = b.c.waiting[0].waitUntil
 	for range 50 { // all fire in one batch
-		for _, a := range b.do(Event{Kind: EventTimer, Token: tokenPace}) {
+		for _, a := range b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}) {
 			if a.Kind == ActionSetTimer {
 				wakes++
 			}
@@ -374,7 +374,7 @@
 	set.Classes[0].MaxPerTitle = 0
 	b := newBed(t, set)
 	b.list(ListFull, Ready)
-	b.c.meanSlots, b.c.reserve = 9, []float64{3, 0} // of 9 slots of 400 kB/s
+	b.c.meanSlots, b.c.reservedSlots = 9, []float64{3, 0} // of 9 slots of 400 kB/s
 	free := 0
 	for id := SessionID(1); id <= 100; id++ {
 		acts := b.do(Event{Kind: EventArrival, Session: id, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 2})
@@ -387,8 +387,8 @@
 		free++
 	}
 	sv := b.c.servers[1]
-	if sv.own > 6*400 || free < 5 {
-		t.Errorf("the free class fills %v kB/s with %d sessions, %v shared", sv.own, free, 6*400)
+	if sv.ownKB > 6*400 || free < 5 {
+		t.Errorf("the free class fills %v kB/s with %d sessions, %v shared", sv.ownKB, free, 6*400)
 	}
 	b.mustSend(b.do(Event{Kind: EventArrival, Session: 200, Class: 0, Title: 9, TimeLeftS: 3, Copies: 4, MaxRung: 2}))
 }
@@ -423,7 +423,7 @@
 func TestSilentServerIsLeftAlone(t *testing.T) {
 	b := newBed(t, settings())
 	silent := b.mustSend(b.arrive(1, 0))
-	b.now += silentS + 0.1
+	b.now += unansweredS + 0.1
 	for id := SessionID(2); id < 10; id++ {
 		if sv := b.mustSend(b.arrive(id, 1)); sv == silent {
 			t.Fatal("sent to a server that has not answered for long")
@@ -438,7 +438,7 @@
 		played bool
 		errors int
 		rests  bool
-	}{{true, 1, true}, {false, 1, false}, {false, strangeN, true}} {
+	}{{true, 1, true}, {false, 1, false}, {false, unprovenErrorLimit, true}} {
 		b := newBed(t, settings())
 		bad := b.mustSend(b.arrive(1, 1))
 		sv, title := b.c.servers[bad], b.c.sessions[1].title
@@ -447,12 +447,12 @@
 		}
 		b.end(1, 0, bad, OK, true)
 		for range e.errors {
-			s := &session{id: 99, title: title, server: sv, attempt: 1}
+			s := &session{id: 99, title: title, server: sv, nextAttempt: 1}
 			b.c.sessions[99] = s
 			b.c.attach(s, sv)
 			b.end(99, 0, bad, Errored, true)
 		}
-		if rests := sv.restTil > b.now; rests != e.rests {
+		if rests := sv.ejectedUntil > b.now; rests != e.rests {
 			t.Errorf("%+v: rests %v", e, rests)
 		}
 	}
@@ -471,14 +471,14 @@
 	} {
 		b := newBed(t, settings())
 		bad := b.mustSend(b.arrive(1, 1))
-		b.now += 2 * silentS
+		b.now += 2 * unansweredS
 		if e.life {
 			b.do(Event{Kind: EventProbeResult, Server: bad, Load: []float64{0.1, 0.1}})
 		}
 		e.end.Kind, e.end.Session, e.end.Server, e.end.RequestFinished = EventAttemptEnded, 1, bad, true
 		b.do(e.end)
-		if sv := b.c.servers[bad]; sv.restTil > b.now != e.rests || sv.coldTil > b.now != (e.rests && e.end.Status == ConnectionReset) {
-			t.Errorf("%+v: rests till %v, cold till %v, now %v", e, sv.restTil, sv.coldTil, b.now)
+		if sv := b.c.servers[bad]; sv.ejectedUntil > b.now != e.rests || sv.coldUntil > b.now != (e.rests && e.end.Status == ConnectionReset) {
+			t.Errorf("%+v: rests till %v, cold till %v, now %v", e, sv.ejectedUntil, sv.coldUntil, b.now)
 		}
 	}
 }
@@ -493,14 +493,14 @@
 		lowered, refused := 0, 0
 		for id := SessionID(1); id < 400 && refused == 0; id++ {
 			if silent {
-				b.now += roomLife + 0.1
+				b.now += makeRoomSilenceS + 0.1
 			}
 			acts := b.answered(b.arrive(id, 1), 0.1)
 			refused += count(acts, ActionRefuse)
 			for _, a := range acts {
 				if a.Kind == ActionSetRung && a.Session != id {
 					lowered++
-					if s := b.c.sessions[a.Session]; a.Rung < b.c.set.Classes[s.class].FloorRung {
+					if s := b.c.sessions[a.Session]; a.Rung < b.c.cfg.Classes[s.class].FloorRung {
 						t.Fatalf("session %d is on rung %d", a.Session, a.Rung)
 					}
 				}
@@ -585,7 +585,7 @@
 	if find(acts, ActionRefuse) == nil {
 		t.Errorf("a title without a holder gets no answer: %+v", acts)
 	}
-	if u := b.c.use(b.c.servers[sv]); math.IsNaN(u) || math.IsInf(u, 0) {
+	if u := b.c.utilization(b.c.servers[sv]); math.IsNaN(u) || math.IsInf(u, 0) {
 		t.Errorf("use is %v", u)
 	}
 }
@@ -640,8 +640,8 @@
 	set.Racks, set.RackUplinkKB, set.Managers = 1, 1500, 100
 	b := newBed(t, set)
 	b.mustSend(b.arrive(1, 1))
-	if s := b.c.sessions[1]; b.c.size(s, s.rung) > roomPart*TargetUtilization*1500 {
-		t.Errorf("rung %d takes %v of an uplink of 1500", s.rung, b.c.size(s, s.rung))
+	if s := b.c.sessions[1]; b.c.rateKB(s, s.rung) > othersRoomShare*TargetUtilization*1500 {
+		t.Errorf("rung %d takes %v of an uplink of 1500", s.rung, b.c.rateKB(s, s.rung))
 	}
 }
 
@@ -655,15 +655,15 @@
 		b.do(Event{Kind: EventStarted, Session: id, Server: sv})
 	}
 	b.now += 2
-	before, lowered := b.c.own, 0
+	before, lowered := b.c.ownKB, 0
 	b.do(Event{Kind: EventNote, Session: 1, Note: NoteUplinkUtilization, Value: 2, Server: b.c.sessions[1].server.Server})
 	for _, a := range b.do(Event{Kind: EventTimer, Token: tokenTick}) {
 		if a.Kind == ActionSetRung {
 			lowered++
 		}
 	}
-	if lowered < 2 || b.c.own < before/4 || b.c.own > before*3/4 {
-		t.Errorf("%d sessions lowered, %v of %v left", lowered, b.c.own, before)
+	if lowered < 2 || b.c.ownKB < before/4 || b.c.ownKB > before*3/4 {
+		t.Errorf("%d sessions lowered, %v of %v left", lowered, b.c.ownKB, before)
 	}
 }
 
@@ -719,7 +719,7 @@
 		t.Errorf("after a failure: %+v", acts)
 	}
 	b.now++
-	if acts = b.do(Event{Kind: EventTimer, Token: tokenWatch}); find(acts, ActionSubscribe) == nil {
+	if acts = b.do(Event{Kind: EventTimer, Token: tokenSubscribe}); find(acts, ActionSubscribe) == nil {
 		t.Errorf("not asked again: %+v", acts)
 	}
 	b.now += 20
@@ -738,9 +738,9 @@
 			b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 		}
 	}
-	b.c.rescore()
-	if b.c.reserve[0] < 1 || b.c.reserve[0] <= b.c.reserve[1] {
-		t.Errorf("reserves %v in overload", b.c.reserve)
+	b.c.updateReserves()
+	if b.c.reservedSlots[0] < 1 || b.c.reservedSlots[0] <= b.c.reservedSlots[1] {
+		t.Errorf("reserves %v in overload", b.c.reservedSlots)
 	}
 }
 
@@ -751,7 +751,7 @@
 	set.LinkKBPerWeight, set.RackUplinkKB, set.MaxStreamsByKind = 1e12, 1e12, []int{1 << 30}
 	b := newBed(t, set)
 	b.arrive(1, 0)
-	b.now += 2 * rescoreS
+	b.now += 2 * reserveUpdateS
 	b.do(Event{Kind: EventTimer, Token: tokenTick})
 	if b.c.meanSlots < 1e6 {
 		t.Errorf("%v slots scored", b.c.meanSlots)
@@ -761,7 +761,7 @@
 func TestRefusalSaysWhenToComeAgain(t *testing.T) {
 	b := newBed(t, settings())
 	b.list(ListFull)
-	if a := find(b.arrive(1, 0), ActionRefuse); a == nil || a.RetryAfterS != awayS {
+	if a := find(b.arrive(1, 0), ActionRefuse); a == nil || a.RetryAfterS != minRetryAfterS {
 		t.Errorf("refusal %+v", a)
 	}
 }
--- a/control/hand_test.go
+++ b/control/hand_test.go
@@ -10,20 +10,20 @@
 func TestAdoptedSessionsCountOnce(t *testing.T) {
 	b := newBed(t, settings())
 	sv := b.c.servers[1]
-	b.do(Event{Kind: EventTimer, Token: tokenWatch + 1}) // moves its clock
+	b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1}) // moves its clock
 	const kb = 2000
 	sv.observe(b.c.now, kb, 1)
 	for i := range 4 {
 		b.do(Event{Kind: EventEstablished, Session: SessionID(100 + i), Class: 1, Server: 1, Copies: 1, MaxRung: 4, Rung: 2})
 	}
-	if got := sv.own + sv.others; sv.own != 1600 || got != kb {
-		t.Errorf("%.0f of own and %.0f of others in place of 1600 and %.0f in all", sv.own, sv.others, float64(kb))
+	if got := sv.ownKB + sv.reportedOthersKB; sv.ownKB != 1600 || got != kb {
+		t.Errorf("%.0f of own and %.0f of others in place of 1600 and %.0f in all", sv.ownKB, sv.reportedOthersKB, float64(kb))
 	}
 	b.now += 0.2
-	b.do(Event{Kind: EventTimer, Token: tokenWatch + 1})
+	b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
 	sv.observe(b.c.now-0.3, kb, 1)
 	sv.observe(b.c.now-0.1, kb, 1)
-	if got := sv.own + sv.others; math.Abs(got-kb) > 1 {
+	if got := sv.ownKB + sv.reportedOthersKB; math.Abs(got-kb) > 1 {
 		t.Errorf("a late report makes it %.0f in place of %.0f", got, float64(kb))
 	}
 }
@@ -39,15 +39,15 @@
 		set.Managers = e.fronts
 		b := newBed(t, set)
 		b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now, Reenabled: true}}})
-		b.do(Event{Kind: EventTimer, Token: tokenWatch + 1})
+		b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
 		sv := b.c.servers[1]
-		if b.c.due(sv) {
+		if b.c.dueAfterReenabling(sv) {
 			t.Errorf("%d fronts: used at once, as by all others", e.fronts)
 		}
-		b.now += backS
-		b.do(Event{Kind: EventTimer, Token: tokenWatch + 1})
-		if got := b.c.due(sv); got != e.used {
-			t.Errorf("%d fronts, pace %.1f s: due is %v", e.fronts, b.c.pace(sv), got)
+		b.now += reenabledUseS
+		b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
+		if got := b.c.dueAfterReenabling(sv); got != e.used {
+			t.Errorf("%d fronts, pace %.1f s: due is %v", e.fronts, b.c.coldSendInterval(sv), got)
 		}
 	}
 }
--- a/control/hold_test.go
+++ b/control/hold_test.go
@@ -31,10 +31,10 @@
 	near("it is back, cold", 3)
 	b.now += set.WarmAfterS / 2
 	b.c.Handle(b.now, Event{Kind: EventNote})
-	near("half warm", 3+b.c.slots(b.c.servers[1])/b.c.middle/one/2) // its slots are few as yet
+	near("half warm", 3+b.c.capacityKB(b.c.servers[1])/b.c.slotKB/one/2) // its slots are few as yet
 	b.now += set.WarmAfterS
 	near("warm", 4)
-	b.c.lostTil[0] = b.c.now + 1
+	b.c.zoneLostUntil[0] = b.c.now + 1
 	near("its zone is cut off", 0)
 }
 
@@ -47,9 +47,9 @@
 	if got := b.c.LoadShare(); got != 0.25 {
 		t.Errorf("%v", got)
 	}
-	b.c.fleetUse.v, b.c.fleetUse.seen = 8000, true
+	b.c.meanLoad.value, b.c.meanLoad.hasValue = 8000, true
 	for own, want := range map[float64]float64{4000: 0.5, 1: 0.0625, 9000: 1, 0: 0.25} {
-		if b.c.own = own; b.c.LoadShare() != want {
+		if b.c.ownKB = own; b.c.LoadShare() != want {
 			t.Errorf("%v of 8000: %v, want %v", own, b.c.LoadShare(), want)
 		}
 	}
--- a/control/ration_test.go
+++ b/control/ration_test.go
@@ -17,7 +17,7 @@
 				case a.Kind == ActionSetUp:
 					taken[class]++
 				case a.Kind == ActionRefuse && class == 1:
-					if a.RetryAfterS < awayS || a.RetryAfterS < last {
+					if a.RetryAfterS < minRetryAfterS || a.RetryAfterS < last {
 						t.Errorf("refused till %v, the one before till %v", a.RetryAfterS, last)
 					}
 					last = a.RetryAfterS
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,11 +5,11 @@
 	"math"
 )
 
-// unbounded, in kB a second, stands for an uplink that is not told.
-const unbounded = 1e15
+// unboundedKB, in kB a second, stands for an uplink of unknown rate.
+const unboundedKB = 1e15
 
-// ExpectedLinkKB is what the link of one of so many listed servers should give, warm, in kB a
-// second.
+// ExpectedLinkKB is the rate, in kB a second, that the link of a warm server should
+// have, as one of so many listed servers.
 func (s *Settings) ExpectedLinkKB(e Entry, servers int) float64 {
 	kb := e.Weight * s.LinkKBPerWeight
 	if s.Weights == WeightSizePerLoad || !positive(kb) {
@@ -18,8 +18,9 @@
 	return kb
 }
 
-// validate names the first setting that the module can't act on, and
-// fills in what may be absent.
+// validate returns an error that names the first setting out of range, and fills in
+// settings that may be absent. The names in its errors stay as they are, also where
+// the field behind one has another name (Fronts: Managers, Seats: MaxPerTitle).
 func validate(s *Settings) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no Classes")
@@ -27,36 +28,36 @@
 	if len(s.RatesKB) == 0 || len(s.LadderWorth) < len(s.RatesKB) {
 		return fmt.Errorf("settings: RatesKB has %d rungs, LadderWorth %d", len(s.RatesKB), len(s.LadderWorth))
 	}
-	for i, r := range s.RatesKB {
-		if !positive(r) || i > 0 && r <= s.RatesKB[i-1] {
-			return fmt.Errorf("settings: RatesKB[%d] = %v does not rise", i, r)
+	for i, rate := range s.RatesKB {
+		if !positive(rate) || i > 0 && rate <= s.RatesKB[i-1] {
+			return fmt.Errorf("settings: RatesKB[%d] = %v does not rise", i, rate)
 		}
 	}
-	for i, w := range s.LadderWorth {
-		if !notNegative(w) {
-			return fmt.Errorf("settings: LadderWorth[%d] = %v", i, w)
+	for i, worth := range s.LadderWorth {
+		if !notNegative(worth) {
+			return fmt.Errorf("settings: LadderWorth[%d] = %v", i, worth)
 		}
 	}
-	for i, k := range s.Classes {
-		for _, f := range []struct {
+	for i, class := range s.Classes {
+		for _, figure := range []struct {
 			name string
 			v    float64
-		}{{"Scale", k.RateScale}, {"GoalS", k.StartGoalS}} {
-			if !positive(f.v) {
-				return fmt.Errorf("settings: Classes[%d].%s = %v", i, f.name, f.v)
+		}{{"Scale", class.RateScale}, {"GoalS", class.StartGoalS}} {
+			if !positive(figure.v) {
+				return fmt.Errorf("settings: Classes[%d].%s = %v", i, figure.name, figure.v)
 			}
 		}
-		if !notNegative(k.Worth) || k.MaxPerTitle < 0 {
+		if !notNegative(class.Worth) || class.MaxPerTitle < 0 {
 			return fmt.Errorf("settings: Classes[%d].Worth or Seats", i)
 		}
-		if k.FloorRung < 0 || k.FloorRung >= len(s.RatesKB) {
-			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, k.FloorRung)
+		if class.FloorRung < 0 || class.FloorRung >= len(s.RatesKB) {
+			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, class.FloorRung)
 		}
 	}
 	if s.Managers < 1 || s.Cells < 1 || s.AttemptsCap < 1 || s.Racks < 0 {
 		return fmt.Errorf("settings: Fronts, Cells, AttemptsCap or Racks out of range")
 	}
-	for _, f := range []struct {
+	for _, figure := range []struct {
 		name string
 		v    float64
 	}{
@@ -67,12 +68,12 @@
 		{"WarmAfterS", s.WarmAfterS}, {"BudgetWindowS", s.BudgetWindowS}, {"BudgetFree", s.BudgetFree},
 		{"BudgetShare", s.BudgetShare},
 	} {
-		if !notNegative(f.v) {
-			return fmt.Errorf("settings: %s = %v", f.name, f.v)
+		if !notNegative(figure.v) {
+			return fmt.Errorf("settings: %s = %v", figure.name, figure.v)
 		}
 	}
 	if s.RackUplinkKB == 0 {
-		s.RackUplinkKB = unbounded
+		s.RackUplinkKB = unboundedKB
 	}
 	return nil
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -32,7 +32,7 @@
 func TestAsksBeforeItPlaces(t *testing.T) {
 	b := many(t)
 	acts := b.arrive(1, 1)
-	if count(acts, ActionProbe) != askN || find(acts, ActionSetUp) != nil {
+	if count(acts, ActionProbe) != maxSessionProbes || find(acts, ActionSetUp) != nil {
 		t.Fatalf("at the arrival %+v", acts)
 	}
 	first, second := acts[0].Server, acts[1].Server
@@ -44,13 +44,13 @@
 	if got := b.mustSend(acts); got != second {
 		t.Errorf("sent to %d, the least used is %d", got, second)
 	}
-	b.now += freshS + 1
+	b.now += freshReportS + 1
 	acts = b.do(Event{Kind: EventArrival, Session: 2, Class: 1, Title: 7, TimeLeftS: 5, HomeCell: 6, Copies: 4, MaxRung: 4})
 	if count(acts, ActionProbe) == 0 {
 		t.Fatalf("no probe in %+v", acts)
 	}
-	b.now += askS + 0.01
-	if acts = b.do(Event{Kind: EventTimer, Token: tokenPace}); find(acts, ActionSetUp) == nil {
+	b.now += probeWaitS + 0.01
+	if acts = b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}); find(acts, ActionSetUp) == nil {
 		t.Errorf("no answer and no send: %+v", acts)
 	}
 }
@@ -88,14 +88,14 @@
 func TestUnknownComesLastAtTheFloor(t *testing.T) {
 	b := many(t)
 	acts := b.answered(b.arrive(1, 1), 0.7)
-	if sv := b.c.servers[b.mustSend(acts)]; b.c.now-sv.seenAt >= staleS {
+	if sv := b.c.servers[b.mustSend(acts)]; b.c.now-sv.measuredAt >= staleAfterS {
 		t.Errorf("an unknown server was taken before those that were asked")
 	}
 	b = many(t)
-	b.c.fleetUse.add(0.5)
+	b.c.meanLoad.add(0.5)
 	acts = b.arrive(2, 1)
-	b.now += askS + 0.01
-	acts = b.do(Event{Kind: EventTimer, Token: tokenPace})
+	b.now += probeWaitS + 0.01
+	acts = b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting})
 	b.mustSend(acts)
 	if a := find(acts, ActionSetRung); a.Rung != 0 {
 		t.Errorf("rung %d on a server of unknown load", a.Rung)
@@ -107,10 +107,10 @@
 	b := many(t)
 	b.answered(b.arrive(1, 1), 0.8)
 	sv := b.c.servers[12]
-	if b.c.now-sv.seenAt < staleS {
+	if b.c.now-sv.measuredAt < staleAfterS {
 		t.Fatal("server 12 does not hold the title")
 	}
-	if u := b.c.use(sv); u < 0.75 || u > 0.85 {
+	if u := b.c.utilization(sv); u < 0.75 || u > 0.85 {
 		t.Errorf("use %v of an unseen server, 0.8 was seen elsewhere", u)
 	}
 }
@@ -121,7 +121,7 @@
 	sent := make([]int, 2)
 	for seed := uint64(1); seed <= 100; seed++ {
 		b := many(t)
-		b.c.seed, b.c.dear, b.c.set.LoadFields = seed, true, []string{"x0"}
+		b.c.seed, b.c.probesCostly, b.c.cfg.LoadFields = seed, true, []string{"x0"}
 		e := Event{Kind: EventList, List: ListFull}
 		for i := range 12 {
 			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
@@ -198,7 +198,7 @@
 	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.3}})
 	b.now += 2
 	b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
-	if u := b.c.use(b.c.servers[1]); u < 1.2 {
+	if u := b.c.utilization(b.c.servers[1]); u < 1.2 {
 		t.Errorf("use %v at a delivered share of 0.8", u)
 	}
 }
@@ -210,7 +210,7 @@
 		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
 		b.now += e.wait
 		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.8, 0.2}})
-		if u := b.c.use(b.c.servers[1]); u < e.low || u > e.high {
+		if u := b.c.utilization(b.c.servers[1]); u < e.low || u > e.high {
 			t.Errorf("use %v after %v s, want %v to %v", u, e.wait, e.low, e.high)
 		}
 	}
@@ -232,7 +232,7 @@
 	b := many(t)
 	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
 	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.75, 0.1}})
-	if r := b.c.room(b.c.servers[1]); r <= 0 {
+	if r := b.c.freeKB(b.c.servers[1]); r <= 0 {
 		t.Errorf("room %v at three quarters of a link", r)
 	}
 }
@@ -249,7 +249,7 @@
 		b.now += 2
 		b.do(e)
 	}
-	if len(b.c.servers) != 3000 || len(b.c.order) != 3000 {
+	if len(b.c.servers) != 3000 || len(b.c.serverOrder) != 3000 {
 		t.Errorf("%d servers kept of 3000 listed", len(b.c.servers))
 	}
 }
@@ -309,7 +309,7 @@
 		denied bool
 	}{{0.8, 0, true}, {0.3, 0, false}, {0.8, 1, false}} {
 		b := many(t)
-		b.c.set.TenantQuotas, b.c.shares = []float64{1, 1}, make([]bucket, 2)
+		b.c.cfg.TenantQuotas, b.c.tenantBuckets = []float64{1, 1}, make([]tokenBucket, 2)
 		denied := 0
 		for id := SessionID(1); id <= 12; id++ {
 			b.now += 0.1
@@ -331,7 +331,7 @@
 func TestUplinksNotSeen(t *testing.T) {
 	b := many(t)
 	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.8}})
-	if u := b.c.use(b.c.servers[12]); u < 0.75 || u > 0.85 {
+	if u := b.c.utilization(b.c.servers[12]); u < 0.75 || u > 0.85 {
 		t.Errorf("use %v in a rack never seen, 0.8 was seen in another", u)
 	}
 }
@@ -341,7 +341,7 @@
 	b := many(t)
 	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 2}})
 	b.do(Event{Kind: EventTimer, Token: tokenTick})
-	if b.c.now < b.c.racks[0].quietTil {
+	if b.c.now < b.c.racks[0].ignoreUntil {
 		t.Error("reports of the rack are thrown away")
 	}
 }
@@ -351,7 +351,7 @@
 	b := newBed(t, settings())
 	b.list(ListFull, Ready)
 	b.mustSend(b.arrive(1, 1))
-	b.now += silentS + 0.1
+	b.now += unansweredS + 0.1
 	if acts := b.arrive(2, 1); find(acts, ActionSetUp) != nil {
 		t.Errorf("sent to a silent server: %+v", acts)
 	}
@@ -368,10 +368,10 @@
 		b.do(Event{Kind: EventNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
 	}
 	for range 300 {
-		b.c.arrivals[0], b.c.arrivals[1] = append(b.c.arrivals[0], b.now), append(b.c.arrivals[1], b.now)
+		b.c.arrivalTimes[0], b.c.arrivalTimes[1] = append(b.c.arrivalTimes[0], b.now), append(b.c.arrivalTimes[1], b.now)
 	}
-	if b.c.rescore(); b.c.reserve[0] <= b.c.reserve[1] {
-		t.Errorf("reserves %v: the paid class has no more than the other", b.c.reserve)
+	if b.c.updateReserves(); b.c.reservedSlots[0] <= b.c.reservedSlots[1] {
+		t.Errorf("reserves %v: the paid class has no more than the other", b.c.reservedSlots)
 	}
 }
 
@@ -379,7 +379,7 @@
 func dear(t *testing.T, seed uint64) *bed {
 	t.Helper()
 	b := many(t)
-	b.c.set.ProbeCost, b.c.set.HandshakeCost, b.c.dear, b.c.seed = 0.08, 0.08, true, seed
+	b.c.cfg.ProbeCost, b.c.cfg.HandshakeCost, b.c.probesCostly, b.c.seed = 0.08, 0.08, true, seed
 	return b
 }
 
@@ -388,13 +388,13 @@
 func TestDearProbes(t *testing.T) {
 	set := settings()
 	set.ProbeCost = 0.08
-	if c, err := New(set, 1); err != nil || !c.dear {
+	if c, err := New(set, 1); err != nil || !c.probesCostly {
 		t.Errorf("a probe at 0.08 of a session is not dear: %v", err)
 	}
 	sent := map[ServerID]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
 		b := dear(t, seed)
-		b.c.fleetUse.add(0.5)
+		b.c.meanLoad.add(0.5)
 		acts := b.arrive(1, 1)
 		if count(acts, ActionProbe) > 0 {
 			t.Fatalf("front %d probed at an arrival", seed)
@@ -422,7 +422,7 @@
 		start := b.now
 		for tick := 0; tick < 2*seconds; tick++ {
 			b.now = start + float64(tick)/2
-			if tick > 2 && chance(seed, uint64(tick)) < 0.5 {
+			if tick > 2 && hashToUnit(seed, uint64(tick)) < 0.5 {
 				came++
 				b.do(Event{Kind: EventArrival, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
 					TimeLeftS: 5, Copies: 12, MaxRung: 4})
@@ -434,8 +434,8 @@
 			}
 		}
 	}
-	cost := float64(probes-fronts*firstProbes) * 0.08 / float64(came)
-	if cost > probePart || cost < probePart/2 {
+	cost := float64(probes-fronts*initialProbes) * 0.08 / float64(came)
+	if cost > probeCostShare || cost < probeCostShare/2 {
 		t.Errorf("%d probes for %d sessions cost %.3f of them", probes, came, cost)
 	}
 	if most > fronts/2 {
@@ -460,7 +460,7 @@
 			}
 			acts := b.arrive(round, 1)
 			b.mustSend(acts)
-			asked += b.c.set.RatesKB[find(acts, ActionSetRung).Rung]
+			asked += b.c.cfg.RatesKB[find(acts, ActionSetRung).Rung]
 		}
 		if most := 0.9 + 0.2*float64(round); asked > most*fleet || asked < 0.6*fleet {
 			t.Errorf("after round %d the fleet is asked for %.2f of what it gives", round, asked/fleet)
@@ -506,7 +506,7 @@
 			b.now += 0.05
 			place(true)
 		}
-		if !(b.now < b.c.lostTil[1]) || b.c.links() > 0.6*48000 {
+		if !(b.now < b.c.zoneLostUntil[1]) || b.c.totalLinkKB() > 0.6*48000 {
 			t.Fatalf("front %d does not know the zone as lost", seed)
 		}
 		b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, StartedAtS: b.now}}})
@@ -519,15 +519,15 @@
 			t.Errorf("front %d sends nothing to a zone that is back", seed)
 		}
 	}
-	if failed > fronts*(lostN+1) {
+	if failed > fronts*(zoneLostAfter+1) {
 		t.Errorf("%d fronts failed %d times on one zone", fronts, failed)
 	}
 	b := zones(t, 1)
 	for i := range 6 { // servers short of connections in a zone that lives
-		b.c.heard(b.c.servers[11])
-		b.c.rest(b.c.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
+		b.c.markAlive(b.c.servers[11])
+		b.c.eject(b.c.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
 	}
-	if b.now < b.c.lostTil[1] {
+	if b.now < b.c.zoneLostUntil[1] {
 		t.Error("a zone that is heard of was given up")
 	}
 }
@@ -552,7 +552,7 @@
 	}
 	b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
 	for range 20 {
-		b.now += 2 * reactS
+		b.now += 2 * reactionS
 		b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteDeliveredShare, Value: 0.95})
 		if find(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung) != nil {
 			return
@@ -570,7 +570,7 @@
 		load   []float64
 	}{{[]string{"x0"}, []float64{0.2}}, {[]string{"concurrent", "x0"}, []float64{12, 0.2}}, {[]string{"x1", "x0"}, []float64{1e30, 0.2}}} {
 		b := many(t)
-		b.c.set.LoadFields = f.fields
+		b.c.cfg.LoadFields = f.fields
 		for i := range 12 {
 			b.do(Event{Kind: EventProbeResult, Server: ServerID(i + 1), Load: f.load})
 		}
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -144,9 +144,9 @@
 		{"ends-viewer", "over: not seen", []Patch{{"internal/front/jsonl/jsonl.go", "	f.sendAgain(c.leave())\n", "	c.leave()\n"}}},
 		{"paused", `"drains" broken`, []Patch{{"internal/media/pool.go", "return p.watch.Held(now)", "return false"}}},
 		{"cold", `"cold" broken`, []Patch{
-			{"control/control.go", "func (c *Controller) paced(sv *server) bool {\n\treturn c.now < sv.coldTil",
-				"func (c *Controller) paced(sv *server) bool {\n\treturn false"},
-			{"control/control.go", "return c.now >= sv.coldTil || c.due", "return true || c.due"},
+			{"control/control.go", "func (c *Controller) isCold(sv *server) bool {\n\treturn c.now < sv.coldUntil",
+				"func (c *Controller) isCold(sv *server) bool {\n\treturn false"},
+			{"control/control.go", "return c.now >= sv.coldUntil || c.dueAfterReenabling", "return true || c.dueAfterReenabling"},
 		}},
 		{"site-like", "logged before the mark", []Patch{{"internal/site/watch.go", "r.signs >= signs && r.ways > 0", "r.signs >= signs"}}},
 		{"ops-ban", `"bans" broken`, []Patch{{"internal/duty/duty.go", "if n.order.Out && m.State == control.Ready", "if false && m.State == control.Ready"}}},
