--- a/control/control_test.go
+++ b/control/control_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The module is ported by hand: its size and line length are limited.
+// control.go is ported by hand, so its number of lines and their length are
+// limited.
 func TestModuleSize(t *testing.T) {
 	f, err := os.Open("control.go")
 	if err != nil {
@@ -31,7 +32,7 @@
 	}
 }
 
-// settings is a small deployment: two classes, four servers in two racks.
+// settings describes a small deployment: two classes, four servers in two racks.
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -47,57 +48,58 @@
 	}
 }
 
-// bed drives one Controller by hand.
-type bed struct {
-	t   *testing.T
-	c   *Controller
-	now float64
+// harness feeds events to one Controller, at a clock that the test moves.
+type harness struct {
+	t          *testing.T
+	controller *Controller
+	now        float64
 }
 
-func newBed(t *testing.T, set Settings) *bed {
+func newHarness(t *testing.T, cfg Settings) *harness {
 	t.Helper()
-	c, err := New(set, 1)
+	c, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, c: c, now: 1000}
-	b.list(ListCached, Ready, Ready, Ready, Ready)
-	b.now += 20 // past the pace of a young front
-	return b
+	h := &harness{t: t, controller: c, now: 1000}
+	h.sendList(ListCached, Ready, Ready, Ready, Ready)
+	h.now += 20 // past the first seconds of a new manager
+	return h
 }
 
-func (b *bed) do(e Event) []Action {
-	return append([]Action(nil), b.c.Handle(b.now, e)...)
+func (h *harness) handle(e Event) []Action {
+	return append([]Action(nil), h.controller.Handle(h.now, e)...)
 }
 
-func (b *bed) list(kind ListKind, states ...ServerState) {
+func (h *harness) sendList(kind ListKind, states ...ServerState) {
 	e := Event{Kind: EventList, List: kind}
 	for i, s := range states {
 		e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: s, Cell: i, Weight: 1})
 	}
-	b.do(e)
+	h.handle(e)
 }
 
-func (b *bed) arrive(id SessionID, class int) []Action {
-	return b.do(Event{Kind: EventArrival, Session: id, Class: class, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4})
+func (h *harness) arrive(id SessionID, class int) []Action {
+	return h.handle(Event{Kind: EventArrival, Session: id, Class: class, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4})
 }
 
-// answered answers the probes among acts, and returns all that was done.
-func (b *bed) answered(acts []Action, load float64) []Action {
+// answerProbes answers the probes among acts, and returns acts and all that
+// followed.
+func (h *harness) answerProbes(acts []Action, load float64) []Action {
 	all := append([]Action(nil), acts...)
 	for _, a := range acts {
 		if a.Kind == ActionProbe {
-			all = append(all, b.do(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{load, load}})...)
+			all = append(all, h.handle(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{load, load}})...)
 		}
 	}
 	return all
 }
 
-func (b *bed) end(id SessionID, attempt int, on ServerID, st Status, finished bool) []Action {
-	return b.do(Event{Kind: EventAttemptEnded, Session: id, Attempt: attempt, Server: on, Status: st, RequestFinished: finished})
+func (h *harness) endAttempt(id SessionID, attempt int, on ServerID, st Status, finished bool) []Action {
+	return h.handle(Event{Kind: EventAttemptEnded, Session: id, Attempt: attempt, Server: on, Status: st, RequestFinished: finished})
 }
 
-func find(acts []Action, kind ActionKind) *Action {
+func findAction(acts []Action, kind ActionKind) *Action {
 	for i := range acts {
 		if acts[i].Kind == kind {
 			return &acts[i]
@@ -106,26 +108,26 @@
 	return nil
 }
 
-func (b *bed) mustSend(acts []Action) ServerID {
-	b.t.Helper()
-	a := find(acts, ActionSetUp)
+func (h *harness) mustSetUp(acts []Action) ServerID {
+	h.t.Helper()
+	a := findAction(acts, ActionSetUp)
 	if a == nil {
-		b.t.Fatalf("no HandOff in %+v", acts)
+		h.t.Fatalf("no set-up in %+v", acts)
 	}
 	return a.Server
 }
 
 func TestPaperExample(t *testing.T) {
-	// Section 4's worked example, n = 20.
+	// The worked example of the paper's section 4, n = 20.
 	got := searchReserves(20, []float64{5, 40}, 1, []float64{10, 2}, []float64{2, 1})
 	if want := []int{7, 0}; !reflect.DeepEqual(got, want) {
-		t.Errorf("search = %v, want %v", got, want)
+		t.Errorf("reserves %v, want %v", got, want)
 	}
 }
 
-// Tables 2 and 3. The printed pay-offs are rounded to whole numbers. Where the
-// pay-off is flat, the search along one reserve at a time may stop beside the
-// printed split, so the pay-off is compared with the best of all splits.
+// The paper's tables 2 and 3. Their pay-offs are rounded to whole numbers. Where
+// the pay-off is flat, the search along one reserve at a time may stop beside the
+// printed split, so its pay-off is compared with that of the best of all splits.
 func TestPaperTables(t *testing.T) {
 	for _, e := range []struct {
 		n             int
@@ -160,7 +162,7 @@
 	}
 }
 
-func TestUnsafeIsNeverSentTwice(t *testing.T) {
+func TestAtMostOnceIsNeverSentTwice(t *testing.T) {
 	for _, e := range []struct {
 		status Status
 		want   ActionKind
@@ -168,16 +170,16 @@
 		{Errored, ActionFail}, {TimedOut, ActionFail}, {ConnectionReset, ActionFail}, {Cancelled, ActionFail},
 		{Full, ActionSetUp}, {ConnectFailed, ActionSetUp}, {NotSent, ActionSetUp},
 	} {
-		b := newBed(t, settings())
-		acts := b.arrive(1, 0)
-		sv := b.mustSend(acts)
-		if p := find(acts, ActionSetUp).SetupTimeoutS; p != 0 {
-			t.Errorf("a set-up that can't be repeated has a time-out of %v", p)
-		}
-		b.now += 0.2
-		acts = b.end(1, 0, sv, e.status, false)
+		h := newHarness(t, settings())
+		acts := h.arrive(1, 0)
+		sv := h.mustSetUp(acts)
+		if timeout := findAction(acts, ActionSetUp).SetupTimeoutS; timeout != 0 {
+			t.Errorf("a set-up that can't be repeated has a time-out of %v", timeout)
+		}
+		h.now += 0.2
+		acts = h.endAttempt(1, 0, sv, e.status, false)
 		for _, k := range []ActionKind{ActionFail, ActionSetUp, ActionRefuse} {
-			if got := find(acts, k) != nil; got != (k == e.want) {
+			if got := findAction(acts, k) != nil; got != (k == e.want) {
 				t.Errorf("after %d: action %d is %v: %+v", e.status, k, got, acts)
 			}
 		}
@@ -186,29 +188,29 @@
 
 func TestTimeOutAtTheDeadlineIsAnsweredAtOnce(t *testing.T) {
 	for class, want := range []ActionKind{ActionFail, ActionRefuse} {
-		b := newBed(t, settings())
-		sv := b.mustSend(b.arrive(1, class))
-		b.now += 5
-		if acts := b.end(1, 0, sv, TimedOut, false); find(acts, want) == nil {
+		h := newHarness(t, settings())
+		sv := h.mustSetUp(h.arrive(1, class))
+		h.now += 5
+		if acts := h.endAttempt(1, 0, sv, TimedOut, false); findAction(acts, want) == nil {
 			t.Errorf("class %d: no answer in %+v", class, acts)
 		}
 	}
 }
 
-func TestNeverTwoAttemptsOut(t *testing.T) {
-	b := newBed(t, settings())
-	b.mustSend(b.arrive(1, 1))
+func TestOneAttemptAtATime(t *testing.T) {
+	h := newHarness(t, settings())
+	h.mustSetUp(h.arrive(1, 1))
 	for range 20 {
-		b.now += 0.1
+		h.now += 0.1
 		for _, tok := range []uint32{tokenTick, tokenRetryWaiting} {
-			if acts := b.do(Event{Kind: EventTimer, Token: tok}); find(acts, ActionSetUp) != nil {
-				t.Fatal("a second attempt while one is out")
+			if acts := h.handle(Event{Kind: EventTimer, Token: tok}); findAction(acts, ActionSetUp) != nil {
+				t.Fatal("a second attempt while one is under way")
 			}
 		}
 	}
 }
 
-func TestDrainsAndMissingServersGetNothing(t *testing.T) {
+func TestDrainingAndMissingServersGetNoSetUps(t *testing.T) {
 	for _, e := range []struct {
 		name   string
 		kind   ListKind
@@ -218,139 +220,140 @@
 		{"gone", ListDelta, []ServerState{Gone, Gone, Gone}},
 		{"missing from a full list", ListFull, nil},
 	} {
-		b := newBed(t, settings())
-		b.list(e.kind, e.states...)
+		h := newHarness(t, settings())
+		h.sendList(e.kind, e.states...)
 		if e.kind == ListFull {
-			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 4, State: Ready, Cell: 3, Weight: 1}}})
+			h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 4, State: Ready, Cell: 3, Weight: 1}}})
 		}
 		for id := SessionID(1); id < 4; id++ {
-			if sv := b.mustSend(b.arrive(id, 1)); sv != 4 {
-				t.Errorf("%s: sent to %d", e.name, sv)
+			if sv := h.mustSetUp(h.arrive(id, 1)); sv != 4 {
+				t.Errorf("%s: set-up at server %d, want 4", e.name, sv)
 			}
-			b.now += 0.1
+			h.now += 0.1
 		}
 	}
 }
 
-func TestColdServerIsPaced(t *testing.T) {
+func TestColdServerSetUpRate(t *testing.T) {
 	for _, e := range []struct {
-		name string
-		warm func(*bed)
+		name     string
+		makeCold func(*harness)
 	}{
-		{"listed as fresh", func(b *bed) {
-			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
-				{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
+		{"listed as just started", func(h *harness) {
+			h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+				{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now - 0.5}}})
 		}},
-		{"seen to break", func(b *bed) {
-			b.list(ListFull, Ready)
-			sv := b.mustSend(b.arrive(99, 1))
-			b.end(99, 0, sv, ConnectionReset, true)
-			b.now += ejectionS * 2
+		{"connection seen to break", func(h *harness) {
+			h.sendList(ListFull, Ready)
+			sv := h.mustSetUp(h.arrive(99, 1))
+			h.endAttempt(99, 0, sv, ConnectionReset, true)
+			h.now += ejectionS * 2
 		}},
-		{"listed as fresh to a young front", func(b *bed) {
-			b.c.startedAt = b.now
-			b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
-				{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
+		{"listed as just started to a new manager", func(h *harness) {
+			h.controller.startedAt = h.now
+			h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+				{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now - 0.5}}})
 		}},
 	} {
-		set := settings()
-		set.Managers = 3
-		b := newBed(t, set)
-		e.warm(b)
-		allowed := set.ColdSetupMultiple * 30 / set.WarmAfterS * set.StartCapacityShare / float64(set.Managers)
+		cfg := settings()
+		cfg.Managers = 3
+		h := newHarness(t, cfg)
+		e.makeCold(h)
+		allowed := cfg.ColdSetupMultiple * 30 / cfg.WarmAfterS * cfg.StartCapacityShare / float64(cfg.Managers)
 		sends := 0
 		for i := range 30 { // three seconds
-			b.now += 0.1
+			h.now += 0.1
 			id := SessionID(i + 1)
-			if a := find(b.arrive(id, 1), ActionSetUp); a != nil {
+			if a := findAction(h.arrive(id, 1), ActionSetUp); a != nil {
 				sends++
-				b.end(id, 0, a.Server, OK, true)
+				h.endAttempt(id, 0, a.Server, OK, true)
 			}
-			if a := find(b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}), ActionSetUp); a != nil {
+			if a := findAction(h.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting}), ActionSetUp); a != nil {
 				sends++
-				b.end(a.Session, 0, a.Server, OK, true)
+				h.endAttempt(a.Session, 0, a.Server, OK, true)
 			}
 		}
 		if sends == 0 || float64(sends) > 1+3*allowed {
-			t.Errorf("%s: %d sends in 3 s, at most %.1f allowed", e.name, sends, 1+3*allowed)
+			t.Errorf("%s: %d set-ups in 3 s, at most %.1f allowed", e.name, sends, 1+3*allowed)
 		}
 	}
 }
 
-// A young front paces only what is listed as cold. Pacing every server for its
-// first warm-up, against a restart that the list might hide, spread each
-// restarted front's sessions over many servers, one a pace: on the days at size
-// a tenth of the fleet restarting paid for it in handshakes and refusals.
-func TestYoungFrontSendsToWarmServers(t *testing.T) {
-	set := settings()
-	set.Managers = 3
-	b := newBed(t, set)
-	b.list(ListFull, Ready) // up since before the list began
-	b.c.startedAt = b.now
+// A new manager paces only servers that are listed as cold. When it paced every
+// server for its first warm-up, against a restart that the list might hide, each
+// restarted manager spread its sessions over many servers, one in each send
+// interval: on the days at full size a tenth of the fleet restarting paid for it in
+// handshakes and refusals.
+func TestNewManagerSendsToWarmServers(t *testing.T) {
+	cfg := settings()
+	cfg.Managers = 3
+	h := newHarness(t, cfg)
+	h.sendList(ListFull, Ready) // up since long ago
+	h.controller.startedAt = h.now
 	for i := range 30 { // three seconds, one viewer at a time
-		b.now += 0.1
+		h.now += 0.1
 		id := SessionID(i + 1)
-		sv := b.mustSend(b.arrive(id, 1))
-		b.end(id, 0, sv, OK, true)
+		sv := h.mustSetUp(h.arrive(id, 1))
+		h.endAttempt(id, 0, sv, OK, true)
 	}
 }
 
-func TestPaceWakesDoNotMultiply(t *testing.T) {
-	b := newBed(t, settings())
-	b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
-	wakes := 0
+func TestRetryTimersDoNotMultiply(t *testing.T) {
+	h := newHarness(t, settings())
+	h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now - 0.5}}})
+	timers := 0
 	for id := SessionID(1); id <= 40; id++ {
-		for _, a := range b.arrive(id, 1) {
+		for _, a := range h.arrive(id, 1) {
 			if a.Kind == ActionSetTimer && a.Token == tokenRetryWaiting {
-				wakes++
+				timers++
 			}
 		}
 	}
-	kept := len(b.c.waiting)
-	b.now = b.c.waiting[0].waitUntil
-	for range 50 { // all fire in one batch
-		for _, a := range b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}) {
+	waiting := len(h.controller.waiting)
+	h.now = h.controller.waiting[0].waitUntil
+	for range 50 { // all timers fire at once
+		for _, a := range h.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting}) {
 			if a.Kind == ActionSetTimer {
-				wakes++
+				timers++
 			}
 		}
 	}
-	if kept == 0 || wakes > 2*kept {
-		t.Errorf("%d wakes asked for by %d sessions", wakes, kept)
+	if waiting == 0 || timers > 2*waiting {
+		t.Errorf("%d timers set for %d waiting sessions", timers, waiting)
 	}
 }
 
-func TestSeatsAndFloor(t *testing.T) {
-	b := newBed(t, settings())
+func TestMaxPerTitleAndFloorRung(t *testing.T) {
+	h := newHarness(t, settings())
 	for id := SessionID(1); id <= 4; id++ {
-		acts := b.arrive(id, 0)
-		if got := find(acts, ActionSetUp) != nil; got != (id <= 3) {
-			t.Errorf("session %d of a title with 3 seats: sent is %v", id, got)
+		acts := h.arrive(id, 0)
+		if got := findAction(acts, ActionSetUp) != nil; got != (id <= 3) {
+			t.Errorf("session %d of a title limited to 3: set up is %v", id, got)
 		}
-		if a := find(acts, ActionSetRung); a != nil && a.Rung < 1 {
-			t.Errorf("rung %d under the floor", a.Rung)
+		if a := findAction(acts, ActionSetRung); a != nil && a.Rung < 1 {
+			t.Errorf("rung %d is below the floor", a.Rung)
 		}
 	}
-	b = newBed(t, settings())
-	acts := b.do(Event{Kind: EventArrival, Session: 1, TimeLeftS: 3, Copies: 4, MaxRung: 0})
-	if find(acts, ActionRefuse) == nil || find(acts, ActionSetUp) != nil {
-		t.Errorf("a viewer whose best rung is under the floor: %+v", acts)
+	h = newHarness(t, settings())
+	acts := h.handle(Event{Kind: EventArrival, Session: 1, TimeLeftS: 3, Copies: 4, MaxRung: 0})
+	if findAction(acts, ActionRefuse) == nil || findAction(acts, ActionSetUp) != nil {
+		t.Errorf("a viewer whose highest rung is below the floor: %+v", acts)
 	}
 }
 
 func TestAttemptBudget(t *testing.T) {
-	set := settings()
-	set.BudgetWindowS, set.BudgetFree, set.BudgetShare = 10, 1, 0.1
-	b := newBed(t, set)
+	cfg := settings()
+	cfg.BudgetWindowS, cfg.BudgetFree, cfg.BudgetShare = 10, 1, 0.1
+	h := newHarness(t, cfg)
 	further := 0
 	for id := SessionID(1); id <= 3; id++ {
-		sv := b.mustSend(b.arrive(id, 1))
-		if acts := b.end(id, 0, sv, NotSent, false); find(acts, ActionSetUp) != nil {
+		sv := h.mustSetUp(h.arrive(id, 1))
+		if acts := h.endAttempt(id, 0, sv, NotSent, false); findAction(acts, ActionSetUp) != nil {
 			further++
-		} else if find(acts, ActionRefuse) == nil {
+		} else if findAction(acts, ActionRefuse) == nil {
 			t.Errorf("no answer in %+v", acts)
 		}
-		b.now += 0.1
+		h.now += 0.1
 	}
 	if further != 1 {
 		t.Errorf("%d further attempts, want 1", further)
@@ -358,155 +361,158 @@
 }
 
 func TestDeduplicatedRunsOnce(t *testing.T) {
-	set := settings()
-	set.Classes[1].RepeatEffect = Deduplicated
-	b := newBed(t, set)
-	sv := b.mustSend(b.arrive(1, 1))
-	if acts := b.end(1, 0, sv, Errored, false); find(acts, ActionFail) == nil || find(acts, ActionSetUp) != nil {
+	cfg := settings()
+	cfg.Classes[1].RepeatEffect = Deduplicated
+	h := newHarness(t, cfg)
+	sv := h.mustSetUp(h.arrive(1, 1))
+	if acts := h.endAttempt(1, 0, sv, Errored, false); findAction(acts, ActionFail) == nil || findAction(acts, ActionSetUp) != nil {
 		t.Errorf("after an attempt that may have run: %+v", acts)
 	}
 }
 
-// Reserve first, then the shared part: a class finds its own reserve where the
-// other class fills all that is shared, and is refused at once beyond it.
+// A class fills its own reserve first, then the shared part: it finds its reserve
+// free where the other class fills all that is shared, and the other is refused at
+// once beyond that.
 func TestReserveThenShared(t *testing.T) {
-	set := settings()
-	set.Classes[0].MaxPerTitle = 0
-	b := newBed(t, set)
-	b.list(ListFull, Ready)
-	b.c.meanSlots, b.c.reservedSlots = 9, []float64{3, 0} // of 9 slots of 400 kB/s
-	free := 0
+	cfg := settings()
+	cfg.Classes[0].MaxPerTitle = 0
+	h := newHarness(t, cfg)
+	h.sendList(ListFull, Ready)
+	h.controller.meanSlots, h.controller.reservedSlots = 9, []float64{3, 0} // of 9 slots of 400 kB/s
+	sent := 0
 	for id := SessionID(1); id <= 100; id++ {
-		acts := b.do(Event{Kind: EventArrival, Session: id, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 2})
-		if find(acts, ActionSetUp) == nil {
-			if find(acts, ActionRefuse) == nil {
+		acts := h.handle(Event{Kind: EventArrival, Session: id, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 2})
+		if findAction(acts, ActionSetUp) == nil {
+			if findAction(acts, ActionRefuse) == nil {
 				t.Fatalf("not refused at once: %+v", acts)
 			}
 			break
 		}
-		free++
+		sent++
 	}
-	sv := b.c.servers[1]
-	if sv.ownKB > 6*400 || free < 5 {
-		t.Errorf("the free class fills %v kB/s with %d sessions, %v shared", sv.ownKB, free, 6*400)
+	sv := h.controller.servers[1]
+	if sv.ownKB > 6*400 || sent < 5 {
+		t.Errorf("the class without reserve fills %v kB/s with %d sessions, %v are shared", sv.ownKB, sent, 6*400)
 	}
-	b.mustSend(b.do(Event{Kind: EventArrival, Session: 200, Class: 0, Title: 9, TimeLeftS: 3, Copies: 4, MaxRung: 2}))
+	h.mustSetUp(h.handle(Event{Kind: EventArrival, Session: 200, Class: 0, Title: 9, TimeLeftS: 3, Copies: 4, MaxRung: 2}))
 }
 
 func TestLeastUsedHolder(t *testing.T) {
-	b := newBed(t, settings())
+	h := newHarness(t, settings())
 	seen := map[ServerID]bool{}
 	for id := SessionID(1); id <= 4; id++ {
-		seen[b.mustSend(b.arrive(id, 1))] = true
+		seen[h.mustSetUp(h.arrive(id, 1))] = true
 	}
 	if len(seen) != 4 {
 		t.Errorf("four sessions went to %d servers", len(seen))
 	}
 }
 
-// A note of a shortage lowers rungs in play, down to the floors at the most.
+// A note of a shortage lowers rungs of established sessions, to the floors at the
+// lowest.
 func TestShortageLowersRungs(t *testing.T) {
-	b := newBed(t, settings())
-	sv := b.mustSend(b.arrive(1, 0))
-	b.do(Event{Kind: EventStarted, Session: 1, Server: sv})
+	h := newHarness(t, settings())
+	sv := h.mustSetUp(h.arrive(1, 0))
+	h.handle(Event{Kind: EventStarted, Session: 1, Server: sv})
 	for range 6 {
-		b.now += 1.5
-		b.do(Event{Kind: EventNote, Session: 1, Note: NoteLinkUtilization, Value: 3, Server: sv})
-		b.do(Event{Kind: EventTimer, Token: tokenTick})
+		h.now += 1.5
+		h.handle(Event{Kind: EventNote, Session: 1, Note: NoteLinkUtilization, Value: 3, Server: sv})
+		h.handle(Event{Kind: EventTimer, Token: tokenTick})
 	}
-	if r := b.c.sessions[1].rung; r != 1 {
+	if r := h.controller.sessions[1].rung; r != 1 {
 		t.Errorf("rung %d after a lasting shortage, want the floor 1", r)
 	}
 }
 
-// A silent server takes set-ups and answers none: others are used.
-func TestSilentServerIsLeftAlone(t *testing.T) {
-	b := newBed(t, settings())
-	silent := b.mustSend(b.arrive(1, 0))
-	b.now += unansweredS + 0.1
+// Where a server accepts set-ups and answers none, others are used.
+func TestUnansweringServerGetsNoSetUps(t *testing.T) {
+	h := newHarness(t, settings())
+	silent := h.mustSetUp(h.arrive(1, 0))
+	h.now += unansweredS + 0.1
 	for id := SessionID(2); id < 10; id++ {
-		if sv := b.mustSend(b.arrive(id, 1)); sv == silent {
+		if sv := h.mustSetUp(h.arrive(id, 1)); sv == silent {
 			t.Fatal("sent to a server that has not answered for long")
 		}
 	}
 }
 
-// An error on a title that has played rests its server. One on a title that never
-// has may be its viewer's fault: only many with no start between do.
-func TestFailingServerRests(t *testing.T) {
+// An error on a title that has played ejects its server. One on a title that never
+// has may be its viewer's fault: it takes many, with no start between, to eject.
+func TestFailingServerIsEjected(t *testing.T) {
 	for _, e := range []struct {
-		played bool
-		errors int
-		rests  bool
+		played  bool
+		errors  int
+		ejected bool
 	}{{true, 1, true}, {false, 1, false}, {false, unprovenErrorLimit, true}} {
-		b := newBed(t, settings())
-		bad := b.mustSend(b.arrive(1, 1))
-		sv, title := b.c.servers[bad], b.c.sessions[1].title
+		h := newHarness(t, settings())
+		failing := h.mustSetUp(h.arrive(1, 1))
+		sv, title := h.controller.servers[failing], h.controller.sessions[1].title
 		if e.played {
-			b.do(Event{Kind: EventStarted, Session: 1, Server: bad})
+			h.handle(Event{Kind: EventStarted, Session: 1, Server: failing})
 		}
-		b.end(1, 0, bad, OK, true)
+		h.endAttempt(1, 0, failing, OK, true)
 		for range e.errors {
 			s := &session{id: 99, title: title, server: sv, nextAttempt: 1}
-			b.c.sessions[99] = s
-			b.c.attach(s, sv)
-			b.end(99, 0, bad, Errored, true)
+			h.controller.sessions[99] = s
+			h.controller.attach(s, sv)
+			h.endAttempt(99, 0, failing, Errored, true)
 		}
-		if rests := sv.ejectedUntil > b.now; rests != e.rests {
-			t.Errorf("%+v: rests %v", e, rests)
+		if ejected := sv.ejectedUntil > h.now; ejected != e.ejected {
+			t.Errorf("%+v: ejected is %v", e, ejected)
 		}
 	}
 }
 
-// What is the fault of one connection or one answer is not its server's: it
-// serves others meanwhile.
-func TestConfinedFault(t *testing.T) {
+// A fault of one connection or one answer is not held against a server that
+// meanwhile shows signs of life.
+func TestFaultOfOneConnectionDoesNotEject(t *testing.T) {
 	for _, e := range []struct {
-		end   Event
-		life  bool
-		rests bool
+		end     Event
+		alive   bool
+		ejected bool
 	}{
 		{Event{Status: ConnectionReset}, false, true}, {Event{Status: ConnectionReset, ConnectionOnly: true}, false, false},
 		{Event{Status: TimedOut}, false, true}, {Event{Status: TimedOut}, true, false},
 	} {
-		b := newBed(t, settings())
-		bad := b.mustSend(b.arrive(1, 1))
-		b.now += 2 * unansweredS
-		if e.life {
-			b.do(Event{Kind: EventProbeResult, Server: bad, Load: []float64{0.1, 0.1}})
+		h := newHarness(t, settings())
+		failing := h.mustSetUp(h.arrive(1, 1))
+		h.now += 2 * unansweredS
+		if e.alive {
+			h.handle(Event{Kind: EventProbeResult, Server: failing, Load: []float64{0.1, 0.1}})
 		}
-		e.end.Kind, e.end.Session, e.end.Server, e.end.RequestFinished = EventAttemptEnded, 1, bad, true
-		b.do(e.end)
-		if sv := b.c.servers[bad]; sv.ejectedUntil > b.now != e.rests || sv.coldUntil > b.now != (e.rests && e.end.Status == ConnectionReset) {
-			t.Errorf("%+v: rests till %v, cold till %v, now %v", e, sv.ejectedUntil, sv.coldUntil, b.now)
+		e.end.Kind, e.end.Session, e.end.Server, e.end.RequestFinished = EventAttemptEnded, 1, failing, true
+		h.handle(e.end)
+		if sv := h.controller.servers[failing]; sv.ejectedUntil > h.now != e.ejected || sv.coldUntil > h.now != (e.ejected && e.end.Status == ConnectionReset) {
+			t.Errorf("%+v: ejected until %v, cold until %v, now %v", e, sv.ejectedUntil, sv.coldUntil, h.now)
 		}
 	}
 }
 
 // A viewer who would be refused gets room from sessions on rungs that earn little
-// for their rate; not at a server that has been silent, and never under a floor.
-func TestRoomIsMade(t *testing.T) {
+// for their rate, but not at a server that has been silent, and no session falls
+// below its floor.
+func TestRungsAreLoweredForNewcomer(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		set := settings()
-		set.LadderWorth = []float64{0.6, 0.8, 0.9, 0.95, 1}
-		b := newBed(t, set)
+		cfg := settings()
+		cfg.LadderWorth = []float64{0.6, 0.8, 0.9, 0.95, 1}
+		h := newHarness(t, cfg)
 		lowered, refused := 0, 0
 		for id := SessionID(1); id < 400 && refused == 0; id++ {
 			if silent {
-				b.now += makeRoomSilenceS + 0.1
+				h.now += makeRoomSilenceS + 0.1
 			}
-			acts := b.answered(b.arrive(id, 1), 0.1)
-			refused += count(acts, ActionRefuse)
+			acts := h.answerProbes(h.arrive(id, 1), 0.1)
+			refused += countActions(acts, ActionRefuse)
 			for _, a := range acts {
 				if a.Kind == ActionSetRung && a.Session != id {
 					lowered++
-					if s := b.c.sessions[a.Session]; a.Rung < b.c.cfg.Classes[s.class].FloorRung {
-						t.Fatalf("session %d is on rung %d", a.Session, a.Rung)
+					if s := h.controller.sessions[a.Session]; a.Rung < h.controller.cfg.Classes[s.class].FloorRung {
+						t.Fatalf("session %d is lowered to rung %d, below its floor", a.Session, a.Rung)
 					}
 				}
 			}
-			if sent := find(acts, ActionSetUp); sent != nil {
-				b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
+			if sent := findAction(acts, ActionSetUp); sent != nil {
+				h.handle(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 			}
 		}
 		if refused == 0 || (lowered == 0) != silent {
@@ -515,42 +521,42 @@
 	}
 }
 
-// Where the classes' goals are shorter, the same happens sooner: at half the goals
-// and half all other times the module does the same in half the time.
-func TestPaceFollowsTheGoals(t *testing.T) {
+// With shorter start goals all is quicker: at half the goals and half of all other
+// times, the Controller does the same in half the time.
+func TestTimesScaleWithStartGoals(t *testing.T) {
 	play := func(unit float64) (all []Action) {
-		set := settings()
-		for i := range set.Classes {
-			set.Classes[i].StartGoalS *= unit
+		cfg := settings()
+		for i := range cfg.Classes {
+			cfg.Classes[i].StartGoalS *= unit
 		}
-		set.NoteDelayS, set.RungChangeCostS, set.WarmAfterS = set.NoteDelayS*unit, set.RungChangeCostS*unit, set.WarmAfterS*unit
-		c, err := New(set, 7)
+		cfg.NoteDelayS, cfg.RungChangeCostS, cfg.WarmAfterS = cfg.NoteDelayS*unit, cfg.RungChangeCostS*unit, cfg.WarmAfterS*unit
+		c, err := New(cfg, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &bed{t: t, c: c}
-		var wakes []Action
+		h := &harness{t: t, controller: c}
+		var timers []Action
 		for step := range 400 {
-			b.now = (1000 + 0.25*float64(step)) * unit
+			h.now = (1000 + 0.25*float64(step)) * unit
 			id := SessionID(step + 1)
 			var out []Action
 			switch {
 			case step == 0:
-				b.list(ListCached, Ready, Ready, Ready, Ready)
+				h.sendList(ListCached, Ready, Ready, Ready, Ready)
 			case step%3 == 0:
-				out = b.do(Event{Kind: EventArrival, Session: id, Class: step % 2, Title: uint64(step % 7), TimeLeftS: 5 * unit, Copies: 4, MaxRung: 4})
-			case len(wakes) > 0:
-				out = b.do(Event{Kind: EventTimer, Token: wakes[0].Token})
-				wakes = wakes[1:]
+				out = h.handle(Event{Kind: EventArrival, Session: id, Class: step % 2, Title: uint64(step % 7), TimeLeftS: 5 * unit, Copies: 4, MaxRung: 4})
+			case len(timers) > 0:
+				out = h.handle(Event{Kind: EventTimer, Token: timers[0].Token})
+				timers = timers[1:]
 			}
 			for _, a := range out {
 				switch a.Kind {
 				case ActionSetTimer:
-					wakes = append(wakes, a)
+					timers = append(timers, a)
 				case ActionProbe:
-					b.do(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{0.5, 0.5}})
+					h.handle(Event{Kind: EventProbeResult, Server: a.Server, Load: []float64{0.5, 0.5}})
 				case ActionSetUp:
-					b.do(Event{Kind: EventStarted, Session: a.Session, Server: a.Server})
+					h.handle(Event{Kind: EventStarted, Session: a.Session, Server: a.Server})
 				}
 				a.SetupTimeoutS, a.DelayS, a.RetryAfterS = a.SetupTimeoutS/unit, a.DelayS/unit, a.RetryAfterS/unit
 				all = append(all, a)
@@ -560,33 +566,33 @@
 	}
 	usual, quick := play(1), play(0.5)
 	if len(usual) < 100 || !reflect.DeepEqual(usual, quick) {
-		t.Errorf("%d actions at the usual pace, %d at twice that, or other ones", len(usual), len(quick))
+		t.Errorf("%d actions at the usual goals, %d at half of them, or different ones", len(usual), len(quick))
 	}
 }
 
-// Events that name nothing known, and odd values, are ignored without a fault.
-func TestOddEvents(t *testing.T) {
-	b := newBed(t, settings())
-	sv := b.mustSend(b.arrive(1, 1))
-	b.do(Event{Kind: EventStarted, Session: 1, Server: sv})
+// Events about unknown sessions and servers, and values out of range, are ignored.
+func TestInvalidEvents(t *testing.T) {
+	h := newHarness(t, settings())
+	sv := h.mustSetUp(h.arrive(1, 1))
+	h.handle(Event{Kind: EventStarted, Session: 1, Server: sv})
 	for _, v := range []float64{math.NaN(), math.Inf(1), -1, 1e30, 0} {
 		for kind := NoteKind(0); kind < 7; kind++ {
-			b.do(Event{Kind: EventNote, Session: 1, Server: sv, Note: kind, Value: v})
+			h.handle(Event{Kind: EventNote, Session: 1, Server: sv, Note: kind, Value: v})
 		}
-		b.do(Event{Kind: EventProbeResult, Server: sv, Load: []float64{v, v, v}})
-		b.do(Event{Kind: EventArrival, Session: 50, Class: 1, TimeLeftS: v, ExpectedLengthS: v, MaxRung: v, HomeCell: -1, Copies: 9})
+		h.handle(Event{Kind: EventProbeResult, Server: sv, Load: []float64{v, v, v}})
+		h.handle(Event{Kind: EventArrival, Session: 50, Class: 1, TimeLeftS: v, ExpectedLengthS: v, MaxRung: v, HomeCell: -1, Copies: 9})
 	}
-	b.do(Event{Kind: EventProbeResult, Server: 77, Load: []float64{1}})
+	h.handle(Event{Kind: EventProbeResult, Server: 77, Load: []float64{1}})
 	for kind := EventList; kind <= EventNote; kind++ {
-		b.do(Event{Kind: kind, Session: 12345, Class: 99, Server: 99, Token: 99, List: ListDelta,
+		h.handle(Event{Kind: kind, Session: 12345, Class: 99, Server: 99, Token: 99, List: ListDelta,
 			Entries: []Entry{{Server: 70, Cell: 99}}})
 	}
-	acts := b.do(Event{Kind: EventArrival, Session: 60, Class: 1, TimeLeftS: 5, HomeCell: 2, Copies: 0})
-	if find(acts, ActionRefuse) == nil {
+	acts := h.handle(Event{Kind: EventArrival, Session: 60, Class: 1, TimeLeftS: 5, HomeCell: 2, Copies: 0})
+	if findAction(acts, ActionRefuse) == nil {
 		t.Errorf("a title without a holder gets no answer: %+v", acts)
 	}
-	if u := b.c.utilization(b.c.servers[sv]); math.IsNaN(u) || math.IsInf(u, 0) {
-		t.Errorf("use is %v", u)
+	if u := h.controller.utilization(h.controller.servers[sv]); math.IsNaN(u) || math.IsInf(u, 0) {
+		t.Errorf("utilization is %v", u)
 	}
 }
 
@@ -613,155 +619,158 @@
 // The same events give the same actions.
 func TestDeterministic(t *testing.T) {
 	play := func() []Action {
-		set := settings()
-		set.Managers = 2
-		b := newBed(t, set)
+		cfg := settings()
+		cfg.Managers = 2
+		h := newHarness(t, cfg)
 		var all []Action
 		for i := range 300 {
-			b.now += 0.07
+			h.now += 0.07
 			id := SessionID(i + 1)
-			acts := b.arrive(id, i%2)
-			if a := find(acts, ActionSetUp); a != nil && i%3 > 0 {
-				acts = append(acts, b.end(id, 0, a.Server, []Status{OK, Errored, Full}[i%3], i%3 == 0)...)
+			acts := h.arrive(id, i%2)
+			if a := findAction(acts, ActionSetUp); a != nil && i%3 > 0 {
+				acts = append(acts, h.endAttempt(id, 0, a.Server, []Status{OK, Errored, Full}[i%3], i%3 == 0)...)
 			}
-			acts = append(acts, b.do(Event{Kind: EventTimer, Token: tokenTick})...)
+			acts = append(acts, h.handle(Event{Kind: EventTimer, Token: tokenTick})...)
 			all = append(all, acts...)
 		}
 		return all
 	}
 	if !reflect.DeepEqual(play(), play()) {
-		t.Error("two plays of the same events differ")
+		t.Error("two runs over the same events differ")
 	}
 }
 
-// The rung of one session counts on a part of the room only: others fill it too.
+// The rung of a new session counts on a part of the free room only, since other
+// managers fill it too.
 func TestRungLeavesUplinkRoom(t *testing.T) {
-	set := settings()
-	set.Racks, set.RackUplinkKB, set.Managers = 1, 1500, 100
-	b := newBed(t, set)
-	b.mustSend(b.arrive(1, 1))
-	if s := b.c.sessions[1]; b.c.rateKB(s, s.rung) > othersRoomShare*TargetUtilization*1500 {
-		t.Errorf("rung %d takes %v of an uplink of 1500", s.rung, b.c.rateKB(s, s.rung))
+	cfg := settings()
+	cfg.Racks, cfg.RackUplinkKB, cfg.Managers = 1, 1500, 100
+	h := newHarness(t, cfg)
+	h.mustSetUp(h.arrive(1, 1))
+	if s := h.controller.sessions[1]; h.controller.rateKB(s, s.rung) > othersRoomShare*TargetUtilization*1500 {
+		t.Errorf("rung %d takes %v kB/s of an uplink of 1500", s.rung, h.controller.rateKB(s, s.rung))
 	}
 }
 
-// A short uplink is answered by all servers of its rack, not the first alone.
-func TestShortUplinkIsSharedOut(t *testing.T) {
-	set := settings()
-	set.Racks = 1
-	b := newBed(t, set)
+// A shortage on an uplink is answered by sessions on all servers of its rack, not
+// on the first alone.
+func TestUplinkShortageIsSharedByRack(t *testing.T) {
+	cfg := settings()
+	cfg.Racks = 1
+	h := newHarness(t, cfg)
 	for id := SessionID(1); id <= 4; id++ {
-		sv := b.mustSend(b.arrive(id, 1))
-		b.do(Event{Kind: EventStarted, Session: id, Server: sv})
+		sv := h.mustSetUp(h.arrive(id, 1))
+		h.handle(Event{Kind: EventStarted, Session: id, Server: sv})
 	}
-	b.now += 2
-	before, lowered := b.c.ownKB, 0
-	b.do(Event{Kind: EventNote, Session: 1, Note: NoteUplinkUtilization, Value: 2, Server: b.c.sessions[1].server.Server})
-	for _, a := range b.do(Event{Kind: EventTimer, Token: tokenTick}) {
+	h.now += 2
+	before, lowered := h.controller.ownKB, 0
+	h.handle(Event{Kind: EventNote, Session: 1, Note: NoteUplinkUtilization, Value: 2, Server: h.controller.sessions[1].server.Server})
+	for _, a := range h.handle(Event{Kind: EventTimer, Token: tokenTick}) {
 		if a.Kind == ActionSetRung {
 			lowered++
 		}
 	}
-	if lowered < 2 || b.c.ownKB < before/4 || b.c.ownKB > before*3/4 {
-		t.Errorf("%d sessions lowered, %v of %v left", lowered, b.c.ownKB, before)
+	if lowered < 2 || h.controller.ownKB < before/4 || h.controller.ownKB > before*3/4 {
+		t.Errorf("%d sessions lowered, %v of %v kB/s left", lowered, h.controller.ownKB, before)
 	}
 }
 
-// Every optional input may be absent: each session gets one answer all the same.
+// Every optional input may be absent: each session still gets exactly one answer.
 func TestWithoutOptionalInputs(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
-		"no reports":   func(s *Settings) { s.LoadReporting, s.LoadFields = LoadReportsNone, nil },
-		"probes only":  func(s *Settings) { s.LoadReporting, s.ProbesAllowed = LoadReportsInProbes, true },
-		"many fronts":  func(s *Settings) { s.Managers = 5 },
-		"no racks":     func(s *Settings) { s.Racks, s.RackUplinkKB = 0, 0 },
-		"no guard":     func(s *Settings) { s.FullAtUtilization = 0 },
-		"no warm-up":   func(s *Settings) { s.WarmAfterS = 0 },
-		"no kinds":     func(s *Settings) { s.MaxStreamsByKind = nil },
-		"live weights": func(s *Settings) { s.Weights = WeightSizePerLoad },
+		"no reports":    func(s *Settings) { s.LoadReporting, s.LoadFields = LoadReportsNone, nil },
+		"probes only":   func(s *Settings) { s.LoadReporting, s.ProbesAllowed = LoadReportsInProbes, true },
+		"many managers": func(s *Settings) { s.Managers = 5 },
+		"no racks":      func(s *Settings) { s.Racks, s.RackUplinkKB = 0, 0 },
+		"no guard":      func(s *Settings) { s.FullAtUtilization = 0 },
+		"no warm-up":    func(s *Settings) { s.WarmAfterS = 0 },
+		"no kinds":      func(s *Settings) { s.MaxStreamsByKind = nil },
+		"live weights":  func(s *Settings) { s.Weights = WeightSizePerLoad },
 		"one rung": func(s *Settings) {
 			s.RatesKB, s.LadderWorth, s.Classes[0].FloorRung = []float64{400}, []float64{1}, 0
 		},
 	} {
-		set := settings()
-		change(&set)
-		b := newBed(t, set)
+		cfg := settings()
+		change(&cfg)
+		h := newHarness(t, cfg)
 		for id := SessionID(1); id <= 60; id++ {
-			b.now += 0.05
-			acts := b.answered(b.arrive(id, int(id)%2), 0.5)
-			sent, denied := find(acts, ActionSetUp), find(acts, ActionRefuse)
+			h.now += 0.05
+			acts := h.answerProbes(h.arrive(id, int(id)%2), 0.5)
+			sent, denied := findAction(acts, ActionSetUp), findAction(acts, ActionRefuse)
 			if (sent != nil) == (denied != nil) {
 				t.Fatalf("%s: session %d is not sent or refused: %+v", name, id, acts)
 			}
 			if sent != nil {
-				b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
+				h.handle(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 			}
-			b.answered(b.do(Event{Kind: EventTimer, Token: tokenTick}), 0.5)
+			h.answerProbes(h.handle(Event{Kind: EventTimer, Token: tokenTick}), 0.5)
 		}
 	}
 }
 
-// Where the list must be asked for, it is; a failed call is repeated later, not
-// at once, and the old list holds.
+// Where the server list has to be requested, it is. A failed request is repeated
+// later, not at once, and the previous list holds.
 func TestSubscribe(t *testing.T) {
-	set := settings()
-	set.SubscribeToList = true
-	c, err := New(set, 1)
+	cfg := settings()
+	cfg.SubscribeToList = true
+	c, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bed{t: t, c: c, now: 5}
-	acts := b.do(Event{Kind: EventList, List: ListCached, Entries: []Entry{{Server: 1, State: Ready, Weight: 1}}})
-	if find(acts, ActionSubscribe) == nil {
+	h := &harness{t: t, controller: c, now: 5}
+	acts := h.handle(Event{Kind: EventList, List: ListCached, Entries: []Entry{{Server: 1, State: Ready, Weight: 1}}})
+	if findAction(acts, ActionSubscribe) == nil {
 		t.Fatalf("no subscription in %+v", acts)
 	}
-	acts = b.do(Event{Kind: EventList, List: ListFailed})
-	if find(acts, ActionSubscribe) != nil || find(acts, ActionSetTimer) == nil {
+	acts = h.handle(Event{Kind: EventList, List: ListFailed})
+	if findAction(acts, ActionSubscribe) != nil || findAction(acts, ActionSetTimer) == nil {
 		t.Errorf("after a failure: %+v", acts)
 	}
-	b.now++
-	if acts = b.do(Event{Kind: EventTimer, Token: tokenSubscribe}); find(acts, ActionSubscribe) == nil {
-		t.Errorf("not asked again: %+v", acts)
+	h.now++
+	if acts = h.handle(Event{Kind: EventTimer, Token: tokenSubscribe}); findAction(acts, ActionSubscribe) == nil {
+		t.Errorf("not requested again: %+v", acts)
 	}
-	b.now += 20
-	b.mustSend(b.arrive(1, 1))
+	h.now += 20
+	h.mustSetUp(h.arrive(1, 1))
 }
 
-// A new session's rung follows Equation 6's reward: previews at a low rung do not
-// look as dear as paid sessions, so that something is reserved for these.
-func TestDearClassIsReservedFor(t *testing.T) {
-	set := settings()
-	set.Classes[0].MaxPerTitle = 0
-	b := newBed(t, set)
+// Equation 6 is given what sessions earn at their rungs: previews at a low rung
+// don't look as valuable as paid sessions, so that slots are reserved for the
+// latter.
+func TestReservesFavourWorthierClass(t *testing.T) {
+	cfg := settings()
+	cfg.Classes[0].MaxPerTitle = 0
+	h := newHarness(t, cfg)
 	for id := SessionID(1); id <= 200; id++ {
-		b.now += 0.1
-		if sent := find(b.arrive(id, int(id)%2), ActionSetUp); sent != nil {
-			b.do(Event{Kind: EventStarted, Session: id, Server: sent.Server})
+		h.now += 0.1
+		if sent := findAction(h.arrive(id, int(id)%2), ActionSetUp); sent != nil {
+			h.handle(Event{Kind: EventStarted, Session: id, Server: sent.Server})
 		}
 	}
-	b.c.updateReserves()
-	if b.c.reservedSlots[0] < 1 || b.c.reservedSlots[0] <= b.c.reservedSlots[1] {
-		t.Errorf("reserves %v in overload", b.c.reservedSlots)
+	h.controller.updateReserves()
+	if h.controller.reservedSlots[0] < 1 || h.controller.reservedSlots[0] <= h.controller.reservedSlots[1] {
+		t.Errorf("reserves %v in overload", h.controller.reservedSlots)
 	}
 }
 
-// A server of very many slots must not hold the front up: the search takes
-// their square in time.
-func TestRescoreIsBounded(t *testing.T) {
-	set := settings()
-	set.LinkKBPerWeight, set.RackUplinkKB, set.MaxStreamsByKind = 1e12, 1e12, []int{1 << 30}
-	b := newBed(t, set)
-	b.arrive(1, 0)
-	b.now += 2 * reserveUpdateS
-	b.do(Event{Kind: EventTimer, Token: tokenTick})
-	if b.c.meanSlots < 1e6 {
-		t.Errorf("%v slots scored", b.c.meanSlots)
+// The search for reserves takes the square of the slots in time; a server of very
+// many slots must not hold the manager up.
+func TestReserveSearchIsBounded(t *testing.T) {
+	cfg := settings()
+	cfg.LinkKBPerWeight, cfg.RackUplinkKB, cfg.MaxStreamsByKind = 1e12, 1e12, []int{1 << 30}
+	h := newHarness(t, cfg)
+	h.arrive(1, 0)
+	h.now += 2 * reserveUpdateS
+	h.handle(Event{Kind: EventTimer, Token: tokenTick})
+	if h.controller.meanSlots < 1e6 {
+		t.Errorf("mean slots are %v, too few to test the bound", h.controller.meanSlots)
 	}
 }
 
-func TestRefusalSaysWhenToComeAgain(t *testing.T) {
-	b := newBed(t, settings())
-	b.list(ListFull)
-	if a := find(b.arrive(1, 0), ActionRefuse); a == nil || a.RetryAfterS != minRetryAfterS {
+func TestRefusalTellsRetryAfter(t *testing.T) {
+	h := newHarness(t, settings())
+	h.sendList(ListFull)
+	if a := findAction(h.arrive(1, 0), ActionRefuse); a == nil || a.RetryAfterS != minRetryAfterS {
 		t.Errorf("refusal %+v", a)
 	}
 }
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -8,7 +8,7 @@
 
 // A session manager keeps one Controller and carries out its actions.
 func Example() {
-	front, err := control.New(control.Settings{
+	controller, err := control.New(control.Settings{
 		Classes: []control.Class{{
 			RepeatEffect: control.Idempotent, StartGoalS: 1, Worth: 1, TopRung: 2, RateScale: 1,
 		}},
@@ -20,10 +20,10 @@
 		fmt.Println(err)
 		return
 	}
-	front.Handle(0, control.Event{Kind: control.EventList, Entries: []control.Entry{
+	controller.Handle(0, control.Event{Kind: control.EventList, Entries: []control.Entry{
 		{Server: 7, State: control.Ready, Weight: 1},
 	}})
-	for _, a := range front.Handle(0.5, control.Event{
+	for _, a := range controller.Handle(0.5, control.Event{
 		Kind: control.EventArrival, Session: 1, Title: 3, TimeLeftS: 5, Copies: 1, MaxRung: 2,
 	}) {
 		switch a.Kind {
--- a/control/hand_test.go
+++ b/control/hand_test.go
@@ -5,49 +5,51 @@
 	"testing"
 )
 
-// A front that is handed sessions counts them as its own and no more as others': what
-// its link is asked for stays the same, also by a report that was measured before.
-func TestAdoptedSessionsCountOnce(t *testing.T) {
-	b := newBed(t, settings())
-	sv := b.c.servers[1]
-	b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1}) // moves its clock
+// A manager that takes sessions over counts them as its own and no longer as other
+// managers': what its link is asked for stays the same, also after a late report
+// that was measured before.
+func TestEstablishedSessionsCountOnce(t *testing.T) {
+	h := newHarness(t, settings())
+	sv := h.controller.servers[1]
+	h.handle(Event{Kind: EventTimer, Token: tokenSubscribe + 1}) // advances the controller's clock
 	const kb = 2000
-	sv.observe(b.c.now, kb, 1)
+	sv.observe(h.controller.now, kb, 1)
 	for i := range 4 {
-		b.do(Event{Kind: EventEstablished, Session: SessionID(100 + i), Class: 1, Server: 1, Copies: 1, MaxRung: 4, Rung: 2})
+		h.handle(Event{Kind: EventEstablished, Session: SessionID(100 + i), Class: 1, Server: 1, Copies: 1, MaxRung: 4, Rung: 2})
 	}
 	if got := sv.ownKB + sv.reportedOthersKB; sv.ownKB != 1600 || got != kb {
-		t.Errorf("%.0f of own and %.0f of others in place of 1600 and %.0f in all", sv.ownKB, sv.reportedOthersKB, float64(kb))
+		t.Errorf("own load %.0f and others' %.0f kB/s, want own load 1600 and %.0f in all", sv.ownKB, sv.reportedOthersKB, float64(kb))
 	}
-	b.now += 0.2
-	b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
-	sv.observe(b.c.now-0.3, kb, 1)
-	sv.observe(b.c.now-0.1, kb, 1)
+	h.now += 0.2
+	h.handle(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
+	sv.observe(h.controller.now-0.3, kb, 1)
+	sv.observe(h.controller.now-0.1, kb, 1)
 	if got := sv.ownKB + sv.reportedOthersKB; math.Abs(got-kb) > 1 {
-		t.Errorf("a late report makes it %.0f in place of %.0f", got, float64(kb))
+		t.Errorf("%.0f kB/s in all after a late report, want %.0f", got, float64(kb))
 	}
 }
 
-// A server that an operator put back gets its first session within the promised time
-// where its pace allows that, whatever the lot says; where fronts are many the lot stays.
-func TestPutBackServerIsUsed(t *testing.T) {
+// A server that an operator enabled again gets its first session within
+// reenabledUseS where its send interval allows that, regardless of chance; with
+// many managers chance decides.
+func TestReenabledServerIsUsed(t *testing.T) {
 	for _, e := range []struct {
-		fronts int
-		used   bool
+		managers int
+		used     bool
 	}{{1, true}, {300, false}} {
-		set := settings()
-		set.Managers = e.fronts
-		b := newBed(t, set)
-		b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now, Reenabled: true}}})
-		b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
-		sv := b.c.servers[1]
-		if b.c.dueAfterReenabling(sv) {
-			t.Errorf("%d fronts: used at once, as by all others", e.fronts)
+		cfg := settings()
+		cfg.Managers = e.managers
+		h := newHarness(t, cfg)
+		h.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now, Reenabled: true}}})
+		h.handle(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
+		sv := h.controller.servers[1]
+		if h.controller.dueAfterReenabling(sv) {
+			t.Errorf("%d managers: due at once, as at all other managers", e.managers)
 		}
-		b.now += reenabledUseS
-		b.do(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
-		if got := b.c.dueAfterReenabling(sv); got != e.used {
-			t.Errorf("%d fronts, pace %.1f s: due is %v", e.fronts, b.c.coldSendInterval(sv), got)
+		h.now += reenabledUseS
+		h.handle(Event{Kind: EventTimer, Token: tokenSubscribe + 1})
+		if got := h.controller.dueAfterReenabling(sv); got != e.used {
+			t.Errorf("%d managers, send interval %.1f s: due is %v", e.managers, h.controller.coldSendInterval(sv), got)
 		}
 	}
 }
--- a/control/hold_test.go
+++ b/control/hold_test.go
@@ -2,93 +2,94 @@
 
 import "testing"
 
-// Room counts nothing of what drains, is gone or seems cut off, and of a cold server
-// what it has warmed.
-func TestRoomForPlans(t *testing.T) {
-	set := settings()
-	set.Zone = 0
-	b := newBed(t, set)
-	b.c.Handle(b.now, Event{Kind: EventNote}) // only moves the clock
-	all := b.c.CapacitySlots()
+// CapacitySlots counts nothing of a server that drains, is gone or stands in a lost
+// zone, and of a cold server the share that has warmed up.
+func TestCapacitySlots(t *testing.T) {
+	cfg := settings()
+	cfg.Zone = 0
+	h := newHarness(t, cfg)
+	h.controller.Handle(h.now, Event{Kind: EventNote}) // only advances the clock
+	all := h.controller.CapacitySlots()
 	one := all / 4
 	if want := 0.9 * 4000 / 400; one < want-1e-9 || one > want+1e-9 {
 		t.Fatalf("a server has %v slots, want %v", one, want)
 	}
-	near := func(what string, want float64) {
+	check := func(what string, want float64) {
 		t.Helper()
-		b.c.Handle(b.now, Event{Kind: EventNote})
-		if got := b.c.CapacitySlots() / one; got < want-1e-6 || got > want+1e-6 {
-			t.Errorf("%s: %v servers' room, want %v", what, got, want)
+		h.controller.Handle(h.now, Event{Kind: EventNote})
+		if got := h.controller.CapacitySlots() / one; got < want-1e-6 || got > want+1e-6 {
+			t.Errorf("%s: the capacity of %v servers, want %v", what, got, want)
 		}
 	}
-	b.list(ListDelta, Draining)
-	near("one drains", 3)
-	b.list(ListDelta, Gone)
-	near("one is gone", 3)
+	h.sendList(ListDelta, Draining)
+	check("one drains", 3)
+	h.sendList(ListDelta, Gone)
+	check("one is gone", 3)
 	// It comes back cold, and half of its warm-up passes.
-	at := b.now
-	b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: at}}})
-	near("it is back, cold", 3)
-	b.now += set.WarmAfterS / 2
-	b.c.Handle(b.now, Event{Kind: EventNote})
-	near("half warm", 3+b.c.capacityKB(b.c.servers[1])/b.c.slotKB/one/2) // its slots are few as yet
-	b.now += set.WarmAfterS
-	near("warm", 4)
-	b.c.zoneLostUntil[0] = b.c.now + 1
-	near("its zone is cut off", 0)
+	at := h.now
+	h.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: at}}})
+	check("it is back and cold", 3)
+	h.now += cfg.WarmAfterS / 2
+	h.controller.Handle(h.now, Event{Kind: EventNote})
+	check("half warm", 3+h.controller.capacityKB(h.controller.servers[1])/h.controller.slotKB/one/2) // a half-warm server's link is smaller, too
+	h.now += cfg.WarmAfterS
+	check("warm", 4)
+	h.controller.zoneLostUntil[0] = h.controller.now + 1
+	check("its zone is lost", 0)
 }
 
-// A share is even until reports tell more, and stays within a quarter of that and
-// the whole.
-func TestShare(t *testing.T) {
-	set := settings()
-	set.Managers = 4
-	b := newBed(t, set)
-	if got := b.c.LoadShare(); got != 0.25 {
-		t.Errorf("%v", got)
+// LoadShare is even until reports tell more, and stays between a quarter of that
+// and 1.
+func TestLoadShare(t *testing.T) {
+	cfg := settings()
+	cfg.Managers = 4
+	h := newHarness(t, cfg)
+	if got := h.controller.LoadShare(); got != 0.25 {
+		t.Errorf("share %v without reports, want 0.25", got)
 	}
-	b.c.meanLoad.value, b.c.meanLoad.hasValue = 8000, true
+	h.controller.meanLoad.value, h.controller.meanLoad.hasValue = 8000, true
 	for own, want := range map[float64]float64{4000: 0.5, 1: 0.0625, 9000: 1, 0: 0.25} {
-		if b.c.ownKB = own; b.c.LoadShare() != want {
-			t.Errorf("%v of 8000: %v, want %v", own, b.c.LoadShare(), want)
+		if h.controller.ownKB = own; h.controller.LoadShare() != want {
+			t.Errorf("%v of 8000 kB/s: share %v, want %v", own, h.controller.LoadShare(), want)
 		}
 	}
 }
 
-// Held room is left to the announced peak's own sessions of the class; others get
-// lower rungs, and are refused where all is held. It ends with the next event.
-func TestHold(t *testing.T) {
-	rung := func(hold []float64, own bool) int {
-		b := newBed(t, settings())
-		b.do(Event{Kind: EventHold, HeldShares: hold})
-		acts := b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4, InPeak: own})
-		if a := find(acts, ActionSetRung); a != nil {
+// Held slots are left to the sessions of the announced peak and of the class;
+// others get lower rungs, and are refused where all slots are held. An EventHold
+// without shares ends the hold.
+func TestHeldSlots(t *testing.T) {
+	rung := func(held []float64, inPeak bool) int {
+		h := newHarness(t, settings())
+		h.handle(Event{Kind: EventHold, HeldShares: held})
+		acts := h.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4, InPeak: inPeak})
+		if a := findAction(acts, ActionSetRung); a != nil {
 			return a.Rung
 		}
-		if find(acts, ActionRefuse) == nil {
-			t.Error("neither sent nor refused")
+		if findAction(acts, ActionRefuse) == nil {
+			t.Error("neither set up nor refused")
 		}
 		return -1
 	}
 	free := rung(nil, false)
 	for i, e := range []struct {
-		hold []float64
-		own  bool
-		want int
+		held   []float64
+		inPeak bool
+		want   int
 	}{
 		{[]float64{0, 0}, false, free}, {[]float64{0, 1}, true, free}, {[]float64{0, 1}, false, -1}, {[]float64{1, 0}, true, -1}, {[]float64{0.5, 0.47}, false, 0}, {[]float64{0, 0.49}, true, free},
 	} {
-		if got := rung(e.hold, e.own); got != e.want {
-			t.Errorf("%d: rung %d, want %d", i, got, e.want)
+		if got := rung(e.held, e.inPeak); got != e.want {
+			t.Errorf("case %d: rung %d, want %d", i, got, e.want)
 		}
 	}
 	if free <= 0 {
 		t.Errorf("rung %d without a hold", free)
 	}
-	b := newBed(t, settings())
-	b.do(Event{Kind: EventHold, HeldShares: []float64{0, 1}})
-	b.do(Event{Kind: EventHold})
-	if find(b.arrive(2, 1), ActionSetUp) == nil {
-		t.Error("what was given back is still held")
+	h := newHarness(t, settings())
+	h.handle(Event{Kind: EventHold, HeldShares: []float64{0, 1}})
+	h.handle(Event{Kind: EventHold})
+	if findAction(h.arrive(2, 1), ActionSetUp) == nil {
+		t.Error("refused after the hold has ended")
 	}
 }
--- a/control/ration_test.go
+++ b/control/ration_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// A class that a ration limits is refused beyond its part, others are not, and the
-// refused are told times one after the other.
-func TestRationLimits(t *testing.T) {
-	b := newBed(t, settings())
-	b.do(Event{Kind: EventRation, Ration: &Ration{SessionLimits: []float64{-1, 3}, RetryIntervalsS: []float64{0, 0.5}}})
+// A class that a ration limits is refused beyond its limit, others are not, and
+// refused viewers are told successive times to return.
+func TestRationSessionLimits(t *testing.T) {
+	h := newHarness(t, settings())
+	h.handle(Event{Kind: EventRation, Ration: &Ration{SessionLimits: []float64{-1, 3}, RetryIntervalsS: []float64{0, 0.5}}})
 	taken, last := [2]int{}, 0.0
 	for i := range 8 {
 		for class := range 2 {
 			id := SessionID(1000 + 2*i + class)
-			out := b.do(Event{Kind: EventArrival, Session: id, Class: class, Title: uint64(id), TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1})
+			out := h.handle(Event{Kind: EventArrival, Session: id, Class: class, Title: uint64(id), TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1})
 			for _, a := range out {
 				switch {
 				case a.Kind == ActionSetUp:
 					taken[class]++
 				case a.Kind == ActionRefuse && class == 1:
 					if a.RetryAfterS < minRetryAfterS || a.RetryAfterS < last {
-						t.Errorf("refused till %v, the one before till %v", a.RetryAfterS, last)
+						t.Errorf("asked to stay away for %v s, the viewer before for %v s", a.RetryAfterS, last)
 					}
 					last = a.RetryAfterS
 				}
@@ -26,34 +26,34 @@
 		}
 	}
 	if taken != [2]int{8, 3} || last < 2 {
-		t.Errorf("%v taken, the last refused for %v s", taken, last)
+		t.Errorf("%v set up by class, the last refused viewer is to stay away for %v s", taken, last)
 	}
-	b.do(Event{Kind: EventRation})
-	if out := b.do(Event{Kind: EventArrival, Session: 2000, Class: 1, Title: 1, TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1}); find(out, ActionSetUp) == nil {
-		t.Errorf("without a ration any more: %v", out)
+	h.handle(Event{Kind: EventRation})
+	if out := h.handle(Event{Kind: EventArrival, Session: 2000, Class: 1, Title: 1, TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1}); findAction(out, ActionSetUp) == nil {
+		t.Errorf("no set-up after the ration has ended: %v", out)
 	}
 }
 
-// What plays on a higher rung than a ration gives is lowered, and comes no higher while
-// it lasts; a zone that comes back is sent to no faster than its pace.
-func TestRationRungsAndPace(t *testing.T) {
-	b := newBed(t, settings())
-	first := b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 1, TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1})
-	rung, sent := find(first, ActionSetRung), find(first, ActionSetUp)
+// A session on a higher rung than the ration allows is lowered, and stays there
+// while the ration lasts; set-ups in a zone come no faster than the zone's rate.
+func TestRationRungSharesAndZoneRates(t *testing.T) {
+	h := newHarness(t, settings())
+	first := h.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 1, TimeLeftS: 3, Copies: 4, MaxRung: 9, Tenant: -1})
+	rung, sent := findAction(first, ActionSetRung), findAction(first, ActionSetUp)
 	if rung == nil || rung.Rung == 0 || sent == nil {
-		t.Fatalf("%v", first)
+		t.Fatalf("no set-up above rung 0 without a ration: %v", first)
 	}
-	b.do(Event{Kind: EventStarted, Session: 1, Server: sent.Server})
+	h.handle(Event{Kind: EventStarted, Session: 1, Server: sent.Server})
 	floor := [][]float64{{0, 1, 1}, {1, 1, 1}}
-	if out := b.do(Event{Kind: EventRation, Ration: &Ration{RungShares: floor, ZoneRates: []float64{0.5}}}); find(out, ActionSetRung) == nil || find(out, ActionSetRung).Rung != 0 {
-		t.Errorf("lowered: %v", out)
+	if out := h.handle(Event{Kind: EventRation, Ration: &Ration{RungShares: floor, ZoneRates: []float64{0.5}}}); findAction(out, ActionSetRung) == nil || findAction(out, ActionSetRung).Rung != 0 {
+		t.Errorf("not lowered to rung 0: %v", out)
 	}
 	sends := 0
 	for i := range 40 { // 10 s
-		b.now += 0.25
-		for _, a := range b.do(Event{Kind: EventArrival, Session: SessionID(100 + i), Class: 1, Title: 1, TimeLeftS: 0.2, Copies: 4, MaxRung: 9, Tenant: -1}) {
+		h.now += 0.25
+		for _, a := range h.handle(Event{Kind: EventArrival, Session: SessionID(100 + i), Class: 1, Title: 1, TimeLeftS: 0.2, Copies: 4, MaxRung: 9, Tenant: -1}) {
 			if a.Kind == ActionSetRung && a.Rung != 0 {
-				t.Errorf("rung %d", a.Rung)
+				t.Errorf("rung %d under a ration of rung 0", a.Rung)
 			}
 			if a.Kind == ActionSetUp {
 				sends++
@@ -61,6 +61,6 @@
 		}
 	}
 	if sends < 4 || sends > 6 {
-		t.Errorf("%d sent in 10 s, at one in two seconds", sends)
+		t.Errorf("%d set-ups in 10 s at one in two seconds", sends)
 	}
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// many is a deployment in which a front sees next to nothing: a hundred fronts,
-// twelve servers, loads told to those who ask.
-func many(t *testing.T) *bed {
+// newManyManagers is a deployment in which a manager sees almost nothing of the
+// load: a hundred managers, twelve servers, loads told in probe results only.
+func newManyManagers(t *testing.T) *harness {
 	t.Helper()
-	set := settings()
-	set.Managers, set.Cells, set.ProbesAllowed, set.LoadReporting = 100, 12, true, LoadReportsInProbes
-	set.FleetLinkKB, set.RackUplinkKB = 48000, 24000
-	b := newBed(t, set)
+	cfg := settings()
+	cfg.Managers, cfg.Cells, cfg.ProbesAllowed, cfg.LoadReporting = 100, 12, true, LoadReportsInProbes
+	cfg.FleetLinkKB, cfg.RackUplinkKB = 48000, 24000
+	h := newHarness(t, cfg)
 	states := make([]ServerState, 12)
 	for i := range states {
 		states[i] = Ready
 	}
-	b.list(ListFull, states...)
-	return b
+	h.sendList(ListFull, states...)
+	return h
 }
 
-func count(acts []Action, kind ActionKind) (n int) {
+func countActions(acts []Action, kind ActionKind) (n int) {
 	for _, a := range acts {
 		if a.Kind == kind {
 			n++
@@ -27,276 +27,279 @@
 	return n
 }
 
-// A session whose holders' load isn't known waits for two probes, and goes to
-// the one that tells the lower load; an answer that stays away costs askS.
-func TestAsksBeforeItPlaces(t *testing.T) {
-	b := many(t)
-	acts := b.arrive(1, 1)
-	if count(acts, ActionProbe) != maxSessionProbes || find(acts, ActionSetUp) != nil {
-		t.Fatalf("at the arrival %+v", acts)
+// A session whose holders' load is unknown waits for two probes, and goes to the
+// holder that reports the lower load; a missing result delays it by probeWaitS.
+func TestProbesBeforePlacing(t *testing.T) {
+	h := newManyManagers(t)
+	acts := h.arrive(1, 1)
+	if countActions(acts, ActionProbe) != maxSessionProbes || findAction(acts, ActionSetUp) != nil {
+		t.Fatalf("no two probes, or a set-up, at the arrival: %+v", acts)
 	}
 	first, second := acts[0].Server, acts[1].Server
-	acts = b.do(Event{Kind: EventProbeResult, Server: first, Load: []float64{0.8, 0.5}})
-	if find(acts, ActionSetUp) != nil {
-		t.Fatalf("placed before the second answer: %+v", acts)
+	acts = h.handle(Event{Kind: EventProbeResult, Server: first, Load: []float64{0.8, 0.5}})
+	if findAction(acts, ActionSetUp) != nil {
+		t.Fatalf("placed before the second probe result: %+v", acts)
 	}
-	acts = b.do(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.3, 0.5}})
-	if got := b.mustSend(acts); got != second {
-		t.Errorf("sent to %d, the least used is %d", got, second)
+	acts = h.handle(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.3, 0.5}})
+	if got := h.mustSetUp(acts); got != second {
+		t.Errorf("set-up at server %d, the least used is %d", got, second)
 	}
-	b.now += freshReportS + 1
-	acts = b.do(Event{Kind: EventArrival, Session: 2, Class: 1, Title: 7, TimeLeftS: 5, HomeCell: 6, Copies: 4, MaxRung: 4})
-	if count(acts, ActionProbe) == 0 {
+	h.now += freshReportS + 1
+	acts = h.handle(Event{Kind: EventArrival, Session: 2, Class: 1, Title: 7, TimeLeftS: 5, HomeCell: 6, Copies: 4, MaxRung: 4})
+	if countActions(acts, ActionProbe) == 0 {
 		t.Fatalf("no probe in %+v", acts)
 	}
-	b.now += probeWaitS + 0.01
-	if acts = b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting}); find(acts, ActionSetUp) == nil {
-		t.Errorf("no answer and no send: %+v", acts)
+	h.now += probeWaitS + 0.01
+	if acts = h.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting}); findAction(acts, ActionSetUp) == nil {
+		t.Errorf("no set-up without a probe result: %+v", acts)
 	}
 }
 
-// Fronts draw the holders they ask by lot, or all would meet on the same two.
-func TestFrontsAskDifferentHolders(t *testing.T) {
+// Managers choose the holders they probe at random; otherwise all would probe the
+// same two.
+func TestManagersProbeDifferentHolders(t *testing.T) {
 	asked := map[ServerID]bool{}
 	for seed := uint64(1); seed <= 20; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		for _, a := range b.arrive(1, 1) {
+		h := newManyManagers(t)
+		h.controller.seed = seed
+		for _, a := range h.arrive(1, 1) {
 			if a.Kind == ActionProbe {
 				asked[a.Server] = true
 			}
 		}
 	}
 	if len(asked) < 4 {
-		t.Errorf("20 fronts asked %d of 4 holders", len(asked))
+		t.Errorf("20 managers probed %d of 4 holders", len(asked))
 	}
 }
 
-// A server that doesn't answer a probe is left alone.
-func TestSilentToProbeRests(t *testing.T) {
-	b := many(t)
-	acts := b.arrive(1, 1)
+// A server that doesn't answer a probe gets no set-ups for a while.
+func TestProbeTimeOutEjectsServer(t *testing.T) {
+	h := newManyManagers(t)
+	acts := h.arrive(1, 1)
 	first, second := acts[0].Server, acts[1].Server
-	b.do(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.85, 0.5}})
-	if got := b.mustSend(b.do(Event{Kind: EventProbeResult, Server: first, Status: TimedOut})); got == first {
-		t.Errorf("sent to the server that did not answer")
-	}
-}
-
-// A holder of unknown load comes after known ones, however full the fleet, and
-// gets newcomers at their floor.
-func TestUnknownComesLastAtTheFloor(t *testing.T) {
-	b := many(t)
-	acts := b.answered(b.arrive(1, 1), 0.7)
-	if sv := b.c.servers[b.mustSend(acts)]; b.c.now-sv.measuredAt >= staleAfterS {
-		t.Errorf("an unknown server was taken before those that were asked")
-	}
-	b = many(t)
-	b.c.meanLoad.add(0.5)
-	acts = b.arrive(2, 1)
-	b.now += probeWaitS + 0.01
-	acts = b.do(Event{Kind: EventTimer, Token: tokenRetryWaiting})
-	b.mustSend(acts)
-	if a := find(acts, ActionSetRung); a.Rung != 0 {
+	h.handle(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.85, 0.5}})
+	if got := h.mustSetUp(h.handle(Event{Kind: EventProbeResult, Server: first, Status: TimedOut})); got == first {
+		t.Errorf("set-up at the server that did not answer")
+	}
+}
+
+// A holder of unknown load comes after those of known load, however full these are,
+// and gets new sessions at their floor rung.
+func TestUnknownLoadComesLastAtFloorRung(t *testing.T) {
+	h := newManyManagers(t)
+	acts := h.answerProbes(h.arrive(1, 1), 0.7)
+	if sv := h.controller.servers[h.mustSetUp(acts)]; h.controller.now-sv.measuredAt >= staleAfterS {
+		t.Errorf("a server of unknown load was used before those that were probed")
+	}
+	h = newManyManagers(t)
+	h.controller.meanLoad.add(0.5)
+	h.arrive(2, 1)
+	h.now += probeWaitS + 0.01
+	acts = h.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting})
+	h.mustSetUp(acts)
+	if a := findAction(acts, ActionSetRung); a.Rung != 0 {
 		t.Errorf("rung %d on a server of unknown load", a.Rung)
 	}
 }
 
-// What is seen of some servers and uplinks stands for those not seen.
-func TestFleetMeanStandsForTheUnseen(t *testing.T) {
-	b := many(t)
-	b.answered(b.arrive(1, 1), 0.8)
-	sv := b.c.servers[12]
-	if b.c.now-sv.measuredAt < staleAfterS {
-		t.Fatal("server 12 does not hold the title")
+// The mean load of reported servers and uplinks stands for those without a report.
+func TestFleetMeanStandsForUnknownLoad(t *testing.T) {
+	h := newManyManagers(t)
+	h.answerProbes(h.arrive(1, 1), 0.8)
+	sv := h.controller.servers[12]
+	if h.controller.now-sv.measuredAt < staleAfterS {
+		t.Fatal("server 12 has a report, though it does not hold the title")
 	}
-	if u := b.c.utilization(sv); u < 0.75 || u > 0.85 {
-		t.Errorf("use %v of an unseen server, 0.8 was seen elsewhere", u)
+	if u := h.controller.utilization(sv); u < 0.75 || u > 0.85 {
+		t.Errorf("utilization %v of a server without a report, want about the 0.8 of others", u)
 	}
 }
 
-// Where no report tells of uplinks, fronts don't all take the same rack for the
+// Where no report tells of uplinks, managers don't all take the same rack for the
 // emptiest because of its listed links.
-func TestRacksOfUnknownUseLookAlike(t *testing.T) {
+func TestRacksOfUnknownLoadCountAlike(t *testing.T) {
 	sent := make([]int, 2)
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed, b.c.probesCostly, b.c.cfg.LoadFields = seed, true, []string{"x0"}
+		h := newManyManagers(t)
+		h.controller.seed, h.controller.probesCostly, h.controller.cfg.LoadFields = seed, true, []string{"x0"}
 		e := Event{Kind: EventList, List: ListFull}
 		for i := range 12 {
 			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
 		}
-		b.do(e)
-		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.5}})
-		got := b.mustSend(b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}))
+		h.handle(e)
+		h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.5}})
+		got := h.mustSetUp(h.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}))
 		sent[int(got-1)%2]++
 	}
 	if min(sent[0], sent[1]) < 20 {
-		t.Errorf("a hundred fronts sent %v to the two racks", sent)
+		t.Errorf("a hundred managers sent %v to the two racks", sent)
 	}
 }
 
-// Each front's first send to a server that has just started is drawn by lot: a
-// hundred of them at once would push it over.
-func TestFirstSendsToColdServerByLot(t *testing.T) {
+// Whether a manager sends a first set-up to a server that has just started is
+// decided at random: a hundred at once would overload it.
+func TestFirstSetUpsAtColdServerAreRandom(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5},
+		h := newManyManagers(t)
+		h.controller.seed = seed
+		h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now - 0.5},
 			{Server: 2, State: Draining, Cell: 1, Weight: 1}}})
-		sent += count(b.answered(b.arrive(1, 1), 0), ActionSetUp)
+		sent += countActions(h.answerProbes(h.arrive(1, 1), 0), ActionSetUp)
 	}
 	if sent == 0 || sent > 50 {
-		t.Errorf("%d of 100 fronts sent at once", sent)
+		t.Errorf("%d of 100 managers sent a set-up at once", sent)
 	}
 }
 
-// A front takes as much of a server's room as it has of the load: over many
-// fronts the raises fill the room once.
-func TestRaisesSumToTheRoom(t *testing.T) {
+// A manager takes as large a share of a server's free room as it has of the load,
+// so that the raises of many managers fill the room once.
+func TestRaisesSumToFreeRoom(t *testing.T) {
 	raised := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
-		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.6, 0.3}})
-		for range 5 { // one report is used once, however often it is looked at
-			raised += count(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
+		h := newManyManagers(t)
+		h.controller.seed = seed
+		h.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.6, 0.3}})
+		for range 5 { // a report is used for raises only once
+			raised += countActions(h.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
 		}
 	}
-	// 0.3 of the link is free, 0.6 taken: half of the load may be added, a step doubles it.
+	// 0.3 of the link is free and 0.6 taken: half of the load may be added, and a step doubles a session.
 	if raised < 60 || raised > 140 {
-		t.Errorf("%d of 200 fronts raised a rung, about 100 fill the room", raised)
+		t.Errorf("%d of 200 managers raised a rung, about 100 fill the room", raised)
 	}
 }
 
-// The last step down is drawn by lot, so that many fronts save what is short
-// and not a whole step each.
-func TestStepsDownSumToTheShortage(t *testing.T) {
+// The last step down is decided at random, so that many managers together save what
+// is short, and not a whole step each.
+func TestLoweringSumsToShortage(t *testing.T) {
 	lowered := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
-		b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
-		b.now += 3
-		b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
-		lowered += count(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
-	}
-	// 1.25 to 0.95 of a link saves a quarter of the load; a step saves half or more.
+		h := newManyManagers(t)
+		h.controller.seed = seed
+		h.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		h.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
+		h.now += 3
+		h.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
+		lowered += countActions(h.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
+	}
+	// From 1.25 to 0.95 of a link is a quarter of the load; a step saves half or more of a session.
 	if lowered < 40 || lowered > 120 {
-		t.Errorf("%d of 200 fronts lowered a rung", lowered)
+		t.Errorf("%d of 200 managers lowered a rung, want 40 to 120", lowered)
 	}
 }
 
-// A note of a short share counts in full, whatever an older report said.
-func TestShortShareCountsInFull(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.3}})
-	b.now += 2
-	b.do(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
-	if u := b.c.utilization(b.c.servers[1]); u < 1.2 {
-		t.Errorf("use %v at a delivered share of 0.8", u)
+// A note of a low delivered share counts in full, whatever an older report said.
+func TestDeliveredShareCountsInFull(t *testing.T) {
+	h := newManyManagers(t)
+	h.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.3}})
+	h.now += 2
+	h.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
+	if u := h.controller.utilization(h.controller.servers[1]); u < 1.2 {
+		t.Errorf("utilization %v at a delivered share of 0.8", u)
 	}
 }
 
 // An old report weighs less beside a new one than a fresh one does.
 func TestOldReportsFade(t *testing.T) {
 	for _, e := range []struct{ wait, low, high float64 }{{0.1, 0.25, 0.45}, {5, 0.75, 0.85}} {
-		b := many(t)
-		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
-		b.now += e.wait
-		b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.8, 0.2}})
-		if u := b.c.utilization(b.c.servers[1]); u < e.low || u > e.high {
-			t.Errorf("use %v after %v s, want %v to %v", u, e.wait, e.low, e.high)
+		h := newManyManagers(t)
+		h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
+		h.now += e.wait
+		h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.8, 0.2}})
+		if u := h.controller.utilization(h.controller.servers[1]); u < e.low || u > e.high {
+			t.Errorf("utilization %v after %v s, want %v to %v", u, e.wait, e.low, e.high)
 		}
 	}
 }
 
-// Sessions handed over at the start rise at the first report of slack.
-func TestHandedOverRiseAtOnce(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.1, 0.1}})
-	if acts := b.do(Event{Kind: EventTimer, Token: tokenTick}); find(acts, ActionSetRung) == nil {
+// Sessions that are taken over at the start rise at the first report of slack.
+func TestEstablishedSessionsRiseAtOnce(t *testing.T) {
+	h := newManyManagers(t)
+	h.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.1, 0.1}})
+	if acts := h.handle(Event{Kind: EventTimer, Token: tokenTick}); findAction(acts, ActionSetRung) == nil {
 		t.Errorf("no raise in %+v", acts)
 	}
 }
 
-// A small session does not make all others of its server look as small: there
-// would seem to be no streams left.
-func TestStreamsOfOthersAtTheMeanSize(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.75, 0.1}})
-	if r := b.c.freeKB(b.c.servers[1]); r <= 0 {
-		t.Errorf("room %v at three quarters of a link", r)
+// A small session doesn't make all other sessions on its server count as small: no
+// streams would seem to be left.
+func TestOthersStreamsAtMeanRate(t *testing.T) {
+	h := newManyManagers(t)
+	h.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.75, 0.1}})
+	if r := h.controller.freeKB(h.controller.servers[1]); r <= 0 {
+		t.Errorf("%v kB/s free at three quarters of a link", r)
 	}
 }
 
-// A fleet that is replaced within a minute leaves nothing behind, and a list of
-// thousands is taken.
+// A fleet that is replaced within a minute leaves nothing behind, and lists of
+// thousands of servers are accepted.
 func TestGoneServersAreForgotten(t *testing.T) {
-	b := many(t)
+	h := newManyManagers(t)
 	for round := range 30 {
 		e := Event{Kind: EventList, List: ListFull}
 		for i := range 3000 {
 			e.Entries = append(e.Entries, Entry{Server: ServerID(round*3000 + i), State: Ready, Cell: i % 12, Weight: 1})
 		}
-		b.now += 2
-		b.do(e)
+		h.now += 2
+		h.handle(e)
 	}
-	if len(b.c.servers) != 3000 || len(b.c.serverOrder) != 3000 {
-		t.Errorf("%d servers kept of 3000 listed", len(b.c.servers))
+	if len(h.controller.servers) != 3000 || len(h.controller.serverOrder) != 3000 {
+		t.Errorf("%d servers kept, 3000 are listed", len(h.controller.servers))
 	}
 }
 
-// A jump of the clock leaves no session without its answer.
+// After a jump of the clock each session still gets its answer.
 func TestClockJumps(t *testing.T) {
-	b := many(t)
-	b.arrive(1, 1)
-	b.now += 60
-	acts := b.do(Event{Kind: EventTimer, Token: tokenTick})
-	if count(acts, ActionSetUp) != 0 || find(acts, ActionRefuse) == nil {
-		t.Errorf("long after the deadline: %+v", acts)
+	h := newManyManagers(t)
+	h.arrive(1, 1)
+	h.now += 60
+	acts := h.handle(Event{Kind: EventTimer, Token: tokenTick})
+	if countActions(acts, ActionSetUp) != 0 || findAction(acts, ActionRefuse) == nil {
+		t.Errorf("a set-up, or no refusal, long after the deadline: %+v", acts)
 	}
 }
 
-// Where crossing zones is priced, holders of the own zone are asked first.
-func TestAsksTheOwnZoneFirst(t *testing.T) {
+// Where crossing zones has a cost, holders in the manager's own zone are probed
+// first.
+func TestProbesOwnZoneFirst(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		b := many(t)
-		b.c.seed = seed
+		h := newManyManagers(t)
+		h.controller.seed = seed
 		e := Event{Kind: EventList, List: ListFull}
 		for i := range 4 {
 			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: i % 2, Weight: 1})
 		}
-		b.do(e)
-		for _, a := range b.arrive(1, 1) {
+		h.handle(e)
+		for _, a := range h.arrive(1, 1) {
 			if a.Kind == ActionProbe && a.Server%2 == 0 {
-				t.Fatalf("asked %d of another zone", a.Server)
+				t.Fatalf("probed server %d in another zone", a.Server)
 			}
 		}
 	}
 }
 
-// The sum of fronts keeps rule 4 where all see a crowd at once.
-func TestColdLotInACrowd(t *testing.T) {
+// The sum of all managers' set-ups at a cold server stays within its limit where
+// all see a burst of arrivals at once.
+func TestColdServerDuringBurst(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EventList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
+		h := newManyManagers(t)
+		h.controller.seed = seed
+		h.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: h.now - 0.5}}})
 		for id := SessionID(1); id <= 5; id++ {
-			sent += count(b.answered(b.arrive(id, 1), 0), ActionSetUp)
+			sent += countActions(h.answerProbes(h.arrive(id, 1), 0), ActionSetUp)
 		}
 	}
 	if sent == 0 || sent > 38 {
-		t.Errorf("%d of 500 viewers sent to a cold server at once", sent)
+		t.Errorf("%d of 500 viewers set up at a cold server at once", sent)
 	}
 }
 
@@ -308,17 +311,17 @@
 		tenant int
 		denied bool
 	}{{0.8, 0, true}, {0.3, 0, false}, {0.8, 1, false}} {
-		b := many(t)
-		b.c.cfg.TenantQuotas, b.c.tenantBuckets = []float64{1, 1}, make([]tokenBucket, 2)
+		h := newManyManagers(t)
+		h.controller.cfg.TenantQuotas, h.controller.tenantBuckets = []float64{1, 1}, make([]tokenBucket, 2)
 		denied := 0
 		for id := SessionID(1); id <= 12; id++ {
-			b.now += 0.1
-			b.do(Event{Kind: EventProbeResult, Server: ServerID(id), Load: []float64{e.load, e.load}})
+			h.now += 0.1
+			h.handle(Event{Kind: EventProbeResult, Server: ServerID(id), Load: []float64{e.load, e.load}})
 			tenant := 0
 			if id == 12 {
 				tenant = e.tenant
 			}
-			denied = count(b.do(Event{Kind: EventArrival, Session: id, Class: 1, Tenant: tenant, Title: 9,
+			denied = countActions(h.handle(Event{Kind: EventArrival, Session: id, Class: 1, Tenant: tenant, Title: 9,
 				TimeLeftS: 5, Copies: 4, MaxRung: 4}), ActionRefuse)
 		}
 		if (denied > 0) != e.denied {
@@ -327,259 +330,267 @@
 	}
 }
 
-// An uplink never seen is taken to be as full as those seen, though links are not.
-func TestUplinksNotSeen(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.8}})
-	if u := b.c.utilization(b.c.servers[12]); u < 0.75 || u > 0.85 {
-		t.Errorf("use %v in a rack never seen, 0.8 was seen in another", u)
+// An uplink without a report is assumed to be as full as those with one, even where
+// links are not.
+func TestUnreportedUplinks(t *testing.T) {
+	h := newManyManagers(t)
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.8}})
+	if u := h.controller.utilization(h.controller.servers[12]); u < 0.75 || u > 0.85 {
+		t.Errorf("utilization %v in a rack without a report, want about the 0.8 of the other", u)
 	}
 }
 
-// A rack on which this front has nothing is not eased: later reports count.
-func TestNothingToEase(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 2}})
-	b.do(Event{Kind: EventTimer, Token: tokenTick})
-	if b.c.now < b.c.racks[0].ignoreUntil {
-		t.Error("reports of the rack are thrown away")
+// Where this manager has no sessions on an overloaded rack, it lowers nothing and
+// keeps taking reports.
+func TestRackWithoutOwnSessions(t *testing.T) {
+	h := newManyManagers(t)
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 2}})
+	h.handle(Event{Kind: EventTimer, Token: tokenTick})
+	if h.controller.now < h.controller.racks[0].ignoreUntil {
+		t.Error("reports on the rack are ignored")
 	}
 }
 
-// A server that answers nothing for a second gets nothing more.
-func TestSilenceOfTheOnlyHolder(t *testing.T) {
-	b := newBed(t, settings())
-	b.list(ListFull, Ready)
-	b.mustSend(b.arrive(1, 1))
-	b.now += unansweredS + 0.1
-	if acts := b.arrive(2, 1); find(acts, ActionSetUp) != nil {
-		t.Errorf("sent to a silent server: %+v", acts)
+// A server that leaves a set-up unanswered for a second gets no others, even as the
+// only holder.
+func TestUnansweringOnlyHolder(t *testing.T) {
+	h := newHarness(t, settings())
+	h.sendList(ListFull, Ready)
+	h.mustSetUp(h.arrive(1, 1))
+	h.now += unansweredS + 0.1
+	if acts := h.arrive(2, 1); findAction(acts, ActionSetUp) != nil {
+		t.Errorf("set-up at a server that does not answer: %+v", acts)
 	}
 }
 
-// Equation 6 is given what sessions earn at their rungs. At full worth, those
-// of the lowest rung would look dearest for their size.
-func TestRewardByRung(t *testing.T) {
-	b := newBed(t, settings())
+// Equation 6 is given what sessions earn at their rungs. At full worth, those at
+// the lowest rung would seem the most valuable for their size.
+func TestReservesCountWorthByRung(t *testing.T) {
+	h := newHarness(t, settings())
 	for id := SessionID(1); id <= 8; id++ {
 		class := int(id) % 2
 		sv := ServerID(id%4 + 1)
-		b.do(Event{Kind: EventEstablished, Session: id, Class: class, Server: sv, Title: uint64(id), Copies: 4, MaxRung: 4})
-		b.do(Event{Kind: EventNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
+		h.handle(Event{Kind: EventEstablished, Session: id, Class: class, Server: sv, Title: uint64(id), Copies: 4, MaxRung: 4})
+		h.handle(Event{Kind: EventNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
 	}
 	for range 300 {
-		b.c.arrivalTimes[0], b.c.arrivalTimes[1] = append(b.c.arrivalTimes[0], b.now), append(b.c.arrivalTimes[1], b.now)
+		h.controller.arrivalTimes[0], h.controller.arrivalTimes[1] = append(h.controller.arrivalTimes[0], h.now), append(h.controller.arrivalTimes[1], h.now)
 	}
-	if b.c.updateReserves(); b.c.reservedSlots[0] <= b.c.reservedSlots[1] {
-		t.Errorf("reserves %v: the paid class has no more than the other", b.c.reservedSlots)
+	if h.controller.updateReserves(); h.controller.reservedSlots[0] <= h.controller.reservedSlots[1] {
+		t.Errorf("reserves %v: the worthier class has no more than the other", h.controller.reservedSlots)
 	}
 }
 
-// dear is many where probes and connections cost as much as they tell.
-func dear(t *testing.T, seed uint64) *bed {
+// newCostlyProbes is newManyManagers where probes and connections cost as much as
+// they gain.
+func newCostlyProbes(t *testing.T, seed uint64) *harness {
 	t.Helper()
-	b := many(t)
-	b.c.cfg.ProbeCost, b.c.cfg.HandshakeCost, b.c.probesCostly, b.c.seed = 0.08, 0.08, true, seed
-	return b
+	h := newManyManagers(t)
+	h.controller.cfg.ProbeCost, h.controller.cfg.HandshakeCost, h.controller.probesCostly, h.controller.seed = 0.08, 0.08, true, seed
+	return h
 }
 
-// Where probes are dear, none is made for one session: it goes at once to a holder
-// that the front draws for itself, and not all fronts meet on the same.
-func TestDearProbes(t *testing.T) {
-	set := settings()
-	set.ProbeCost = 0.08
-	if c, err := New(set, 1); err != nil || !c.probesCostly {
-		t.Errorf("a probe at 0.08 of a session is not dear: %v", err)
+// Where probes are costly, none is made for a single session: it goes at once to a
+// holder that the manager chooses at random, and not all managers choose the same.
+func TestCostlyProbes(t *testing.T) {
+	cfg := settings()
+	cfg.ProbeCost = 0.08
+	if c, err := New(cfg, 1); err != nil || !c.probesCostly {
+		t.Errorf("a probe at 0.08 of a session is not costly: %v", err)
 	}
 	sent := map[ServerID]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
-		b := dear(t, seed)
-		b.c.meanLoad.add(0.5)
-		acts := b.arrive(1, 1)
-		if count(acts, ActionProbe) > 0 {
-			t.Fatalf("front %d probed at an arrival", seed)
+		h := newCostlyProbes(t, seed)
+		h.controller.meanLoad.add(0.5)
+		acts := h.arrive(1, 1)
+		if countActions(acts, ActionProbe) > 0 {
+			t.Fatalf("manager %d probed at an arrival", seed)
 		}
-		sent[b.mustSend(acts)]++
-		if a := find(acts, ActionSetRung); a.Rung == 0 {
-			t.Fatalf("front %d took a server at the fleet's mean use of 0.5 for full", seed)
+		sent[h.mustSetUp(acts)]++
+		if a := findAction(acts, ActionSetRung); a.Rung == 0 {
+			t.Fatalf("manager %d took a server at the fleet's mean load of 0.5 for full", seed)
 		}
 	}
 	for sv, n := range sent {
 		if len(sent) < 4 || n > 40 {
-			t.Errorf("%d of 80 fronts met on server %d of %d", n, sv, len(sent))
+			t.Errorf("%d of 80 managers chose server %d of %d", n, sv, len(sent))
 		}
 	}
 }
 
-// Dear probes are bounded by what they cost, but for a few at the start; a quiet
-// start puts none off, and 80 fronts with arrivals of their own don't probe in step.
-func TestDearProbesAreSpread(t *testing.T) {
-	const fronts, seconds = 80, 30
-	probes, most, came := 0, 0, 0
-	at := map[int]int{}
-	for seed := uint64(1); seed <= fronts; seed++ {
-		b := dear(t, seed)
-		start := b.now
+// Costly probes are bounded by their cost, except for a few at the start. A quiet
+// start postpones none, and 80 managers with arrivals of their own don't probe in
+// step.
+func TestCostlyProbesAreSpread(t *testing.T) {
+	const managers, seconds = 80, 30
+	probes, most, arrivals := 0, 0, 0
+	probesByTick := map[int]int{}
+	for seed := uint64(1); seed <= managers; seed++ {
+		h := newCostlyProbes(t, seed)
+		start := h.now
 		for tick := 0; tick < 2*seconds; tick++ {
-			b.now = start + float64(tick)/2
+			h.now = start + float64(tick)/2
 			if tick > 2 && hashToUnit(seed, uint64(tick)) < 0.5 {
-				came++
-				b.do(Event{Kind: EventArrival, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
+				arrivals++
+				h.handle(Event{Kind: EventArrival, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
 					TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			}
-			n := count(b.answered(b.do(Event{Kind: EventTimer, Token: tokenTick}), 0.5), ActionProbe)
+			n := countActions(h.answerProbes(h.handle(Event{Kind: EventTimer, Token: tokenTick}), 0.5), ActionProbe)
 			probes += n
-			if at[tick] += n; tick > 10 {
-				most = max(most, at[tick])
+			if probesByTick[tick] += n; tick > 10 {
+				most = max(most, probesByTick[tick])
 			}
 		}
 	}
-	cost := float64(probes-fronts*initialProbes) * 0.08 / float64(came)
+	cost := float64(probes-managers*initialProbes) * 0.08 / float64(arrivals)
 	if cost > probeCostShare || cost < probeCostShare/2 {
-		t.Errorf("%d probes for %d sessions cost %.3f of them", probes, came, cost)
+		t.Errorf("%d probes for %d sessions cost %.3f of them", probes, arrivals, cost)
 	}
-	if most > fronts/2 {
-		t.Errorf("%d of %d fronts probed in the same half second", most, fronts)
+	if most > managers/2 {
+		t.Errorf("%d of %d managers probed in the same half second", most, managers)
 	}
 }
 
-// Fronts that hold less than a slot of each server fill the fleet together and not
-// each for itself: before a report, and when twice as many come as it told of.
-func TestThinFrontsSumToTheFleet(t *testing.T) {
-	const fronts, fleet = 100, 48000.0
-	asked := 0.0
-	var beds []*bed
-	for seed := uint64(1); seed <= fronts; seed++ {
-		beds = append(beds, dear(t, seed))
+// Managers that hold less than a slot of each server fill the fleet together, and
+// not each for itself: before a report, and when twice as many sessions come as it
+// told of.
+func TestManyManagersSumToFleet(t *testing.T) {
+	const managers, fleetKB = 100, 48000.0
+	askedKB := 0.0
+	var harnesses []*harness
+	for seed := uint64(1); seed <= managers; seed++ {
+		harnesses = append(harnesses, newCostlyProbes(t, seed))
 	}
 	for round := SessionID(1); round <= 2; round++ {
-		told := asked / fleet
-		for _, b := range beds {
+		reported := askedKB / fleetKB
+		for _, h := range harnesses {
 			if round > 1 {
-				b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{told, told}})
+				h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{reported, reported}})
 			}
-			acts := b.arrive(round, 1)
-			b.mustSend(acts)
-			asked += b.c.cfg.RatesKB[find(acts, ActionSetRung).Rung]
+			acts := h.arrive(round, 1)
+			h.mustSetUp(acts)
+			askedKB += h.controller.cfg.RatesKB[findAction(acts, ActionSetRung).Rung]
 		}
-		if most := 0.9 + 0.2*float64(round); asked > most*fleet || asked < 0.6*fleet {
-			t.Errorf("after round %d the fleet is asked for %.2f of what it gives", round, asked/fleet)
+		if most := 0.9 + 0.2*float64(round); askedKB > most*fleetKB || askedKB < 0.6*fleetKB {
+			t.Errorf("after round %d the fleet is asked for %.2f of its links", round, askedKB/fleetKB)
 		}
 	}
 }
 
-// zones is dear with twelve servers in two zones, the odd ones in zone 1.
-func zones(t *testing.T, seed uint64) *bed {
-	b := dear(t, seed)
+// newTwoZones is newCostlyProbes with twelve servers in two zones, the odd ones in
+// zone 1.
+func newTwoZones(t *testing.T, seed uint64) *harness {
+	h := newCostlyProbes(t, seed)
 	e := Event{Kind: EventList, List: ListFull}
 	for i := range 12 {
 		e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: (i + 1) % 2, Weight: 1})
 	}
-	b.do(e)
-	return b
+	h.handle(e)
+	return h
 }
 
-// A front learns of a zone's loss from its first failures and not from each server,
-// and comes back once one is heard of. Ends at the zone's servers alone rest no zone
-// while others of it are heard of.
+// A manager learns of a zone's loss from its first failures and not from each
+// server, and returns once one of its servers shows a sign of life. Failures of the
+// zone's servers don't block it while others of it show signs of life.
 func TestLostZone(t *testing.T) {
-	const fronts = 80
+	const managers = 80
 	failed := 0
-	for seed := uint64(1); seed <= fronts; seed++ {
-		b := zones(t, seed)
+	for seed := uint64(1); seed <= managers; seed++ {
+		h := newTwoZones(t, seed)
 		id := SessionID(0)
-		place := func(lost bool) (zone1 bool) {
+		placeSession := func(lost bool) (zone1 bool) {
 			id++
-			acts := b.do(Event{Kind: EventArrival, Session: id, Class: 1, Title: uint64(id), TimeLeftS: 5, Copies: 12, MaxRung: 4})
+			acts := h.handle(Event{Kind: EventArrival, Session: id, Class: 1, Title: uint64(id), TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			for n := 0; ; n++ {
-				sv := b.mustSend(acts)
+				sv := h.mustSetUp(acts)
 				if zone1 = sv%2 == 1; !zone1 || !lost {
-					b.do(Event{Kind: EventStarted, Session: id, Server: sv, Attempt: n})
-					b.end(id, n, sv, OK, true)
+					h.handle(Event{Kind: EventStarted, Session: id, Server: sv, Attempt: n})
+					h.endAttempt(id, n, sv, OK, true)
 					return zone1
 				}
 				failed++
-				acts = b.end(id, n, sv, ConnectFailed, false)
+				acts = h.endAttempt(id, n, sv, ConnectFailed, false)
 			}
 		}
 		for range 20 {
-			b.now += 0.05
-			place(true)
+			h.now += 0.05
+			placeSession(true)
 		}
-		if !(b.now < b.c.zoneLostUntil[1]) || b.c.totalLinkKB() > 0.6*48000 {
-			t.Fatalf("front %d does not know the zone as lost", seed)
+		if !(h.now < h.controller.zoneLostUntil[1]) || h.controller.totalLinkKB() > 0.6*48000 {
+			t.Fatalf("manager %d does not know the zone as lost", seed)
 		}
-		b.do(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, StartedAtS: b.now}}})
+		h.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, StartedAtS: h.now}}})
 		back := false
 		for range 40 {
-			b.now += 0.05
-			back = place(false) || back
+			h.now += 0.05
+			back = placeSession(false) || back
 		}
 		if !back {
-			t.Errorf("front %d sends nothing to a zone that is back", seed)
+			t.Errorf("manager %d sends nothing to a zone that is back", seed)
 		}
 	}
-	if failed > fronts*(zoneLostAfter+1) {
-		t.Errorf("%d fronts failed %d times on one zone", fronts, failed)
+	if failed > managers*(zoneLostAfter+1) {
+		t.Errorf("%d managers failed %d times on one zone", managers, failed)
 	}
-	b := zones(t, 1)
-	for i := range 6 { // servers short of connections in a zone that lives
-		b.c.markAlive(b.c.servers[11])
-		b.c.eject(b.c.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
+	h := newTwoZones(t, 1)
+	for i := range 6 { // servers out of connections in a zone that is alive
+		h.controller.markAlive(h.controller.servers[11])
+		h.controller.eject(h.controller.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
 	}
-	if b.now < b.c.zoneLostUntil[1] {
-		t.Error("a zone that is heard of was given up")
+	if h.now < h.controller.zoneLostUntil[1] {
+		t.Error("a zone with signs of life was taken for lost")
 	}
 }
 
-// A front's own count tells of a crowd before a report does: while its sessions
-// double, newcomers get smaller ones. Where loads are told by notes, each note of
-// short delivery lowers rungs.
-func TestCrowdAndShortage(t *testing.T) {
-	b := dear(t, 1)
-	b.do(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
-	each := func() float64 {
-		list, kb := b.c.fleetShare(b.c.newSession(Event{Session: 99, Class: 1, MaxRung: 4}))
-		delete(b.c.sessions, 99)
+// A manager's own count tells of a burst before a report does: when its sessions
+// double, new ones get lower rates. Where loads are told by notes, a note of low
+// delivery lowers rungs.
+func TestOwnCountAndDeliveredShare(t *testing.T) {
+	h := newCostlyProbes(t, 1)
+	h.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
+	newcomerKB := func() float64 {
+		list, kb := h.controller.fleetShare(h.controller.newSession(Event{Session: 99, Class: 1, MaxRung: 4}))
+		delete(h.controller.sessions, 99)
 		return kb / float64(len(list))
 	}
-	before := each()
+	before := newcomerKB()
 	for id := SessionID(1); id <= 20; id++ {
-		b.do(Event{Kind: EventEstablished, Session: id, Server: ServerID(id%12 + 1), Class: 1, MaxRung: 4})
+		h.handle(Event{Kind: EventEstablished, Session: id, Server: ServerID(id%12 + 1), Class: 1, MaxRung: 4})
 	}
-	if now := each(); now > before/2 {
+	if now := newcomerKB(); now > before/2 {
 		t.Errorf("%.0f kB/s for a newcomer, %.0f before twenty sessions came", now, before)
 	}
-	b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
+	h.handle(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
 	for range 20 {
-		b.now += 2 * reactionS
-		b.do(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteDeliveredShare, Value: 0.95})
-		if find(b.do(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung) != nil {
+		h.now += 2 * reactionS
+		h.handle(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteDeliveredShare, Value: 0.95})
+		if findAction(h.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung) != nil {
 			return
 		}
 	}
 	t.Error("no rung was lowered by twenty notes of 0.95")
 }
 
-// A report's fields that are no uses, such as a count of streams, and figures out of all
-// bounds are no sign of the crowd: a newcomer's rung is that of the use alone.
-func TestCrowdIsOfUses(t *testing.T) {
+// Fields of a report that are no utilizations, such as a count of streams, and
+// values out of range don't count in the ratio of the fleet's load to the manager's
+// own: a new session's rung is that of the utilization alone.
+func TestSessionRatioIgnoresOtherFields(t *testing.T) {
 	want := -1
-	for _, f := range []struct {
+	for _, report := range []struct {
 		fields []string
 		load   []float64
 	}{{[]string{"x0"}, []float64{0.2}}, {[]string{"concurrent", "x0"}, []float64{12, 0.2}}, {[]string{"x1", "x0"}, []float64{1e30, 0.2}}} {
-		b := many(t)
-		b.c.cfg.LoadFields = f.fields
+		h := newManyManagers(t)
+		h.controller.cfg.LoadFields = report.fields
 		for i := range 12 {
-			b.do(Event{Kind: EventProbeResult, Server: ServerID(i + 1), Load: f.load})
+			h.handle(Event{Kind: EventProbeResult, Server: ServerID(i + 1), Load: report.load})
 		}
-		rung := find(b.do(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}), ActionSetRung).Rung
+		rung := findAction(h.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}), ActionSetRung).Rung
 		if want < 0 {
 			want = rung
 		}
 		if rung != want || rung == 0 {
-			t.Errorf("%v: rung %d, %d by the use alone", f.fields, rung, want)
+			t.Errorf("%v: rung %d, %d by the utilization alone", report.fields, rung, want)
 		}
 	}
 }
