--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -37,7 +37,7 @@
 type coldEvent struct {
 	at       float64
 	sequence int
-	run      func()
+	action   func()
 }
 
 type coldQueue []coldEvent
@@ -99,9 +99,9 @@
 	rng := rand.New(rand.NewPCG(sim.seed, 7))
 	var queue coldQueue
 	now, events := 0.0, 0
-	schedule := func(when float64, run func()) {
+	schedule := func(when float64, action func()) {
 		events++
-		heap.Push(&queue, coldEvent{max(when, now), events, run})
+		heap.Push(&queue, coldEvent{max(when, now), events, action})
 	}
 	sessions := map[SessionID]*coldSession{}
 	nodes := make([]map[SessionID]*coldSession, cfg.Cells+1)
@@ -293,14 +293,14 @@
 		schedule(now+step, measure)
 		for i := 1; i < len(nodes); i++ {
 			delivered := min(linkKB(i)/max(askedKB(i), 1), 1)
-			worthShare := max(1-7*max(0.98-delivered, 0), 0)
+			worthFactor := max(1-7*max(0.98-delivered, 0), 0)
 			for _, id := range slices.Sorted(maps.Keys(nodes[i])) {
 				s := nodes[i][id]
 				if s == nil {
 					continue
 				}
 				if now >= coldStartS {
-					earned += step * worthShare * cfg.Classes[s.class].Worth * cfg.LadderWorth[s.rung]
+					earned += step * worthFactor * cfg.Classes[s.class].Worth * cfg.LadderWorth[s.rung]
 				}
 				if delivered < 0.98 && math.Mod(now, 1) < step {
 					handle(s.manager, Event{Kind: EventNote, Session: id, Server: ServerID(i), Note: NoteDeliveredShare, Value: delivered})
@@ -312,20 +312,20 @@
 	for len(queue) > 0 && now < coldEndS {
 		e := heap.Pop(&queue).(coldEvent)
 		now = e.at
-		e.run()
+		e.action()
 	}
 	r.servedShare, r.worthShare = placed/arrived, earned/offered
 	return r
 }
 
-var coldSeeds = flag.Int("cold-seeds", 5, "seeds of TestColdNodeSetUpBound, which logs what it measures")
+var coldSeeds = flag.Int("cold-seeds", 5, "seeds of TestColdNodeSetupBound, which logs what it measures")
 
 // The set-ups that all managers together send to a node that has just started stay
 // within a bound: 3 a second at first, 7.5 once it is warm, and an allowance for
 // chance. At the mean load about 20 viewers a second arrive that it could serve.
 // Managers that start with a list that hides the node's start learn of it from the
 // next list; what they send until then at three times the load is not checked here.
-func TestColdNodeSetUpBound(t *testing.T) {
+func TestColdNodeSetupBound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: the race detector's run")
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -400,8 +400,8 @@
 	}
 	list, coldReadyAt := c.candidates(s)
 	for _, h := range list {
-		if available := c.availableKB(h.sv, s); available >= c.rateKB(s, class.FloorRung) {
-			c.sendSetup(s, h.sv, c.initialRung(s, h.sv, available))
+		if available := c.availableKB(h.server, s); available >= c.rateKB(s, class.FloorRung) {
+			c.sendSetup(s, h.server, c.initialRung(s, h.server, available))
 			return
 		}
 	}
@@ -410,8 +410,8 @@
 		return
 	}
 	for _, h := range list {
-		if c.makeRoom(s, h.sv) {
-			c.sendSetup(s, h.sv, class.FloorRung)
+		if c.makeRoom(s, h.server) {
+			c.sendSetup(s, h.server, class.FloorRung)
 			return
 		}
 	}
@@ -471,10 +471,10 @@
 	list, _ := c.candidates(s)
 	var unknown, sameZone []*server
 	for _, h := range list {
-		if c.now-h.sv.measuredAt >= freshReportS {
-			unknown = append(unknown, h.sv)
-			if h.sv.Zone == c.cfg.Zone {
-				sameZone = append(sameZone, h.sv)
+		if c.now-h.server.measuredAt >= freshReportS {
+			unknown = append(unknown, h.server)
+			if h.server.Zone == c.cfg.Zone {
+				sameZone = append(sameZone, h.server)
 			}
 		}
 	}
@@ -574,16 +574,16 @@
 // indicate nothing, and all managers would fill the room that each sees before a report shows it. The
 // ratio of the fleet's load to a manager's own count and size of sessions changes slowly, whatever the
 // managers do. It is wrong where these are unlike the fleet's.
-func (c *Controller) fleetShare(s *session) (sessions []*session, kb float64) {
+func (c *Controller) fleetShare(s *session) (all []*session, kb float64) {
 	for _, sv := range c.serverOrder {
-		sessions = append(sessions, sv.sessions...)
+		all = append(all, sv.sessions...)
 	}
-	sessions = append(sessions, s)
-	n := float64(len(sessions))
+	all = append(all, s)
+	n := float64(len(all))
 	if c.sessionRatio.hasValue {
-		return sessions, n / (n + countPrior) * TargetUtilization * c.totalLinkKB() / c.sessionRatio.value
+		return all, n / (n + countPrior) * TargetUtilization * c.totalLinkKB() / c.sessionRatio.value
 	}
-	return sessions, min(TargetUtilization*c.totalLinkKB()/float64(c.cfg.Managers), n*c.slotKB)
+	return all, min(TargetUtilization*c.totalLinkKB()/float64(c.cfg.Managers), n*c.slotKB)
 }
 
 // allocateRungs gives each session the rung that earns most within kb: from the floors up, always the
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestDrainingAndMissingServersGetNoSetUps(t *testing.T) {
+func TestDrainingAndMissingServersGetNoSetups(t *testing.T) {
 	for _, e := range []struct {
 		name   string
 		kind   ListKind
@@ -234,7 +234,7 @@
 	}
 }
 
-func TestColdServerSetUpRate(t *testing.T) {
+func TestColdServerSetupRate(t *testing.T) {
 	for _, e := range []struct {
 		name     string
 		makeCold func(*harness)
@@ -309,7 +309,7 @@
 			}
 		}
 	}
-	waiting := len(h.controller.waiting)
+	waitingSessions := len(h.controller.waiting)
 	h.now = h.controller.waiting[0].waitUntil
 	for range 50 { // all timers fire at once
 		for _, a := range h.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting}) {
@@ -318,8 +318,8 @@
 			}
 		}
 	}
-	if waiting == 0 || timers > 2*waiting {
-		t.Errorf("%d timers set for %d waiting sessions", timers, waiting)
+	if waitingSessions == 0 || timers > 2*waitingSessions {
+		t.Errorf("%d timers set for %d waiting sessions", timers, waitingSessions)
 	}
 }
 
@@ -425,7 +425,7 @@
 }
 
 // Where a server accepts set-ups and answers none, others are used.
-func TestUnansweringServerGetsNoSetUps(t *testing.T) {
+func TestUnansweringServerGetsNoSetups(t *testing.T) {
 	h := newHarness(t, settings())
 	silent := h.mustSetUp(h.arrive(1, 0))
 	h.now += unansweredS + 0.1
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -139,7 +139,7 @@
 
 // Whether a manager sends a first set-up to a server that has just started is
 // decided at random: a hundred at once would overload it.
-func TestFirstSetUpsAtColdServerAreRandom(t *testing.T) {
+func TestFirstSetupsAtColdServerAreRandom(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
 		h := newManyManagers(t)
--- a/control/state.go
+++ b/control/state.go
@@ -47,7 +47,7 @@
 
 // candidate is a holder that may be sent a session; lower values are tried first.
 type candidate struct {
-	sv          *server
+	server      *server
 	utilization float64
 	tieBreak    uint64
 }
@@ -187,17 +187,17 @@
 	return 0
 }
 
-// observe takes a report that all managers asked for kb at the time measuredAt.
-func (l *linkLoad) observe(measuredAt, kb, weight float64) {
-	if measuredAt < l.ignoreUntil || measuredAt < l.measuredAt {
+// observe takes a report, measured at a time, that all managers asked for kb.
+func (l *linkLoad) observe(at, kb, weight float64) {
+	if at < l.ignoreUntil || at < l.measuredAt {
 		return
 	}
-	othersKB := max(kb-l.ownKBAt(measuredAt), 0)
-	if age := measuredAt - l.measuredAt; age < reportBlendS {
+	othersKB := max(kb-l.ownKBAt(at), 0)
+	if age := at - l.measuredAt; age < reportBlendS {
 		weight += (1 - weight) * age / reportBlendS
 		othersKB = weight*othersKB + (1-weight)*l.reportedOthersKB
 	}
-	l.reportedOthersKB, l.measuredAt = othersKB, measuredAt
+	l.reportedOthersKB, l.measuredAt = othersKB, at
 }
 
 // dropBefore drops the times before t. They are sorted, and where many viewers come
@@ -213,7 +213,7 @@
 	return h ^ h>>31
 }
 
-// rebuildIndexes sorts the listed servers by cell and rack, and forgets those that
+// rebuildIndexes groups the listed servers by cell and rack, and forgets those that
 // are gone once no session of this manager is left there.
 func (c *Controller) rebuildIndexes() {
 	for i := range c.serversByCell {
