--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -209,16 +209,16 @@
 }
 
 // Announced is what the broker is told of peaks.
-func (c *Config) Announced() broker.Peaks {
+func (c *Config) Announced() broker.PeakConfig {
 	on := c.Deployment()
-	p := broker.Peaks{Calendar: peaks.Calendar{Peaks: c.Operator.Peaks}, Classes: on.Planned}
+	p := broker.PeakConfig{Calendar: peaks.Calendar{Peaks: c.Operator.Peaks}, Classes: on.Planned}
 	for i := range p.Classes {
 		lasts := 0.0
 		if i < len(c.Operator.Ordinary) {
 			p.Classes[i].Rate = c.Operator.Ordinary[i].Rate
 			lasts = c.Operator.Ordinary[i].Lasts.Seconds()
 		}
-		p.Lasts = append(p.Lasts, lasts)
+		p.MeanLengthsS = append(p.MeanLengthsS, lasts)
 	}
 	return p
 }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -167,7 +167,7 @@
 
 // Watched is which sites a running manager looks after: none where the operator's file
 // names none.
-func (c *Config) Watched() (s broker.Sites) {
+func (c *Config) Watched() (s broker.SiteConfig) {
 	if len(c.Operator.Sites) == 0 {
 		return s
 	}
@@ -187,9 +187,9 @@
 			e.Rate = c.Operator.Ordinary[k].Rate
 			e.Lasts = cmp.Or(c.Operator.Ordinary[k].Lasts, defaultLast)
 		}
-		s.Expect = append(s.Expect, e)
+		s.Expected = append(s.Expected, e)
 	}
-	s.Of, s.Classes = of, c.siteClasses()
+	s.SiteByZone, s.Classes = of, c.siteClasses()
 	return s
 }
 
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -90,7 +90,7 @@
 	t0 := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return t0.Add(d) }
 	var g Gate
-	if !g.Takes() || g.LetsGo(t0, time.Hour, false) || g.Refuses(t0) {
+	if !g.AcceptsClients() || g.ClosesIdle(t0, time.Hour, false) || g.RefusesSetups(t0) {
 		t.Error("an open gate sends away")
 	}
 	g.Shut(t0)
@@ -107,13 +107,13 @@
 		{Enough - 1, 0, true, false, false},
 		{Enough, 0, true, false, true},
 	} {
-		if goes, refuses := g.LetsGo(after(e.at), e.idle, e.holds), g.Refuses(after(e.at)); g.Takes() || goes != e.goes || refuses != e.refuses {
+		if goes, refuses := g.ClosesIdle(after(e.at), e.idle, e.holds), g.RefusesSetups(after(e.at)); g.AcceptsClients() || goes != e.goes || refuses != e.refuses {
 			t.Errorf("%+v: goes %v, refuses %v", e, goes, refuses)
 		}
 	}
 	g.Open()
 	g.Move(t0)
-	if !g.Takes() || !g.LetsGo(after(LetGo), Quiet, true) || g.Refuses(after(time.Hour)) {
+	if !g.AcceptsClients() || !g.ClosesIdle(after(LetGo), Quiet, true) || g.RefusesSetups(after(time.Hour)) {
 		t.Error("what moves to a younger process is not let go, or not served")
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -126,7 +126,7 @@
 		for _, p := range n.sessions {
 			f.end(p)
 			f.after(lostTime, func() {
-				p.to.Report(broker.Report{Kind: broker.Ended, Server: p.server, ID: p.id, Number: p.number, Status: control.ConnectionReset, Cause: broker.CauseCut})
+				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.number, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 			})
 		}
 	}
@@ -215,7 +215,7 @@
 		if n.down {
 			if time.Since(n.downAt) > openTime {
 				m.after(connectTime, func() {
-					m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.ConnectFailed})
+					m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectFailed})
 				})
 			}
 			return
@@ -224,7 +224,7 @@
 		if n.asked >= m.Settings.FullAtUtilization*n.link {
 			m.Full++
 			m.after(m.Way, func() {
-				m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.Full, Load: m.load(n)})
+				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.load(n)})
 			})
 			return
 		}
@@ -236,11 +236,11 @@
 		n.sessions[a.ID], m.sessions[a.ID] = p, p
 		m.recount(n)
 		m.after(m.Way, func() {
-			m.Broker.Report(broker.Report{Kind: broker.Started, Server: s, ID: a.ID, Number: a.Number, Description: []byte("d")})
+			m.Broker.Report(broker.Report{Kind: broker.ReportStarted, Server: s, ID: a.ID, AttemptNumber: a.Number, Description: []byte("d")})
 		})
 		m.after(length, func() {
 			if m.end(p) {
-				p.to.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.OK, Cause: broker.CauseEnded})
+				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
 			}
 		})
 	})
@@ -281,20 +281,20 @@
 	return true
 }
 
-// GiveUp ends an attempt.
-func (m *Manager) GiveUp(s control.ServerID, id control.SessionID, number int, timedOut bool) {
+// Abandon ends an attempt.
+func (m *Manager) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
 		m.end(p)
 	}
 	m.after(m.Way, func() {
-		m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: id, Number: number, Status: control.TimedOut})
+		m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: id, AttemptNumber: number, Status: control.TimedOut})
 	})
 }
 
-// Stands knows of no session from before the start.
-func (m *Manager) Stands(control.ServerID, control.SessionID) bool { return false }
+// AddEstablished knows of no session from before the start.
+func (m *Manager) AddEstablished(control.ServerID, control.SessionID) bool { return false }
 
 // Release ends a session that stands.
 func (m *Manager) Release(_ control.ServerID, id control.SessionID, _ int) {
@@ -327,10 +327,10 @@
 			return
 		}
 		if n.down {
-			m.Broker.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.ConnectFailed})
+			m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.ConnectFailed})
 			return
 		}
-		m.Broker.Report(broker.Report{Kind: broker.Probed, Server: s, Load: m.load(n)})
+		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.load(n)})
 	})
 }
 
@@ -345,7 +345,7 @@
 	for _, n := range f.nodes {
 		if share := n.link / math.Max(n.asked, 1); share < 0.98 {
 			for _, p := range n.sessions {
-				p.to.Report(broker.Report{Kind: broker.Noted, Server: p.server, ID: p.id, Number: p.number, Note: control.NoteDeliveredShare, Value: share})
+				p.to.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.number, Note: control.NoteDeliveredShare, Value: share})
 			}
 		}
 	}
