--- a/internal/broker/api.go
+++ b/internal/broker/api.go
@@ -36,7 +36,7 @@
 	TimeLeft   time.Duration // how long the viewer waits, counted from ReceivedAt
 	ReceivedAt time.Time     // when the last byte was read
 
-	PlayingOn   control.Server // the node of a session that is established already, which gets no answer; 0: none
+	PlayingOn   control.ServerID // the node of a session that is established already, which gets no answer; 0: none
 	Description []byte
 	Client      Client
 	// Grace is how long a session is kept after its client's connection is lost. With 0,
@@ -104,19 +104,19 @@
 // Broker.Report.
 type Nodes interface {
 	// SetUp starts an attempt. It returns false if the node is not on the list.
-	SetUp(control.Server, Attempt) bool
+	SetUp(control.ServerID, Attempt) bool
 	// Abandon ends an attempt that is in flight. A ReportEnded follows once its TEARDOWN
 	// is written or it is certain that none is needed.
-	Abandon(server control.Server, id control.SessionID, number int, timedOut bool)
+	Abandon(server control.ServerID, id control.SessionID, number int, timedOut bool)
 	// AddEstablished adds a session that was established on a node before this process
 	// knew of it. It returns false if the node is not on the list.
-	AddEstablished(control.Server, control.SessionID) bool
+	AddEstablished(control.ServerID, control.SessionID) bool
 	// Release tears an established session down.
-	Release(server control.Server, id control.SessionID, cause int)
+	Release(server control.ServerID, id control.SessionID, cause int)
 	// SetRung sets the rung at which a session plays.
-	SetRung(server control.Server, id control.SessionID, rung int)
+	SetRung(server control.ServerID, id control.SessionID, rung int)
 	// Probe requests a load report from a node. A ReportProbed follows.
-	Probe(control.Server)
+	Probe(control.ServerID)
 }
 
 // ReportKind is the kind of a Report.
@@ -133,7 +133,7 @@
 // Report is an event at a media node that concerns an attempt, a session or a probe.
 type Report struct {
 	Kind           ReportKind
-	Server         control.Server
+	Server         control.ServerID
 	ID             control.SessionID
 	AttemptNumber  int // 0: any attempt
 	Status         control.Status
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -84,7 +84,7 @@
 func New(cfg Config) (*Broker, error) {
 	settings := cfg.Settings
 	for _, team := range cfg.Teams {
-		settings.Quotas = append(settings.Quotas, team.SessionsPerS)
+		settings.TenantQuotas = append(settings.TenantQuotas, team.SessionsPerS)
 	}
 	controller, err := control.New(settings, cfg.Seed)
 	if err != nil {
@@ -96,12 +96,12 @@
 		sessions:     make(map[control.SessionID]*session),
 		endedReplies: make(map[control.SessionID]Reply),
 		openSetUps:   make(map[control.SessionID]bool),
-		ledgers:      newLedgers(cfg.Teams, len(cfg.Settings.Quotas)),
+		ledgers:      newLedgers(cfg.Teams, len(cfg.Settings.TenantQuotas)),
 		drained:      make(chan struct{}),
 		drainTimes:   cfg.Drain,
 		counters:     cfg.Counters,
 		handOver:     cfg.HandOver,
-		planners:     newPlanners(&cfg, settings.Fronts, cfg.Log),
+		planners:     newPlanners(&cfg, settings.Managers, cfg.Log),
 	}
 	for i := range b.planners {
 		b.timers.add(b.clock.now(), timerPlanner, 0, uint32(i))
@@ -184,7 +184,7 @@
 		for _, p := range b.planners {
 			p.ListUpdated(b.clock.now(), m.Entries)
 		}
-		b.dispatch(control.Event{Kind: control.EvList, List: control.ListDelta, Entries: m.Entries})
+		b.dispatch(control.Event{Kind: control.EventList, List: control.ListDelta, Entries: m.Entries})
 	case processPause:
 		for _, p := range b.planners {
 			p.ProcessPaused(b.clock.now(), m.duration)
@@ -259,30 +259,30 @@
 func (b *Broker) execute(now time.Time, action control.Action) {
 	s := b.sessions[action.Session]
 	switch action.Kind {
-	case control.ActHandOff:
+	case control.ActionSetUp:
 		b.startAttempt(now, s, action)
-	case control.ActRung:
+	case control.ActionSetRung:
 		if s != nil {
 			// Guard: no session plays on a rung below its class's floor, whatever the
 			// decision module says.
-			s.rung = max(action.Rung, b.settings.Classes[s.Class].Floor)
+			s.rung = max(action.Rung, b.settings.Classes[s.Class].FloorRung)
 			if s.inFlight || s.playing && !b.handingOver { // the successor controls sessions that were handed over
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
-	case control.ActDeny:
+	case control.ActionRefuse:
 		if s != nil && !s.answered {
-			b.refuse(s, seconds(action.WaitS))
+			b.refuse(s, seconds(action.RetryAfterS))
 		}
-	case control.ActFail:
+	case control.ActionFail:
 		if s != nil && !s.answered {
 			b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		}
-	case control.ActWake:
+	case control.ActionSetTimer:
 		b.timers.add(now.Add(seconds(action.DelayS)), timerWake, 0, action.Token)
-	case control.ActProbe:
+	case control.ActionProbe:
 		b.nodes.Probe(action.Server)
-	case control.ActMove:
+	case control.ActionMove:
 		// Guard: a move ends the session at the viewer and at the node. The end is
 		// queued as a report, so that the decision module learns of it after the
 		// actions that it has already returned.
@@ -292,7 +292,7 @@
 			b.Report(Report{Kind: ReportEnded, Server: s.server, ID: s.ID, AttemptNumber: s.attemptNumber,
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
-	case control.ActRemark:
+	case control.ActionRemark:
 		b.log.Info("decision module", zap.String("remark", action.Text))
 	}
 }
@@ -307,7 +307,7 @@
 		s := b.sessions[t.session]
 		switch t.kind {
 		case timerWake:
-			b.dispatch(control.Event{Kind: control.EvTimer, Token: t.token})
+			b.dispatch(control.Event{Kind: control.EventTimer, Token: t.token})
 		case timerAttempt:
 			if s != nil && s.inFlight && s.attemptNumber == int(t.token) {
 				b.nodes.Abandon(s.server, s.ID, s.attemptNumber, true)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -23,21 +23,21 @@
 	f.calls = append(f.calls, fmt.Sprintf(format, args...))
 }
 
-func (f *recorder) SetUp(s control.Server, a Attempt) bool {
+func (f *recorder) SetUp(s control.ServerID, a Attempt) bool {
 	f.record("setup %d", a.ID)
 	return !f.refusesSetUps
 }
-func (f *recorder) Abandon(s control.Server, id control.SessionID, n int, timedOut bool) {
+func (f *recorder) Abandon(s control.ServerID, id control.SessionID, n int, timedOut bool) {
 	f.record("abandon %d", id)
 }
-func (f *recorder) AddEstablished(control.Server, control.SessionID) bool { return true }
-func (f *recorder) Release(s control.Server, id control.SessionID, cause int) {
+func (f *recorder) AddEstablished(control.ServerID, control.SessionID) bool { return true }
+func (f *recorder) Release(s control.ServerID, id control.SessionID, cause int) {
 	f.record("teardown %d", id)
 }
-func (f *recorder) SetRung(s control.Server, id control.SessionID, rung int) {
+func (f *recorder) SetRung(s control.ServerID, id control.SessionID, rung int) {
 	f.record("rung %d", rung)
 }
-func (f *recorder) Probe(control.Server) {}
+func (f *recorder) Probe(control.ServerID) {}
 func (f *recorder) Deliver(r Reply) bool {
 	if r.Kind == ReplyAbandoned || r.Kind == ReplyClosed {
 		return true
@@ -62,11 +62,11 @@
 func testSettings() control.Settings {
 	return control.Settings{
 		Classes: []control.Class{
-			{Effect: control.AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 2, Scale: 1},
-			{Effect: control.Idempotent, GoalS: 1.5, Worth: 1, Top: 2, Scale: 1},
+			{RepeatEffect: control.AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 2, RateScale: 1},
+			{RepeatEffect: control.Idempotent, StartGoalS: 1.5, Worth: 1, TopRung: 2, RateScale: 1},
 		},
-		RatesKB: []float64{1, 2, 3}, LadderWorth: []float64{0.3, 0.6, 1}, KindStreams: []int{100},
-		Fronts: 1, Cells: 1, Racks: 1, FleetKB: 1e4, LinkKB: 1e3, RackKB: 1e5, AttemptsCap: 4,
+		RatesKB: []float64{1, 2, 3}, LadderWorth: []float64{0.3, 0.6, 1}, MaxStreamsByKind: []int{100},
+		Managers: 1, Cells: 1, Racks: 1, FleetLinkKB: 1e4, LinkKBPerWeight: 1e3, RackUplinkKB: 1e5, AttemptsCap: 4,
 	}
 }
 
@@ -109,9 +109,9 @@
 		{"clip full", clip, control.Full, "setup 1, setup 1"},
 		{"clip not connected", clip, control.ConnectFailed, "setup 1, setup 1"},
 		{"clip errored", clip, control.Errored, "setup 1, failed 1"},
-		{"clip reset", clip, control.Reset, "setup 1, failed 1"},
+		{"clip reset", clip, control.ConnectionReset, "setup 1, failed 1"},
 		{"clip timed out", clip, control.TimedOut, "setup 1, failed 1"},
-		{"feed reset", feed, control.Reset, "setup 1, setup 1"},
+		{"feed reset", feed, control.ConnectionReset, "setup 1, setup 1"},
 		{"feed timed out", feed, control.TimedOut, "setup 1, setup 1"},
 	} {
 		b, f := newTestBroker(t)
@@ -129,13 +129,13 @@
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
 	s := b.sessions[1]
-	b.execute(b.clock.now(), control.Action{Kind: control.ActDeny, Session: 1})
+	b.execute(b.clock.now(), control.Action{Kind: control.ActionRefuse, Session: 1})
 	if got := f.takeCalls(); got != "setup 1, failed 1" || !s.answered {
 		t.Error(got)
 	}
 	// No second attempt is sent while one is in flight.
 	b.submitNow(f, 2, clip, -1, 0)
-	b.execute(b.clock.now(), control.Action{Kind: control.ActHandOff, Session: 2, Server: 2})
+	b.execute(b.clock.now(), control.Action{Kind: control.ActionSetUp, Session: 2, Server: 2})
 	if got := f.takeCalls(); got != "setup 2" {
 		t.Error(got)
 	}
@@ -205,10 +205,10 @@
 	}
 	b.handleMessage(ViewerEnd{ID: 2, Cause: 16})
 	b.reportNow(2, ReportEnded, control.Cancelled)
-	b.reportNow(3, ReportEnded, control.Moot) // uses the one further attempt
+	b.reportNow(3, ReportEnded, control.NotSent) // uses the one further attempt
 	b.submitNow(f, 5, clip, 0, 0)
-	b.reportNow(5, ReportEnded, control.Moot) // no further attempt is left
-	b.reportNow(5, ReportEnded, control.Moot)
+	b.reportNow(5, ReportEnded, control.NotSent) // no further attempt is left
+	b.reportNow(5, ReportEnded, control.NotSent)
 	b.handleMessage(ViewerEnd{ID: 3, Cause: 16})
 	b.reportNow(3, ReportEnded, control.Cancelled)
 	b.submitNow(f, 6, clip, 0, 0) // the budget of billed set-ups is spent
@@ -227,7 +227,7 @@
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, clip, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
-	b.execute(b.clock.now(), control.Action{Kind: control.ActRung, Session: 1, Rung: 0})
+	b.execute(b.clock.now(), control.Action{Kind: control.ActionSetRung, Session: 1, Rung: 0})
 	if got := f.takeCalls(); got != "setup 1, served 1, rung 1" {
 		t.Error(got)
 	}
@@ -349,7 +349,7 @@
 	b, f := newTestBroker(t)
 	b.submitNow(f, 1, feed, -1, 0)
 	b.reportNow(1, ReportStarted, 0)
-	b.execute(b.clock.now(), control.Action{Kind: control.ActMove, Session: 1})
+	b.execute(b.clock.now(), control.Action{Kind: control.ActionMove, Session: 1})
 	for _, m := range b.inbox.Take(nil) {
 		b.handleMessage(m)
 	}
@@ -399,7 +399,7 @@
 	}
 	var entries []control.Entry
 	for i := range 16 {
-		entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Weight: 1})
+		entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Weight: 1})
 	}
 	br.handleMessage(ListUpdate{Entries: entries})
 	id := control.SessionID(0)
@@ -420,11 +420,11 @@
 // nopPeer implements Nodes and Client, and records nothing.
 type nopPeer struct{}
 
-func (nopPeer) SetUp(control.Server, Attempt) bool                    { return true }
-func (nopPeer) Abandon(control.Server, control.SessionID, int, bool)  {}
-func (nopPeer) AddEstablished(control.Server, control.SessionID) bool { return true }
-func (nopPeer) Release(control.Server, control.SessionID, int)        {}
-func (nopPeer) SetRung(control.Server, control.SessionID, int)        {}
-func (nopPeer) Probe(control.Server)                                  {}
-func (nopPeer) Deliver(Reply) bool                                    { return true }
-func (nopPeer) Gone(control.SessionID) bool                           { return false }
+func (nopPeer) SetUp(control.ServerID, Attempt) bool                    { return true }
+func (nopPeer) Abandon(control.ServerID, control.SessionID, int, bool)  {}
+func (nopPeer) AddEstablished(control.ServerID, control.SessionID) bool { return true }
+func (nopPeer) Release(control.ServerID, control.SessionID, int)        {}
+func (nopPeer) SetRung(control.ServerID, control.SessionID, int)        {}
+func (nopPeer) Probe(control.ServerID)                                  {}
+func (nopPeer) Deliver(Reply) bool                                      { return true }
+func (nopPeer) Gone(control.SessionID) bool                             { return false }
--- a/internal/broker/counts.go
+++ b/internal/broker/counts.go
@@ -69,5 +69,5 @@
 			playing++
 		}
 	}
-	return Stats{len(b.openSetUps), playing, b.controller.Avoided(unixSeconds(b.clock.now()))}
+	return Stats{len(b.openSetUps), playing, b.controller.AvoidedServers(unixSeconds(b.clock.now()))}
 }
--- a/internal/broker/gone_test.go
+++ b/internal/broker/gone_test.go
@@ -26,7 +26,7 @@
 	heardAgain := func(b *Broker, f *recorder) { f.gone = false; b.recheckClient(1) } // the client's input is read again
 	recheck := func(b *Broker, f *recorder) { b.recheckClient(1) }
 	submitFeed := func(b *Broker, f *recorder) { b.submitNow(f, 1, feed, -1, 0) }
-	breakConnection := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.Reset) }
+	breakConnection := func(b *Broker, f *recorder) { b.reportNow(1, ReportEnded, control.ConnectionReset) }
 	reachDeadline := func(b *Broker, f *recorder) { b.answerOverdue(1) }
 	endGrace := func(b *Broker, f *recorder) { b.abandonSession(b.sessions[1]) }
 	for name, e := range map[string]struct {
@@ -85,7 +85,7 @@
 // reply must not close the second one.
 func TestSameIDAfterCancel(t *testing.T) {
 	set := testSettings()
-	set.Fields, set.Feed, set.Probes = []string{"x0", "x1"}, control.FeedAnswers, true // the first set-up waits for load reports
+	set.LoadFields, set.LoadReporting, set.ProbesAllowed = []string{"x0", "x1"}, control.LoadReportsInAnswers, true // the first set-up waits for load reports
 	f := &recorder{}
 	b, err := New(Config{Settings: set, Seed: 1, Nodes: f, Log: zap.NewNop()})
 	if err != nil {
@@ -97,7 +97,7 @@
 	b.handleMessage(r)
 	b.handleMessage(ViewerEnd{ID: 1, Cause: CauseEnded, Client: p})
 	b.handleMessage(r)
-	for _, s := range []control.Server{1, 2, 1, 2} { // each node was probed for both set-ups
+	for _, s := range []control.ServerID{1, 2, 1, 2} { // each node was probed for both set-ups
 		b.handleMessage(Report{Kind: ReportProbed, Server: s, Status: control.OK, Load: []float64{0, 0}})
 	}
 	if got := f.takeCalls(); got != "setup 1" {
--- a/internal/broker/hand.go
+++ b/internal/broker/hand.go
@@ -21,7 +21,7 @@
 	Home            int               `cbor:"6,keyasint"`
 	Copies          int               `cbor:"7,keyasint"`
 	MaxRung         float64           `cbor:"8,keyasint"`
-	Server          control.Server    `cbor:"9,keyasint"`
+	Server          control.ServerID  `cbor:"9,keyasint"`
 	Rung            int               `cbor:"10,keyasint"`
 	EstablishedAtNS int64             `cbor:"11,keyasint"` // Unix time in ns; 0: unknown
 	ViewerHost      string            `cbor:"12,keyasint"` // host of the viewer
@@ -95,8 +95,8 @@
 			s.establishedAt = now.Add(-max(time.Duration(now.UnixNano()-e.EstablishedAtNS), 0))
 		}
 		b.sessions[e.ID], b.adoptedIDs[e.ID] = s, true
-		b.dispatch(control.Event{Kind: control.EvOpen, Session: e.ID, Class: e.Class, Tenant: e.Team, Title: e.Title,
-			Home: e.Home, Span: e.Copies, MaxRung: e.MaxRung, Server: e.Server, Rung: e.Rung})
+		b.dispatch(control.Event{Kind: control.EventEstablished, Session: e.ID, Class: e.Class, Tenant: e.Team, Title: e.Title,
+			HomeCell: e.Home, Copies: e.Copies, MaxRung: e.MaxRung, Server: e.Server, Rung: e.Rung})
 		added++
 	}
 	for id, cause := range m.Ended {
--- a/internal/broker/hand_test.go
+++ b/internal/broker/hand_test.go
@@ -27,13 +27,13 @@
 		predecessor.sessions[id].client = clientAtHost{oldCalls, "h1"}
 	}
 	oldCalls.takeCalls()
-	serverOf := func(id control.SessionID) control.Server { return predecessor.sessions[id].server }
+	serverOf := func(id control.SessionID) control.ServerID { return predecessor.sessions[id].server }
 	server1, server2, server3 := serverOf(1), serverOf(2), serverOf(3)
 	predecessor.handleMessage(drainRequest{forSuccessor: true})
 	if len(initial.Sessions) != 3 || initial.Final || initial.Sessions[0].ViewerHost != "h1" {
 		t.Fatalf("%+v", initial)
 	}
-	predecessor.handleMessage(Report{Kind: ReportEnded, Server: server2, ID: 2, Status: control.Reset, Cause: CauseInterrupted})
+	predecessor.handleMessage(Report{Kind: ReportEnded, Server: server2, ID: 2, Status: control.ConnectionReset, Cause: CauseInterrupted})
 	predecessor.drainStart = predecessor.drainStart.Add(-predecessor.minDrainTime())
 	predecessor.checkDrained()
 	final := predecessor.Handover()
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -23,8 +23,8 @@
 func siteLossSettings(managers, nodes int) control.Settings {
 	const sizeFactor = 8
 	set := peakTestSettings(managers, nodes)
-	set.LinkKB, set.FleetKB, set.KindStreams = sizeFactor*set.LinkKB, sizeFactor*set.FleetKB, []int{sizeFactor * 30}
-	set.CrossZoneCost, set.WarmAfterS, set.StartCapacity, set.FallMultiple = 0.021, 3, 0.2, 3
+	set.LinkKBPerWeight, set.FleetLinkKB, set.MaxStreamsByKind = sizeFactor*set.LinkKBPerWeight, sizeFactor*set.FleetLinkKB, []int{sizeFactor * 30}
+	set.CrossZoneCost, set.WarmAfterS, set.StartCapacityShare, set.ColdSetupMultiple = 0.021, 3, 0.2, 3
 	return set
 }
 
--- a/internal/broker/part.go
+++ b/internal/broker/part.go
@@ -45,7 +45,7 @@
 	// seconds.
 	SessionAges() [][]float64
 	// Probe requests a load report from a node. It arrives like any other report.
-	Probe(control.Server)
+	Probe(control.ServerID)
 }
 
 // NopPlanner is a Planner that does nothing, to be embedded.
@@ -72,10 +72,10 @@
 // brokerView implements BrokerView.
 type brokerView struct{ *Broker }
 
-func (v brokerView) FleetSlots() float64   { return v.controller.Room() }
-func (v brokerView) ArrivalShare() float64 { return v.controller.Share() }
+func (v brokerView) FleetSlots() float64   { return v.controller.CapacitySlots() }
+func (v brokerView) ArrivalShare() float64 { return v.controller.LoadShare() }
 
-func (v brokerView) Probe(s control.Server) { v.nodes.Probe(s) }
+func (v brokerView) Probe(s control.ServerID) { v.nodes.Probe(s) }
 
 func (v brokerView) SessionAges() [][]float64 {
 	now, ages := v.clock.now(), make([][]float64, len(v.settings.Classes))
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -110,5 +110,5 @@
 		return nil
 	}
 	p.heldShares = shares
-	return []control.Event{{Kind: control.EvHold, Hold: shares}}
+	return []control.Event{{Kind: control.EventHold, HeldShares: shares}}
 }
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -26,13 +26,13 @@
 		}
 		b.handleMessage(r)
 	}
-	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all slots are held for feeds of the peak
+	b.dispatch(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 1}}) // all slots are held for feeds of the peak
 	submit(1, feed, "")
 	submit(2, clip, "")
 	submit(3, feed, "quincena")
 	submit(4, clip, "quincena") // no slots are held for its class
 	submit(5, feed, "another")
-	b.dispatch(control.Event{Kind: control.EvHold, Hold: []float64{0, 0}})
+	b.dispatch(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 0}})
 	submit(6, feed, "")
 	if got := f.takeCalls(); got != "refused 1, refused 2, setup 3, refused 4, refused 5, setup 6" {
 		t.Error(got)
@@ -67,7 +67,7 @@
 			return peaks.Class{Rate: rate, Sizes: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
 		}
 		set := testSettings()
-		set.FleetKB, set.LinkKB = 200, 100
+		set.FleetLinkKB, set.LinkKBPerWeight = 200, 100
 		b, err := New(Config{Settings: set, Seed: 1, Nodes: &recorder{}, Log: zap.NewNop(),
 			Peaks: PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, MeanLengthsS: []float64{40, 40}}})
 		if err != nil {
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -27,7 +27,7 @@
 	answered      bool  // the final answer is given, or none is needed
 	finalReply    Reply // for a player that reconnects
 	attemptNumber int   // of the last attempt, from 1; 0: none yet
-	server        control.Server
+	server        control.ServerID
 	rung          int
 	inFlight      bool            // an attempt has been started and has not ended
 	deferred      *control.Action // set: the attempt in flight is not sent yet, since its client has gone
@@ -60,10 +60,10 @@
 		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: drainRetryAfter})
 		return
 	}
-	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.settings.Classes[r.Class].Floor}
+	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.settings.Classes[r.Class].FloorRung}
 	event := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
-		Home: r.Home, Span: r.Copies, MaxRung: r.MaxRung,
+		HomeCell: r.Home, Copies: r.Copies, MaxRung: r.MaxRung,
 	}
 	if r.PlayingOn != 0 {
 		if !b.nodes.AddEstablished(r.PlayingOn, r.ID) {
@@ -74,8 +74,8 @@
 		s.playing, s.answered, s.server, s.attemptNumber = true, true, r.PlayingOn, 1
 		s.finalReply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // for a client that requests it again
 		b.sessions[r.ID] = s
-		event.Kind, event.Server = control.EvOpen, r.PlayingOn
-		event.LeftS = r.TimeLeft.Seconds()
+		event.Kind, event.Server = control.EventEstablished, r.PlayingOn
+		event.TimeLeftS = r.TimeLeft.Seconds()
 		b.dispatch(event)
 		return
 	}
@@ -86,8 +86,8 @@
 		b.refuse(s, retryAfter)
 		return
 	}
-	event.Kind, event.Own = control.EvArrive, b.requestArrived(now, &r)
-	event.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
+	event.Kind, event.InPeak = control.EventArrival, b.requestArrived(now, &r)
+	event.TimeLeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
 	b.dispatch(event)
 }
 
@@ -200,7 +200,7 @@
 		s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 	}
 	b.abandonAttempt(s, false)
-	b.dispatch(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.dispatch(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
@@ -234,7 +234,7 @@
 func (b *Broker) failSession(s *session) {
 	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 	b.abandonAttempt(s, true)
-	b.dispatch(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.dispatch(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
@@ -247,7 +247,7 @@
 		return
 	}
 	s.attemptNumber++
-	if s.mayHaveRun && b.settings.Classes[s.Class].Effect != control.Idempotent {
+	if s.mayHaveRun && b.settings.Classes[s.Class].RepeatEffect != control.Idempotent {
 		// Guard: a session that must not be set up twice gets a further attempt only if
 		// no earlier one can have run.
 		b.reportUnsent(s, action.Server)
@@ -288,8 +288,8 @@
 // sendAttempt passes the attempt in flight to its node.
 func (b *Broker) sendAttempt(now time.Time, s *session, action control.Action) {
 	attemptDeadline := s.deadline.Add(-answerMargin)
-	if action.PatienceS > 0 {
-		if limit := now.Add(seconds(action.PatienceS)); limit.Before(attemptDeadline) {
+	if action.SetupTimeoutS > 0 {
+		if limit := now.Add(seconds(action.SetupTimeoutS)); limit.Before(attemptDeadline) {
 			attemptDeadline = limit
 		}
 	}
@@ -306,9 +306,9 @@
 
 // reportUnsent reports the end of an attempt that was never sent. The report is queued, so
 // that the decision module learns of it after the actions that it has already returned.
-func (b *Broker) reportUnsent(s *session, server control.Server) {
+func (b *Broker) reportUnsent(s *session, server control.ServerID) {
 	s.inFlight, s.server = true, server
-	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attemptNumber, Status: control.Moot})
+	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attemptNumber, Status: control.NotSent})
 }
 
 // refuse answers a request with ReplyRefused.
@@ -316,7 +316,7 @@
 // Guard: a session that must not be set up twice is never refused if an attempt may have
 // run, since the viewer would repeat it: the answer is then ReplyFailed.
 func (b *Broker) refuse(s *session, retryAfter time.Duration) {
-	if b.settings.Classes[s.Class].Effect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
+	if b.settings.Classes[s.Class].RepeatEffect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
 		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
@@ -372,7 +372,7 @@
 		p.NodeReported(b.clock.now(), &r)
 	}
 	if r.Kind == ReportProbed {
-		b.dispatch(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
+		b.dispatch(control.Event{Kind: control.EventProbeResult, Server: r.Server, Status: r.Status, ProcessDown: r.Down, Load: r.Load})
 		return
 	}
 	s := b.sessions[r.ID]
@@ -390,7 +390,7 @@
 	case ReportEnded:
 		b.attemptEnded(s, r)
 	case ReportNote:
-		b.dispatch(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
+		b.dispatch(control.Event{Kind: control.EventNote, Session: s.ID, Server: r.Server,
 			Attempt: s.attemptNumber - 1, Note: r.Note, Value: r.Value})
 	}
 }
@@ -404,13 +404,13 @@
 	s.inFlight = false
 	if s.answered {
 		b.nodes.Release(r.Server, s.ID, CauseEnded)
-		b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1,
-			Server: s.server, Status: control.Cancelled, Finished: true})
+		b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1,
+			Server: s.server, Status: control.Cancelled, RequestFinished: true})
 		b.forget(s)
 		return
 	}
 	s.playing, s.establishedAt = true, b.clock.now()
-	b.dispatch(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attemptNumber - 1})
+	b.dispatch(control.Event{Kind: control.EventStarted, Session: s.ID, Server: s.server, Attempt: s.attemptNumber - 1})
 	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
 		// The connection is lost, and there is no grace to reconnect in.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
@@ -442,12 +442,12 @@
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
 	}
 	switch r.Status {
-	case control.Full, control.ConnectFailed, control.Moot: // the attempt provably did not run
+	case control.Full, control.ConnectFailed, control.NotSent: // the attempt provably did not run
 	default:
 		s.mayHaveRun = true
 	}
-	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
-		Status: r.Status, Confined: r.ConnectionOnly, Down: r.Down, Finished: s.answered, Load: r.Load})
+	b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
+		Status: r.Status, ConnectionOnly: r.ConnectionOnly, ProcessDown: r.Down, RequestFinished: s.answered, Load: r.Load})
 	b.forget(s)
 }
 
@@ -484,7 +484,7 @@
 			p.SessionEnded(now, s.Class, now.Sub(s.establishedAt), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
-	b.dispatch(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
-		Status: r.Status, Down: r.Down, Finished: true, Load: r.Load})
+	b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
+		Status: r.Status, ProcessDown: r.Down, RequestFinished: true, Load: r.Load})
 	b.forget(s)
 }
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -39,7 +39,7 @@
 	settings       control.Settings
 	siteWatch      *site.Watch
 	siteGuide      *site.Guide
-	listed         map[control.Server]bool
+	listed         map[control.ServerID]bool
 	demandLoggedAt time.Time         // when the demand was logged last
 	rationed       bool              // the decision module has a ration
 	episodeStarts  map[int]time.Time // starts of the episodes under way, by site; -1: this manager is cut off
@@ -47,8 +47,8 @@
 }
 
 func newSitePlanner(cfg SiteConfig, settings control.Settings, log *zap.Logger) *sitePlanner {
-	return &sitePlanner{SiteConfig: cfg, settings: settings, siteWatch: site.NewWatch(cfg.Names), listed: map[control.Server]bool{}, episodeStarts: map[int]time.Time{}, log: log,
-		siteGuide: site.NewGuide(cfg.Names, cfg.Rules, cfg.Classes, cfg.Expected, settings.CrossZoneCost, settings.RackKB*control.TargetUse)}
+	return &sitePlanner{SiteConfig: cfg, settings: settings, siteWatch: site.NewWatch(cfg.Names), listed: map[control.ServerID]bool{}, episodeStarts: map[int]time.Time{}, log: log,
+		siteGuide: site.NewGuide(cfg.Names, cfg.Rules, cfg.Classes, cfg.Expected, settings.CrossZoneCost, settings.RackUplinkKB*control.TargetUtilization)}
 }
 
 // Interval returns siteTickInterval.
@@ -75,9 +75,9 @@
 
 // SiteNode converts an entry of a list of nodeCount nodes to a node of site plans.
 func SiteNode(settings *control.Settings, entry control.Entry, siteIndex, nodeCount int) site.Node {
-	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.Link(entry, nodeCount) * control.TargetUse, Places: unknownKindStreams}
-	if entry.Kind >= 0 && entry.Kind < len(settings.KindStreams) {
-		node.Places = float64(settings.KindStreams[entry.Kind])
+	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.ExpectedLinkKB(entry, nodeCount) * control.TargetUtilization, Places: unknownKindStreams}
+	if entry.MachineKind >= 0 && entry.MachineKind < len(settings.MaxStreamsByKind) {
+		node.Places = float64(settings.MaxStreamsByKind[entry.MachineKind])
 	}
 	return node
 }
@@ -121,7 +121,7 @@
 		return site.NoWay, true
 	case control.TimedOut:
 		return site.Silence, true
-	case control.Reset:
+	case control.ConnectionReset:
 		if r.ConnectionOnly { // only the connection broke; the node can be reached
 			return site.Heard, true
 		}
@@ -159,7 +159,7 @@
 		s.log.Info("site", fields...)
 	}
 	for _, node := range s.siteWatch.Ask(now) {
-		v.Probe(control.Server(node))
+		v.Probe(control.ServerID(node))
 	}
 	if now.Sub(s.demandLoggedAt) >= demandLogInterval {
 		if rates, lasts, ok := s.siteGuide.Demand(now); ok {
@@ -176,7 +176,7 @@
 		return nil
 	}
 	s.rationed = ration != nil
-	return []control.Event{{Kind: control.EvRation, Ration: s.controlRation(ration)}}
+	return []control.Event{{Kind: control.EventRation, Ration: s.controlRation(ration)}}
 }
 
 // returnCount returns how often a site has come back recently; 0 for this manager itself.
@@ -192,10 +192,10 @@
 	if planned == nil {
 		return nil
 	}
-	ration := &control.Ration{Limit: planned.Limit, Every: planned.Every, Pace: make([]float64, len(s.SiteByZone))}
+	ration := &control.Ration{SessionLimits: planned.Limit, RetryIntervalsS: planned.Every, ZoneRates: make([]float64, len(s.SiteByZone))}
 	for zone, siteIndex := range s.SiteByZone {
-		if ration.Pace[zone] = -1; siteIndex >= 0 && planned.Pace[siteIndex] >= 0 {
-			ration.Pace[zone] = planned.Pace[siteIndex] / float64(s.zoneCount(siteIndex))
+		if ration.ZoneRates[zone] = -1; siteIndex >= 0 && planned.Pace[siteIndex] >= 0 {
+			ration.ZoneRates[zone] = planned.Pace[siteIndex] / float64(s.zoneCount(siteIndex))
 		}
 	}
 	return ration
--- a/internal/broker/sites_test.go
+++ b/internal/broker/sites_test.go
@@ -29,11 +29,11 @@
 		{report: Report{Kind: ReportEnded, Status: control.ConnectFailed}, sign: site.NoWay},
 		{report: Report{Kind: ReportProbed, Status: control.ConnectFailed}, sign: site.NoWay},
 		{report: Report{Kind: ReportEnded, Status: control.TimedOut}, sign: site.Silence},
-		{report: Report{Kind: ReportEnded, Status: control.Reset}, sign: site.Broke},
-		{report: Report{Kind: ReportEnded, Status: control.Reset, ConnectionOnly: true}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectionReset}, sign: site.Broke},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectionReset, ConnectionOnly: true}, sign: site.Heard},
 		{report: Report{Kind: ReportEnded, Status: control.Cancelled}, none: true},
-		{report: Report{Kind: ReportEnded, Status: control.Moot}, none: true},
-		{report: Report{Kind: ReportProbed, Status: control.Moot}, none: true},
+		{report: Report{Kind: ReportEnded, Status: control.NotSent}, none: true},
+		{report: Report{Kind: ReportProbed, Status: control.NotSent}, none: true},
 	} {
 		if sign, ok := signFromReport(&e.report); ok == e.none || ok && sign != e.sign {
 			t.Errorf("%+v: %v, %v", e.report, sign, ok)
@@ -53,14 +53,14 @@
 	now := time.Unix(1000, 0)
 	var entries []control.Entry
 	for n := range 8 {
-		entries = append(entries, control.Entry{Server: control.Server(n), State: control.Ready, Zone: n / 4})
+		entries = append(entries, control.Entry{Server: control.ServerID(n), State: control.Ready, Zone: n / 4})
 	}
 	entries = append(entries, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // in an unknown zone
 	s.ListUpdated(now, entries)
 	reportRound := func(status control.Status) {
 		for n := range 8 {
 			now = now.Add(50 * time.Millisecond)
-			r := Report{Kind: ReportEnded, Server: control.Server(n), Status: control.Full}
+			r := Report{Kind: ReportEnded, Server: control.ServerID(n), Status: control.Full}
 			if n >= 4 {
 				r.Status = status
 			}
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -58,7 +58,7 @@
 	if l == nil {
 		return 0, true
 	}
-	billed := b.settings.Classes[s.Class].Effect != control.Idempotent
+	billed := b.settings.Classes[s.Class].RepeatEffect != control.Idempotent
 	switch {
 	case len(l.Classes) > 0 && !l.Classes[s.Class]:
 		return capRetryAfter, false
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -202,7 +202,7 @@
 
 // resumeSession takes over a session that is already playing at a media node. It is not
 // answered; if it can't be taken over, its end is sent to the viewer.
-func (c *conn) resumeSession(m *message.Message, r broker.Request, node control.Server, err error) bool {
+func (c *conn) resumeSession(m *message.Message, r broker.Request, node control.ServerID, err error) bool {
 	r.PlayingOn = node
 	c.SessionEstablished()
 	if err == nil && c.front.Broker.Submit(r) {
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -202,8 +202,8 @@
 
 // noteKinds maps the values of an ANNOUNCE's Fail-Word header to kinds of notes.
 var noteKinds = map[string]control.NoteKind{
-	"delivered": control.NoteShare, "rung": control.NoteRung,
-	"link": control.NoteLink, "uplink": control.NoteUplink,
+	"delivered": control.NoteDeliveredShare, "rung": control.NoteRung,
+	"link": control.NoteLinkUtilization, "uplink": control.NoteUplinkUtilization,
 }
 
 // parseCause parses "cause=N". Without it the cause is 16, an ordinary end.
--- a/internal/media/ends_test.go
+++ b/internal/media/ends_test.go
@@ -226,7 +226,7 @@
 		n.pool.pauseWatch.Refreshed(time.Now())
 		n.handle(resumeSetUps{})
 		if drained {
-			checkEndStatuses(t, reports, control.Moot)
+			checkEndStatuses(t, reports, control.NotSent)
 		} else if a := n.attempts[1]; a == nil || a.conn == nil {
 			t.Errorf("%s: not sent", name)
 		}
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -73,7 +73,7 @@
 	n.handle(newSetUp(1))
 	n.state.Store(int32(control.Draining))
 	n.handle(dialResult{conn: c})
-	checkEndStatuses(t, reports, control.Moot)
+	checkEndStatuses(t, reports, control.NotSent)
 }
 
 // Nothing is written for a set-up whose client is gone by then, whatever it waited for. The next
@@ -112,7 +112,7 @@
 		if got := <-written; !strings.Contains(got, "Session: 0000000000000002") {
 			t.Errorf("waiting %s: wrote %q", name, got)
 		}
-		checkEndStatuses(t, reports, control.Moot)
+		checkEndStatuses(t, reports, control.NotSent)
 	}
 }
 
@@ -126,7 +126,7 @@
 		far.Close()
 	}()
 	n.handle(newSetUp(1))
-	checkEndStatuses(t, reports, control.Reset)
+	checkEndStatuses(t, reports, control.ConnectionReset)
 
 	n, c, far, reports = newTestNode(t)
 	n.conns = []*conn{c}
@@ -144,7 +144,7 @@
 	n.dialling = true // a dial checks whether the node is reachable
 	n.handle(connClosed{c, io.EOF})
 	n.handle(dialResult{err: io.EOF})
-	checkEndStatuses(t, reports, control.Reset)
+	checkEndStatuses(t, reports, control.ConnectionReset)
 }
 
 // An abandoned set-up ends once its TEARDOWN is written. A late 200 to it is answered by another
@@ -230,7 +230,7 @@
 		n.dialling = true
 		n.handle(adoptRequest{1})
 		lose(n)
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].Cause != broker.CauseInterrupted {
+		if len(*reports) != 1 || (*reports)[0].Status != control.ConnectionReset || (*reports)[0].Cause != broker.CauseInterrupted {
 			t.Errorf("%s: %+v", name, *reports)
 		}
 	}
@@ -280,7 +280,7 @@
 				if !strings.Contains(steps, "c") {
 					n.handle(connClosed{c, net.ErrClosed})
 				}
-				want := control.Reset
+				want := control.ConnectionReset
 				if strings.Contains(steps, "f") {
 					want = control.Full
 				}
@@ -292,20 +292,20 @@
 				}
 				checkEndStatuses(t, reports, want)
 				last := (*reports)[len(*reports)-1] // a set-up's end says whether the node is reachable
-				if len(n.established)+len(n.attempts)+len(n.interrupted) != 0 || last.Cause == 0 && last.ConnectionOnly != (want == control.Reset && name == "restarted") {
+				if len(n.established)+len(n.attempts)+len(n.interrupted) != 0 || last.Cause == 0 && last.ConnectionOnly != (want == control.ConnectionReset && name == "restarted") {
 					t.Errorf("%d established, %d attempts, %d interrupted; %+v", len(n.established), len(n.attempts), len(n.interrupted), last)
 				}
 			})
 		}
 	}
 	// A set-up that still waits for a connection ends at once, whatever becomes of the dial.
-	for _, state := range []control.State{control.Gone, control.Draining} {
+	for _, state := range []control.ServerState{control.Gone, control.Draining} {
 		n, _, _, reports := newTestNode(t)
 		n.dialling = true
 		n.handle(newSetUp(1))
 		n.state.Store(int32(state))
 		n.handle(listChange{})
-		checkEndStatuses(t, reports, control.Moot)
+		checkEndStatuses(t, reports, control.NotSent)
 	}
 }
 
@@ -317,8 +317,8 @@
 		"RTSP/1.0 453 Full\r\nCSeq: 1\r\nSession: 0a\r\nLink-State: x1:2\r\nContent-Length: 0\r\n\r\n":                           {kind: kindSetUpAnswer, id: 10, status: 453, description: []byte{}},
 		"TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nReason: cause=41\r\nContent-Length: 0\r\n\r\n":                       {kind: kindTearDown, id: 10, cause: 41},
 		"TEARDOWN rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nContent-Length: 0\r\n\r\n":                                           {kind: kindTearDown, id: 10, cause: 16},
-		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: 0.5\r\nContent-Length: 0\r\n\r\n": {kind: kindAnnounce, id: 10, note: control.NoteShare, value: 0.5},
-		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: x\r\nContent-Length: 0\r\n\r\n":   {id: 10, note: control.NoteShare},
+		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: 0.5\r\nContent-Length: 0\r\n\r\n": {kind: kindAnnounce, id: 10, note: control.NoteDeliveredShare, value: 0.5},
+		"ANNOUNCE rtsp://media/a RTSP/1.0\r\nSession: 0a\r\nFail-Word: delivered\r\nX-Reading: x\r\nContent-Length: 0\r\n\r\n":   {id: 10, note: control.NoteDeliveredShare},
 	} {
 		var raw rtsp.Message
 		if _, err := rtsp.Parse([]byte(text), &raw); err != nil {
@@ -376,7 +376,7 @@
 			checkEndStatuses(t, reports)
 			n.handle(e.then)
 		}
-		if len(*reports) != 1 || (*reports)[0].Status != control.Reset || (*reports)[0].ConnectionOnly != e.confined ||
+		if len(*reports) != 1 || (*reports)[0].Status != control.ConnectionReset || (*reports)[0].ConnectionOnly != e.confined ||
 			(*reports)[0].Down != (name == "refused") ||
 			len(n.attempts)+len(n.interrupted) != 0 {
 			t.Errorf("%s: %+v", name, *reports)
@@ -389,7 +389,7 @@
 	n.handle(connClosed{c, io.EOF})
 	n.handle(abandonRequest{1, 1, true}) // abandoned before the dial ends
 	n.handle(dialResult{err: io.EOF})
-	checkEndStatuses(t, reports, control.Reset)
+	checkEndStatuses(t, reports, control.ConnectionReset)
 }
 
 // No new set-up is sent on a connection that has been silent since a set-up, nor on one on which
@@ -459,7 +459,7 @@
 	for _, m := range n.inbox.Take(nil) {
 		n.handle(m)
 	}
-	checkEndStatuses(t, reports, control.Moot)
+	checkEndStatuses(t, reports, control.NotSent)
 	for i := range 5 {
 		near, far := net.Pipe()
 		defer near.Close()
@@ -485,7 +485,7 @@
 func TestAddressReusedByNewNode(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	p := NewPool(ctx, new(errgroup.Group), Config{Report: func(broker.Report) {}, Log: zap.NewNop()})
-	listed := func(s control.Server, state control.State) directory.Change {
+	listed := func(s control.ServerID, state control.ServerState) directory.Change {
 		return directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: "127.0.0.1:1"}}}
 	}
 	p.Apply(listed(1, control.Ready))
@@ -511,7 +511,7 @@
 		n, _, _, reports := newTestNode(t)
 		n.pool.cfg.MaxConns = 0 // the test dials
 		n.pool.nodes[n.server] = n
-		apply := func(s control.Server, state control.State, addr string, up time.Time) {
+		apply := func(s control.ServerID, state control.ServerState, addr string, up time.Time) {
 			n.pool.Apply(directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: addr, Up: up}}})
 		}
 		n.member.Addr = "old:1"
@@ -542,7 +542,7 @@
 		}
 		n.handle(connClosed{c, net.ErrClosed})
 		n.handle(dialResult{conn: newStubConn(), addr: "new:1"})
-		checkEndStatuses(t, reports, control.Reset, control.Reset)
+		checkEndStatuses(t, reports, control.ConnectionReset, control.ConnectionReset)
 		if a := n.attempts[3]; a == nil || a.conn != n.conns[len(n.conns)-1] || stale.carriedMessage || current.unusable || len(n.established) != 0 {
 			t.Errorf("handled %s: %+v, %d established; old address used: %v, current connection closed: %v", name, a, len(n.established), stale.carriedMessage, current.unusable)
 		}
@@ -601,14 +601,14 @@
 		wantEstablished int
 	}{
 		strings.Replace(ok, "200", "453", 1): {want: []control.Status{control.Full}},
-		strings.Replace(ok, "200", "454", 1): {want: []control.Status{control.Moot}},
+		strings.Replace(ok, "200", "454", 1): {want: []control.Status{control.NotSent}},
 		ok:                                   {wantEstablished: 1},
 		ok + ok:                              {wantEstablished: 1}, // a second answer has no effect
 		ok + end:                             {want: []control.Status{control.OK}},
-		end + ok:                             {want: []control.Status{control.Reset}}, // the set-up ends as reset
+		end + ok:                             {want: []control.Status{control.ConnectionReset}}, // the set-up ends as reset
 		ok + end[:40]:                        {wantEstablished: 1},
-		ok[:40]:                              {want: []control.Status{control.Reset}},
-		"\x00" + ok + end:                    {want: []control.Status{control.Reset}},
+		ok[:40]:                              {want: []control.Status{control.ConnectionReset}},
+		"\x00" + ok + end:                    {want: []control.Status{control.ConnectionReset}},
 	} {
 		for _, reset := range []bool{false, true} {
 			for _, first := range []string{"read", "write"} {
@@ -799,7 +799,7 @@
 		}
 	}
 	n.pool.Probe(n.server)
-	if last := (*reports)[len(*reports)-1]; !n.inbox.Empty() || last.Kind != broker.ReportProbed || last.Status != control.Moot {
+	if last := (*reports)[len(*reports)-1]; !n.inbox.Empty() || last.Kind != broker.ReportProbed || last.Status != control.NotSent {
 		t.Errorf("a probe is pending, or was not reported as moot: %+v", last)
 	}
 	if got := string(wrote.written); strings.Contains(got, "OPTIONS") || strings.Count(got, "TEARDOWN") != 1 {
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -75,7 +75,7 @@
 type node struct {
 	pool    *Pool
 	member  directory.Member // the latest entry in the list; guarded by pool.mu
-	server  control.Server
+	server  control.ServerID
 	id      string
 	upSince time.Time
 	state   atomic.Int32 // the latest control.State in the list
@@ -207,7 +207,7 @@
 }
 
 // listedState returns the node's latest state in the list.
-func (n *node) listedState() control.State { return control.State(n.state.Load()) }
+func (n *node) listedState() control.ServerState { return control.ServerState(n.state.Load()) }
 
 // handle processes one message from the actor's inbox.
 func (n *node) handle(m any) {
@@ -255,7 +255,7 @@
 // reportReset reports that a set-up ended because its connection broke. nodeReachable says
 // that the node was heard from or reached since, so only the connection was at fault.
 func (n *node) reportReset(a *attempt, nodeReachable bool) {
-	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: control.Reset, ConnectionOnly: nodeReachable})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectionReset, ConnectionOnly: nodeReachable})
 }
 
 // removeAttempt removes a from the actor's attempts and from its connection's count.
@@ -431,7 +431,7 @@
 	n.connRefused = errors.Is(err, syscall.ECONNREFUSED)
 	status := control.ConnectFailed
 	if atLimit {
-		status = control.Moot
+		status = control.NotSent
 	}
 	for _, a := range n.attempts {
 		if a.conn == nil {
@@ -514,7 +514,7 @@
 	for id, s := range n.established {
 		if s.setUpSentAt.Before(before) {
 			delete(n.established, id)
-			n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: control.Reset, Cause: broker.CauseInterrupted})
+			n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 		}
 	}
 }
@@ -733,7 +733,7 @@
 		now := time.Now()
 		// Nor is a set-up begun for a client that is gone by now.
 		if n.listedState() != control.Ready || now.After(a.Deadline) || a.Client.Gone(a.ID) {
-			n.endAttempt(a, control.Moot)
+			n.endAttempt(a, control.NotSent)
 			return
 		}
 		if n.pool.checkPause(now) {
@@ -888,7 +888,7 @@
 		return
 	}
 	if !n.sendProbe(c, false, probeTimeout) {
-		n.report(broker.Report{Kind: broker.ReportProbed, Status: control.Reset})
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: control.ConnectionReset})
 	}
 }
 
@@ -1019,9 +1019,9 @@
 	case 453:
 		status = control.Full
 	case 454:
-		status = control.Moot
+		status = control.NotSent
 	case 504:
-		status = control.Reset
+		status = control.ConnectionReset
 	}
 	n.report(broker.Report{Kind: broker.ReportEnded, ID: m.id, AttemptNumber: a.Number, Status: status, Load: m.load})
 }
@@ -1061,7 +1061,7 @@
 // endSession removes an established session and reports its end.
 func (n *node) endSession(id control.SessionID, cause int, load []float64) {
 	delete(n.established, id)
-	status := control.Reset
+	status := control.ConnectionReset
 	switch cause {
 	case broker.CauseEnded:
 		status = control.OK
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -52,7 +52,7 @@
 	pauseWatch stall.Detector
 
 	mu    sync.RWMutex
-	nodes map[control.Server]*node
+	nodes map[control.ServerID]*node
 }
 
 // upgrading reports whether another process of this manager runs beside this one.
@@ -68,7 +68,7 @@
 
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
-	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.Server]*node),
+	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.ServerID]*node),
 		pauseWatch: stall.Detector{Threshold: stall.ThresholdForGrace(cfg.DrainGrace)}}
 }
 
@@ -154,7 +154,7 @@
 func (p *Pool) remove(n *node) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !n.inbox.Empty() || control.State(n.state.Load()) != control.Gone {
+	if !n.inbox.Empty() || control.ServerState(n.state.Load()) != control.Gone {
 		return false
 	}
 	delete(p.nodes, n.server)
@@ -163,7 +163,7 @@
 
 // post puts a message into the inbox of a node's actor and reports whether it was taken. It is
 // not if the list has no such node or, if bounded is set, if the inbox is full.
-func (p *Pool) post(s control.Server, m any, bounded bool) bool {
+func (p *Pool) post(s control.ServerID, m any, bounded bool) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	n := p.nodes[s]
@@ -178,34 +178,34 @@
 }
 
 // SetUp implements broker.Nodes.
-func (p *Pool) SetUp(s control.Server, a broker.Attempt) bool {
+func (p *Pool) SetUp(s control.ServerID, a broker.Attempt) bool {
 	return p.post(s, setUpRequest{a}, true)
 }
 
 // Abandon implements broker.Nodes.
-func (p *Pool) Abandon(s control.Server, id control.SessionID, number int, timedOut bool) {
+func (p *Pool) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	p.post(s, abandonRequest{id, number, timedOut}, false)
 }
 
 // AddEstablished implements broker.Nodes.
-func (p *Pool) AddEstablished(s control.Server, id control.SessionID) bool {
+func (p *Pool) AddEstablished(s control.ServerID, id control.SessionID) bool {
 	return p.post(s, adoptRequest{id}, false)
 }
 
 // Release implements broker.Nodes.
-func (p *Pool) Release(s control.Server, id control.SessionID, cause int) {
+func (p *Pool) Release(s control.ServerID, id control.SessionID, cause int) {
 	p.post(s, releaseRequest{id, cause}, false)
 }
 
 // SetRung implements broker.Nodes.
-func (p *Pool) SetRung(s control.Server, id control.SessionID, rung int) {
+func (p *Pool) SetRung(s control.ServerID, id control.SessionID, rung int) {
 	p.post(s, setRungRequest{id, rung}, false)
 }
 
 // Probe implements broker.Nodes. A probe that cannot be sent is reported as moot.
-func (p *Pool) Probe(s control.Server) {
+func (p *Pool) Probe(s control.ServerID) {
 	if p.cfg.DisableProbes || !p.post(s, probeRequest{}, true) {
-		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.Moot})
+		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.NotSent})
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -101,11 +101,11 @@
 	var sessionBroker *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
-		ClassNames: cfg.Classes, LoadFields: cfg.Settings.Fields,
+		ClassNames: cfg.Classes, LoadFields: cfg.Settings.LoadFields,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
 		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
 		DrainGrace:        cfg.DrainGrace,
-		DisableProbes:     !cfg.Settings.Probes,
+		DisableProbes:     !cfg.Settings.ProbesAllowed,
 		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
