--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -96,36 +96,36 @@
 	teams := cfg.Teams()
 	e := set.Explain(message.Routed(&m, &r, from))
 	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(r.ID), name(cfg.Classes, r.Class), name(teams, r.Team))
-	for i, s := range e.Steps {
-		if !s.Match && !v.All {
+	for i, s := range e.RuleTraces {
+		if !s.Matched && !v.All {
 			continue
 		}
 		verdict := "does not match"
 		switch {
-		case s.Match:
+		case s.Matched:
 			verdict = "matches"
-		case s.Skips:
+		case s.Skipped:
 			verdict = "is for other classes"
 		}
 		fmt.Fprintf(out, "  step %d: %s %s (%d steps)\n", i+1, s.Rule, verdict, s.Cost)
-		if s.When != "" {
-			fmt.Fprintf(out, "    %s\n", s.When)
+		if s.Source != "" {
+			fmt.Fprintf(out, "    %s\n", s.Source)
 		}
 		for _, p := range s.Values {
-			fmt.Fprintf(out, "    %s = %s\n", p.Name, e.Show(p.Value))
+			fmt.Fprintf(out, "    %s = %s\n", p.Name, e.FormatValue(p.Value))
 		}
 	}
 	if e.Rule == "" {
-		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(e.Steps))
+		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(e.RuleTraces))
 	}
 	fmt.Fprintf(out, "  it is given class %s, team %s", name(cfg.Classes, e.Class), name(teams, e.Team))
-	if e.Key != "" {
-		fmt.Fprintf(out, ", budget key %q", e.Key)
+	if e.BudgetKey != "" {
+		fmt.Fprintf(out, ", budget key %q", e.BudgetKey)
 	}
 	for _, l := range e.Labels {
 		fmt.Fprintf(out, ", label %s %q", l.Name, l.Value)
 	}
-	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", e.Cost, set.Bound())
+	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", e.Cost, set.MaxCost())
 	if e.Class < 0 {
 		return message.ErrNoClass
 	}
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -367,7 +367,7 @@
 
 // Catalog is what a set-up's names mean at this deployment.
 type Catalog struct {
-	Routes   *route.Live // nil, or without a set: requests keep what they name
+	Routes   *route.ActiveSet // nil, or without a set: requests keep what they name
 	Classes  []string
 	Teams    []string // by tenant number
 	Cells    int
@@ -417,9 +417,9 @@
 // Routed is a set-up as rules look at it.
 func Routed(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
-		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Span, Top: r.MaxRung, Left: r.Left,
-		Retry: string(m.Get("retry")) == "1", Again: string(m.Extra("again")) == "1",
-		Front: from.Front, Client: from.Client, Came: from.Came, Texts: m,
+		Class: r.Class, Team: r.Team, Title: r.Title, HomeCell: r.Home, Copies: r.Span, TopRung: r.MaxRung, TimeLeft: r.Left,
+		Retry: string(m.Get("retry")) == "1", Returning: string(m.Extra("again")) == "1",
+		Front: from.Front, ClientAddr: from.Client, ReceivedAt: from.Came, Texts: m,
 	}
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -19,9 +19,9 @@
 
 // Class is what rules have to know of a class.
 type Class struct {
-	Name  string
-	Paid  bool // a set-up may not be repeated
-	Floor int  // the lowest rung
+	Name        string
+	BilledSetup bool // a set-up may not be repeated
+	FloorRung   int  // the lowest rung
 }
 
 // Deployment is what rules may refer to.
@@ -30,8 +30,8 @@
 	Teams   []string
 }
 
-// Texts are the parts of a request that rules name.
-type Texts interface {
+// RequestTexts are the parts of a request that rules name.
+type RequestTexts interface {
 	Field(name string) []byte // nil: absent
 	Extra(name string) []byte
 }
@@ -40,16 +40,16 @@
 type Request struct {
 	Class, Team int // -1: it names none
 	Title       uint64
-	Home        int
+	HomeCell    int
 	Copies      int
-	Top         float64
-	Left        time.Duration
+	TopRung     float64
+	TimeLeft    time.Duration
 	Retry       bool
-	Again       bool // its viewer has come again
+	Returning   bool // its viewer has come again
 	Front       string
-	Client      netip.Addr
-	Came        time.Time
-	Texts       Texts
+	ClientAddr  netip.Addr
+	ReceivedAt  time.Time
+	Texts       RequestTexts
 }
 
 // Label is free text that a rule put on a request.
@@ -59,7 +59,7 @@
 type Result struct {
 	Class, Team int
 	Rule        string // "": none matched
-	Key         string // of a budget
+	BudgetKey   string // of a budget
 	Labels      []Label
 }
 
@@ -94,7 +94,7 @@
 	vLeft:   {Name: "left", Kind: rules.Duration, Doc: "how long the viewer waits"},
 	vRetry:  {Name: "retry", Kind: rules.Bool, Doc: "it is marked as a retry"},
 	vAgain:  {Name: "again", Kind: rules.Bool, Doc: "the viewer has come again"},
-	vFront:  {Name: "front", Kind: rules.String, Most: mostName, Doc: "jsonl or websocket"},
+	vFront:  {Name: "front", Kind: rules.String, MaxBytes: mostName, Doc: "jsonl or websocket"},
 	vClient: {Name: "client", Kind: rules.Addr, Optional: true, Doc: "the address at the other end"},
 }
 
@@ -104,9 +104,9 @@
 	fExtra
 )
 
-var families = []rules.TextVar{
-	fField: {Name: "field", Most: mostText, Doc: "a field of the message"},
-	fExtra: {Name: "extra", Most: mostText, Doc: "one of the figures in extras"},
+var families = []rules.TextFamily{
+	fField: {Name: "field", MaxBytes: mostText, Doc: "a field of the message"},
+	fExtra: {Name: "extra", MaxBytes: mostText, Doc: "one of the figures in extras"},
 }
 
 // What rules may set.
@@ -120,8 +120,8 @@
 var targets = []rules.Target{
 	tClass: {Name: "class", Kind: rules.Class},
 	tTeam:  {Name: "team", Kind: rules.Team},
-	tKey:   {Name: "key", Kind: rules.String, Most: mostKey},
-	tLabel: {Name: "label", Kind: rules.String, Sub: true, Most: mostKey},
+	tKey:   {Name: "key", Kind: rules.String, MaxBytes: mostKey},
+	tLabel: {Name: "label", Kind: rules.String, HasSubname: true, MaxBytes: mostKey},
 }
 
 // Source is a set of rules as it was written.
@@ -129,9 +129,9 @@
 	Tables      []rules.Table
 	Definitions []rules.Definition
 	Rules       []rules.Rule
-	Zone        func(name string) (*time.Location, error)
-	Local       string // the zone of clock and today; "": UTC
-	Budget      int64  // steps; 0: rules.DefaultBudget
+	LoadZone    func(name string) (*time.Location, error)
+	LocalZone   string // the zone of clock and today; "": UTC
+	StepBudget  int64  // steps; 0: rules.DefaultBudget
 	Trace       bool   // Explain is wanted
 }
 
@@ -145,18 +145,18 @@
 	took   func(time.Duration)
 }
 
-// Observe has took called with the time that each evaluation took, by whoever
+// ObserveDurations has took called with the time that each evaluation took, by whoever
 // routes. It is to be called before the set is used.
-func (s *Set) Observe(took func(time.Duration)) { s.took = took }
+func (s *Set) ObserveDurations(took func(time.Duration)) { s.took = took }
 
 // Compile reads a set for a deployment. What is wrong is told to the faulty
 // source; then it returns nil.
 func Compile(src Source, on Deployment) *Set {
 	s := &Set{on: on}
 	env := &rules.Env{
-		Teams: on.Teams, Vars: vars, Texts: families, Targets: targets, Class: vClass,
-		Becomes: func(from, to int) error { return becomes(on.Classes, from, to) },
-		Zone:    src.Zone, Local: src.Local, Budget: src.Budget, Trace: src.Trace,
+		Teams: on.Teams, Vars: vars, TextFamilies: families, Targets: targets, ClassVar: vClass,
+		CheckClassChange: func(from, to int) error { return becomes(on.Classes, from, to) },
+		LoadZone:         src.LoadZone, LocalZone: src.LocalZone, StepBudget: src.StepBudget, Trace: src.Trace,
 	}
 	for _, c := range on.Classes {
 		env.Classes = append(env.Classes, c.Name)
@@ -184,21 +184,21 @@
 	}
 	a, b := classes[from], classes[to]
 	switch {
-	case b.Paid && !a.Paid:
+	case b.BilledSetup && !a.BilledSetup:
 		return fmt.Errorf("%s is paid for at set-up and %s is not", b.Name, a.Name)
-	case a.Paid && !b.Paid:
+	case a.BilledSetup && !b.BilledSetup:
 		return fmt.Errorf("%s is set up once only, and %s has no such protection", a.Name, b.Name)
-	case b.Floor < a.Floor:
-		return fmt.Errorf("%s may play on rung %d, which is under the floor of %s, rung %d", b.Name, b.Floor, a.Name, a.Floor)
+	case b.FloorRung < a.FloorRung:
+		return fmt.Errorf("%s may play on rung %d, which is under the floor of %s, rung %d", b.Name, b.FloorRung, a.Name, a.FloorRung)
 	}
 	return nil
 }
 
-// Rules are the rules' names.
-func (s *Set) Rules() []string { return s.set.Rules() }
+// RuleNames are the rules' names.
+func (s *Set) RuleNames() []string { return s.set.RuleNames() }
 
-// Bound is the most that a request may cost, in steps.
-func (s *Set) Bound() int64 { return s.set.Bound() }
+// MaxCost is the most that a request may cost, in steps.
+func (s *Set) MaxCost() int64 { return s.set.MaxCost() }
 
 // Route finds the first rule that matches and tells what the request is given. A
 // request that none matches keeps what it named.
@@ -220,22 +220,22 @@
 
 // begin tells a frame about a request.
 func (s *Set) begin(f *rules.Frame, r *Request) {
-	f.Begin(r.Came)
-	f.SetNum(vClass, int64(r.Class))
-	f.SetNum(vTeam, int64(r.Team))
-	f.SetNum(vTitle, int64(r.Title))
-	f.SetNum(vHome, int64(r.Home))
-	f.SetNum(vCopies, int64(r.Copies))
-	f.SetFloat(vTop, r.Top)
-	f.SetNum(vLeft, int64(r.Left))
+	f.Reset(r.ReceivedAt)
+	f.SetInt(vClass, int64(r.Class))
+	f.SetInt(vTeam, int64(r.Team))
+	f.SetInt(vTitle, int64(r.Title))
+	f.SetInt(vHome, int64(r.HomeCell))
+	f.SetInt(vCopies, int64(r.Copies))
+	f.SetFloat(vTop, r.TopRung)
+	f.SetInt(vLeft, int64(r.TimeLeft))
 	f.SetBool(vRetry, r.Retry)
-	f.SetBool(vAgain, r.Again)
+	f.SetBool(vAgain, r.Returning)
 	f.SetString(vFront, r.Front)
-	f.SetAddr(vClient, r.Client)
+	f.SetAddr(vClient, r.ClientAddr)
 	if r.Texts == nil {
 		return
 	}
-	for i, ref := range s.set.Texts() {
+	for i, ref := range s.set.TextRefs() {
 		var b []byte
 		if ref.Family == fField {
 			b = r.Texts.Field(ref.Name)
@@ -255,29 +255,29 @@
 	if rule < 0 {
 		return out
 	}
-	out.Rule = s.set.Rules()[rule]
-	settings := f.Settings()
+	out.Rule = s.set.RuleNames()[rule]
+	settings := f.Assignments()
 	for i := range settings {
 		v := &settings[i]
-		text := v.S
-		if !v.Fixed {
+		text := v.Str
+		if !v.Persistent {
 			text = strings.Clone(text)
 		}
 		switch v.Target {
 		case tClass:
 			// Guard: whatever a rule says, a request keeps the protection of its class.
-			if to := int(v.N); to >= 0 && s.may[r.Class+1][to] {
+			if to := int(v.Integer); to >= 0 && s.may[r.Class+1][to] {
 				out.Class = to
 			}
 		case tTeam:
-			out.Team = int(v.N)
+			out.Team = int(v.Integer)
 		case tKey:
-			out.Key = text
+			out.BudgetKey = text
 		case tLabel:
 			if out.Labels == nil {
 				out.Labels = make([]Label, 0, len(settings)-i)
 			}
-			out.Labels = append(out.Labels, Label{v.Sub, text})
+			out.Labels = append(out.Labels, Label{v.Subname, text})
 		}
 	}
 	return out
@@ -286,9 +286,9 @@
 // Explanation is how a request was routed.
 type Explanation struct {
 	Result
-	Steps []rules.Step
-	Cost  int64
-	env   *rules.Env
+	RuleTraces []rules.RuleTrace
+	Cost       int64
+	env        *rules.Env
 }
 
 // Explain routes a request by a set that was compiled with Trace.
@@ -296,18 +296,18 @@
 	f := s.set.NewFrame()
 	s.begin(f, r)
 	rule, steps := s.set.Explain(f)
-	return Explanation{Result: s.result(f, r, rule), Steps: steps, Cost: f.Cost(), env: s.env}
+	return Explanation{Result: s.result(f, r, rule), RuleTraces: steps, Cost: f.Cost(), env: s.env}
 }
 
-// Show words a value of a step.
-func (e *Explanation) Show(v rules.Value) string { return e.env.Show(v) }
+// FormatValue words a value of a step.
+func (e *Explanation) FormatValue(v rules.Value) string { return e.env.FormatValue(v) }
 
-// Live is the set in use. The zero value has none. A request sees one whole set:
+// ActiveSet is the set in use. The zero value has none. A request sees one whole set:
 // the one that is there when it comes.
-type Live struct{ set atomic.Pointer[Set] }
+type ActiveSet struct{ set atomic.Pointer[Set] }
 
 // Load returns the set in use, or nil.
-func (l *Live) Load() *Set { return l.set.Load() }
+func (l *ActiveSet) Load() *Set { return l.set.Load() }
 
-// Swap puts another set in use, or none.
-func (l *Live) Swap(s *Set) { l.set.Store(s) }
+// Replace puts another set in use, or none.
+func (l *ActiveSet) Replace(s *Set) { l.set.Store(s) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -20,10 +20,10 @@
 func read(t testing.TB, on Deployment, lines ...string) (*Set, string) {
 	t.Helper()
 	var faults []string
-	src := Source{Zone: time.LoadLocation, Local: "America/Mexico_City", Trace: true}
+	src := Source{LoadZone: time.LoadLocation, LocalZone: "America/Mexico_City", Trace: true}
 	for _, l := range lines {
 		name, text, _ := strings.Cut(l, " ")
-		src.Rules = append(src.Rules, rules.Rule{Name: name, Source: rules.Source{Text: text, Fault: func(at int, msg string) {
+		src.Rules = append(src.Rules, rules.Rule{Name: name, Source: rules.Source{Text: text, ReportError: func(at int, msg string) {
 			faults = append(faults, fmt.Sprintf("%s:%d: %s", name, at, msg))
 		}}})
 	}
@@ -44,8 +44,8 @@
 
 func request(class int) *Request {
 	return &Request{
-		Class: class, Team: -1, Title: 0x7f3a, Home: 3, Copies: 2, Top: 2.5, Left: 1500 * time.Millisecond, Front: "websocket",
-		Client: netip.MustParseAddr("10.4.7.9"), Came: time.Date(2026, 5, 16, 0, 30, 0, 0, time.UTC),
+		Class: class, Team: -1, Title: 0x7f3a, HomeCell: 3, Copies: 2, TopRung: 2.5, TimeLeft: 1500 * time.Millisecond, Front: "websocket",
+		ClientAddr: netip.MustParseAddr("10.4.7.9"), ReceivedAt: time.Date(2026, 5, 16, 0, 30, 0, 0, time.UTC),
 		Texts: texts{"shop": "Norte-7", "extra.viewer": "00000000b4d65521"},
 	}
 }
@@ -60,19 +60,19 @@
 		t.Fatal(faults)
 	}
 	for class, want := range map[int]string{
-		-1: `{Class:0 Team:0 Rule:unnamed Key:norte-7 Labels:[]}`,
-		0:  `{Class:0 Team:-1 Rule: Key: Labels:[]}`,
-		1:  `{Class:1 Team:1 Rule:payday Key:payday Labels:[{Name:viewer Value:00000000b4d65521} {Name:net Value:hall}]}`,
+		-1: `{Class:0 Team:0 Rule:unnamed BudgetKey:norte-7 Labels:[]}`,
+		0:  `{Class:0 Team:-1 Rule: BudgetKey: Labels:[]}`,
+		1:  `{Class:1 Team:1 Rule:payday BudgetKey:payday Labels:[{Name:viewer Value:00000000b4d65521} {Name:net Value:hall}]}`,
 	} {
 		if got := fmt.Sprintf("%+v", s.Route(request(class))); got != want {
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
-		if e := s.Explain(request(class)); fmt.Sprintf("%+v", e.Result) != want || e.Cost == 0 || e.Cost > s.Bound() || len(e.Steps) == 0 {
+		if e := s.Explain(request(class)); fmt.Sprintf("%+v", e.Result) != want || e.Cost == 0 || e.Cost > s.MaxCost() || len(e.RuleTraces) == 0 {
 			t.Errorf("explained: %+v", e)
 		}
 	}
 	r := request(0)
-	r.Again = true
+	r.Returning = true
 	if got := s.Route(r); got.Class != 2 {
 		t.Errorf("%+v", got)
 	}
@@ -106,7 +106,7 @@
 		t.Fatal(faults)
 	}
 	s.may[0+1][2] = false
-	if got := s.Route(request(0)); got.Class != 0 || got.Key != "k" {
+	if got := s.Route(request(0)); got.Class != 0 || got.BudgetKey != "k" {
 		t.Errorf("%+v", got)
 	}
 }
@@ -123,7 +123,7 @@
 	first := s.Route(r)
 	copy(shop, "xyz")
 	second := s.Route(r)
-	if first.Key != "ABC" || first.Labels[0].Value != "abc" || second.Key != "XYZ" || second.Labels[0].Value != "xyz" {
+	if first.BudgetKey != "ABC" || first.Labels[0].Value != "abc" || second.BudgetKey != "XYZ" || second.Labels[0].Value != "xyz" {
 		t.Errorf("%+v, %+v", first, second)
 	}
 }
@@ -143,8 +143,8 @@
 		}
 		sets = append(sets, s)
 	}
-	var live Live
-	live.Swap(sets[0])
+	var live ActiveSet
+	live.Replace(sets[0])
 	stop := make(chan struct{})
 	var all, swapper sync.WaitGroup
 	seen := make([]map[string]int, 8)
@@ -154,7 +154,7 @@
 			for range 5000 {
 				got := live.Load().Route(request(1))
 				name := deployment.Teams[got.Team]
-				if got.Rule != name || got.Key != name+"Norte-7" || got.Labels[0].Value != name {
+				if got.Rule != name || got.BudgetKey != name+"Norte-7" || got.Labels[0].Value != name {
 					t.Errorf("%+v", got)
 					return
 				}
@@ -168,14 +168,14 @@
 			case <-stop:
 				return
 			default:
-				live.Swap(sets[i%2])
+				live.Replace(sets[i%2])
 			}
 		}
 	})
 	all.Wait()
 	close(stop)
 	swapper.Wait()
-	live.Swap(nil)
+	live.Replace(nil)
 	if live.Load() != nil {
 		t.Error("no set was put in use, and there is one")
 	}
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -55,17 +55,17 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Begin(quincena)
+		f.Reset(quincena)
 		for i := range f.vars {
 			f.vars[i] = benchVars[i]
 		}
 		s.Evaluate(f)
 	}
 	b.ReportMetric(float64(f.Cost()), "steps")
-	b.ReportMetric(float64(s.Bound()), "bound")
+	b.ReportMetric(float64(s.MaxCost()), "bound")
 }
 
-var benchVars = func() []Cell {
+var benchVars = func() []RawValue {
 	_, s, _ := read(testEnv(), nil, nil, "when true")
 	f := request(s)
 	return f.vars
@@ -94,7 +94,7 @@
 	if runtime.KeepAlive(s); used > 4<<20 {
 		t.Errorf("%d bytes", used)
 	}
-	t.Logf("%d bytes, bound %d steps", used, s.Bound())
+	t.Logf("%d bytes, bound %d steps", used, s.MaxCost())
 }
 
 // Evaluation allocates nothing.
@@ -102,7 +102,7 @@
 	s := realistic(t, 200)
 	f := request(s)
 	if n := testing.AllocsPerRun(100, func() {
-		f.Begin(quincena)
+		f.Reset(quincena)
 		copy(f.vars, benchVars)
 		s.Evaluate(f)
 	}); n != 0 {
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -40,12 +40,12 @@
 
 func (b *builder) failTable(t Table, format string, args ...any) {
 	b.faulty = true
-	t.Fault(fmt.Sprintf(format, args...))
+	t.ReportError(fmt.Sprintf(format, args...))
 }
 
-func (b *builder) failLine(l Line, argument int, msg string) {
+func (b *builder) failLine(l TableLine, argument int, msg string) {
 	b.faulty = true
-	l.Fault(argument, msg)
+	l.ReportError(argument, msg)
 }
 
 // checker gives the nodes of one expression their types.
@@ -65,13 +65,13 @@
 // on elsewhere.
 func (c *checker) fail(at int, format string, args ...any) *node {
 	c.faulty = true
-	c.src.Fault(at, fmt.Sprintf(format, args...))
+	c.src.ReportError(at, fmt.Sprintf(format, args...))
 	return nil
 }
 
 func (c *checker) remark(at int, format string, args ...any) {
-	if c.src.Remark != nil {
-		c.src.Remark(at, fmt.Sprintf(format, args...))
+	if c.src.ReportWarning != nil {
+		c.src.ReportWarning(at, fmt.Sprintf(format, args...))
 	}
 }
 
@@ -176,10 +176,10 @@
 func (c *checker) as(n *node, k Kind) *node {
 	switch {
 	case n.typ.Kind == nothing && (k == Class || k == Team):
-		return constant(Value{Kind: k, Cell: Cell{N: -1}}, n.at)
+		return constant(Value{Kind: k, RawValue: RawValue{Integer: -1}}, n.at)
 	case n.typ.Kind == Int && k == Float && !n.typ.Optional:
 		if n.isConst() {
-			return constant(Value{Kind: Float, Cell: Cell{F: float64(n.val.N)}}, n.at)
+			return constant(Value{Kind: Float, RawValue: RawValue{Float64: float64(n.val.Integer)}}, n.at)
 		}
 		f := functions["float"]
 		return (&node{op: opCall, fn: f, typ: Type{Kind: Float}, at: n.at, kids: []*node{n}}).finish()
@@ -326,9 +326,9 @@
 	for i, item := range items {
 		item = c.as(item, kind)
 		if kind == Prefix && item.typ.Kind == Addr && item.isConst() { // one address
-			a := item.val.A
+			a := item.val.IP
 			if p, err := a.Prefix(a.BitLen()); err == nil {
-				item = constant(Value{Kind: Prefix, P: p}, item.at)
+				item = constant(Value{Kind: Prefix, Network: p}, item.at)
 			}
 		}
 		if !item.isConst() || item.typ.Kind != kind {
@@ -400,7 +400,7 @@
 		switch {
 		case !b.isConst():
 			c.remark(at, "where the divisor is 0 the result is 0")
-		case b.val.N == 0 && b.val.F == 0:
+		case b.val.Integer == 0 && b.val.Float64 == 0:
 			return c.fail(b.at, "division by zero")
 		}
 	}
@@ -445,7 +445,7 @@
 	}
 	if n.isConst() {
 		v := n.val
-		v.N, v.F = negate(v.N), -v.F
+		v.Integer, v.Float64 = negate(v.Integer), -v.Float64
 		return c.made(constant(v, g.Pos.Offset))
 	}
 	return c.made(&node{op: opNeg, typ: n.typ, at: g.Pos.Offset, kids: []*node{n}})
@@ -492,7 +492,7 @@
 			return c.fail(at, "a string with an escape that stands for nothing; write it between backquotes to have none")
 		}
 	}
-	return c.made(constant(Value{Kind: String, Cell: Cell{S: text}}, at))
+	return c.made(constant(Value{Kind: String, RawValue: RawValue{Str: text}}, at))
 }
 
 // taken tells what a name is already, or "".
@@ -512,7 +512,7 @@
 		return "a team"
 	case slices.ContainsFunc(b.env.Vars, func(v Var) bool { return v.Name == name }):
 		return "a part of the request"
-	case slices.ContainsFunc(b.env.Texts, func(v TextVar) bool { return v.Name == name }):
+	case slices.ContainsFunc(b.env.TextFamilies, func(v TextFamily) bool { return v.Name == name }):
 		return "a part of the request"
 	}
 	return ""
@@ -529,25 +529,25 @@
 	}
 	for i, v := range c.env.Vars {
 		if v.Name == name {
-			return c.made(&node{op: opVar, typ: Type{v.Kind, v.Optional}, at: at, idx: i, most: v.Most, text: name})
+			return c.made(&node{op: opVar, typ: Type{v.Kind, v.Optional}, at: at, idx: i, most: v.MaxBytes, text: name})
 		}
 	}
 	switch name {
 	case "true", "false":
-		return c.made(constant(Value{Kind: Bool, Cell: Cell{B: name == "true"}}, at))
+		return c.made(constant(Value{Kind: Bool, RawValue: RawValue{IsTrue: name == "true"}}, at))
 	case "none":
 		return c.made(constant(Value{Kind: nothing}, at))
 	case "clock", "today":
-		return c.zoned(at, name, c.env.Local)
+		return c.zoned(at, name, c.env.LocalZone)
 	}
 	class, team := slices.Index(c.env.Classes, name), slices.Index(c.env.Teams, name)
 	switch {
 	case class >= 0 && team >= 0:
 		return c.fail(at, "%s is a class and a team; write class(%[1]q) or team(%[1]q)", name)
 	case class >= 0:
-		return c.made(constant(Value{Kind: Class, Cell: Cell{N: int64(class)}}, at))
+		return c.made(constant(Value{Kind: Class, RawValue: RawValue{Integer: int64(class)}}, at))
 	case team >= 0:
-		return c.made(constant(Value{Kind: Team, Cell: Cell{N: int64(team)}}, at))
+		return c.made(constant(Value{Kind: Team, RawValue: RawValue{Integer: int64(team)}}, at))
 	case c.tables[name] != nil:
 		return c.fail(at, "%s is a table; write %s[KEY], or KEY in %s", name, name, name)
 	case functions[name] != nil:
@@ -626,7 +626,7 @@
 		}
 		slices.Sort(names)
 		return c.fail(at, "no table %q%s", g.Name, spell.Suggest(g.Name, names))
-	case t.Value == 0:
+	case t.ValueKind == 0:
 		return c.fail(at, "%s is a set and has no values; write KEY in %s", t.Name, t.Name)
 	case key == nil:
 		return nil
@@ -637,7 +637,7 @@
 	if key.typ.Kind != t.key() {
 		return c.fail(key.at, "%s is looked up by %v, and this is %v", t.Name, t.key(), key.typ)
 	}
-	return c.made(&node{op: opTable, typ: Type{Kind: t.Value}, at: at, tab: t, kids: []*node{key}, most: t.most, text: t.Name})
+	return c.made(&node{op: opTable, typ: Type{Kind: t.ValueKind}, at: at, tab: t, kids: []*node{key}, most: t.most, text: t.Name})
 }
 
 // zone is a place whose clock a set looks at.
@@ -655,10 +655,10 @@
 		}
 		loc, err := time.UTC, error(nil)
 		if name != "" && name != "UTC" {
-			if c.env.Zone == nil {
+			if c.env.LoadZone == nil {
 				return c.fail(at, "no time zone but UTC is known here")
 			}
-			loc, err = c.env.Zone(name)
+			loc, err = c.env.LoadZone(name)
 		}
 		if err != nil {
 			return c.fail(at, "time zone %q: %v", name, err)
--- a/internal/rules/compile.go
+++ b/internal/rules/compile.go
@@ -25,8 +25,8 @@
 
 // shape is how values of one form are kept in cells, and what is peculiar to it.
 type shape[T any] struct {
-	get     func(*Cell) T
-	put     func(*Cell, T)
+	get     func(*RawValue) T
+	put     func(*RawValue, T)
 	seen    func(*compiler) map[*node]fn[T]
 	own     func(*compiler, *node) fn[T] // operators that only this form has
 	call    func(*function) func(*compiler, *node) fn[T]
@@ -43,31 +43,31 @@
 
 func init() {
 	boolShape = &shape[bool]{
-		func(c *Cell) bool { return c.B }, func(c *Cell, v bool) { c.B = v },
+		func(c *RawValue) bool { return c.IsTrue }, func(c *RawValue, v bool) { c.IsTrue = v },
 		func(k *compiler) map[*node]fn[bool] { return k.bools }, compileBool,
 		func(f *function) func(*compiler, *node) fn[bool] { return f.boolean },
 		func(*function) func(*compiler, *node) opt[bool] { return nil },
 	}
 	numShape = &shape[int64]{
-		func(c *Cell) int64 { return c.N }, func(c *Cell, v int64) { c.N = v },
+		func(c *RawValue) int64 { return c.Integer }, func(c *RawValue, v int64) { c.Integer = v },
 		func(k *compiler) map[*node]fn[int64] { return k.nums }, compileNum,
 		func(f *function) func(*compiler, *node) fn[int64] { return f.num },
 		func(f *function) func(*compiler, *node) opt[int64] { return f.optNum },
 	}
 	floatShape = &shape[float64]{
-		func(c *Cell) float64 { return c.F }, func(c *Cell, v float64) { c.F = v },
+		func(c *RawValue) float64 { return c.Float64 }, func(c *RawValue, v float64) { c.Float64 = v },
 		func(k *compiler) map[*node]fn[float64] { return k.floats }, compileFloat,
 		func(f *function) func(*compiler, *node) fn[float64] { return f.float },
 		func(f *function) func(*compiler, *node) opt[float64] { return f.optFlt },
 	}
 	textShape = &shape[string]{
-		func(c *Cell) string { return c.S }, func(c *Cell, v string) { c.S = v },
+		func(c *RawValue) string { return c.Str }, func(c *RawValue, v string) { c.Str = v },
 		func(k *compiler) map[*node]fn[string] { return k.texts }, compileText,
 		func(f *function) func(*compiler, *node) fn[string] { return f.text },
 		func(f *function) func(*compiler, *node) opt[string] { return f.optText },
 	}
 	addrShape = &shape[addr]{
-		func(c *Cell) addr { return c.A }, func(c *Cell, v addr) { c.A = v },
+		func(c *RawValue) addr { return c.IP }, func(c *RawValue, v addr) { c.IP = v },
 		func(k *compiler) map[*node]fn[addr] { return k.addrs }, nil,
 		func(*function) func(*compiler, *node) fn[addr] { return nil },
 		func(f *function) func(*compiler, *node) opt[addr] { return f.optAddr },
@@ -95,7 +95,7 @@
 	i, get, put := n.idx, s.get, s.put
 	switch n.op {
 	case opConst:
-		v := get(&n.val.Cell)
+		v := get(&n.val.RawValue)
 		return func(*Frame) T { return v }
 	case opVar:
 		return func(f *Frame) T { f.cost++; return get(&f.vars[i]) }
@@ -134,7 +134,7 @@
 		}
 	case opTable:
 		row, t := k.row(n.tab.index, n.kids[0], n.cost), n.tab
-		return func(f *Frame) T { return get(&t.at(row(f)).Cell) }
+		return func(f *Frame) T { return get(&t.at(row(f)).RawValue) }
 	case opCall:
 		return s.call(n.fn)(k, n)
 	}
@@ -150,11 +150,11 @@
 	}
 	switch n.op {
 	case opVar:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.vars[i]; return get(c), c.OK }
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.vars[i]; return get(c), c.Present }
 	case opText:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.texts[i]; return get(c), c.OK }
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.texts[i]; return get(c), c.Present }
 	case opLocal:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.slots[i]; return get(c), c.OK }
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.slots[i]; return get(c), c.Present }
 	case opLet:
 		bind, body := k.bind(n.kids[0], i), compileOpt(k, s, n.kids[1])
 		return func(f *Frame) (T, bool) { f.cost++; bind(f); return body(f) }
@@ -166,10 +166,10 @@
 			if f.turns[i] != f.turn {
 				v, ok := body(f)
 				put(c, v)
-				c.OK = ok
+				c.Present = ok
 				f.turns[i] = f.turn
 			}
-			return get(c), c.OK
+			return get(c), c.Present
 		}
 	case opElse:
 		value, other := compileOpt(k, s, n.kids[0]), compileOpt(k, s, n.kids[1])
@@ -206,7 +206,7 @@
 		v, ok := value(f)
 		c := &f.slots[slot]
 		put(c, v)
-		c.OK = ok
+		c.Present = ok
 	}
 }
 
@@ -258,7 +258,7 @@
 		row := k.row(n.keys, n.kids[0], n.cost)
 		return func(f *Frame) bool { return row(f) >= 0 }
 	case opInside:
-		a, p := k.addr(n.kids[0]), n.val.P
+		a, p := k.addr(n.kids[0]), n.val.Network
 		return func(f *Frame) bool { f.cost++; return p.Contains(a(f).WithZone("")) }
 	}
 	return k.compare(n)
@@ -307,10 +307,10 @@
 		return ordered(n.cmp, k.text(a), k.text(b), n.cost)
 	}
 	if b.isConst() && a.op == opVar { // many conditions are this
-		return varCompare(n.cmp, a.idx, b.val.N)
+		return varCompare(n.cmp, a.idx, b.val.Integer)
 	}
 	if b.isConst() && (n.cmp == '=' || n.cmp == '!') {
-		x, v, same := k.num(a), b.val.N, n.cmp == '='
+		x, v, same := k.num(a), b.val.Integer, n.cmp == '='
 		return func(f *Frame) bool { f.cost++; return (x(f) == v) == same }
 	}
 	return ordered(n.cmp, k.num(a), k.num(b), n.cost)
@@ -320,17 +320,17 @@
 func varCompare(cmp byte, i int, v int64) fn[bool] {
 	switch cmp {
 	case '=':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N == v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer == v }
 	case '!':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N != v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer != v }
 	case '<':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N < v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer < v }
 	case 'l':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N <= v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer <= v }
 	case '>':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N > v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer > v }
 	}
-	return func(f *Frame) bool { f.cost += 2; return f.vars[i].N >= v }
+	return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer >= v }
 }
 
 func ordered[T int64 | float64 | string](cmp byte, a, b fn[T], cost int64) fn[bool] {
@@ -397,13 +397,13 @@
 		size := 0
 		for i, p := range parts {
 			s := p(f)
-			f.slots[base+i].S = s
+			f.slots[base+i].Str = s
 			size += len(s)
 		}
 		f.cost += textCost(size) + int64(len(parts))
 		at := len(f.buf)
 		for i := range parts {
-			f.buf = append(f.buf, f.slots[base+i].S...)
+			f.buf = append(f.buf, f.slots[base+i].Str...)
 		}
 		return f.since(at)
 	}
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -1,17 +1,17 @@
 package rules
 
-// Step is what happened at one rule.
-type Step struct {
-	Rule   string
-	When   string // its condition, as it was written
-	Skips  bool   // it can't match a request of this class, and was not looked at
-	Match  bool
-	Cost   int64 // steps, with definitions where they were first used
-	Values []Named
+// RuleTrace is what happened at one rule.
+type RuleTrace struct {
+	Rule    string
+	Source  string // its condition, as it was written
+	Skipped bool   // it can't match a request of this class, and was not looked at
+	Matched bool
+	Cost    int64 // steps, with definitions where they were first used
+	Values  []NamedValue
 }
 
-// Named is a part of a condition with what it came to.
-type Named struct {
+// NamedValue is a part of a condition with what it came to.
+type NamedValue struct {
 	Name  string
 	Value Value
 }
@@ -26,7 +26,7 @@
 type part struct {
 	name string
 	kind Kind
-	read func(*Frame) Cell
+	read func(*Frame) RawValue
 }
 
 // traced keeps the parts of each rule's condition.
@@ -46,7 +46,7 @@
 			case opTable:
 				name += "[…]"
 			case opClock, opToday:
-				if n.idx > 0 || b.zones[n.idx].name != b.env.Local {
+				if n.idx > 0 || b.zones[n.idx].name != b.env.LocalZone {
 					name += "(\"" + b.zones[n.idx].name + "\")"
 				}
 			default:
@@ -87,7 +87,7 @@
 }
 
 // reader makes the function that reads a value of any kind.
-func (k *compiler) reader(n *node) func(*Frame) Cell {
+func (k *compiler) reader(n *node) func(*Frame) RawValue {
 	switch n.typ.Kind.form() {
 	case asBool:
 		return reader(compileOpt(k, boolShape, n), boolShape)
@@ -101,42 +101,42 @@
 	return reader(compileOpt(k, numShape, n), numShape)
 }
 
-func reader[T any](value opt[T], s *shape[T]) func(*Frame) Cell {
-	return func(f *Frame) (c Cell) {
+func reader[T any](value opt[T], s *shape[T]) func(*Frame) RawValue {
+	return func(f *Frame) (c RawValue) {
 		v, ok := value(f)
 		s.put(&c, v)
-		c.OK = ok
+		c.Present = ok
 		return c
 	}
 }
 
 // Explain evaluates as Evaluate does, and tells of each rule up to the one that
 // matches. The set must have been compiled with Env.Trace.
-func (s *Set) Explain(f *Frame) (rule int, steps []Step) {
+func (s *Set) Explain(f *Frame) (rule int, steps []RuleTrace) {
 	rule = s.Evaluate(f)
 	settings, cost := f.out, f.cost
 	f.forget() // definitions are worked out again, each where it is first used
 	p := &s.programs[0]
-	if v := s.env.Class; v >= 0 {
-		p = &s.programs[f.vars[v].N+1]
+	if v := s.env.ClassVar; v >= 0 {
+		p = &s.programs[f.vars[v].Integer+1]
 	}
 	at, quick := 0, 0
 	for i, t := range s.trace {
 		if rule >= 0 && i > rule {
 			break
 		}
-		one := Step{Rule: s.names[i], When: t.source.Text}
+		one := RuleTrace{Rule: s.names[i], Source: t.source.Text}
 		if at < len(p.steps) && int(p.steps[at].rule) == i {
 			f.cost = 0
-			one.Match = p.matches(f, at, quick)
+			one.Matched = p.matches(f, at, quick)
 			one.Cost = f.cost
 			quick += int(p.steps[at].quick)
 			at++
 		} else {
-			one.Skips = true
+			one.Skipped = true
 		}
 		for _, part := range t.parts {
-			one.Values = append(one.Values, Named{part.name, Value{Kind: part.kind, Cell: part.read(f)}})
+			one.Values = append(one.Values, NamedValue{part.name, Value{Kind: part.kind, RawValue: part.read(f)}})
 		}
 		steps = append(steps, one)
 	}
--- a/internal/rules/fold.go
+++ b/internal/rules/fold.go
@@ -34,8 +34,8 @@
 	case opConst, opText, opClock, opToday:
 		return n
 	case opVar:
-		if n.idx == p.env.Class && p.class != anyClass && len(p.env.Vars) > 0 && n.typ.Kind == Class {
-			return constant(Value{Kind: Class, Cell: Cell{N: int64(p.class)}}, n.at)
+		if n.idx == p.env.ClassVar && p.class != anyClass && len(p.env.Vars) > 0 && n.typ.Kind == Class {
+			return constant(Value{Kind: Class, RawValue: RawValue{Integer: int64(p.class)}}, n.at)
 		}
 		return n
 	case opLocal:
@@ -69,7 +69,7 @@
 	switch n.op {
 	case opIf:
 		if kids[0].isConst() {
-			if kids[0].val.B {
+			if kids[0].val.IsTrue {
 				return kids[1]
 			}
 			return kids[2]
@@ -93,7 +93,7 @@
 	var left []*node
 	for _, k := range kids {
 		switch {
-		case k.isConst() && k.val.B == (n.op == opOr): // it decides all
+		case k.isConst() && k.val.IsTrue == (n.op == opOr): // it decides all
 			return k
 		case k.isConst():
 		case k.op == n.op:
@@ -104,7 +104,7 @@
 	}
 	switch len(left) {
 	case 0:
-		return constant(Value{Kind: Bool, Cell: Cell{B: n.op == opAnd}}, n.at)
+		return constant(Value{Kind: Bool, RawValue: RawValue{IsTrue: n.op == opAnd}}, n.at)
 	case 1:
 		return left[0]
 	}
@@ -135,7 +135,7 @@
 		}
 	}
 	if v, ok := n.known(); ok {
-		return constant(Value{Kind: Bool, Cell: Cell{B: v}}, n.at)
+		return constant(Value{Kind: Bool, RawValue: RawValue{IsTrue: v}}, n.at)
 	}
 	if b.checking {
 		return n
@@ -147,15 +147,15 @@
 	v := Value{Kind: n.typ.Kind}
 	switch n.typ.Kind.form() {
 	case asBool:
-		v.B = k.boolean(n)(f)
+		v.IsTrue = k.boolean(n)(f)
 	case asFloat:
-		v.F = k.float(n)(f)
+		v.Float64 = k.float(n)(f)
 	case asText:
-		v.S = string([]byte(k.text(n)(f)))
+		v.Str = string([]byte(k.text(n)(f)))
 	case asAddr:
-		v.A = k.addr(n)(f)
+		v.IP = k.addr(n)(f)
 	default:
-		v.N = k.num(n)(f)
+		v.Integer = k.num(n)(f)
 	}
 	return constant(v, n.at)
 }
@@ -164,11 +164,11 @@
 func (n *node) known() (v, ok bool) {
 	switch {
 	case n.op == opNot:
-		return !n.kids[0].val.B, true
+		return !n.kids[0].val.IsTrue, true
 	case n.op == opCompare && (n.kids[0].typ.Kind == Class || n.kids[0].typ.Kind == Team):
-		return (n.kids[0].val.N == n.kids[1].val.N) == (n.cmp == '='), true
+		return (n.kids[0].val.Integer == n.kids[1].val.Integer) == (n.cmp == '='), true
 	case n.op == opIn && (n.keys.kind == Class || n.keys.kind == Team):
-		return n.keys.num(n.kids[0].val.N) >= 0, true
+		return n.keys.num(n.kids[0].val.Integer) >= 0, true
 	}
 	return false, false
 }
@@ -179,7 +179,7 @@
 func (n *node) classes(locals map[int]uint64) uint64 {
 	switch n.op {
 	case opConst:
-		return 1 << (n.val.N + 1)
+		return 1 << (n.val.Integer + 1)
 	case opLocal:
 		return locals[n.idx]
 	case opLet:
@@ -192,9 +192,9 @@
 	case opIf:
 		return n.kids[1].classes(locals) | n.kids[2].classes(locals)
 	case opTable:
-		set := uint64(1) << (n.tab.miss.N + 1)
+		set := uint64(1) << (n.tab.miss.Integer + 1)
 		for _, v := range n.tab.values {
-			set |= 1 << (v.N + 1)
+			set |= 1 << (v.Integer + 1)
 		}
 		return set
 	}
--- a/internal/rules/frame.go
+++ b/internal/rules/frame.go
@@ -13,13 +13,13 @@
 	now   time.Time
 	cost  int64
 	turn  uint32 // of the request: what has another turn is of an earlier one
-	vars  []Cell
-	texts []Cell
-	slots []Cell
+	vars  []RawValue
+	texts []RawValue
+	slots []RawValue
 	turns []uint32 // by slot, of definitions
 	zones []zoneTime
 	buf   []byte // the strings made for the request
-	out   []Setting
+	out   []Assignment
 }
 
 type zoneTime struct {
@@ -30,28 +30,28 @@
 	offset, from, until int64
 }
 
-// Setting is one thing that the matching rule sets.
-type Setting struct {
-	Target int // index into Env.Targets
-	Sub    string
+// Assignment is one thing that the matching rule sets.
+type Assignment struct {
+	Target  int // index into Env.Targets
+	Subname string
 	Value
 	// Fixed tells that a string is the set's own, not part of the request's or the
 	// frame's bytes, which are used again.
-	Fixed bool
+	Persistent bool
 }
 
 // NewFrame returns room to evaluate s in.
 func (s *Set) NewFrame() *Frame {
 	return &Frame{
-		set: s, vars: make([]Cell, len(s.env.Vars)), texts: make([]Cell, len(s.texts)),
-		slots: make([]Cell, s.slots), turns: make([]uint32, s.slots), zones: make([]zoneTime, len(s.zones)),
-		buf: make([]byte, 0, s.arena), out: make([]Setting, 0, s.mostOut),
+		set: s, vars: make([]RawValue, len(s.env.Vars)), texts: make([]RawValue, len(s.texts)),
+		slots: make([]RawValue, s.slots), turns: make([]uint32, s.slots), zones: make([]zoneTime, len(s.zones)),
+		buf: make([]byte, 0, s.arena), out: make([]Assignment, 0, s.mostOut),
 	}
 }
 
-// Begin makes the frame ready for a request that came at a time. All that may be
+// Reset makes the frame ready for a request that came at a time. All that may be
 // absent is.
-func (f *Frame) Begin(now time.Time) {
+func (f *Frame) Reset(now time.Time) {
 	f.now, f.cost, f.buf, f.out = now, 0, f.buf[:0], f.out[:0]
 	f.forget()
 	clear(f.vars)
@@ -69,33 +69,33 @@
 	}
 }
 
-// SetNum sets a variable that is held as a whole number.
-func (f *Frame) SetNum(v int, n int64) { f.vars[v].N, f.vars[v].OK = n, true }
+// SetInt sets a variable that is held as a whole number.
+func (f *Frame) SetInt(v int, n int64) { f.vars[v].Integer, f.vars[v].Present = n, true }
 
 // SetFloat sets a number. What is none is absent.
-func (f *Frame) SetFloat(v int, x float64) { f.vars[v].F, f.vars[v].OK = x, x-x == 0 }
+func (f *Frame) SetFloat(v int, x float64) { f.vars[v].Float64, f.vars[v].Present = x, x-x == 0 }
 
 // SetBool sets a truth value.
-func (f *Frame) SetBool(v int, b bool) { f.vars[v].B, f.vars[v].OK = b, true }
+func (f *Frame) SetBool(v int, b bool) { f.vars[v].IsTrue, f.vars[v].Present = b, true }
 
 // SetAddr sets an address. An invalid one is absent.
-func (f *Frame) SetAddr(v int, a addr) { f.vars[v].A, f.vars[v].OK = a.Unmap(), a.IsValid() }
+func (f *Frame) SetAddr(v int, a addr) { f.vars[v].IP, f.vars[v].Present = a.Unmap(), a.IsValid() }
 
 // SetString sets a string, of which nothing may change until the evaluation and
 // the reading of its result are over.
-func (f *Frame) SetString(v int, s string) { setText(&f.vars[v], s, f.set.env.Vars[v].Most) }
+func (f *Frame) SetString(v int, s string) { setText(&f.vars[v], s, f.set.env.Vars[v].MaxBytes) }
 
 // SetText sets one of Set.Texts, likewise.
 func (f *Frame) SetText(i int, b []byte) {
-	setText(&f.texts[i], unsafe.String(unsafe.SliceData(b), len(b)), f.set.env.Texts[f.set.texts[i].Family].Most)
+	setText(&f.texts[i], unsafe.String(unsafe.SliceData(b), len(b)), f.set.env.TextFamilies[f.set.texts[i].Family].MaxBytes)
 }
 
 // setText takes a string of up to most bytes. Guard: the cost of a set is bounded
 // by the lengths that its texts may have, so a longer one, or one that is no
 // UTF-8, is not there.
-func setText(c *Cell, s string, most int) {
+func setText(c *RawValue, s string, most int) {
 	if len(s) <= most && utf8.ValidString(s) {
-		c.S, c.OK = s, true
+		c.Str, c.Present = s, true
 	}
 }
 
--- a/internal/rules/function.go
+++ b/internal/rules/function.go
@@ -37,7 +37,7 @@
 
 // call checks a call.
 func (c *checker) call(at int, g *gCall) *node {
-	if i := slices.IndexFunc(c.env.Texts, func(v TextVar) bool { return v.Name == g.Name }); i >= 0 {
+	if i := slices.IndexFunc(c.env.TextFamilies, func(v TextFamily) bool { return v.Name == g.Name }); i >= 0 {
 		return c.textVar(at, i, g)
 	}
 	f := functions[g.Name]
@@ -72,10 +72,10 @@
 
 // textVar is NAME("x").
 func (c *checker) textVar(at, family int, g *gCall) *node {
-	f := c.env.Texts[family]
+	f := c.env.TextFamilies[family]
 	if len(g.Args) == 1 {
-		if arg := c.expr(g.Args[0]); arg != nil && arg.isConst() && arg.typ.Kind == String && arg.val.S != "" && len(arg.val.S) <= maxName {
-			ref := TextRef{family, arg.val.S}
+		if arg := c.expr(g.Args[0]); arg != nil && arg.isConst() && arg.typ.Kind == String && arg.val.Str != "" && len(arg.val.Str) <= maxName {
+			ref := TextRef{family, arg.val.Str}
 			i := slices.Index(c.texts, ref)
 			if i < 0 {
 				if len(c.texts) >= maxTexts {
@@ -84,7 +84,7 @@
 				i = len(c.texts)
 				c.texts = append(c.texts, ref)
 			}
-			return c.made(&node{op: opText, typ: Type{String, true}, at: at, idx: i, most: f.Most, text: g.Name + "(" + strconv.Quote(ref.Name) + ")"})
+			return c.made(&node{op: opText, typ: Type{String, true}, at: at, idx: i, most: f.MaxBytes, text: g.Name + "(" + strconv.Quote(ref.Name) + ")"})
 		}
 	}
 	return c.fail(at, "%s wants a name in quotes of at most %d bytes, as in %s(\"x\")", g.Name, maxName, g.Name)
@@ -160,15 +160,15 @@
 				if !c.want(at, "glob", args, String, String) || !c.fixed(args[1], "the pattern") {
 					return nil
 				}
-				if p := args[1].val.S; len(p) > maxPattern {
+				if p := args[1].val.Str; len(p) > maxPattern {
 					return c.fail(args[1].at, "a pattern of %d bytes; at most %d are read", len(p), maxPattern)
 				}
 				n := result(Bool, false, 0, args[0])
-				n.arg.S = args[1].val.S
+				n.arg.Str = args[1].val.Str
 				return n
 			},
 			boolean: func(k *compiler, n *node) fn[bool] {
-				s, p, cost := k.text(n.kids[0]), n.arg.S, int64(len(n.arg.S)+1)
+				s, p, cost := k.text(n.kids[0]), n.arg.Str, int64(len(n.arg.Str)+1)
 				return func(f *Frame) bool {
 					v := s(f)
 					f.cost += 2 + int64(len(v)+1)*cost/2
@@ -183,7 +183,7 @@
 				if !c.want(at, "matches", args, String, String) || !c.fixed(args[1], "the pattern") {
 					return nil
 				}
-				re, insts := c.pattern(args[1].at, args[1].val.S)
+				re, insts := c.pattern(args[1].at, args[1].val.Str)
 				if re == nil {
 					return nil
 				}
@@ -211,15 +211,15 @@
 				if !c.want(at, "part", args, String, String, Int) || !c.fixed(args[1], "the separator") || !c.fixed(args[2], "the part's number") {
 					return nil
 				}
-				if len(args[1].val.S) != 1 || args[2].val.N < 1 || args[2].val.N > 1000 {
+				if len(args[1].val.Str) != 1 || args[2].val.Integer < 1 || args[2].val.Integer > 1000 {
 					return c.fail(args[1].at, "the separator is one byte, the part's number from 1 to 1000")
 				}
 				n := result(String, true, args[0].most, args[0])
-				n.arg.S, n.arg.N = args[1].val.S, args[2].val.N
+				n.arg.Str, n.arg.Integer = args[1].val.Str, args[2].val.Integer
 				return n
 			},
 			optText: func(k *compiler, n *node) opt[string] {
-				s, sep, nth := k.text(n.kids[0]), n.arg.S[0], n.arg.N
+				s, sep, nth := k.text(n.kids[0]), n.arg.Str[0], n.arg.Integer
 				return func(f *Frame) (string, bool) {
 					v := s(f)
 					f.cost += 2 + textCost(len(v))
@@ -285,15 +285,15 @@
 				if !c.want(at, "bucket", args, 0, Int) || !c.hashable(args[0]) || !c.fixed(args[1], "the number of shares") {
 					return nil
 				}
-				if n := args[1].val.N; n < 1 || n > maxBuckets {
+				if n := args[1].val.Integer; n < 1 || n > maxBuckets {
 					return c.fail(args[1].at, "from 1 to %d shares", maxBuckets)
 				}
 				n := result(Int, false, 0, args[0])
-				n.arg.N = args[1].val.N
+				n.arg.Integer = args[1].val.Integer
 				return n
 			},
 			num: func(k *compiler, n *node) fn[int64] {
-				h, shares := k.hash(n.kids[0]), uint64(n.arg.N)
+				h, shares := k.hash(n.kids[0]), uint64(n.arg.Integer)
 				return func(f *Frame) int64 {
 					high, _ := bits.Mul64(h(f), shares)
 					return int64(high)
@@ -422,7 +422,7 @@
 					return nil
 				}
 				if args[0].isConst() {
-					return c.constOf(at, Title, args[0].val.S)
+					return c.constOf(at, Title, args[0].val.Str)
 				}
 				return result(Title, true, 0, args[0])
 			},
@@ -442,7 +442,7 @@
 					return nil
 				}
 				if args[0].isConst() {
-					return c.constOf(at, Addr, args[0].val.S)
+					return c.constOf(at, Addr, args[0].val.Str)
 				}
 				return result(Addr, true, 0, args[0])
 			},
@@ -454,7 +454,7 @@
 				if !c.want(at, "prefix", args, String) || !c.fixed(args[0], "a prefix") {
 					return nil
 				}
-				return c.constOf(at, Prefix, args[0].val.S)
+				return c.constOf(at, Prefix, args[0].val.Str)
 			},
 		},
 		"clock": inZone("clock", "the time of day there"),
@@ -500,7 +500,7 @@
 }
 
 // text2 is the pattern of a glob.
-func (n *node) text2() string { return n.arg.S }
+func (n *node) text2() string { return n.arg.Str }
 
 // constOf is a constant that is read from a string.
 func (c *checker) constOf(at int, k Kind, text string) *node {
@@ -520,7 +520,7 @@
 			if !c.want(at, name, args, String) || !c.fixed(args[0], "a name") {
 				return nil
 			}
-			return c.constOf(at, k, args[0].val.S)
+			return c.constOf(at, k, args[0].val.Str)
 		},
 	}
 }
@@ -615,7 +615,7 @@
 			if !c.want(at, name, args, String) || !c.fixed(args[0], "a time zone") {
 				return nil
 			}
-			return c.zoned(at, name, args[0].val.S)
+			return c.zoned(at, name, args[0].val.Str)
 		},
 	}
 }
--- a/internal/rules/grammar.go
+++ b/internal/rules/grammar.go
@@ -170,7 +170,7 @@
 // parse reads a text after its bounds have been checked.
 func parse[G any](p *participle.Parser[G], src Source) *G {
 	if at, msg := bounds(src.Text); msg != "" {
-		src.Fault(at, msg)
+		src.ReportError(at, msg)
 		return nil
 	}
 	tree, err := p.ParseString("", src.Text)
@@ -189,7 +189,7 @@
 			msg = "the quote that begins here has no end"
 		}
 	}
-	src.Fault(at, msg)
+	src.ReportError(at, msg)
 	return nil
 }
 
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -47,7 +47,7 @@
 	tab   *table
 	re    *regexp.Regexp
 	insts int // of re
-	arg   Cell
+	arg   RawValue
 	most  int   // bytes of a string
 	cost  int64 // most steps to evaluate it, kids and definitions left out
 	depth int
@@ -107,9 +107,9 @@
 
 func (n *node) isConst() bool { return n.op == opConst }
 
-func (n *node) isTrue() bool { return n.op == opConst && n.typ.Kind == Bool && n.val.B }
+func (n *node) isTrue() bool { return n.op == opConst && n.typ.Kind == Bool && n.val.IsTrue }
 
-func (n *node) isFalse() bool { return n.op == opConst && n.typ.Kind == Bool && !n.val.B }
+func (n *node) isFalse() bool { return n.op == opConst && n.typ.Kind == Bool && !n.val.IsTrue }
 
 // finish sets what follows from the kids.
 func (n *node) finish() *node {
@@ -148,10 +148,10 @@
 }
 
 func constant(v Value, at int) *node {
-	v.OK = true
+	v.Present = true
 	n := &node{op: opConst, typ: Type{Kind: v.Kind}, at: at, val: v}
 	if v.Kind == String {
-		n.most = len(v.S)
+		n.most = len(v.Str)
 	}
 	return n.finish()
 }
--- a/internal/rules/property_test.go
+++ b/internal/rules/property_test.go
@@ -146,8 +146,8 @@
 		depth := rapid.IntRange(1, 4).Draw(t, "depth")
 		when, also, text := gen(t, Bool, depth, nil), gen(t, Bool, depth-1, nil), gen(t, String, depth, nil)
 		env := testEnv()
-		env.Targets[3].Most = maxString
-		env.Budget = MostBudget
+		env.Targets[3].MaxBytes = maxString
+		env.StepBudget = MaxStepBudget
 		told := new(told)
 		b := newBuilder(env)
 		b.readTables(testTables(told))
@@ -178,13 +178,13 @@
 		}
 		s := b.assemble(list, false)
 		f := s.NewFrame()
-		f.Begin(time.Date(2026, 5, 15, 0, 0, 0, 0, time.UTC).Add(time.Duration(rapid.Int64Range(0, 1e18).Draw(t, "now"))))
-		f.SetNum(vClass, int64(rapid.IntRange(-1, 2).Draw(t, "class")))
-		f.SetNum(vTeam, int64(rapid.IntRange(-1, 2).Draw(t, "team")))
-		f.SetNum(vTitle, rapid.SampledFrom([]int64{0x7f3a, 1, 8, -1}).Draw(t, "title"))
-		f.SetNum(vCopies, rapid.Int64Range(-2, 5).Draw(t, "copies"))
+		f.Reset(time.Date(2026, 5, 15, 0, 0, 0, 0, time.UTC).Add(time.Duration(rapid.Int64Range(0, 1e18).Draw(t, "now"))))
+		f.SetInt(vClass, int64(rapid.IntRange(-1, 2).Draw(t, "class")))
+		f.SetInt(vTeam, int64(rapid.IntRange(-1, 2).Draw(t, "team")))
+		f.SetInt(vTitle, rapid.SampledFrom([]int64{0x7f3a, 1, 8, -1}).Draw(t, "title"))
+		f.SetInt(vCopies, rapid.Int64Range(-2, 5).Draw(t, "copies"))
 		f.SetFloat(vTop, rapid.SampledFrom([]float64{0, -2.5, 1e300}).Draw(t, "top"))
-		f.SetNum(vLeft, rapid.SampledFrom([]int64{0, 1e9, math.MaxInt64}).Draw(t, "left"))
+		f.SetInt(vLeft, rapid.SampledFrom([]int64{0, 1e9, math.MaxInt64}).Draw(t, "left"))
 		f.SetBool(vRetry, rapid.Bool().Draw(t, "retry"))
 		if rapid.Bool().Draw(t, "viewer") {
 			f.SetString(vViewer, rapid.SampledFrom([]string{"Till;7f3a", "a", "b"}).Draw(t, "name"))
@@ -192,13 +192,13 @@
 		if rapid.Bool().Draw(t, "client") {
 			f.SetAddr(vClient, netip.MustParseAddr("10.4.7.9"))
 		}
-		for i := range s.Texts() {
+		for i := range s.TextRefs() {
 			if rapid.Bool().Draw(t, "x") {
 				f.SetText(i, []byte(rapid.SampledFrom([]string{"", "a1b2", "-5"}).Draw(t, "text")))
 			}
 		}
 		w := &walker{set: s, f: f, b: b, locals: make(map[int]Value)}
-		want := slices.IndexFunc(list, func(r *checked) bool { return w.walk(r.when).B })
+		want := slices.IndexFunc(list, func(r *checked) bool { return w.walk(r.when).IsTrue })
 		rule := s.Evaluate(f)
 		evaluated++
 		if rule != want {
@@ -206,7 +206,7 @@
 		}
 		if want >= 0 {
 			matched++
-			if got, want := f.Settings()[0].S, w.walk(list[want].settings[0].value).S; got != want {
+			if got, want := f.Assignments()[0].Str, w.walk(list[want].settings[0].value).Str; got != want {
 				t.Fatalf("%s: %q, want %q", text, got, want)
 			}
 		}
@@ -230,16 +230,16 @@
 
 func (w *walker) walk(n *node) Value {
 	kid := func(i int) Value { return w.walk(n.kids[i]) }
-	out := func(k Kind, c Cell) Value { c.OK = true; return Value{Kind: k, Cell: c} }
-	truth := func(b bool) Value { return out(Bool, Cell{B: b}) }
+	out := func(k Kind, c RawValue) Value { c.Present = true; return Value{Kind: k, RawValue: c} }
+	truth := func(b bool) Value { return out(Bool, RawValue{IsTrue: b}) }
 	zone := func() time.Time { return w.f.now.In(w.b.zones[n.idx].loc) }
 	switch n.op {
 	case opConst:
 		return n.val
 	case opVar:
-		return Value{Kind: n.typ.Kind, Cell: w.f.vars[n.idx]}
+		return Value{Kind: n.typ.Kind, RawValue: w.f.vars[n.idx]}
 	case opText:
-		return Value{Kind: String, Cell: w.f.texts[n.idx]}
+		return Value{Kind: String, RawValue: w.f.texts[n.idx]}
 	case opLocal:
 		return w.locals[n.idx]
 	case opLet:
@@ -253,51 +253,51 @@
 		}
 		return n.tab.miss
 	case opIf:
-		if kid(0).B {
+		if kid(0).IsTrue {
 			return kid(1)
 		}
 		return kid(2)
 	case opNot:
-		return truth(!kid(0).B)
+		return truth(!kid(0).IsTrue)
 	case opAnd, opOr:
 		v := n.op == opAnd
 		for i := range n.kids {
 			if n.op == opAnd {
-				v = kid(i).B && v
+				v = kid(i).IsTrue && v
 			} else {
-				v = kid(i).B || v
+				v = kid(i).IsTrue || v
 			}
 		}
 		return truth(v)
 	case opIn:
 		return truth(w.row(n.keys, kid(0)) >= 0)
 	case opInside:
-		return truth(n.val.P.Contains(kid(0).A))
+		return truth(n.val.Network.Contains(kid(0).IP))
 	case opElse:
-		if v := kid(0); v.OK {
+		if v := kid(0); v.Present {
 			return v
 		}
 		return kid(1)
 	case opHas:
-		return truth(kid(0).OK)
+		return truth(kid(0).Present)
 	case opClock:
 		t := zone()
-		return out(Clock, Cell{N: int64(time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond()))})
+		return out(Clock, RawValue{Integer: int64(time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond()))})
 	case opToday:
 		t := zone()
-		return out(Date, Cell{N: time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC).Unix() / 86400})
+		return out(Date, RawValue{Integer: time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC).Unix() / 86400})
 	case opConcat:
 		s := ""
 		for i := range n.kids {
-			s += kid(i).S
+			s += kid(i).Str
 		}
-		return out(String, Cell{S: s})
+		return out(String, RawValue{Str: s})
 	case opNeg:
 		v := kid(0)
 		if v.Kind == Float {
-			return out(Float, Cell{F: -v.F})
+			return out(Float, RawValue{Float64: -v.Float64})
 		}
-		return out(n.typ.Kind, Cell{N: clamp(new(big.Int).Neg(big.NewInt(v.N)))})
+		return out(n.typ.Kind, RawValue{Integer: clamp(new(big.Int).Neg(big.NewInt(v.Integer)))})
 	case opSum:
 		return w.sum(n, kid(0), kid(1))
 	case opCompare:
@@ -311,14 +311,14 @@
 	switch x.kind {
 	case String:
 		for s, row := range x.texts {
-			if s == key.S {
+			if s == key.Str {
 				return int(row)
 			}
 		}
 	case Prefix:
 		best, found := -1, -1
 		each := func(p netip.Prefix, row int32) {
-			if p.Contains(key.A) && p.Bits() > best {
+			if p.Contains(key.IP) && p.Bits() > best {
 				best, found = p.Bits(), int(row)
 			}
 		}
@@ -331,7 +331,7 @@
 		return found
 	default:
 		for n, row := range x.nums {
-			if n == key.N {
+			if n == key.Integer {
 				return int(row)
 			}
 		}
@@ -350,27 +350,27 @@
 }
 
 func (w *walker) sum(n *node, a, b Value) Value {
-	v := Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}
+	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	if v.Kind == Float {
 		switch n.cmp {
 		case '+':
-			v.F = a.F + b.F
+			v.Float64 = a.Float64 + b.Float64
 		case '-':
-			v.F = a.F - b.F
+			v.Float64 = a.Float64 - b.Float64
 		case '*':
-			v.F = a.F * b.F
+			v.Float64 = a.Float64 * b.Float64
 		default:
-			if b.F != 0 {
-				v.F = a.F / b.F
+			if b.Float64 != 0 {
+				v.Float64 = a.Float64 / b.Float64
 			}
 		}
-		if math.IsNaN(v.F) {
-			v.F = 0
+		if math.IsNaN(v.Float64) {
+			v.Float64 = 0
 		}
-		v.F = max(min(v.F, math.MaxFloat64), -math.MaxFloat64)
+		v.Float64 = max(min(v.Float64, math.MaxFloat64), -math.MaxFloat64)
 		return v
 	}
-	x, y, z := big.NewInt(a.N), big.NewInt(b.N), new(big.Int)
+	x, y, z := big.NewInt(a.Integer), big.NewInt(b.Integer), new(big.Int)
 	switch {
 	case n.cmp == '+':
 		z.Add(x, y)
@@ -378,14 +378,14 @@
 		z.Sub(x, y)
 	case n.cmp == '*':
 		z.Mul(x, y)
-	case b.N == 0:
+	case b.Integer == 0:
 	case n.cmp == '/':
 		z.Quo(x, y)
 	default:
 		z.Rem(x, y)
 	}
-	if v.N = clamp(z); v.Kind == Date {
-		v.N = min(max(v.N, -719162), 2932896)
+	if v.Integer = clamp(z); v.Kind == Date {
+		v.Integer = min(max(v.Integer, -719162), 2932896)
 	}
 	return v
 }
@@ -393,96 +393,96 @@
 func compareValues(a, b Value) int {
 	switch a.Kind {
 	case Bool:
-		if a.B == b.B {
+		if a.IsTrue == b.IsTrue {
 			return 0
 		}
 		return 1
 	case Float:
-		return big.NewFloat(a.F).Cmp(big.NewFloat(b.F))
+		return big.NewFloat(a.Float64).Cmp(big.NewFloat(b.Float64))
 	case String:
-		return strings.Compare(a.S, b.S)
+		return strings.Compare(a.Str, b.Str)
 	case Addr:
-		return a.A.Compare(b.A)
+		return a.IP.Compare(b.IP)
 	}
-	return big.NewInt(a.N).Cmp(big.NewInt(b.N))
+	return big.NewInt(a.Integer).Cmp(big.NewInt(b.Integer))
 }
 
 func (w *walker) call(n *node, kid func(int) Value) Value {
-	v := Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}
+	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	a := kid(0)
-	at := func() time.Time { return time.Date(1970, 1, 1, 0, 0, 0, 0, time.UTC).AddDate(0, 0, int(a.N)) }
+	at := func() time.Time { return time.Date(1970, 1, 1, 0, 0, 0, 0, time.UTC).AddDate(0, 0, int(a.Integer)) }
 	switch n.text {
 	case "len":
-		v.N = int64(len(a.S))
+		v.Integer = int64(len(a.Str))
 	case "lower":
-		v.S = strings.Map(func(r rune) rune { return r + map[bool]rune{r >= 'A' && r <= 'Z': 32}[true] }, a.S)
+		v.Str = strings.Map(func(r rune) rune { return r + map[bool]rune{r >= 'A' && r <= 'Z': 32}[true] }, a.Str)
 	case "upper":
-		v.S = strings.Map(func(r rune) rune { return r - map[bool]rune{r >= 'a' && r <= 'z': 32}[true] }, a.S)
+		v.Str = strings.Map(func(r rune) rune { return r - map[bool]rune{r >= 'a' && r <= 'z': 32}[true] }, a.Str)
 	case "starts":
-		v.B = strings.HasPrefix(a.S, kid(1).S)
+		v.IsTrue = strings.HasPrefix(a.Str, kid(1).Str)
 	case "ends":
-		v.B = strings.HasSuffix(a.S, kid(1).S)
+		v.IsTrue = strings.HasSuffix(a.Str, kid(1).Str)
 	case "contains":
-		v.B = strings.Contains(a.S, kid(1).S)
+		v.IsTrue = strings.Contains(a.Str, kid(1).Str)
 	case "glob":
-		p := strings.NewReplacer(`\*`, "(?s:.*)", `\?`, "(?s:.)").Replace(regexp.QuoteMeta(n.arg.S))
-		v.B = regexp.MustCompile("^" + p + "$").MatchString(a.S)
+		p := strings.NewReplacer(`\*`, "(?s:.*)", `\?`, "(?s:.)").Replace(regexp.QuoteMeta(n.arg.Str))
+		v.IsTrue = regexp.MustCompile("^" + p + "$").MatchString(a.Str)
 	case "matches":
-		v.B = n.re.MatchString(a.S)
+		v.IsTrue = n.re.MatchString(a.Str)
 	case "part":
-		parts := strings.Split(a.S, n.arg.S)
-		if v.OK = int(n.arg.N) <= len(parts); v.OK {
-			v.S = parts[n.arg.N-1]
+		parts := strings.Split(a.Str, n.arg.Str)
+		if v.Present = int(n.arg.Integer) <= len(parts); v.Present {
+			v.Str = parts[n.arg.Integer-1]
 		}
 	case "text":
-		v.S = strings.Trim(w.set.env.Show(a), `"`)
+		v.Str = strings.Trim(w.set.env.FormatValue(a), `"`)
 	case "hash":
-		v.N = int64(xxhash.Sum64String(a.S) >> 1)
+		v.Integer = int64(xxhash.Sum64String(a.Str) >> 1)
 	case "bucket":
-		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(w.set.env.Show(a))), big.NewInt(n.arg.N))
-		v.N = z.Rsh(z, 64).Int64()
+		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(w.set.env.FormatValue(a))), big.NewInt(n.arg.Integer))
+		v.Integer = z.Rsh(z, 64).Int64()
 	case "abs":
-		if v.F = math.Abs(a.F); a.Kind != Float {
-			v.N = clamp(new(big.Int).Abs(big.NewInt(a.N)))
+		if v.Float64 = math.Abs(a.Float64); a.Kind != Float {
+			v.Integer = clamp(new(big.Int).Abs(big.NewInt(a.Integer)))
 		}
 	case "min", "max":
-		v.N = map[bool]int64{true: min(a.N, kid(1).N), false: max(a.N, kid(1).N)}[n.text == "min"]
+		v.Integer = map[bool]int64{true: min(a.Integer, kid(1).Integer), false: max(a.Integer, kid(1).Integer)}[n.text == "min"]
 	case "int":
 		if a.Kind == Float {
-			z, _ := big.NewFloat(a.F).Int(nil)
-			v.N = clamp(z)
+			z, _ := big.NewFloat(a.Float64).Int(nil)
+			v.Integer = clamp(z)
 			break
 		}
-		x, err := strconv.ParseInt(a.S, 10, 64)
-		v.N, v.OK = x, err == nil
+		x, err := strconv.ParseInt(a.Str, 10, 64)
+		v.Integer, v.Present = x, err == nil
 	case "float":
-		if v.F = float64(a.N); a.Kind == String {
-			x, err := strconv.ParseFloat(a.S, 64)
-			v.F, v.OK = x, err == nil
+		if v.Float64 = float64(a.Integer); a.Kind == String {
+			x, err := strconv.ParseFloat(a.Str, 64)
+			v.Float64, v.Present = x, err == nil
 		}
 	case "ms":
-		v.N = time.Duration(a.N).Milliseconds()
+		v.Integer = time.Duration(a.Integer).Milliseconds()
 	case "title":
-		x, err := strconv.ParseUint(a.S, 16, 64)
-		v.N, v.OK = int64(x), err == nil
+		x, err := strconv.ParseUint(a.Str, 16, 64)
+		v.Integer, v.Present = int64(x), err == nil
 	case "addr":
-		x, err := netip.ParseAddr(a.S)
-		v.A, v.OK = x, err == nil
+		x, err := netip.ParseAddr(a.Str)
+		v.IP, v.Present = x, err == nil
 	case "day":
-		v.N = int64(at().Day())
+		v.Integer = int64(at().Day())
 	case "month":
-		v.N = int64(at().Month())
+		v.Integer = int64(at().Month())
 	case "year":
-		v.N = int64(at().Year())
+		v.Integer = int64(at().Year())
 	case "weekday":
-		v.N = int64(at().Weekday())
-		if v.N == 0 {
-			v.N = 7
+		v.Integer = int64(at().Weekday())
+		if v.Integer == 0 {
+			v.Integer = 7
 		}
 	case "quincena":
-		v.B = at().Day() == 15 || at().Month() != at().Add(24*time.Hour).Month()
+		v.IsTrue = at().Day() == 15 || at().Month() != at().Add(24*time.Hour).Month()
 	case "last_day":
-		v.B = at().Month() != at().Add(24*time.Hour).Month()
+		v.IsTrue = at().Month() != at().Add(24*time.Hour).Month()
 	default:
 		panic("the walker has no " + n.text)
 	}
@@ -497,7 +497,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		tol := new(told)
-		src := Source{Text: text, Fault: func(at int, msg string) {
+		src := Source{Text: text, ReportError: func(at int, msg string) {
 			tol.faults = append(tol.faults, msg)
 			if at < 0 || at > len(text) || msg == "" {
 				t.Errorf("%q: fault at %d: %s", text, at, msg)
@@ -514,8 +514,8 @@
 			}
 			return
 		}
-		if fr := request(s); s.Evaluate(fr) > 0 || fr.Cost() > s.Bound() {
-			t.Errorf("%q: cost %d, bound %d", text, fr.Cost(), s.Bound())
+		if fr := request(s); s.Evaluate(fr) > 0 || fr.Cost() > s.MaxCost() {
+			t.Errorf("%q: cost %d, bound %d", text, fr.Cost(), s.MaxCost())
 		}
 	})
 }
--- a/internal/rules/quick.go
+++ b/internal/rules/quick.go
@@ -60,7 +60,7 @@
 		return q, false
 	case n.op == opCompare && n.kids[1].isConst():
 		a, v := n.kids[0], n.kids[1].val
-		q.cmp, q.idx, q.n = n.cmp, uint16(a.idx), v.N
+		q.cmp, q.idx, q.n = n.cmp, uint16(a.idx), v.Integer
 		switch {
 		case a.idx >= quickWidth:
 		case a.typ.Kind.form() == asNum && a.op == opVar:
@@ -70,13 +70,13 @@
 			q.kind = quickSlot
 			return q, true
 		case a.typ.Kind == String && a.op == opDef && (n.cmp == '=' || n.cmp == '!'):
-			q.kind, q.n = quickWord, p.word(v.S)
+			q.kind, q.n = quickWord, p.word(v.Str)
 			return q, true
 		}
 	case n.op == opCall && n.text == "starts" && n.kids[1].isConst():
 		a := n.kids[0]
-		if a.op == opElse && a.kids[0].op == opText && a.kids[1].isConst() && a.kids[1].val.S == "" {
-			q.kind, q.idx, q.n = quickHead, uint16(a.kids[0].idx), p.word(n.kids[1].val.S)
+		if a.op == opElse && a.kids[0].op == opText && a.kids[1].isConst() && a.kids[1].val.Str == "" {
+			q.kind, q.idx, q.n = quickHead, uint16(a.kids[0].idx), p.word(n.kids[1].val.Str)
 			return q, true
 		}
 	}
@@ -100,15 +100,15 @@
 	f.cost += int64(q.cost)
 	switch q.kind {
 	case quickNum:
-		return compareNum(q.cmp, f.vars[q.idx].N, q.n)
+		return compareNum(q.cmp, f.vars[q.idx].Integer, q.n)
 	case quickBool:
-		return f.vars[q.idx].B != (q.cmp == '!')
+		return f.vars[q.idx].IsTrue != (q.cmp == '!')
 	case quickHead:
 		c := &f.texts[q.idx]
-		if !c.OK { // most texts are
+		if !c.Present { // most texts are
 			return p.words[q.n] == ""
 		}
-		return strings.HasPrefix(c.S, p.words[q.n])
+		return strings.HasPrefix(c.Str, p.words[q.n])
 	}
 	if f.turns[q.idx] != f.turn {
 		p.work[q.idx](f)
@@ -116,11 +116,11 @@
 	c := &f.slots[q.idx]
 	switch q.kind {
 	case quickSlot:
-		return compareNum(q.cmp, c.N, q.n)
+		return compareNum(q.cmp, c.Integer, q.n)
 	case quickFlag:
-		return c.B != (q.cmp == '!')
+		return c.IsTrue != (q.cmp == '!')
 	}
-	return (c.S == p.words[q.n]) == (q.cmp == '=')
+	return (c.Str == p.words[q.n]) == (q.cmp == '=')
 }
 
 func compareNum(cmp byte, a, b int64) bool {
--- a/internal/rules/reach.go
+++ b/internal/rules/reach.go
@@ -100,16 +100,16 @@
 
 func (r *reach) warn(list []*checked) {
 	for i, c := range list {
-		if r.reached[i] || c.Remark == nil {
+		if r.reached[i] || c.ReportWarning == nil {
 			continue
 		}
 		switch {
 		case r.by[i] < 0:
-			c.Remark(0, "never matches, whatever the request")
+			c.ReportWarning(0, "never matches, whatever the request")
 		case slices.Equal(r.terms[i], r.terms[r.by[i]]) && r.matched[i] && !sameSettings(c, list[r.by[i]]):
-			c.Remark(0, fmt.Sprintf("ambiguous: rule %s has the same condition and sets something else; that one counts", list[r.by[i]].Name))
+			c.ReportWarning(0, fmt.Sprintf("ambiguous: rule %s has the same condition and sets something else; that one counts", list[r.by[i]].Name))
 		default:
-			c.Remark(0, fmt.Sprintf("never reached: rule %s takes all its requests", list[r.by[i]].Name))
+			c.ReportWarning(0, fmt.Sprintf("never reached: rule %s takes all its requests", list[r.by[i]].Name))
 		}
 	}
 }
@@ -131,7 +131,7 @@
 func (n *node) write(b *strings.Builder) {
 	switch n.op {
 	case opConst:
-		fmt.Fprintf(b, "%d:%d:%g:%q:%v:%v:%v", n.val.Kind, n.val.N, n.val.F, n.val.S, n.val.A, n.val.B, n.val.P)
+		fmt.Fprintf(b, "%d:%d:%g:%q:%v:%v:%v", n.val.Kind, n.val.Integer, n.val.Float64, n.val.Str, n.val.IP, n.val.IsTrue, n.val.Network)
 		return
 	case opDef:
 		fmt.Fprintf(b, "def%d", n.idx)
@@ -139,7 +139,7 @@
 	}
 	fmt.Fprintf(b, "%d.%d.%c", n.op, n.idx, n.cmp+'0')
 	if n.fn != nil {
-		fmt.Fprintf(b, "%s/%d/%q", n.text, n.arg.N, n.arg.S)
+		fmt.Fprintf(b, "%s/%d/%q", n.text, n.arg.Integer, n.arg.Str)
 	}
 	if n.tab != nil {
 		b.WriteString(n.tab.Name)
@@ -151,7 +151,7 @@
 		fmt.Fprintf(b, "%p", n.keys)
 	}
 	if n.op == opInside {
-		fmt.Fprint(b, n.val.P)
+		fmt.Fprint(b, n.val.Network)
 	}
 	kids := make([]string, len(n.kids))
 	for i, k := range n.kids {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -30,20 +30,20 @@
 		Vars: []Var{
 			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "key", Kind: Title}, {Name: "copies", Kind: Int},
 			{Name: "top", Kind: Float}, {Name: "left", Kind: Duration}, {Name: "retry", Kind: Bool},
-			{Name: "viewer", Kind: String, Optional: true, Most: 64}, {Name: "client", Kind: Addr, Optional: true},
+			{Name: "viewer", Kind: String, Optional: true, MaxBytes: 64}, {Name: "client", Kind: Addr, Optional: true},
 		},
-		Texts: []TextVar{{Name: "field", Most: 128}},
+		TextFamilies: []TextFamily{{Name: "field", MaxBytes: 128}},
 		Targets: []Target{
-			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "budget", Kind: String, Most: 64}, {Name: "label", Kind: String, Sub: true, Most: 200},
+			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "budget", Kind: String, MaxBytes: 64}, {Name: "label", Kind: String, HasSubname: true, MaxBytes: 200},
 		},
-		Class: vClass,
-		Becomes: func(from, to int) error { // clip and gold are paid, feed is not; gold's floor is the higher
+		ClassVar: vClass,
+		CheckClassChange: func(from, to int) error { // clip and gold are paid, feed is not; gold's floor is the higher
 			if from < 0 || from == 0 && to == 2 {
 				return nil
 			}
 			return errors.New("not allowed")
 		},
-		Zone: time.LoadLocation, Local: "America/Mexico_City",
+		LoadZone: time.LoadLocation, LocalZone: "America/Mexico_City",
 	}
 }
 
@@ -54,17 +54,17 @@
 
 func (t *told) source(name, text string) Source {
 	return Source{
-		Text:   text,
-		Fault:  func(at int, msg string) { t.faults = append(t.faults, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
-		Remark: func(at int, msg string) { t.remarks = append(t.remarks, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
+		Text:          text,
+		ReportError:   func(at int, msg string) { t.faults = append(t.faults, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
+		ReportWarning: func(at int, msg string) { t.remarks = append(t.remarks, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
 	}
 }
 
 func (t *told) table(name string, key, value Kind, def string, lines ...string) Table {
-	out := Table{Name: name, Key: key, Value: value, Default: def, Fault: func(msg string) { t.faults = append(t.faults, name+": "+msg) }}
+	out := Table{Name: name, KeyKind: key, ValueKind: value, Default: def, ReportError: func(msg string) { t.faults = append(t.faults, name+": "+msg) }}
 	for _, l := range lines {
 		k, v, _ := strings.Cut(l, "=")
-		out.Lines = append(out.Lines, Line{k, v, func(_ int, msg string) { t.faults = append(t.faults, name+": "+msg) }})
+		out.Lines = append(out.Lines, TableLine{k, v, func(_ int, msg string) { t.faults = append(t.faults, name+": "+msg) }})
 	}
 	return out
 }
@@ -106,17 +106,17 @@
 
 func request(s *Set) *Frame {
 	f := s.NewFrame()
-	f.Begin(quincena)
-	f.SetNum(vClass, 0)
-	f.SetNum(vTeam, 1)
-	f.SetNum(vTitle, 0x7f3a)
-	f.SetNum(vCopies, 4)
+	f.Reset(quincena)
+	f.SetInt(vClass, 0)
+	f.SetInt(vTeam, 1)
+	f.SetInt(vTitle, 0x7f3a)
+	f.SetInt(vCopies, 4)
 	f.SetFloat(vTop, 2.5)
-	f.SetNum(vLeft, int64(1500*time.Millisecond))
+	f.SetInt(vLeft, int64(1500*time.Millisecond))
 	f.SetBool(vRetry, true)
 	f.SetString(vViewer, "Till-07;north")
 	f.SetAddr(vClient, netip.MustParseAddr("::ffff:10.4.7.9"))
-	for i, ref := range s.Texts() {
+	for i, ref := range s.TextRefs() {
 		if ref.Name != "absent" {
 			f.SetText(i, []byte(ref.Name))
 		}
@@ -159,8 +159,8 @@
 			continue
 		}
 		f := request(s)
-		if got := s.Evaluate(f); got != 1 || f.Cost() > s.Bound() {
-			t.Errorf("%s: rule %d, cost %d of %d", e, got, f.Cost(), s.Bound())
+		if got := s.Evaluate(f); got != 1 || f.Cost() > s.MaxCost() {
+			t.Errorf("%s: rule %d, cost %d of %d", e, got, f.Cost(), s.MaxCost())
 		}
 	}
 }
@@ -371,8 +371,8 @@
 	}
 	show := func(f *Frame) string {
 		var b strings.Builder
-		for _, o := range f.Settings() {
-			fmt.Fprintf(&b, "%s%s=%s fixed=%v ", s.env.Targets[o.Target].Name, o.Sub, s.env.Show(o.Value), o.Fixed)
+		for _, o := range f.Assignments() {
+			fmt.Fprintf(&b, "%s%s=%s fixed=%v ", s.env.Targets[o.Target].Name, o.Subname, s.env.FormatValue(o.Value), o.Persistent)
 		}
 		return b.String()
 	}
@@ -384,18 +384,18 @@
 		2:  `3 budget="rest" fixed=true `,
 	} {
 		f = request(s)
-		f.SetNum(vClass, class)
+		f.SetInt(vClass, class)
 		rule := s.Evaluate(f)
 		if got := fmt.Sprint(rule, " ", show(f)); got != want {
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
 	}
-	f.Begin(quincena) // nothing is known of the request: it is absent, and what can't be is zero
+	f.Reset(quincena) // nothing is known of the request: it is absent, and what can't be is zero
 	if s.Evaluate(f) != 0 {
 		t.Error("a request without a class")
 	}
-	if s.Rules()[0] != "r0" {
-		t.Error(s.Rules())
+	if s.RuleNames()[0] != "r0" {
+		t.Error(s.RuleNames())
 	}
 }
 
@@ -436,17 +436,17 @@
 		"\xff": "absent", "a\xc3": "absent", "a\x00b": "nul", "": "", "Ä": "Ä",
 	} {
 		f := request(s)
-		f.texts[0] = Cell{}
+		f.texts[0] = RawValue{}
 		f.SetText(0, []byte(text))
 		s.Evaluate(f)
-		if got := f.Settings()[0].S; got != want || f.Cost() > s.Bound() {
+		if got := f.Assignments()[0].Str; got != want || f.Cost() > s.MaxCost() {
 			t.Errorf("%.20q: %.20q, want %.20q", text, got, want)
 		}
 	}
 	f := request(s)
 	f.SetFloat(vTop, func() float64 { z := 0.0; return z / z }())
 	f.SetAddr(vClient, netip.Addr{})
-	if f.vars[vTop].OK || f.vars[vClient].OK {
+	if f.vars[vTop].Present || f.vars[vClient].Present {
 		t.Error("what is no number and no address is there")
 	}
 }
@@ -457,15 +457,15 @@
 	f := s.NewFrame()
 	f.turn = 1<<32 - 3 // it goes round on the way
 	for i := range 6 {
-		f.Begin(quincena.AddDate(0, 0, i))
+		f.Reset(quincena.AddDate(0, 0, i))
 		want := "?!"
 		if i%2 == 0 {
 			f.SetString(vViewer, fmt.Sprint("V", i))
 			want = fmt.Sprintf("v%d!", i)
 		}
 		s.Evaluate(f)
-		if out := f.Settings(); out[0].S != want || out[1].S != fmt.Sprint(i) {
-			t.Errorf("%d: %q %q", i, out[0].S, out[1].S)
+		if out := f.Assignments(); out[0].Str != want || out[1].Str != fmt.Sprint(i) {
+			t.Errorf("%d: %q %q", i, out[0].Str, out[1].Str)
 		}
 	}
 }
@@ -474,11 +474,11 @@
 func TestBudgetHolds(t *testing.T) {
 	_, s, _ := read(testEnv(), nil, nil, `when contains(viewer ?? "", "zz")`, `when true set team = north`)
 	f := request(s)
-	if s.Evaluate(f) != 1 || f.Cost() > s.Bound() {
-		t.Fatal(f.Cost(), s.Bound())
+	if s.Evaluate(f) != 1 || f.Cost() > s.MaxCost() {
+		t.Fatal(f.Cost(), s.MaxCost())
 	}
 	s.budget = 5
-	if f = request(s); s.Evaluate(f) != -1 || len(f.Settings()) != 0 {
+	if f = request(s); s.Evaluate(f) != -1 || len(f.Assignments()) != 0 {
 		t.Error("evaluated beyond its budget")
 	}
 }
@@ -494,14 +494,14 @@
 	rule, steps := s.Explain(f)
 	var b strings.Builder
 	for _, st := range steps {
-		fmt.Fprintf(&b, "%s skips=%v match=%v:", st.Rule, st.Skips, st.Match)
+		fmt.Fprintf(&b, "%s skips=%v match=%v:", st.Rule, st.Skipped, st.Matched)
 		for _, v := range st.Values {
-			fmt.Fprintf(&b, " %s=%s", v.Name, env.Show(v.Value))
+			fmt.Fprintf(&b, " %s=%s", v.Name, env.FormatValue(v.Value))
 		}
 		b.WriteString("; ")
 	}
 	want := `r0 skips=true match=false: class=clip; r1 skips=false match=false: who=north owner[…]=north key=0000000000007f3a clock=18:30:05; r2 skips=false match=true: viewer="Till-07;north" copies=4; `
-	if b.String() != want || rule != 2 || f.Settings()[0].N != 0 || f.Cost() == 0 {
+	if b.String() != want || rule != 2 || f.Assignments()[0].Integer != 0 || f.Cost() == 0 {
 		t.Errorf("%d, %s", rule, b.String())
 	}
 }
@@ -511,12 +511,12 @@
 	env := testEnv()
 	for _, text := range []string{"bool true", "int -5", "float 2.5", "duration 1.5s", "clock 18:30:05", "date 2026-05-15", "date 1969-12-31", "addr 10.0.0.1", "prefix 10.0.0.0/8", "class feed", "team none", "title 0000000000007f3a"} {
 		kind, text, _ := strings.Cut(text, " ")
-		v, err := env.read(KindOf(kind), text)
-		if err != nil || env.Show(v) != text {
-			t.Errorf("%s %s: %s, %v", kind, text, env.Show(v), err)
+		v, err := env.read(KindByName(kind), text)
+		if err != nil || env.FormatValue(v) != text {
+			t.Errorf("%s %s: %s, %v", kind, text, env.FormatValue(v), err)
 		}
 	}
-	if KindOf("none") != 0 || KindOf("x") != 0 || env.Show(Value{Kind: Int}) != "absent" || env.Show(Value{Kind: String, Cell: Cell{S: "a\n", OK: true}}) != `"a\n"` {
+	if KindByName("none") != 0 || KindByName("x") != 0 || env.FormatValue(Value{Kind: Int}) != "absent" || env.FormatValue(Value{Kind: String, RawValue: RawValue{Str: "a\n", Present: true}}) != `"a\n"` {
 		t.Error("odd kinds")
 	}
 }
@@ -531,7 +531,7 @@
 		}
 	}
 	env := testEnv()
-	env.Local = "Europe/Berlin" // the clocks change there
+	env.LocalZone = "Europe/Berlin" // the clocks change there
 	_, s, told := read(env, nil, nil, `set label.a = text(hour(clock)) + ":" + text(minute(clock)) + " " + text(day(today)) + " " + text(hour(clock("America/Mexico_City")))`)
 	if s == nil {
 		t.Fatal(told.faults)
@@ -541,10 +541,10 @@
 	mexico, _ := time.LoadLocation("America/Mexico_City")
 	for i := range 2000 {
 		now := time.Date(2026, 3, 29, 0, 0, 0, 0, time.UTC).Add(time.Duration(i*i%9973) * 53 * time.Minute)
-		f.Begin(now)
+		f.Reset(now)
 		s.Evaluate(f)
 		at := now.In(berlin)
-		if got, want := f.Settings()[0].S, fmt.Sprintf("%d:%d %d %d", at.Hour(), at.Minute(), at.Day(), now.In(mexico).Hour()); got != want {
+		if got, want := f.Assignments()[0].Str, fmt.Sprintf("%d:%d %d %d", at.Hour(), at.Minute(), at.Day(), now.In(mexico).Hour()); got != want {
 			t.Fatalf("%v: %s, want %s", at, got, want)
 		}
 	}
--- a/internal/rules/set.go
+++ b/internal/rules/set.go
@@ -59,30 +59,30 @@
 
 // setter sets one target.
 type setter struct {
-	fixed Setting
-	fill  func(*Frame, *Setting) // nil: it is fixed
+	fixed Assignment
+	fill  func(*Frame, *Assignment) // nil: it is fixed
 }
 
-// Texts are the texts that the caller sets by Frame.SetText.
-func (s *Set) Texts() []TextRef { return s.texts }
+// TextRefs are the texts that the caller sets by Frame.SetText.
+func (s *Set) TextRefs() []TextRef { return s.texts }
 
-// Rules are the rules' names.
-func (s *Set) Rules() []string { return s.names }
+// RuleNames are the rules' names.
+func (s *Set) RuleNames() []string { return s.names }
 
-// Bound is the most that an evaluation may cost, in steps: of any class.
-func (s *Set) Bound() int64 { return s.bound }
+// MaxCost is the most that an evaluation may cost, in steps: of any class.
+func (s *Set) MaxCost() int64 { return s.bound }
 
 // Evaluate finds the first rule that matches what the frame was given, and
 // returns its position, or -1. Settings tells what it sets.
 func (s *Set) Evaluate(f *Frame) int {
 	f.cost++
 	p := &s.programs[0]
-	if v := s.env.Class; v >= 0 {
+	if v := s.env.ClassVar; v >= 0 {
 		c := &f.vars[v]
-		if !c.OK {
-			c.N, c.OK = -1, true
+		if !c.Present {
+			c.Integer, c.Present = -1, true
 		}
-		p = &s.programs[c.N+1]
+		p = &s.programs[c.Integer+1]
 	}
 	at := 0
 	for i := range p.steps {
@@ -106,8 +106,8 @@
 	return -1
 }
 
-// Settings are what the rule that matched sets, until the next Begin.
-func (f *Frame) Settings() []Setting { return f.out }
+// Assignments are what the rule that matched sets, until the next Begin.
+func (f *Frame) Assignments() []Assignment { return f.out }
 
 // checked is a rule whose types are known.
 type checked struct {
@@ -137,7 +137,7 @@
 	env := b.env
 	if len(env.Classes) > maxClasses {
 		if len(rules) > 0 {
-			rules[0].Fault(0, fmt.Sprintf("%d classes; at most %d are told apart", len(env.Classes), maxClasses))
+			rules[0].ReportError(0, fmt.Sprintf("%d classes; at most %d are told apart", len(env.Classes), maxClasses))
 		}
 		return nil
 	}
@@ -209,7 +209,7 @@
 
 func (b *builder) fail(src Source, at int, format string, args ...any) {
 	b.faulty = true
-	src.Fault(at, fmt.Sprintf(format, args...))
+	src.ReportError(at, fmt.Sprintf(format, args...))
 }
 
 // ordered are the definitions as they stand in the file.
@@ -265,10 +265,10 @@
 	}
 	t := c.env.Targets[target]
 	switch {
-	case t.Sub && g.Sub == "":
+	case t.HasSubname && g.Sub == "":
 		c.fail(at, "write %s.NAME = …", t.Name)
 		return
-	case !t.Sub && g.Sub != "":
+	case !t.HasSubname && g.Sub != "":
 		c.fail(at, "%s has no parts", t.Name)
 		return
 	case slices.ContainsFunc(r.settings, func(a assignment) bool { return a.target == target && a.sub == g.Sub }):
@@ -284,8 +284,8 @@
 		c.fail(value.at, "%s is %v, and this is %v", t.Name, t.Kind, value.typ)
 		return
 	}
-	if t.Kind == String && value.most > t.Most {
-		c.fail(value.at, "%s has at most %d bytes, and this may have %d", t.Name, t.Most, value.most)
+	if t.Kind == String && value.most > t.MaxBytes {
+		c.fail(value.at, "%s has at most %d bytes, and this may have %d", t.Name, t.MaxBytes, value.most)
 		return
 	}
 	r.settings = append(r.settings, assignment{target, g.Sub, at, value})
@@ -294,18 +294,18 @@
 // assemble goes through the rules once for each class, holding what they set and
 // what they cost against what is allowed. It compiles them unless it only checks.
 func (b *builder) assemble(list []*checked, check bool) *Set {
-	s := &Set{env: b.env, texts: b.texts, zones: b.zones, budget: b.env.Budget}
+	s := &Set{env: b.env, texts: b.texts, zones: b.zones, budget: b.env.StepBudget}
 	if s.budget == 0 {
-		s.budget = DefaultBudget
+		s.budget = DefaultStepBudget
 	}
-	s.budget = min(s.budget, MostBudget)
+	s.budget = min(s.budget, MaxStepBudget)
 	reach := newReach(len(list))
 	var k *compiler
 	if b.checking = check; !check {
 		k = newCompiler(b.env)
 	}
 	first, last := -1, len(b.env.Classes)-1
-	if b.env.Class < 0 {
+	if b.env.ClassVar < 0 {
 		first, last = anyClass, anyClass
 	}
 	worst := 0
@@ -329,7 +329,7 @@
 	switch r := len(list) - 1; {
 	case s.bound > s.budget:
 		of := ""
-		if worst > anyClass && b.env.Class >= 0 {
+		if worst > anyClass && b.env.ClassVar >= 0 {
 			of = " for class " + nameOf(b.env.Classes, int64(worst))
 		}
 		b.fail(list[r].Source, 0, "with this rule the set may cost %d steps%s; its budget is %d", s.bound, of, s.budget)
@@ -424,7 +424,7 @@
 			b.fail(r.Source, a.value.at, "checked for %s: this may take its class away", request)
 			return false
 		}
-		if err := b.env.Becomes(from, to); err != nil {
+		if err := b.env.CheckClassChange(from, to); err != nil {
 			b.fail(r.Source, a.value.at, "checked for %s: this may make it %s; %v", request, b.env.Classes[to], err)
 			return false
 		}
@@ -433,28 +433,28 @@
 }
 
 func setterOf(k *compiler, a assignment, n *node) setter {
-	s := setter{fixed: Setting{Target: a.target, Sub: a.sub, Value: Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}}}
+	s := setter{fixed: Assignment{Target: a.target, Subname: a.sub, Value: Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}}}
 	if n.isConst() {
-		s.fixed.Value, s.fixed.Fixed = n.val, true
+		s.fixed.Value, s.fixed.Persistent = n.val, true
 		return s
 	}
 	switch n.typ.Kind.form() {
 	case asBool:
 		v := k.boolean(n)
-		s.fill = func(f *Frame, out *Setting) { out.B = v(f) }
+		s.fill = func(f *Frame, out *Assignment) { out.IsTrue = v(f) }
 	case asFloat:
 		v := k.float(n)
-		s.fill = func(f *Frame, out *Setting) { out.F = v(f) }
+		s.fill = func(f *Frame, out *Assignment) { out.Float64 = v(f) }
 	case asText:
 		v := k.text(n)
-		s.fixed.Fixed = n.op == opTable // a table's strings stay
-		s.fill = func(f *Frame, out *Setting) { out.S = v(f) }
+		s.fixed.Persistent = n.op == opTable // a table's strings stay
+		s.fill = func(f *Frame, out *Assignment) { out.Str = v(f) }
 	case asAddr:
 		v := k.addr(n)
-		s.fill = func(f *Frame, out *Setting) { out.A = v(f) }
+		s.fill = func(f *Frame, out *Assignment) { out.IP = v(f) }
 	default:
 		v := k.num(n)
-		s.fill = func(f *Frame, out *Setting) { out.N = v(f) }
+		s.fill = func(f *Frame, out *Assignment) { out.Integer = v(f) }
 	}
 	return s
 }
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -40,34 +40,34 @@
 func (x *index) add(v Value, row int32) bool {
 	switch x.kind {
 	case String:
-		if _, ok := x.texts[v.S]; ok {
+		if _, ok := x.texts[v.Str]; ok {
 			return false
 		}
-		x.texts[v.S] = row
+		x.texts[v.Str] = row
 	case Prefix:
 		family := 0
-		if v.P.Addr().Is4() {
-			key := shortKey(v.P.Addr(), v.P.Bits())
+		if v.Network.Addr().Is4() {
+			key := shortKey(v.Network.Addr(), v.Network.Bits())
 			if _, ok := x.short[key]; ok {
 				return false
 			}
 			x.short[key] = row
 		} else {
-			if _, ok := x.prefixes[v.P]; ok {
+			if _, ok := x.prefixes[v.Network]; ok {
 				return false
 			}
-			x.prefixes[v.P] = row
+			x.prefixes[v.Network] = row
 			family = 1
 		}
-		if l := &x.lengths[family]; !slices.Contains(*l, v.P.Bits()) {
-			*l = append(*l, v.P.Bits())
+		if l := &x.lengths[family]; !slices.Contains(*l, v.Network.Bits()) {
+			*l = append(*l, v.Network.Bits())
 			slices.SortFunc(*l, func(a, b int) int { return b - a })
 		}
 	default:
-		if _, ok := x.nums[v.N]; ok {
+		if _, ok := x.nums[v.Integer]; ok {
 			return false
 		}
-		x.nums[v.N] = row
+		x.nums[v.Integer] = row
 	}
 	return true
 }
@@ -136,24 +136,24 @@
 
 // key is the kind that an expression must have to be looked up.
 func (t *table) key() Kind {
-	if t.Key == Prefix {
+	if t.KeyKind == Prefix {
 		return Addr
 	}
-	return t.Key
+	return t.KeyKind
 }
 
 // readTable reads a table's lines and tells what is wrong with them.
 func (b *builder) readTable(t Table) *table {
-	out := &table{Table: t, index: newIndex(t.Key, min(len(t.Lines), maxLines))}
+	out := &table{Table: t, index: newIndex(t.KeyKind, min(len(t.Lines), maxLines))}
 	out.Lines = nil
-	switch t.Key {
+	switch t.KeyKind {
 	case Int, String, Duration, Date, Prefix, Class, Team, Title:
 	default:
-		b.failTable(t, "a table can't have %v for its key", t.Key)
+		b.failTable(t, "a table can't have %v for its key", t.KeyKind)
 		return out
 	}
-	if t.Value == Prefix || t.Value == Addr {
-		b.failTable(t, "a table can't have %v for its value", t.Value)
+	if t.ValueKind == Prefix || t.ValueKind == Addr {
+		b.failTable(t, "a table can't have %v for its value", t.ValueKind)
 		return out
 	}
 	if len(t.Lines) > maxLines {
@@ -164,17 +164,17 @@
 		b.failTable(t, "%d lines in all tables; at most %d are kept", b.lines, maxAll)
 		return out
 	}
-	if t.Value != 0 {
-		v, err := b.env.read(t.Value, t.Default)
+	if t.ValueKind != 0 {
+		v, err := b.env.read(t.ValueKind, t.Default)
 		if err != nil {
 			b.failTable(t, "its default: %v", err)
 		}
 		out.miss = v
-		out.most = len(v.S)
+		out.most = len(v.Str)
 		out.values = make([]Value, 0, len(t.Lines))
 	}
 	for row, l := range t.Lines {
-		k, err := b.env.read(t.Key, l.Key)
+		k, err := b.env.read(t.KeyKind, l.Key)
 		if err != nil {
 			b.failLine(l, 0, err.Error())
 			continue
@@ -183,10 +183,10 @@
 			b.failLine(l, 0, fmt.Sprintf("%q stands twice", l.Key))
 			continue
 		}
-		if t.Value == 0 {
+		if t.ValueKind == 0 {
 			continue
 		}
-		v, err := b.env.read(t.Value, l.Value)
+		v, err := b.env.read(t.ValueKind, l.Value)
 		if err != nil {
 			b.failLine(l, 1, err.Error())
 		}
@@ -194,7 +194,7 @@
 			out.values = append(out.values, Value{})
 		}
 		out.values = append(out.values, v)
-		out.most = max(out.most, len(v.S))
+		out.most = max(out.most, len(v.Str))
 	}
 	return out
 }
@@ -209,14 +209,14 @@
 
 // read understands the text of a table's key or value.
 func (e *Env) read(k Kind, text string) (Value, error) {
-	v := Value{Kind: k, Cell: Cell{OK: true}}
+	v := Value{Kind: k, RawValue: RawValue{Present: true}}
 	bad := func(what string) (Value, error) { return v, fmt.Errorf("%q is no %s", text, what) }
 	var err error
 	switch k {
 	case Bool:
 		switch text {
 		case "true", "yes", "on":
-			v.B = true
+			v.IsTrue = true
 		case "false", "no", "off":
 		default:
 			return bad("bool")
@@ -226,24 +226,24 @@
 		if hex, ok := strings.CutPrefix(digits, "0x"); ok {
 			digits, base = hex, 16
 		}
-		if v.N, err = strconv.ParseInt(digits, base, 64); err != nil {
+		if v.Integer, err = strconv.ParseInt(digits, base, 64); err != nil {
 			return bad("whole number")
 		}
 	case Float:
-		if v.F, err = strconv.ParseFloat(text, 64); err != nil || v.F != v.F || v.F-v.F != 0 {
+		if v.Float64, err = strconv.ParseFloat(text, 64); err != nil || v.Float64 != v.Float64 || v.Float64-v.Float64 != 0 {
 			return bad("number")
 		}
 	case String:
 		if len(text) > maxString {
 			return v, fmt.Errorf("a string of %d bytes; at most %d are kept", len(text), maxString)
 		}
-		v.S = text
+		v.Str = text
 	case Duration:
 		d, err := time.ParseDuration(text)
 		if err != nil {
 			return bad("duration, as in 250ms or 1h30m")
 		}
-		v.N = int64(d)
+		v.Integer = int64(d)
 	case Clock:
 		t, err := time.Parse("15:04:05", text)
 		if err != nil {
@@ -251,21 +251,21 @@
 				return bad("time of day, as in 18:30")
 			}
 		}
-		v.N = int64(t.Sub(t.Truncate(24 * time.Hour)))
+		v.Integer = int64(t.Sub(t.Truncate(24 * time.Hour)))
 	case Date:
 		t, err := time.Parse(time.DateOnly, text)
 		if err != nil {
 			return bad("date, as in 2026-12-15")
 		}
-		v.N = t.Unix() / 86400
+		v.Integer = t.Unix() / 86400
 		if t.Unix() < 0 && t.Unix()%86400 != 0 {
-			v.N--
+			v.Integer--
 		}
 	case Addr:
-		if v.A, err = netip.ParseAddr(text); err != nil {
+		if v.IP, err = netip.ParseAddr(text); err != nil {
 			return bad("address")
 		}
-		v.A = v.A.Unmap()
+		v.IP = v.IP.Unmap()
 	case Prefix:
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
@@ -274,20 +274,20 @@
 		if p.Masked() != p {
 			return v, fmt.Errorf("%q has bits set behind its length; %v has not", text, p.Masked())
 		}
-		v.P = p
+		v.Network = p
 	case Title:
 		n, err := strconv.ParseUint(text, 16, 64)
 		if err != nil || len(text) > 16 {
 			return bad("title of up to 16 hexadecimal digits")
 		}
-		v.N = int64(n)
+		v.Integer = int64(n)
 	case Class, Team:
 		names := e.Classes
 		if k == Team {
 			names = e.Teams
 		}
-		v.N = int64(slices.Index(names, text))
-		if v.N < 0 && text != "none" {
+		v.Integer = int64(slices.Index(names, text))
+		if v.Integer < 0 && text != "none" {
 			return v, fmt.Errorf("%q is no %v of this deployment%s", text, k, spell.Suggest(text, names))
 		}
 	}
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -44,8 +44,8 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// KindOf returns the kind of a name, or 0.
-func KindOf(name string) Kind {
+// KindByName returns the kind of a name, or 0.
+func KindByName(name string) Kind {
 	for k := Bool; k < nothing; k++ {
 		if kindNames[k] == name {
 			return k
@@ -95,53 +95,53 @@
 	return asNum
 }
 
-// Cell holds a value of any kind; which field counts is the kind's.
-type Cell struct {
-	N  int64
-	F  float64
-	S  string
-	A  netip.Addr
-	B  bool
-	OK bool // it is not absent
+// RawValue holds a value of any kind; which field counts is the kind's.
+type RawValue struct {
+	Integer int64
+	Float64 float64
+	Str     string
+	IP      netip.Addr
+	IsTrue  bool
+	Present bool // it is not absent
 }
 
 // Value is a cell with its kind.
 type Value struct {
 	Kind Kind
-	Cell
-	P netip.Prefix
+	RawValue
+	Network netip.Prefix
 }
 
-// Show words a value for people.
-func (e *Env) Show(v Value) string {
-	if !v.OK {
+// FormatValue words a value for people.
+func (e *Env) FormatValue(v Value) string {
+	if !v.Present {
 		return "absent"
 	}
 	switch v.Kind {
 	case Bool:
-		return strconv.FormatBool(v.B)
+		return strconv.FormatBool(v.IsTrue)
 	case Float:
-		return strconv.FormatFloat(v.F, 'g', -1, 64)
+		return strconv.FormatFloat(v.Float64, 'g', -1, 64)
 	case String:
-		return strconv.Quote(v.S)
+		return strconv.Quote(v.Str)
 	case Duration:
-		return time.Duration(v.N).String()
+		return time.Duration(v.Integer).String()
 	case Clock:
-		return time.Unix(0, v.N).UTC().Format("15:04:05")
+		return time.Unix(0, v.Integer).UTC().Format("15:04:05")
 	case Date:
-		return day(v.N).Format(time.DateOnly)
+		return day(v.Integer).Format(time.DateOnly)
 	case Addr:
-		return v.A.String()
+		return v.IP.String()
 	case Prefix:
-		return v.P.String()
+		return v.Network.String()
 	case Class:
-		return nameOf(e.Classes, v.N)
+		return nameOf(e.Classes, v.Integer)
 	case Team:
-		return nameOf(e.Teams, v.N)
+		return nameOf(e.Teams, v.Integer)
 	case Title:
-		return fmt.Sprintf("%016x", uint64(v.N))
+		return fmt.Sprintf("%016x", uint64(v.Integer))
 	}
-	return strconv.FormatInt(v.N, 10)
+	return strconv.FormatInt(v.Integer, 10)
 }
 
 func nameOf(names []string, n int64) string {
@@ -165,15 +165,15 @@
 	Name     string
 	Kind     Kind
 	Optional bool
-	Most     int // bytes of a string; a longer one is absent
+	MaxBytes int // bytes of a string; a longer one is absent
 	Doc      string
 }
 
-// TextVar is a family of optional strings that expressions refer to as NAME("x").
-type TextVar struct {
-	Name string
-	Most int // bytes; a longer one is absent
-	Doc  string
+// TextFamily is a family of optional strings that expressions refer to as NAME("x").
+type TextFamily struct {
+	Name     string
+	MaxBytes int // bytes; a longer one is absent
+	Doc      string
 }
 
 // TextRef is one of a family that a set refers to.
@@ -184,39 +184,39 @@
 
 // Target is something that a rule may set.
 type Target struct {
-	Name string
-	Kind Kind
-	Sub  bool // NAME.x for any x
-	Most int  // bytes of a string
+	Name       string
+	Kind       Kind
+	HasSubname bool // NAME.x for any x
+	MaxBytes   int  // bytes of a string
 }
 
 // Env is what the rules of a set may refer to, and their limits.
 type Env struct {
-	Classes []string
-	Teams   []string
-	Vars    []Var
-	Texts   []TextVar
-	Targets []Target
+	Classes      []string
+	Teams        []string
+	Vars         []Var
+	TextFamilies []TextFamily
+	Targets      []Target
 	// Class is the position in Vars of the request's class. It is special: rules
 	// are checked, and compiled, once for each class.
-	Class int
+	ClassVar int
 	// Becomes tells why a request of class from, -1 if it has none, may not be
 	// given class to.
-	Becomes func(from, to int) error
+	CheckClassChange func(from, to int) error
 	// Zone finds a time zone; Local is the one of clock and today.
-	Zone  func(name string) (*time.Location, error)
-	Local string
+	LoadZone  func(name string) (*time.Location, error)
+	LocalZone string
 	// Budget is the most that the evaluation of a set may cost, in steps; 0 means
 	// DefaultBudget.
-	Budget int64
+	StepBudget int64
 	// Trace keeps what Explain needs.
 	Trace bool
 }
 
 // Bounds of a set of rules.
 const (
-	DefaultBudget = 50_000
-	MostBudget    = 1_000_000
+	DefaultStepBudget = 50_000
+	MaxStepBudget     = 1_000_000
 
 	maxText    = 8 << 10 // bytes of an expression
 	maxNesting = 48      // of brackets, and of if and let
@@ -241,9 +241,9 @@
 // Source is a text and where to tell what is wrong with it, by the byte at which
 // it is.
 type Source struct {
-	Text   string
-	Fault  func(at int, msg string)
-	Remark func(at int, msg string) // what is no fault but may surprise; may be nil
+	Text          string
+	ReportError   func(at int, msg string)
+	ReportWarning func(at int, msg string) // what is no fault but may surprise; may be nil
 }
 
 // Rule is one rule: "when CONDITION set TARGET = VALUE, …". Both parts may be
@@ -261,16 +261,16 @@
 
 // Table is a named look-up. Without a value's kind it is a set.
 type Table struct {
-	Name    string
-	Key     Kind
-	Value   Kind // 0: none
-	Default string
-	Lines   []Line
-	Fault   func(msg string) // of the table as a whole
+	Name        string
+	KeyKind     Kind
+	ValueKind   Kind // 0: none
+	Default     string
+	Lines       []TableLine
+	ReportError func(msg string) // of the table as a whole
 }
 
-// Line is one of a table's.
-type Line struct {
-	Key, Value string
-	Fault      func(argument int, msg string) // 0: the key, 1: the value
+// TableLine is one of a table's.
+type TableLine struct {
+	Key, Value  string
+	ReportError func(argument int, msg string) // 0: the key, 1: the value
 }
