--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -65,63 +65,63 @@
 
 // The parts of a request, in the order of vars.
 const (
-	vClass = iota
-	vTeam
-	vTitle
-	vHome
-	vCopies
-	vTop
-	vLeft
-	vRetry
-	vAgain
-	vFront
-	vClient
+	varClass = iota
+	varTeam
+	varTitle
+	varHome
+	varCopies
+	varTop
+	varLeft
+	varRetry
+	varAgain
+	varFront
+	varClient
 )
 
 const (
-	mostText = 128 // bytes of a field or an extra that rules look at
-	mostKey  = 256 // bytes of a budget key or a label
-	mostName = 32  // bytes of a front's name
+	maxTextBytes  = 128 // bytes of a field or an extra that rules look at
+	maxKeyBytes   = 256 // bytes of a budget key or a label
+	maxFrontBytes = 32  // bytes of a front's name
 )
 
-var vars = []rules.Var{
-	vClass:  {Name: "class", Kind: rules.Class, Doc: "none if it names none"},
-	vTeam:   {Name: "team", Kind: rules.Team, Doc: "none if it names none"},
-	vTitle:  {Name: "title", Kind: rules.Title, Doc: "what is to be played"},
-	vHome:   {Name: "home", Kind: rules.Int, Doc: "the first cell that holds the title"},
-	vCopies: {Name: "copies", Kind: rules.Int, Doc: "how many cells hold it"},
-	vTop:    {Name: "top", Kind: rules.Float, Doc: "the highest rung that the viewer can use"},
-	vLeft:   {Name: "left", Kind: rules.Duration, Doc: "how long the viewer waits"},
-	vRetry:  {Name: "retry", Kind: rules.Bool, Doc: "it is marked as a retry"},
-	vAgain:  {Name: "again", Kind: rules.Bool, Doc: "the viewer has come again"},
-	vFront:  {Name: "front", Kind: rules.String, MaxBytes: mostName, Doc: "jsonl or websocket"},
-	vClient: {Name: "client", Kind: rules.Addr, Optional: true, Doc: "the address at the other end"},
+var requestVars = []rules.Var{
+	varClass:  {Name: "class", Kind: rules.Class, Doc: "none if it names none"},
+	varTeam:   {Name: "team", Kind: rules.Team, Doc: "none if it names none"},
+	varTitle:  {Name: "title", Kind: rules.Title, Doc: "what is to be played"},
+	varHome:   {Name: "home", Kind: rules.Int, Doc: "the first cell that holds the title"},
+	varCopies: {Name: "copies", Kind: rules.Int, Doc: "how many cells hold it"},
+	varTop:    {Name: "top", Kind: rules.Float, Doc: "the highest rung that the viewer can use"},
+	varLeft:   {Name: "left", Kind: rules.Duration, Doc: "how long the viewer waits"},
+	varRetry:  {Name: "retry", Kind: rules.Bool, Doc: "it is marked as a retry"},
+	varAgain:  {Name: "again", Kind: rules.Bool, Doc: "the viewer has come again"},
+	varFront:  {Name: "front", Kind: rules.String, MaxBytes: maxFrontBytes, Doc: "jsonl or websocket"},
+	varClient: {Name: "client", Kind: rules.Addr, Optional: true, Doc: "the address at the other end"},
 }
 
 // The families of texts.
 const (
-	fField = iota
-	fExtra
+	familyField = iota
+	familyExtra
 )
 
-var families = []rules.TextFamily{
-	fField: {Name: "field", MaxBytes: mostText, Doc: "a field of the message"},
-	fExtra: {Name: "extra", MaxBytes: mostText, Doc: "one of the figures in extras"},
+var textFamilies = []rules.TextFamily{
+	familyField: {Name: "field", MaxBytes: maxTextBytes, Doc: "a field of the message"},
+	familyExtra: {Name: "extra", MaxBytes: maxTextBytes, Doc: "one of the figures in extras"},
 }
 
 // What rules may set.
 const (
-	tClass = iota
-	tTeam
-	tKey
-	tLabel
+	targetClass = iota
+	targetTeam
+	targetKey
+	targetLabel
 )
 
-var targets = []rules.Target{
-	tClass: {Name: "class", Kind: rules.Class},
-	tTeam:  {Name: "team", Kind: rules.Team},
-	tKey:   {Name: "key", Kind: rules.String, MaxBytes: mostKey},
-	tLabel: {Name: "label", Kind: rules.String, HasSubname: true, MaxBytes: mostKey},
+var ruleTargets = []rules.Target{
+	targetClass: {Name: "class", Kind: rules.Class},
+	targetTeam:  {Name: "team", Kind: rules.Team},
+	targetKey:   {Name: "key", Kind: rules.String, MaxBytes: maxKeyBytes},
+	targetLabel: {Name: "label", Kind: rules.String, HasSubname: true, MaxBytes: maxKeyBytes},
 }
 
 // Source is a set of rules as it was written.
@@ -137,48 +137,50 @@
 
 // Set is a set of rules in use.
 type Set struct {
-	on     Deployment
-	env    *rules.Env
-	set    *rules.Set
-	frames sync.Pool
-	may    [][]bool // by class + 1: what it may become
-	took   func(time.Duration)
+	deployment      Deployment
+	env             *rules.Env
+	set             *rules.Set
+	frames          sync.Pool
+	mayBecome       [][]bool // by class + 1: what it may become
+	observeDuration func(time.Duration)
 }
 
 // ObserveDurations has took called with the time that each evaluation took, by whoever
 // routes. It is to be called before the set is used.
-func (s *Set) ObserveDurations(took func(time.Duration)) { s.took = took }
+func (s *Set) ObserveDurations(observeDuration func(time.Duration)) {
+	s.observeDuration = observeDuration
+}
 
 // Compile reads a set for a deployment. What is wrong is told to the faulty
 // source; then it returns nil.
-func Compile(src Source, on Deployment) *Set {
-	s := &Set{on: on}
+func Compile(src Source, deployment Deployment) *Set {
+	s := &Set{deployment: deployment}
 	env := &rules.Env{
-		Teams: on.Teams, Vars: vars, TextFamilies: families, Targets: targets, ClassVar: vClass,
-		CheckClassChange: func(from, to int) error { return becomes(on.Classes, from, to) },
+		Teams: deployment.Teams, Vars: requestVars, TextFamilies: textFamilies, Targets: ruleTargets, ClassVar: varClass,
+		CheckClassChange: func(from, to int) error { return checkClassChange(deployment.Classes, from, to) },
 		LoadZone:         src.LoadZone, LocalZone: src.LocalZone, StepBudget: src.StepBudget, Trace: src.Trace,
 	}
-	for _, c := range on.Classes {
+	for _, c := range deployment.Classes {
 		env.Classes = append(env.Classes, c.Name)
 	}
 	s.env = env
 	if s.set = rules.Compile(env, src.Tables, src.Definitions, src.Rules); s.set == nil {
 		return nil
 	}
-	for from := -1; from < len(on.Classes); from++ {
-		row := make([]bool, len(on.Classes))
+	for from := -1; from < len(deployment.Classes); from++ {
+		row := make([]bool, len(deployment.Classes))
 		for to := range row {
-			row[to] = becomes(on.Classes, from, to) == nil
+			row[to] = checkClassChange(deployment.Classes, from, to) == nil
 		}
-		s.may = append(s.may, row)
+		s.mayBecome = append(s.mayBecome, row)
 	}
 	s.frames.New = func() any { return s.set.NewFrame() }
 	return s
 }
 
-// becomes tells why a request of class from, -1 if it names none, may not be
+// checkClassChange tells why a request of class from, -1 if it names none, may not be
 // given class to.
-func becomes(classes []Class, from, to int) error {
+func checkClassChange(classes []Class, from, to int) error {
 	if from < 0 || from == to {
 		return nil
 	}
@@ -205,39 +207,39 @@
 func (s *Set) Route(r *Request) Result {
 	f := s.frames.Get().(*rules.Frame)
 	var begun time.Time
-	if s.took != nil {
+	if s.observeDuration != nil {
 		begun = time.Now()
 	}
-	s.begin(f, r)
+	s.fillFrame(f, r)
 	rule := s.set.Evaluate(f)
 	out := s.result(f, r, rule)
-	if s.took != nil {
-		s.took(time.Since(begun))
+	if s.observeDuration != nil {
+		s.observeDuration(time.Since(begun))
 	}
 	s.frames.Put(f)
 	return out
 }
 
-// begin tells a frame about a request.
-func (s *Set) begin(f *rules.Frame, r *Request) {
+// fillFrame tells a frame about a request.
+func (s *Set) fillFrame(f *rules.Frame, r *Request) {
 	f.Reset(r.ReceivedAt)
-	f.SetInt(vClass, int64(r.Class))
-	f.SetInt(vTeam, int64(r.Team))
-	f.SetInt(vTitle, int64(r.Title))
-	f.SetInt(vHome, int64(r.HomeCell))
-	f.SetInt(vCopies, int64(r.Copies))
-	f.SetFloat(vTop, r.TopRung)
-	f.SetInt(vLeft, int64(r.TimeLeft))
-	f.SetBool(vRetry, r.Retry)
-	f.SetBool(vAgain, r.Returning)
-	f.SetString(vFront, r.Front)
-	f.SetAddr(vClient, r.ClientAddr)
+	f.SetInt(varClass, int64(r.Class))
+	f.SetInt(varTeam, int64(r.Team))
+	f.SetInt(varTitle, int64(r.Title))
+	f.SetInt(varHome, int64(r.HomeCell))
+	f.SetInt(varCopies, int64(r.Copies))
+	f.SetFloat(varTop, r.TopRung)
+	f.SetInt(varLeft, int64(r.TimeLeft))
+	f.SetBool(varRetry, r.Retry)
+	f.SetBool(varAgain, r.Returning)
+	f.SetString(varFront, r.Front)
+	f.SetAddr(varClient, r.ClientAddr)
 	if r.Texts == nil {
 		return
 	}
 	for i, ref := range s.set.TextRefs() {
 		var b []byte
-		if ref.Family == fField {
+		if ref.Family == familyField {
 			b = r.Texts.Field(ref.Name)
 		} else {
 			b = r.Texts.Extra(ref.Name)
@@ -256,26 +258,26 @@
 		return out
 	}
 	out.Rule = s.set.RuleNames()[rule]
-	settings := f.Assignments()
-	for i := range settings {
-		v := &settings[i]
+	assignments := f.Assignments()
+	for i := range assignments {
+		v := &assignments[i]
 		text := v.Str
 		if !v.Persistent {
 			text = strings.Clone(text)
 		}
 		switch v.Target {
-		case tClass:
+		case targetClass:
 			// Guard: whatever a rule says, a request keeps the protection of its class.
-			if to := int(v.Integer); to >= 0 && s.may[r.Class+1][to] {
+			if to := int(v.Integer); to >= 0 && s.mayBecome[r.Class+1][to] {
 				out.Class = to
 			}
-		case tTeam:
+		case targetTeam:
 			out.Team = int(v.Integer)
-		case tKey:
+		case targetKey:
 			out.BudgetKey = text
-		case tLabel:
+		case targetLabel:
 			if out.Labels == nil {
-				out.Labels = make([]Label, 0, len(settings)-i)
+				out.Labels = make([]Label, 0, len(assignments)-i)
 			}
 			out.Labels = append(out.Labels, Label{v.Subname, text})
 		}
@@ -294,9 +296,9 @@
 // Explain routes a request by a set that was compiled with Trace.
 func (s *Set) Explain(r *Request) Explanation {
 	f := s.set.NewFrame()
-	s.begin(f, r)
-	rule, steps := s.set.Explain(f)
-	return Explanation{Result: s.result(f, r, rule), RuleTraces: steps, Cost: f.Cost(), env: s.env}
+	s.fillFrame(f, r)
+	rule, traces := s.set.Explain(f)
+	return Explanation{Result: s.result(f, r, rule), RuleTraces: traces, Cost: f.Cost(), env: s.env}
 }
 
 // FormatValue words a value of a step.
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -16,33 +16,33 @@
 	Value Value
 }
 
-// traced is what Explain needs of a rule.
-type traced struct {
+// tracedRule is what Explain needs of a rule.
+type tracedRule struct {
 	source Source
-	parts  []part
+	values []tracedValue
 }
 
-// part is something of a condition that depends on the request.
-type part struct {
+// tracedValue is something of a condition that depends on the request.
+type tracedValue struct {
 	name string
 	kind Kind
 	read func(*Frame) RawValue
 }
 
-// traced keeps the parts of each rule's condition.
-func (b *builder) traced(list []*checked, k *compiler) []traced {
-	var all []traced
+// traceRules keeps the parts of each rule's condition.
+func (b *setBuilder) traceRules(list []*checkedRule, k *compiler) []tracedRule {
+	var all []tracedRule
 	for _, r := range list {
-		t := traced{source: r.Source}
+		t := tracedRule{source: r.Source}
 		seen := make(map[string]bool)
 		var walk func(n *node)
 		walk = func(n *node) {
 			if n == nil {
 				return
 			}
-			name := n.text
+			name := n.ident
 			switch n.op {
-			case opVar, opText, opDef:
+			case opVar, opTextRef, opDef:
 			case opTable:
 				name += "[…]"
 			case opClock, opToday:
@@ -52,22 +52,22 @@
 			default:
 				name = ""
 			}
-			if name != "" && !seen[name] && !n.bound() {
+			if name != "" && !seen[name] && !n.hasFreeLocal() {
 				seen[name] = true
-				t.parts = append(t.parts, part{name, n.typ.Kind, k.reader(n)})
+				t.values = append(t.values, tracedValue{name, n.typ.Kind, k.valueReader(n)})
 			}
-			for _, kid := range n.kids {
-				walk(kid)
+			for _, child := range n.children {
+				walk(child)
 			}
 		}
-		walk(r.when)
+		walk(r.condition)
 		all = append(all, t)
 	}
 	return all
 }
 
-// bound tells whether n refers to a let that is outside of it.
-func (n *node) bound() bool {
+// hasFreeLocal tells whether n refers to a let that is outside of it.
+func (n *node) hasFreeLocal() bool {
 	var free func(n *node, own map[int]bool) bool
 	free = func(n *node, own map[int]bool) bool {
 		switch n.op {
@@ -76,7 +76,7 @@
 		case opLet:
 			own[n.idx] = true
 		}
-		for _, k := range n.kids {
+		for _, k := range n.children {
 			if free(k, own) {
 				return true
 			}
@@ -86,25 +86,25 @@
 	return free(n, make(map[int]bool))
 }
 
-// reader makes the function that reads a value of any kind.
-func (k *compiler) reader(n *node) func(*Frame) RawValue {
-	switch n.typ.Kind.form() {
-	case asBool:
-		return reader(compileOpt(k, boolShape, n), boolShape)
-	case asFloat:
-		return reader(compileOpt(k, floatShape, n), floatShape)
-	case asText:
-		return reader(compileOpt(k, textShape, n), textShape)
-	case asAddr:
-		return reader(compileOpt(k, addrShape, n), addrShape)
+// valueReader makes the function that reads a value of any kind.
+func (k *compiler) valueReader(n *node) func(*Frame) RawValue {
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		return valueReader(compileOptional(k, boolOps, n), boolOps)
+	case reprFloat:
+		return valueReader(compileOptional(k, floatOps, n), floatOps)
+	case reprString:
+		return valueReader(compileOptional(k, stringOps, n), stringOps)
+	case reprAddr:
+		return valueReader(compileOptional(k, addrOps, n), addrOps)
 	}
-	return reader(compileOpt(k, numShape, n), numShape)
+	return valueReader(compileOptional(k, intOps, n), intOps)
 }
 
-func reader[T any](value opt[T], s *shape[T]) func(*Frame) RawValue {
+func valueReader[T any](value optEvaluator[T], s *valueOps[T]) func(*Frame) RawValue {
 	return func(f *Frame) (c RawValue) {
 		v, ok := value(f)
-		s.put(&c, v)
+		s.store(&c, v)
 		c.Present = ok
 		return c
 	}
@@ -112,34 +112,34 @@
 
 // Explain evaluates as Evaluate does, and tells of each rule up to the one that
 // matches. The set must have been compiled with Env.Trace.
-func (s *Set) Explain(f *Frame) (rule int, steps []RuleTrace) {
+func (s *Set) Explain(f *Frame) (rule int, entries []RuleTrace) {
 	rule = s.Evaluate(f)
-	settings, cost := f.out, f.cost
-	f.forget() // definitions are worked out again, each where it is first used
+	saved, cost := f.assignments, f.cost
+	f.nextGeneration() // definitions are worked out again, each where it is first used
 	p := &s.programs[0]
 	if v := s.env.ClassVar; v >= 0 {
 		p = &s.programs[f.vars[v].Integer+1]
 	}
-	at, quick := 0, 0
-	for i, t := range s.trace {
+	next, inline := 0, 0
+	for i, t := range s.tracedRules {
 		if rule >= 0 && i > rule {
 			break
 		}
-		one := RuleTrace{Rule: s.names[i], Source: t.source.Text}
-		if at < len(p.steps) && int(p.steps[at].rule) == i {
+		trace := RuleTrace{Rule: s.ruleNames[i], Source: t.source.Text}
+		if next < len(p.entries) && int(p.entries[next].rule) == i {
 			f.cost = 0
-			one.Matched = p.matches(f, at, quick)
-			one.Cost = f.cost
-			quick += int(p.steps[at].quick)
-			at++
+			trace.Matched = p.matches(f, next, inline)
+			trace.Cost = f.cost
+			inline += int(p.entries[next].inline)
+			next++
 		} else {
-			one.Skipped = true
+			trace.Skipped = true
 		}
-		for _, part := range t.parts {
-			one.Values = append(one.Values, NamedValue{part.name, Value{Kind: part.kind, RawValue: part.read(f)}})
+		for _, traced := range t.values {
+			trace.Values = append(trace.Values, NamedValue{traced.name, Value{Kind: traced.kind, RawValue: traced.read(f)}})
 		}
-		steps = append(steps, one)
+		entries = append(entries, trace)
 	}
-	f.out, f.cost = settings, cost
-	return rule, steps
+	f.assignments, f.cost = saved, cost
+	return rule, entries
 }
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -37,7 +37,7 @@
 	Team
 	Title
 
-	nothing // the literal none, until it is known of what
+	untypedNone // the literal none, until it is known of what
 )
 
 var kindNames = [...]string{"", "bool", "int", "float", "string", "duration", "clock", "date", "addr", "prefix", "class", "team", "title", "none"}
@@ -46,7 +46,7 @@
 
 // KindByName returns the kind of a name, or 0.
 func KindByName(name string) Kind {
-	for k := Bool; k < nothing; k++ {
+	for k := Bool; k < untypedNone; k++ {
 		if kindNames[k] == name {
 			return k
 		}
@@ -67,32 +67,32 @@
 	return t.Kind.String()
 }
 
-// form is how a kind is held when evaluated.
-type form uint8
+// representation is how a kind is held when evaluated.
+type representation uint8
 
 const (
-	asBool form = iota
-	asNum
-	asFloat
-	asText
-	asAddr
-	asPrefix // constants only
+	reprBool representation = iota
+	reprInt
+	reprFloat
+	reprString
+	reprAddr
+	reprPrefix // constants only
 )
 
-func (k Kind) form() form {
+func (k Kind) representation() representation {
 	switch k {
 	case Bool:
-		return asBool
+		return reprBool
 	case Float:
-		return asFloat
+		return reprFloat
 	case String:
-		return asText
+		return reprString
 	case Addr:
-		return asAddr
+		return reprAddr
 	case Prefix:
-		return asPrefix
+		return reprPrefix
 	}
-	return asNum
+	return reprInt
 }
 
 // RawValue holds a value of any kind; which field counts is the kind's.
@@ -129,35 +129,35 @@
 	case Clock:
 		return time.Unix(0, v.Integer).UTC().Format("15:04:05")
 	case Date:
-		return day(v.Integer).Format(time.DateOnly)
+		return dateTime(v.Integer).Format(time.DateOnly)
 	case Addr:
 		return v.IP.String()
 	case Prefix:
 		return v.Network.String()
 	case Class:
-		return nameOf(e.Classes, v.Integer)
+		return nameAt(e.Classes, v.Integer)
 	case Team:
-		return nameOf(e.Teams, v.Integer)
+		return nameAt(e.Teams, v.Integer)
 	case Title:
 		return fmt.Sprintf("%016x", uint64(v.Integer))
 	}
 	return strconv.FormatInt(v.Integer, 10)
 }
 
-func nameOf(names []string, n int64) string {
+func nameAt(names []string, n int64) string {
 	if n < 0 || n >= int64(len(names)) {
 		return "none"
 	}
 	return names[n]
 }
 
-// day is the date that a number of days stands for.
-func day(n int64) time.Time { return time.Unix(n*86400, 0).UTC() }
+// dateTime is the date that a number of days stands for.
+func dateTime(n int64) time.Time { return time.Unix(n*86400, 0).UTC() }
 
 // The first and last dates.
 var (
-	firstDay = time.Date(1, 1, 1, 0, 0, 0, 0, time.UTC).Unix() / 86400
-	lastDay  = time.Date(9999, 12, 31, 0, 0, 0, 0, time.UTC).Unix() / 86400
+	firstDate = time.Date(1, 1, 1, 0, 0, 0, 0, time.UTC).Unix() / 86400
+	lastDate  = time.Date(9999, 12, 31, 0, 0, 0, 0, time.UTC).Unix() / 86400
 )
 
 // Var is something that expressions may refer to by its name.
@@ -218,32 +218,32 @@
 	DefaultStepBudget = 50_000
 	MaxStepBudget     = 1_000_000
 
-	maxText    = 8 << 10 // bytes of an expression
-	maxNesting = 48      // of brackets, and of if and let
-	maxDepth   = 300     // of its tree
-	maxChain   = 50      // of definitions that use each other
-	maxString  = 4 << 10 // bytes of a string
-	maxArena   = 1 << 20 // bytes of all strings that a set may make for a request
-	maxPattern = 512     // bytes of a regular expression or glob
-	maxProgram = 1_000   // instructions of a compiled regular expression
-	maxRules   = 10_000
-	maxDefs    = 2_000
-	maxTables  = 200
-	maxLines   = 100_000 // of a table
-	maxAll     = 400_000 // of all tables
-	maxName    = 64
-	maxBuckets = 1 << 20
-	maxClasses = 62
-	maxTexts   = 64
-	maxZones   = 16
+	maxExprBytes       = 8 << 10 // bytes of an expression
+	maxNesting         = 48      // of brackets, and of if and let
+	maxTreeDepth       = 300     // of its tree
+	maxDefinitionChain = 50      // of definitions that use each other
+	maxStringBytes     = 4 << 10 // bytes of a string
+	maxBuiltBytes      = 1 << 20 // bytes of all strings that a set may make for a request
+	maxPatternBytes    = 512     // bytes of a regular expression or glob
+	maxPatternInsts    = 1_000   // instructions of a compiled regular expression
+	maxRules           = 10_000
+	maxDefinitions     = 2_000
+	maxTables          = 200
+	maxTableLines      = 100_000 // of a table
+	maxAllLines        = 400_000 // of all tables
+	maxNameBytes       = 64
+	maxBuckets         = 1 << 20
+	maxClasses         = 62
+	maxTextRefs        = 64
+	maxZones           = 16
 )
 
 // Source is a text and where to tell what is wrong with it, by the byte at which
 // it is.
 type Source struct {
 	Text          string
-	ReportError   func(at int, msg string)
-	ReportWarning func(at int, msg string) // what is no fault but may surprise; may be nil
+	ReportError   func(pos int, msg string)
+	ReportWarning func(pos int, msg string) // what is no fault but may surprise; may be nil
 }
 
 // Rule is one rule: "when CONDITION set TARGET = VALUE, …". Both parts may be
