--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,9 +1,9 @@
-// Package route gives a request its class, team, budget key and labels by an
-// operator's rules, before the broker sees it. It does no I/O.
+// Package route determines the class, team, budget key and labels of a request by an operator's rules, before
+// the broker sees the request. It does no I/O.
 //
-// A class is safe: a rule that could give a request of one class another that may
-// or may not be repeated, or that has a lower floor, is refused when it is read.
-// Only a request that names no class may be given any.
+// Changes of class are restricted: a rule is refused at compile time if it could give a request of one class
+// another class whose set-ups are repeatable when its own are not, or the reverse, or one with a lower floor.
+// Only a request that names no class may be given any class.
 package route
 
 import (
@@ -17,11 +17,11 @@
 	"millethinge/internal/rules"
 )
 
-// Class is what rules have to know of a class.
+// Class is what rules need to know of a class.
 type Class struct {
 	Name        string
 	BilledSetup bool // a set-up may not be repeated
-	FloorRung   int  // the lowest rung
+	FloorRung   int  // the lowest rung on which it may play
 }
 
 // Deployment is what rules may refer to.
@@ -30,40 +30,40 @@
 	Teams   []string
 }
 
-// RequestTexts are the parts of a request that rules name.
+// RequestTexts gives access to the fields and extras of a request by name.
 type RequestTexts interface {
 	Field(name string) []byte // nil: absent
-	Extra(name string) []byte
+	Extra(name string) []byte // nil: absent
 }
 
-// Request is what rules look at. Its bytes are used only until Route returns.
+// Request is the input of the rules. The bytes of its texts are used only until Route returns.
 type Request struct {
 	Class, Team int // -1: it names none
 	Title       uint64
-	HomeCell    int
-	Copies      int
-	TopRung     float64
-	TimeLeft    time.Duration
-	Retry       bool
-	Returning   bool // its viewer has come again
+	HomeCell    int           // the first cell that holds the title
+	Copies      int           // the number of cells that hold the title
+	TopRung     float64       // the highest rung that the viewer can use
+	TimeLeft    time.Duration // how long the viewer waits
+	Retry       bool          // it is marked as a retry
+	Returning   bool          // the viewer is a returning one (again in extras)
 	Front       string
 	ClientAddr  netip.Addr
 	ReceivedAt  time.Time
 	Texts       RequestTexts
 }
 
-// Label is free text that a rule put on a request.
+// Label is free text that a rule assigns to a request.
 type Label struct{ Name, Value string }
 
-// Result is what a request was given.
+// Result is what a request is given.
 type Result struct {
 	Class, Team int
-	Rule        string // "": none matched
-	BudgetKey   string // of a budget
+	Rule        string // name of the matching rule; "": none matched
+	BudgetKey   string // "": none assigned
 	Labels      []Label
 }
 
-// The parts of a request, in the order of vars.
+// Indexes into requestVars.
 const (
 	varClass = iota
 	varTeam
@@ -79,9 +79,9 @@
 )
 
 const (
-	maxTextBytes  = 128 // bytes of a field or an extra that rules look at
-	maxKeyBytes   = 256 // bytes of a budget key or a label
-	maxFrontBytes = 32  // bytes of a front's name
+	maxTextBytes  = 128 // of a field or an extra; a longer one is absent
+	maxKeyBytes   = 256 // of a budget key or a label
+	maxFrontBytes = 32  // of a front's name
 )
 
 var requestVars = []rules.Var{
@@ -98,7 +98,7 @@
 	varClient: {Name: "client", Kind: rules.Addr, Optional: true, Doc: "the address at the other end"},
 }
 
-// The families of texts.
+// Indexes into textFamilies.
 const (
 	familyField = iota
 	familyExtra
@@ -109,7 +109,7 @@
 	familyExtra: {Name: "extra", MaxBytes: maxTextBytes, Doc: "one of the figures in extras"},
 }
 
-// What rules may set.
+// Indexes into ruleTargets.
 const (
 	targetClass = iota
 	targetTeam
@@ -131,28 +131,27 @@
 	Rules       []rules.Rule
 	LoadZone    func(name string) (*time.Location, error)
 	LocalZone   string // the zone of clock and today; "": UTC
-	StepBudget  int64  // steps; 0: rules.DefaultBudget
-	Trace       bool   // Explain is wanted
+	StepBudget  int64  // steps; 0: rules.DefaultStepBudget
+	Trace       bool   // keep what Explain needs
 }
 
-// Set is a set of rules in use.
+// Set is a compiled set of rules.
 type Set struct {
 	deployment      Deployment
 	env             *rules.Env
 	set             *rules.Set
 	frames          sync.Pool
-	mayBecome       [][]bool // by class + 1: what it may become
+	mayBecome       [][]bool // by class + 1, then by the class that a rule assigns
 	observeDuration func(time.Duration)
 }
 
-// ObserveDurations has took called with the time that each evaluation took, by whoever
-// routes. It is to be called before the set is used.
+// ObserveDurations has observeDuration called with the duration of each evaluation, on the goroutine that
+// calls Route. It must be called before the set is used.
 func (s *Set) ObserveDurations(observeDuration func(time.Duration)) {
 	s.observeDuration = observeDuration
 }
 
-// Compile reads a set for a deployment. What is wrong is told to the faulty
-// source; then it returns nil.
+// Compile compiles a set for a deployment. Errors are reported to their source; then it returns nil.
 func Compile(src Source, deployment Deployment) *Set {
 	s := &Set{deployment: deployment}
 	env := &rules.Env{
@@ -178,8 +177,8 @@
 	return s
 }
 
-// checkClassChange tells why a request of class from, -1 if it names none, may not be
-// given class to.
+// checkClassChange returns an error if a rule may not change the class of a request from from to to; from is
+// -1 if the request names none.
 func checkClassChange(classes []Class, from, to int) error {
 	if from < 0 || from == to {
 		return nil
@@ -196,14 +195,14 @@
 	return nil
 }
 
-// RuleNames are the rules' names.
+// RuleNames returns the names of the rules in order.
 func (s *Set) RuleNames() []string { return s.set.RuleNames() }
 
-// MaxCost is the most that a request may cost, in steps.
+// MaxCost returns the maximum cost of a request, in steps.
 func (s *Set) MaxCost() int64 { return s.set.MaxCost() }
 
-// Route finds the first rule that matches and tells what the request is given. A
-// request that none matches keeps what it named.
+// Route evaluates the rules and returns what the first one that matches gives the request. If none matches,
+// the request keeps the class and team that it names.
 func (s *Set) Route(r *Request) Result {
 	f := s.frames.Get().(*rules.Frame)
 	var begun time.Time
@@ -220,7 +219,7 @@
 	return out
 }
 
-// fillFrame tells a frame about a request.
+// fillFrame sets the variables and texts of a frame from a request.
 func (s *Set) fillFrame(f *rules.Frame, r *Request) {
 	f.Reset(r.ReceivedAt)
 	f.SetInt(varClass, int64(r.Class))
@@ -250,8 +249,8 @@
 	}
 }
 
-// result reads what the rule that matched has set. Strings that are not the set's
-// own are copied: their bytes are used again.
+// result reads the assignments of the matching rule. Strings that do not belong to the set are copied, since
+// their bytes are reused.
 func (s *Set) result(f *rules.Frame, r *Request, rule int) Result {
 	out := Result{Class: r.Class, Team: r.Team}
 	if rule < 0 {
@@ -267,7 +266,7 @@
 		}
 		switch v.Target {
 		case targetClass:
-			// Guard: whatever a rule says, a request keeps the protection of its class.
+			// Guard: whatever a rule assigns, a request keeps the protection of its class.
 			if to := int(v.Integer); to >= 0 && s.mayBecome[r.Class+1][to] {
 				out.Class = to
 			}
@@ -293,7 +292,7 @@
 	env        *rules.Env
 }
 
-// Explain routes a request by a set that was compiled with Trace.
+// Explain routes a request and traces the rules. The set must have been compiled with Trace.
 func (s *Set) Explain(r *Request) Explanation {
 	f := s.set.NewFrame()
 	s.fillFrame(f, r)
@@ -301,15 +300,15 @@
 	return Explanation{Result: s.result(f, r, rule), RuleTraces: traces, Cost: f.Cost(), env: s.env}
 }
 
-// FormatValue words a value of a step.
+// FormatValue formats a value of a rule trace for operators.
 func (e *Explanation) FormatValue(v rules.Value) string { return e.env.FormatValue(v) }
 
-// ActiveSet is the set in use. The zero value has none. A request sees one whole set:
-// the one that is there when it comes.
+// ActiveSet holds the set in use; the zero value has none. A request is routed by one set throughout, the one
+// that is active when it arrives.
 type ActiveSet struct{ set atomic.Pointer[Set] }
 
 // Load returns the set in use, or nil.
 func (l *ActiveSet) Load() *Set { return l.set.Load() }
 
-// Replace puts another set in use, or none.
+// Replace puts another set in use; nil means none.
 func (l *ActiveSet) Replace(s *Set) { l.set.Store(s) }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -16,7 +16,7 @@
 	Teams:   []string{"north", "south"},
 }
 
-// compileRules compiles rules, one a line, as NAME REST.
+// compileRules compiles rules given as "NAME TEXT" and returns the errors.
 func compileRules(t testing.TB, on Deployment, lines ...string) (*Set, string) {
 	t.Helper()
 	var errs []string
@@ -30,7 +30,7 @@
 	return Compile(src, on), strings.Join(errs, "\n")
 }
 
-// textMap are a message's.
+// textMap has the texts of a request; the keys of extras begin with "extra.".
 type textMap map[string]string
 
 func (x textMap) Field(name string) []byte { return x.get(name) }
@@ -50,6 +50,7 @@
 	}
 }
 
+// TestRoute checks what requests of each class are given, and that Explain agrees with Route.
 func TestRoute(t *testing.T) {
 	s, errs := compileRules(t, deployment,
 		`unnamed when class == none and starts(field("shop") ?? "", "Norte") set class = clip, team = north, key = lower(field("shop") ?? "")`,
@@ -68,22 +69,22 @@
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
 		if e := s.Explain(request(class)); fmt.Sprintf("%+v", e.Result) != want || e.Cost == 0 || e.Cost > s.MaxCost() || len(e.RuleTraces) == 0 {
-			t.Errorf("explained: %+v", e)
+			t.Errorf("Explain returned %+v", e)
 		}
 	}
 	r := request(0)
 	r.Returning = true
 	if got := s.Route(r); got.Class != 2 {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want class 2", got)
 	}
 	r = request(-1)
 	r.Texts = nil
 	if got := s.Route(r); got.Class != -1 || got.Rule != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want no class and no rule", got)
 	}
 }
 
-// What a class may become goes by whether it is paid and by its floor.
+// TestClassChanges checks that BilledSetup and FloorRung decide which changes of class are allowed.
 func TestClassChanges(t *testing.T) {
 	for rule, want := range map[string]string{
 		"when class == feed set class = clip":   "checked for a feed request: this may make it clip; clip is paid for at set-up and feed is not",
@@ -99,7 +100,8 @@
 	}
 }
 
-// Should a rule ever get past the checks, a request keeps its class all the same.
+// TestRouteKeepsClassIfChangeNotAllowed checks the guard in Route, in case a rule ever gets past the checks
+// of Compile.
 func TestRouteKeepsClassIfChangeNotAllowed(t *testing.T) {
 	s, errs := compileRules(t, deployment, "r when class == clip set class = gold, key = \"k\"")
 	if s == nil {
@@ -107,11 +109,12 @@
 	}
 	s.mayBecome[0+1][2] = false
 	if got := s.Route(request(0)); got.Class != 0 || got.BudgetKey != "k" {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want class 0 and budget key k", got)
 	}
 }
 
-// What a request was given stays when its bytes and the frame are used again.
+// TestResultOutlivesRequest guards against results that refer to bytes of the request or the frame, which are
+// reused.
 func TestResultOutlivesRequest(t *testing.T) {
 	s, errs := compileRules(t, deployment, `r set key = upper(field("shop") ?? ""), label.a = field("shop") ?? "", label.b = "fixed"`)
 	if s == nil {
@@ -128,12 +131,14 @@
 	}
 }
 
+// sharedText returns the same buffer for every field.
 type sharedText struct{ b []byte }
 
 func (s sharedText) Field(string) []byte { return s.b }
 func (s sharedText) Extra(string) []byte { return nil }
 
-// Each request sees one whole set, whatever is swapped meanwhile.
+// TestReplaceDuringRouting guards against requests that see parts of two sets while the active set is
+// replaced.
 func TestReplaceDuringRouting(t *testing.T) {
 	var sets []*Set
 	for _, name := range []string{"north", "south"} {
@@ -155,7 +160,7 @@
 				got := live.Load().Route(request(1))
 				name := deployment.Teams[got.Team]
 				if got.Rule != name || got.BudgetKey != name+"Norte-7" || got.Labels[0].Value != name {
-					t.Errorf("%+v", got)
+					t.Errorf("%+v is not the result of one set", got)
 					return
 				}
 				seen[g][name]++
@@ -177,11 +182,11 @@
 	swapper.Wait()
 	live.Replace(nil)
 	if live.Load() != nil {
-		t.Error("no set was put in use, and there is one")
+		t.Error("Load returned a set after Replace(nil)")
 	}
 }
 
-// BenchmarkRouteUnnamedClass is the whole routing of a request that names no class.
+// BenchmarkRouteUnnamedClass routes a request that names no class, with 200 rules of which the last matches.
 func BenchmarkRouteUnnamedClass(b *testing.B) {
 	var lines []string
 	for i := range 199 {
@@ -200,7 +205,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.Route(r).Rule != "last" {
-			b.Fatal("not routed")
+			b.Fatal("the last rule did not match")
 		}
 	}
 }
--- a/internal/rules/arith.go
+++ b/internal/rules/arith.go
@@ -8,7 +8,7 @@
 
 type addr = netip.Addr
 
-// Whole numbers stay at the ends of their range.
+// Integer arithmetic saturates at the ends of the int64 range.
 
 func saturatingAdd(a, b int64) int64 {
 	s := a + b
@@ -79,7 +79,7 @@
 	return math.MinInt64
 }
 
-// clampFloat gives a number for what is none: 0, or an end of the range.
+// clampFloat maps NaN to 0 and the infinities to the ends of the finite range.
 func clampFloat(f float64) float64 {
 	switch {
 	case f != f:
@@ -92,7 +92,7 @@
 	return f
 }
 
-// floatToInt is the whole part of a number, at the ends of the range if need be.
+// floatToInt truncates f toward zero, saturates at the ends of the int64 range and maps NaN to 0.
 func floatToInt(f float64) int64 {
 	switch {
 	case f != f:
@@ -105,10 +105,10 @@
 	return int64(f)
 }
 
-// clampDate keeps a date within the years 1 to 9999.
+// clampDate limits a day number to the years 1 to 9999.
 func clampDate(n int64) int64 { return min(max(n, firstDate), lastDate) }
 
-// intArith calculates with whole numbers.
+// intArith applies one of the operators + - * / % to integers.
 func intArith(o byte, a, b int64) int64 {
 	switch o {
 	case '+':
@@ -123,7 +123,7 @@
 	return modOrZero(a, b)
 }
 
-// floatArith calculates with numbers.
+// floatArith applies one of the operators + - * / to floats. A division by zero yields 0.
 func floatArith(o byte, a, b float64) float64 {
 	switch o {
 	case '+':
@@ -141,7 +141,7 @@
 	return clampFloat(a)
 }
 
-// parseInt reads a whole number without the allocation of an error.
+// parseInt parses a decimal integer. Unlike strconv.ParseInt, it allocates no error for invalid text.
 func parseInt(s string) (int64, bool) {
 	negative := len(s) > 0 && s[0] == '-'
 	if negative {
@@ -172,7 +172,7 @@
 	return 0, false
 }
 
-// parseHex reads a title.
+// parseHex parses a title: up to 16 hexadecimal digits.
 func parseHex(s string) (int64, bool) {
 	if len(s) == 0 || len(s) > 16 {
 		return 0, false
@@ -195,9 +195,9 @@
 	return int64(n), true
 }
 
-// isShortDecimal tells whether s is a short decimal number, with an exponent of up
-// to two digits: one whose value is always finite, and that is read without the
-// allocation of an error.
+// isShortDecimal reports whether s is a decimal number of at most 24 bytes with an exponent of at most two
+// digits. The value of such a number is always finite, and strconv.ParseFloat accepts it without allocating
+// an error.
 func isShortDecimal(s string) bool {
 	if len(s) > 24 {
 		return false
@@ -234,8 +234,9 @@
 	return i == len(s)
 }
 
-// hasAddrForm tells whether s consists of what an address is written with, so that
-// the library is not asked to make errors of whatever a client sends.
+// hasAddrForm reports whether s has only the characters of an IP address, and three dots or at
+// least two colons. It keeps
+// netip.ParseAddr from allocating an error for arbitrary text that a client sends.
 func hasAddrForm(s string) bool {
 	if len(s) < 2 || len(s) > 45 {
 		return false
@@ -255,8 +256,8 @@
 	return dots == 3 || colons >= 2
 }
 
-// compileAddrCall is addr(STRING). Only what looks like an address and is none makes
-// the library allocate an error.
+// compileAddrCall compiles addr(STRING). netip.ParseAddr allocates an error only for text that has the form
+// of an address but is not one.
 func compileAddrCall(k *compiler, n *node) optEvaluator[addr] {
 	s := k.compileString(n.children[0])
 	return func(f *Frame) (addr, bool) {
@@ -270,8 +271,8 @@
 	}
 }
 
-// matchGlob matches with * for any bytes and ? for one. On a mismatch it goes back to
-// the last star only, so that its time is at most that of both lengths multiplied.
+// matchGlob reports whether s matches the pattern p, in which * stands for any bytes and ? for one. On a
+// mismatch it backtracks to the last star only, so its time is at most proportional to len(s)*len(p).
 func matchGlob(s, p string) bool {
 	i, j, star, mark := 0, 0, -1, 0
 	for i < len(s) {
@@ -295,10 +296,10 @@
 	return j == len(p)
 }
 
-// civilDate is the year, month and day of a date. The years begin in March, so that
-// the odd day of a leap year comes last, and go by periods of 400 years.
+// civilDate returns the year, month and day of a day number. Its years begin in March, so that the leap day
+// comes last, and are counted in periods of 400 years.
 func civilDate(days int64) (year, month, day int64) {
-	days += 719468 // from 0000-03-01
+	days += 719468 // shifts the epoch to 0000-03-01
 	era := days / 146097
 	if days < 0 {
 		era = (days - 146096) / 146097
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// realisticSet is a set as a till screen platform would have it: rules by class,
-// team, title, hour, address and viewer, with three tables.
+// realisticSet returns a set as a point-of-sale platform might have it: rules by class, team, title, hour,
+// address and viewer, with three tables.
 func realisticSet(t testing.TB, n int) *Set {
 	_, s, diags := compileRules(testEnv(), func(t *diagnostics) []Table {
 		var owners, shops, ranks []string
@@ -45,8 +45,7 @@
 	return append(rules, `set team = who, budget = text(who) + "/" + text(class), label.shop = home`)
 }
 
-// BenchmarkEvaluate evaluates 200 rules of which the last matches: the dearest
-// case of a set.
+// BenchmarkEvaluate evaluates 200 rules of which the last matches, the most expensive case.
 func BenchmarkEvaluate(b *testing.B) {
 	s := realisticSet(b, 200)
 	f := request(s)
@@ -71,13 +70,14 @@
 	return f.vars
 }()
 
+// BenchmarkCompile compiles the set of BenchmarkEvaluate, tables included.
 func BenchmarkCompile(b *testing.B) {
 	for b.Loop() {
 		realisticSet(b, 200)
 	}
 }
 
-// A set of 1,000 rules and three tables stays under 4 MB.
+// TestSetMemory guards against a set of 1,000 rules and three tables that takes more than 4 MiB.
 func TestSetMemory(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
@@ -87,17 +87,17 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	realisticSet(t, 1) // what is built once
+	realisticSet(t, 1) // allocates what is built on first use
 	before := heap()
 	s := realisticSet(t, 1000)
 	used := heap() - before
 	if runtime.KeepAlive(s); used > 4<<20 {
-		t.Errorf("%d bytes", used)
+		t.Errorf("%d bytes, want at most 4 MiB", used)
 	}
 	t.Logf("%d bytes, bound %d steps", used, s.MaxCost())
 }
 
-// Evaluation allocates nothing.
+// TestEvaluateDoesNotAllocate guards against allocations on the path of each request.
 func TestEvaluateDoesNotAllocate(t *testing.T) {
 	s := realisticSet(t, 200)
 	f := request(s)
@@ -106,6 +106,6 @@
 		copy(f.vars, benchVars)
 		s.Evaluate(f)
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per evaluation, want 0", n)
 	}
 }
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -12,29 +12,29 @@
 	"millethinge/internal/spell"
 )
 
-// setBuilder reads the sources of one set.
+// setBuilder compiles the sources of one Set.
 type setBuilder struct {
 	env         *Env
 	failed      bool
-	tableLines  int // of all tables
+	tableLines  int // in all tables
 	tables      map[string]*table
 	definitions map[string]*checkedDef
 	texts       []TextRef
 	zones       []*timeZone
 	slots       int
-	sharedSlots map[string]int   // the slots of what several conditions work out, by its key
-	patterns    map[string]*node // regular expressions that are compiled, by pattern
+	sharedSlots map[string]int   // slots of common subexpressions, by node.key
+	patterns    map[string]*node // compiled regular expressions, by pattern
 
-	checkOnly    bool // nothing may be evaluated
-	foldedConsts int  // constants that were
+	checkOnly    bool // only bounds are checked; no constant is evaluated
+	foldedConsts int  // number of constant expressions evaluated so far
 }
 
-// checkedDef is a named expression while a set is read.
+// checkedDef is a definition while its set is compiled.
 type checkedDef struct {
 	Definition
 	tree       *gExpr
-	node       *node // opDef
-	inProgress bool  // it is being checked: who refers to it now goes round in a circle
+	node       *node // of op opDef, or a constant
+	inProgress bool  // being checked; a reference to it now is a cycle
 	done       bool
 }
 
@@ -48,21 +48,22 @@
 	l.ReportError(argument, msg)
 }
 
-// checker gives the nodes of one expression their types.
+// checker assigns types to the nodes of one expression.
 type checker struct {
 	*setBuilder
 	source         Source
 	locals         []localVar
-	definitionPath []string // the definitions that led here
+	definitionPath []string // the definitions whose references led to this expression
 }
 
+// localVar is a name bound by let.
 type localVar struct {
 	name string
-	node *node // opLocal
+	node *node // of op opLocal
 }
 
-// errorf tells a fault and returns nil, the node of what is faulty. Checking goes
-// on elsewhere.
+// errorf reports an error and returns nil, which stands for an invalid node. Checking continues with the rest
+// of the set.
 func (c *checker) errorf(pos int, format string, args ...any) *node {
 	c.failed = true
 	c.source.ReportError(pos, fmt.Sprintf(format, args...))
@@ -75,7 +76,7 @@
 	}
 }
 
-// finishNode finishes a node and holds it against the bounds.
+// finishNode completes a node and enforces the limits on tree depth and string length.
 func (c *checker) finishNode(n *node) *node {
 	n.finish()
 	switch {
@@ -140,7 +141,7 @@
 	return c.finishNode(&node{op: opIf, typ: then.typ, pos: g.Pos.Offset, children: []*node{cond, then, other}, maxBytes: max(then.maxBytes, other.maxBytes)})
 }
 
-// requireBool wants n to be a condition.
+// requireBool reports an error unless n is a non-optional bool.
 func (c *checker) requireBool(n *node) *node {
 	if n.typ != (Type{Kind: Bool}) {
 		if n.typ.Optional {
@@ -151,7 +152,7 @@
 	return n
 }
 
-// requirePresent wants n not to be optional.
+// requirePresent reports an error if n is optional.
 func (c *checker) requirePresent(n *node) *node {
 	if n.typ.Optional {
 		return c.errorf(n.pos, "this may be absent; give it a default with ??")
@@ -159,8 +160,8 @@
 	return n
 }
 
-// unify brings two values to one kind: none becomes what the other is, and a
-// whole number a number.
+// unify converts two nodes to a common kind: none takes the kind of the other, and an int next to a float
+// becomes a float.
 func (c *checker) unify(pos int, a, b *node) (*node, *node) {
 	a, b = c.convert(a, b.typ.Kind), c.convert(b, a.typ.Kind)
 	if a.typ.Kind != b.typ.Kind {
@@ -172,7 +173,7 @@
 	return a, b
 }
 
-// convert converts n to a kind where that can't be misunderstood.
+// convert converts n to kind k where that is unambiguous; otherwise it returns n.
 func (c *checker) convert(n *node, k Kind) *node {
 	switch {
 	case n.typ.Kind == untypedNone && (k == Class || k == Team):
@@ -195,6 +196,7 @@
 	return c.logicalExpr(opAnd, len(g.Terms), func(i int) *node { return c.notExpr(g.Terms[i]) })
 }
 
+// logicalExpr checks a chain of and or of or.
 func (c *checker) logicalExpr(o op, n int, term func(int) *node) *node {
 	if n == 1 {
 		return term(0)
@@ -224,6 +226,7 @@
 	return c.finishNode(&node{op: opNot, typ: Type{Kind: Bool}, pos: g.Pos.Offset, children: []*node{n}})
 }
 
+// comparisonSymbols maps each comparison operator to its one-byte code in node.symbol.
 var comparisonSymbols = map[string]byte{"==": '=', "!=": '!', "<": '<', "<=": 'l', ">": '>', ">=": 'g'}
 
 func (c *checker) compareExpr(g *gCmp) *node {
@@ -259,10 +262,9 @@
 	return c.finishNode(&node{op: opCompare, symbol: comparisonSymbols[g.Op], typ: Type{Kind: Bool}, pos: pos, children: []*node{left, right}})
 }
 
-// memberExpr is membership: of a list, a set, a table's keys or a prefix.
+// memberExpr checks an in expression, whose right side is a list, a set, a table or a prefix.
 func (c *checker) memberExpr(pos int, left *node, g *gSum) *node {
-	// What stands on the right is looked at before left is known to be good, so
-	// that faults on both sides are told.
+	// The right side is checked before left is known to be valid, so that errors on both sides are reported.
 	if p := solePrimary(g); p != nil && p.List != nil {
 		return c.listMemberExpr(pos, left, p.List)
 	} else if p != nil && p.Name != "" && c.tables[p.Name] != nil {
@@ -291,7 +293,7 @@
 	return c.finishNode(&node{op: opInPrefix, typ: Type{Kind: Bool}, pos: pos, children: []*node{left}, constValue: right.constValue})
 }
 
-// solePrimary returns the primary that a sum consists of, if it does.
+// solePrimary returns the primary that g consists of, or nil if g has operators.
 func solePrimary(g *gSum) *gPrimary {
 	if len(g.Right) > 0 || len(g.Left.Right) > 0 || len(g.Left.Left.Terms) > 1 || len(g.Left.Left.Terms[0].Minuses) > 0 {
 		return nil
@@ -325,7 +327,7 @@
 	members := newKeyIndex(kind, len(items))
 	for i, item := range items {
 		item = c.convert(item, kind)
-		if kind == Prefix && item.typ.Kind == Addr && item.isConst() { // one address
+		if kind == Prefix && item.typ.Kind == Addr && item.isConst() { // a single address
 			a := item.constValue.IP
 			if p, err := a.Prefix(a.BitLen()); err == nil {
 				item = newConst(Value{Kind: Prefix, Network: p}, item.pos)
@@ -357,7 +359,7 @@
 	return n
 }
 
-// arithExpr is one of + - * / %.
+// arithExpr checks one of + - * / %.
 func (c *checker) arithExpr(pos int, o byte, a, b *node) *node {
 	if a == nil || b == nil {
 		return nil
@@ -367,10 +369,10 @@
 	}
 	if a.typ.Kind == String && b.typ.Kind == String && o == '+' {
 		children := []*node{a, b}
-		if a.op == opConcat { // a chain is one node
+		if a.op == opConcat { // a chain of concatenations becomes one node
 			children = append(slices.Clone(a.children), b)
 		}
-		c.slots += len(children) // where the parts are kept until all are there
+		c.slots += len(children) // one for each part, which is kept until all are evaluated
 		return c.finishNode(&node{op: opConcat, typ: Type{Kind: String}, pos: a.pos, idx: c.slots - len(children), children: children, maxBytes: a.maxBytes + b.maxBytes})
 	}
 	ka, kb := a.typ.Kind, b.typ.Kind
@@ -495,7 +497,7 @@
 	return c.finishNode(newConst(Value{Kind: String, RawValue: RawValue{Str: text}}, pos))
 }
 
-// existingUse tells what a name is already, or "".
+// existingUse returns what a name is already used for, or "" if it is free.
 func (b *setBuilder) existingUse(name string) string {
 	switch {
 	case name == "true" || name == "false" || name == "none":
@@ -556,7 +558,7 @@
 	return c.errorf(pos, "unknown name %q%s", name, spell.Suggest(name, c.knownNames()))
 }
 
-// knownNames are all that a name may be.
+// knownNames returns all valid names, to suggest one for a misspelt name.
 func (c *checker) knownNames() []string {
 	names := slices.Concat([]string{"true", "false", "none", "clock", "today"}, c.env.Classes, c.env.Teams)
 	for _, v := range c.env.Vars {
@@ -575,7 +577,7 @@
 	return names
 }
 
-// definitionRef refers to a definition, which is checked when it is first referred to.
+// definitionRef refers to a definition, which is checked on the first reference.
 func (c *checker) definitionRef(pos int, d *checkedDef) *node {
 	if d.inProgress {
 		from := max(slices.Index(c.definitionPath, d.Name), 0)
@@ -596,7 +598,7 @@
 	d.inProgress = true
 	defer func() { d.inProgress, d.done = false, true }()
 	if d.tree == nil {
-		return // what was wrong with it has been told
+		return // its syntax error has been reported
 	}
 	c := &checker{setBuilder: b, source: d.Source, definitionPath: append(slices.Clone(definitionPath), d.Name)}
 	n := c.expr(d.tree)
@@ -608,7 +610,7 @@
 		return
 	}
 	if n.typ.Kind == Prefix {
-		d.node = n // a constant
+		d.node = n // prefixes are always constant
 		return
 	}
 	b.slots++
@@ -640,13 +642,13 @@
 	return c.finishNode(&node{op: opTable, typ: Type{Kind: t.ValueKind}, pos: pos, tableRef: t, children: []*node{key}, maxBytes: t.maxBytes, ident: t.Name})
 }
 
-// timeZone is a place whose clock a set looks at.
+// timeZone is a time zone that a set refers to.
 type timeZone struct {
 	name string
 	loc  *time.Location
 }
 
-// zoneExpr is the time of day or the date at a place.
+// zoneExpr is the time of day (what: clock) or the date (what: today) in a time zone.
 func (c *checker) zoneExpr(pos int, what, name string) *node {
 	i := slices.IndexFunc(c.zones, func(z *timeZone) bool { return z.name == name })
 	if i < 0 {
@@ -673,8 +675,8 @@
 	return c.finishNode(n)
 }
 
-// compilePattern compiles a regular expression, if it stays within its bounds. Its cost
-// is that of the standard library's engine: a step for each instruction and byte.
+// compilePattern compiles a regular expression within the limits and returns its number of instructions: the
+// standard library's engine takes up to one step for each instruction and byte of text.
 func (c *checker) compilePattern(pos int, text string) (*regexp.Regexp, int) {
 	if n := c.patterns[text]; n != nil {
 		return n.re, n.reInsts
--- a/internal/rules/compile.go
+++ b/internal/rules/compile.go
@@ -1,12 +1,12 @@
 package rules
 
-// evaluator evaluates to a T; opt to one that may be absent.
+// evaluator computes a T; optEvaluator computes a T that may be absent.
 type (
 	evaluator[T any]    func(*Frame) T
 	optEvaluator[T any] func(*Frame) (T, bool)
 )
 
-// compiler turns checked nodes into functions. What nodes share is compiled once.
+// compiler turns checked nodes into evaluators. Nodes that are shared are compiled once.
 type compiler struct {
 	env              *Env
 	boolEvaluators   map[*node]evaluator[bool]
@@ -23,12 +23,12 @@
 	}
 }
 
-// valueOps is how values of one form are kept in cells, and what is peculiar to it.
+// valueOps has the operations on values of one representation T.
 type valueOps[T any] struct {
-	load            func(*RawValue) T
-	store           func(*RawValue, T)
-	cache           func(*compiler) map[*node]evaluator[T]
-	compileOp       func(*compiler, *node) evaluator[T] // operators that only this form has
+	load            func(*RawValue) T                      // reads the value from its field
+	store           func(*RawValue, T)                     // writes the value to its field
+	cache           func(*compiler) map[*node]evaluator[T] // compiled nodes
+	compileOp       func(*compiler, *node) evaluator[T]    // operators that only this representation has; may be nil
 	callCompiler    func(*function) func(*compiler, *node) evaluator[T]
 	optCallCompiler func(*function) func(*compiler, *node) optEvaluator[T]
 }
@@ -80,7 +80,7 @@
 func (k *compiler) compileString(n *node) evaluator[string] { return compile(k, stringOps, n) }
 func (k *compiler) compileAddr(n *node) evaluator[addr]     { return compile(k, addrOps, n) }
 
-// compile makes the function of a node that is never absent.
+// compile returns the evaluator of a node that is never absent.
 func compile[T any](k *compiler, s *valueOps[T], n *node) evaluator[T] {
 	cache := s.cache(k)
 	if f := cache[n]; f != nil {
@@ -141,10 +141,10 @@
 	return s.compileOp(k, n)
 }
 
-// compileOptional makes the function of a node that may be absent.
+// compileOptional returns the evaluator of a node that may be absent.
 func compileOptional[T any](k *compiler, s *valueOps[T], n *node) optEvaluator[T] {
 	i, load, store := n.idx, s.load, s.store
-	if !n.typ.Optional { // a default that is never absent
+	if !n.typ.Optional { // the default of an optional value
 		f := compile(k, s, n)
 		return func(fr *Frame) (T, bool) { return f(fr), true }
 	}
@@ -184,7 +184,7 @@
 	return s.optCallCompiler(n.callee)(k, n)
 }
 
-// compileBinding makes the function that puts a value, absent or not, into a slot.
+// compileBinding returns a function that stores a value, absent or not, in a slot.
 func (k *compiler) compileBinding(n *node, slot int) func(*Frame) {
 	switch n.typ.Kind.representation() {
 	case reprBool:
@@ -210,7 +210,7 @@
 	}
 }
 
-// presenceTest makes the function that tells whether a value is there.
+// presenceTest returns an evaluator that reports whether a value is present.
 func (k *compiler) presenceTest(n *node) evaluator[bool] {
 	switch n.typ.Kind.representation() {
 	case reprBool:
@@ -229,7 +229,7 @@
 	return func(f *Frame) bool { f.cost++; _, ok := value(f); return ok }
 }
 
-// compileRow makes the function that finds a key's row.
+// compileRow returns an evaluator that finds the row of a key, or -1.
 func (k *compiler) compileRow(x *keyIndex, key *node, cost int64) evaluator[int32] {
 	switch x.kind {
 	case String:
@@ -264,7 +264,8 @@
 	return k.compileCompare(n)
 }
 
-// compileLogical is and, whose terms are evaluated while they are true, or or.
+// compileLogical compiles and (while is true) or or (while is false): terms are evaluated in order as long as
+// they yield while.
 func compileLogical(k *compiler, children []*node, while bool) evaluator[bool] {
 	terms := make([]evaluator[bool], len(children))
 	for i, child := range children {
@@ -306,7 +307,7 @@
 	case reprString:
 		return compileOrdered(n.symbol, k.compileString(a), k.compileString(b), n.cost)
 	}
-	if b.isConst() && a.op == opVar { // many conditions are this
+	if b.isConst() && a.op == opVar { // a common form of condition
 		return compareVar(n.symbol, a.idx, b.constValue.Integer)
 	}
 	if b.isConst() && (n.symbol == '=' || n.symbol == '!') {
@@ -316,7 +317,7 @@
 	return compileOrdered(n.symbol, k.compileInt(a), k.compileInt(b), n.cost)
 }
 
-// compareVar holds a variable against a constant.
+// compareVar compares a variable with a constant.
 func compareVar(symbol byte, i int, v int64) evaluator[bool] {
 	switch symbol {
 	case '=':
@@ -386,8 +387,8 @@
 	return func(f *Frame) float64 { f.cost++; return floatArith(o, a(f), b(f)) }
 }
 
-// compileConcat is concatenation. The parts are worked out first: one that makes a
-// string of its own would stand amid the whole.
+// compileConcat compiles a concatenation. All parts are evaluated before any is appended to the buffer: a
+// part that builds a string of its own would otherwise end up inside the result.
 func compileConcat(k *compiler, n *node) evaluator[string] {
 	parts, base := make([]evaluator[string], len(n.children)), n.idx
 	for i, child := range n.children {
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -1,16 +1,16 @@
 package rules
 
-// RuleTrace is what happened at one rule.
+// RuleTrace records how one rule was evaluated.
 type RuleTrace struct {
 	Rule    string
-	Source  string // its condition, as it was written
-	Skipped bool   // it can't match a request of this class, and was not looked at
+	Source  string // the source text of the rule
+	Skipped bool   // it cannot match a request of this class, and was not evaluated
 	Matched bool
-	Cost    int64 // steps, with definitions where they were first used
+	Cost    int64 // in steps, with the definitions that were first evaluated here
 	Values  []NamedValue
 }
 
-// NamedValue is a part of a condition with what it came to.
+// NamedValue is a part of a condition with its value.
 type NamedValue struct {
 	Name  string
 	Value Value
@@ -22,14 +22,14 @@
 	values []tracedValue
 }
 
-// tracedValue is something of a condition that depends on the request.
+// tracedValue is a part of a condition that depends on the request.
 type tracedValue struct {
 	name string
 	kind Kind
 	read func(*Frame) RawValue
 }
 
-// traceRules keeps the parts of each rule's condition.
+// traceRules collects the traced values of each rule's condition.
 func (b *setBuilder) traceRules(list []*checkedRule, k *compiler) []tracedRule {
 	var all []tracedRule
 	for _, r := range list {
@@ -66,7 +66,7 @@
 	return all
 }
 
-// hasFreeLocal tells whether n refers to a let that is outside of it.
+// hasFreeLocal reports whether n refers to a let binding outside of n.
 func (n *node) hasFreeLocal() bool {
 	var free func(n *node, own map[int]bool) bool
 	free = func(n *node, own map[int]bool) bool {
@@ -86,7 +86,7 @@
 	return free(n, make(map[int]bool))
 }
 
-// valueReader makes the function that reads a value of any kind.
+// valueReader returns a function that reads a value of any kind.
 func (k *compiler) valueReader(n *node) func(*Frame) RawValue {
 	switch n.typ.Kind.representation() {
 	case reprBool:
@@ -110,12 +110,12 @@
 	}
 }
 
-// Explain evaluates as Evaluate does, and tells of each rule up to the one that
-// matches. The set must have been compiled with Env.Trace.
+// Explain evaluates like Evaluate and also returns a trace of each rule up to the one that matches. The set
+// must have been compiled with Env.Trace.
 func (s *Set) Explain(f *Frame) (rule int, entries []RuleTrace) {
 	rule = s.Evaluate(f)
 	saved, cost := f.assignments, f.cost
-	f.nextGeneration() // definitions are worked out again, each where it is first used
+	f.nextGeneration() // definitions are evaluated again, so that their cost counts where each is first used
 	p := &s.programs[0]
 	if v := s.env.ClassVar; v >= 0 {
 		p = &s.programs[f.vars[v].Integer+1]
--- a/internal/rules/fold.go
+++ b/internal/rules/fold.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// constFolder works out what is constant, for requests of one class or of any.
-// Nodes that stay as they are are shared.
+// constFolder folds constants, for requests of one class or of any class. Nodes that do not change are shared
+// with the unfolded tree.
 type constFolder struct {
 	*setBuilder
-	class       int // -1: none; anyClass: not known
+	class       int // -1: the request names none; anyClass: unknown
 	locals      map[int]*node
-	definitions map[int]*node // by slot
+	definitions map[int]*node // folded, by slot
 	folded      map[*node]*node
 }
 
+// anyClass stands for an unknown class: one program serves all requests.
 const anyClass = -2
 
 func (b *setBuilder) constFolder(class int) *constFolder {
@@ -23,7 +24,7 @@
 		return m
 	}
 	m := p.foldUncached(n)
-	if n.op != opLocal { // a local stands for what its let has at the time
+	if n.op != opLocal { // the value of a local depends on the let that binds it at this point
 		p.folded[n] = m
 	}
 	return m
@@ -88,12 +89,12 @@
 	return p.evalConst(p.withChildren(n, children))
 }
 
-// foldLogical drops what doesn't matter in an and or an or.
+// foldLogical removes the constant terms of an and or an or.
 func (p *constFolder) foldLogical(n *node, children []*node) *node {
 	var kept []*node
 	for _, k := range children {
 		switch {
-		case k.isConst() && k.constValue.IsTrue == (n.op == opOr): // it decides all
+		case k.isConst() && k.constValue.IsTrue == (n.op == opOr): // decides the result
 			return k
 		case k.isConst():
 		case k.op == n.op:
@@ -111,7 +112,7 @@
 	return p.withChildren(n, kept)
 }
 
-// withChildren is n with other kids, or n itself if they are its own.
+// withChildren returns n with other children, or n itself if they are the same.
 func (p *constFolder) withChildren(n *node, children []*node) *node {
 	if slices.Equal(n.children, children) {
 		return n
@@ -121,10 +122,10 @@
 	return m.finish()
 }
 
-// maxFoldCost is the most steps that are spent on a constant while a set is read.
+// maxFoldCost is the cost in steps up to which a constant expression is evaluated at compile time.
 const maxFoldCost = 10_000
 
-// evalConst works a node out whose kids are all constants.
+// evalConst evaluates a node whose children are all constants.
 func (b *setBuilder) evalConst(n *node) *node {
 	if n.typ.Optional || n.op == opHas || n.cost > maxFoldCost {
 		return n
@@ -140,7 +141,7 @@
 	if b.checkOnly {
 		return n
 	}
-	b.foldedConsts++ // as any other expression, so that there is one meaning
+	b.foldedConsts++ // the regular evaluators are used, so that folding can't differ from evaluation
 	s := &Set{env: b.env, slots: b.slots + len(n.children), zones: b.zones}
 	f := s.NewFrame()
 	k := newCompiler(b.env)
@@ -160,7 +161,8 @@
 	return newConst(v, n.pos)
 }
 
-// evalNames works out what only looks at names, as conditions on the class do.
+// evalNames evaluates comparisons of class and team names, such as conditions on the class, without compiling
+// the node.
 func (n *node) evalNames() (v, ok bool) {
 	switch {
 	case n.op == opNot:
@@ -173,9 +175,9 @@
 	return false, false
 }
 
-// possibleClasses tells which classes a value may be, by 1 << (class+1). It knows no more
-// than that branches and tables yield one of what is in them, and is never too
-// little.
+// possibleClasses returns the set of classes that a value may be, as bits 1 << (class+1). It only takes into
+// account that conditionals and tables yield one of their values, so the result may be too large but never
+// too small.
 func (n *node) possibleClasses(locals map[int]uint64) uint64 {
 	switch n.op {
 	case opConst:
@@ -198,5 +200,5 @@
 		}
 		return set
 	}
-	return 1<<63 - 1 // whatever else there may come to be
+	return 1<<63 - 1 // any class, for operators added later
 }
--- a/internal/rules/function.go
+++ b/internal/rules/function.go
@@ -13,14 +13,14 @@
 	"millethinge/internal/spell"
 )
 
-// function is one that expressions may call. Of the evaluators the one of its
-// result's form is set; opt… ones are of results that may be absent.
+// function is a built-in function. The compile function for the representation of its result is set; those
+// named compileOpt are for results that may be absent.
 type function struct {
 	usage       string
 	doc         string
 	check       func(c *checker, pos int, args []*node) *node
 	cost        func(*node) int64
-	makesString bool // its result is a string of its own
+	makesString bool // the result is built in the frame's buffer
 
 	compileBool      func(*compiler, *node) evaluator[bool]
 	compileInt       func(*compiler, *node) evaluator[int64]
@@ -32,7 +32,7 @@
 	compileOptAddr   func(*compiler, *node) optEvaluator[addr]
 }
 
-// functions is filled by init, since some refer to it.
+// functions is filled by init because some of its entries refer to it.
 var functions map[string]*function
 
 // callExpr checks a call.
@@ -70,7 +70,7 @@
 	return n
 }
 
-// textExpr is NAME("x").
+// textExpr checks NAME("x"), a reference to a text of a family.
 func (c *checker) textExpr(pos, family int, g *gCall) *node {
 	f := c.env.TextFamilies[family]
 	if len(g.Args) == 1 {
@@ -90,7 +90,7 @@
 	return c.errorf(pos, "%s wants a name in quotes of at most %d bytes, as in %s(\"x\")", g.Name, maxNameBytes, g.Name)
 }
 
-// checkArgs checks the number and the kinds of arguments; 0 is any kind.
+// checkArgs checks the number and the kinds of arguments; kind 0 accepts any.
 func (c *checker) checkArgs(pos int, f string, args []*node, kinds ...Kind) bool {
 	if len(args) != len(kinds) {
 		c.errorf(pos, "%s", functions[f].usage)
@@ -109,7 +109,7 @@
 	return true
 }
 
-// requireConst wants an argument to be a constant.
+// requireConst reports an error unless the argument n is a constant.
 func (c *checker) requireConst(n *node, what string) bool {
 	if n.isConst() {
 		return true
@@ -118,15 +118,15 @@
 	return false
 }
 
-// callNode is a call that yields a type, with the arguments that are evaluated.
+// callNode returns a call that yields kind k; args are the arguments evaluated at run time.
 func callNode(k Kind, optional bool, maxBytes int, args ...*node) *node {
 	return &node{op: opCall, typ: Type{k, optional}, children: args, maxBytes: maxBytes}
 }
 
-// constCost is the cost of what takes the same time always.
+// constCost returns the cost function of a call that always takes the same number of steps.
 func constCost(steps int64) func(*node) int64 { return func(*node) int64 { return steps } }
 
-// firstArgScanCost is the cost of going over the first argument once.
+// firstArgScanCost is the cost of reading the first argument once.
 func firstArgScanCost(n *node) int64 { return 2 + scanCost(n.children[0].maxBytes) }
 
 func init() {
@@ -149,12 +149,12 @@
 		"starts": stringTestFunction("starts", strings.HasPrefix, func(n *node) int64 { return scanCost(n.children[1].maxBytes) }),
 		"ends":   stringTestFunction("ends", strings.HasSuffix, func(n *node) int64 { return scanCost(n.children[1].maxBytes) }),
 		"contains": stringTestFunction("contains", strings.Contains, func(n *node) int64 {
-			// The standard library's search is linear but for short windows.
+			// strings.Contains takes linear time, except for short windows.
 			return 2 + 4*scanCost(n.children[0].maxBytes) + scanCost(n.children[1].maxBytes)
 		}),
 		"glob": {
 			usage: `glob(STRING, "PATTERN"): * stands for any bytes, ? for one`, doc: "whether it is like a pattern",
-			// Each star may begin anew at each byte.
+			// Matching may start anew at each byte for each star.
 			cost: func(n *node) int64 { return 2 + int64(n.children[0].maxBytes+1)*int64(len(n.globPattern())+1)/2 },
 			check: func(c *checker, pos int, args []*node) *node {
 				if !c.checkArgs(pos, "glob", args, String, String) || !c.requireConst(args[1], "the pattern") {
@@ -193,7 +193,7 @@
 			},
 			compileBool: func(k *compiler, n *node) evaluator[bool] {
 				s, re, reInsts := k.compileString(n.children[0]), n.re, int64(n.reInsts)
-				empty := re.MatchString("") // many texts are absent, and need no machine
+				empty := re.MatchString("") // many texts are absent; "" needs no run of the engine
 				return func(f *Frame) bool {
 					v := s(f)
 					if v == "" {
@@ -499,10 +499,10 @@
 	}
 }
 
-// globPattern is the pattern of a glob.
+// globPattern returns the pattern of a glob call.
 func (n *node) globPattern() string { return n.constArg.Str }
 
-// parseConst is a constant that is read from a string.
+// parseConst returns a constant that is parsed from a string.
 func (c *checker) parseConst(pos int, k Kind, text string) *node {
 	v, err := c.env.parseValue(k, text)
 	if err != nil {
@@ -511,8 +511,7 @@
 	return c.finishNode(newConst(v, pos))
 }
 
-// nameFunction is class("x") and team("x"), for names that mean two things, or are no
-// words.
+// nameFunction is class("x") or team("x"), for names that are ambiguous or not identifiers.
 func nameFunction(name string, k Kind) *function {
 	return &function{
 		usage: name + `("NAME")`, doc: "the " + name + " of that name", cost: constCost(1),
@@ -525,7 +524,7 @@
 	}
 }
 
-// caseFunction is lower and upper, of the letters of ASCII.
+// caseFunction is lower or upper, for ASCII letters only.
 func caseFunction(name string, from, to byte, shift int) *function {
 	return &function{
 		usage: name + "(STRING)", doc: "with the letters A to Z in " + name + " case", makesString: true,
@@ -573,7 +572,7 @@
 	}
 }
 
-// minMaxFunction is min and max.
+// minMaxFunction is min or max.
 func minMaxFunction(name string, wantMin bool) *function {
 	return &function{
 		usage: name + "(A, B)", doc: "the one or the other", cost: constCost(1),
@@ -608,6 +607,7 @@
 	}
 }
 
+// zoneFunction is clock or today of a given time zone.
 func zoneFunction(name, doc string) *function {
 	return &function{
 		usage: name + `, or ` + name + `("ZONE")`, doc: doc, cost: constCost(1),
@@ -644,6 +644,7 @@
 	return f
 }
 
+// clockFunction is a component of a time of day.
 func clockFunction(name string, unit time.Duration, modulus int64) *function {
 	return &function{
 		usage: name + "(CLOCK)", doc: "from 0", cost: constCost(1),
@@ -667,7 +668,7 @@
 	return 0
 }
 
-// requireHashable tells whether hash and bucket take n.
+// requireHashable reports an error unless hash and bucket accept n.
 func (c *checker) requireHashable(n *node) bool {
 	switch n.typ.Kind {
 	case String, Title, Int, Class, Team:
@@ -679,8 +680,8 @@
 
 func hashCost(n *node) int64 { return 8 + scanCost(n.children[0].maxBytes) }
 
-// compileHash is that of a string's bytes. A title, a class and a team are hashed by
-// their names, so that managers whose numbers for them differ agree.
+// compileHash hashes the bytes of a string. A title, a class or a team is hashed by its name, so that
+// managers that number them differently get the same hash.
 func (k *compiler) compileHash(n *node) evaluator[uint64] {
 	if n.typ.Kind == String {
 		s := k.compileString(n)
@@ -698,7 +699,7 @@
 	}
 }
 
-// compileTextCall is text(X).
+// compileTextCall compiles text(X).
 func compileTextCall(k *compiler, n *node) evaluator[string] {
 	kind, env := n.children[0].typ.Kind, k.env
 	steps := n.cost
@@ -715,14 +716,14 @@
 	x := k.compileInt(n.children[0])
 	return func(f *Frame) string {
 		f.cost += steps
-		v := x(f) // first: it may make a string of its own
+		v := x(f) // evaluated before start is taken, since it may build a string of its own
 		start := len(f.buf)
 		f.buf = appendText(f.buf, env, kind, v)
 		return f.builtString(start)
 	}
 }
 
-// appendText puts a number of a kind in letters.
+// appendText appends the text form of an integer of kind k.
 func appendText(b []byte, env *Env, k Kind, n int64) []byte {
 	switch k {
 	case Class:
--- a/internal/rules/grammar.go
+++ b/internal/rules/grammar.go
@@ -10,8 +10,9 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// The grammar, from the loosest binding to the tightest. Chains of one operator
-// are lists, so that their length costs no depth.
+// The grammar, from the loosest binding to the tightest. Chains of one operator are lists, so that their
+// length adds no depth. participle prints the names of these types in its messages ("expected GPrimary"),
+// which operators read, so the names must not change.
 
 type gRule struct {
 	When *gExpr     `parser:"( 'when' @@ )?"`
@@ -137,6 +138,7 @@
 	Items []*gExpr `parser:"'[' ( @@ ( ',' @@ )* )? ']'"`
 }
 
+// lexerRules are the tokens of the language, in order of precedence.
 var lexerRules = []lexer.SimpleRule{
 	{Name: "space", Pattern: `(?:[ \t\r\n]|\\\r?\n)+`},
 	{Name: "String", Pattern: `"(?:\\.|[^"\\\n])*"`},
@@ -158,8 +160,7 @@
 	expr *participle.Parser[gExpr]
 }
 
-// sharedParsers are built when the first set is read: a program without rules does
-// without.
+// sharedParsers are built on first use: a program without rules doesn't need them.
 var sharedParsers = sync.OnceValue(func() parserPair {
 	options := []participle.Option{
 		participle.Lexer(lexer.MustSimple(lexerRules)), participle.Elide("space"), participle.UseLookahead(2),
@@ -167,7 +168,7 @@
 	return parserPair{participle.MustBuild[gRule](options...), participle.MustBuild[gExpr](options...)}
 })
 
-// parseSource reads a text after its bounds have been checked.
+// parseSource parses a source after checking its limits.
 func parseSource[G any](p *participle.Parser[G], source Source) *G {
 	if pos, msg := checkLimits(source.Text); msg != "" {
 		source.ReportError(pos, msg)
@@ -193,9 +194,8 @@
 	return nil
 }
 
-// checkLimits checks the length and the nesting of a text before the parser sees it,
-// so that no text can exhaust the stack. It knows quotes and nothing else of the
-// language, and counts no less than there is.
+// checkLimits checks the length and the nesting of a text before parsing, so that no text can exhaust the
+// stack. It understands quotes but nothing else of the language, and never counts less nesting than there is.
 func checkLimits(text string) (int, string) {
 	if len(text) > maxExprBytes {
 		return 0, fmt.Sprintf("an expression of %d bytes; at most %d are read", len(text), maxExprBytes)
--- a/internal/rules/node.go
+++ b/internal/rules/node.go
@@ -5,56 +5,57 @@
 	"regexp"
 )
 
+// op is the operator of a node.
 type op uint8
 
 const (
 	opConst    op = iota
-	opVar         // idx: of Env.Vars
-	opTextRef     // idx: of the set's texts
-	opLocal       // idx: a slot
-	opLet         // idx: a slot; kids: what it is, where it holds
-	opDef         // idx: a slot; kids: what it is
-	opTable       // table; kids: the key
-	opIf          // kids: condition, then, else
-	opNot         // kids: one
-	opAnd         // kids: any number
-	opOr          // kids: any number
-	opCompare     // cmp; kids: two of one kind
-	opIn          // keys; kids: one
-	opInPrefix    // kids: an address; val: a prefix
-	opDefault     // kids: two, the first optional
-	opHas         // kids: one, optional
-	opNeg         // kids: one
-	opArith       // cmp is '+', '-', '*', '/' or '%'; kids: two of one form
-	opConcat      // kids: any number of strings
-	opCall        // fn; kids: its arguments that are no constants of its own
-	opClock       // idx: a zone
-	opToday       // idx: a zone
+	opVar         // idx: index into Env.Vars
+	opTextRef     // idx: index into Set.texts
+	opLocal       // idx: slot
+	opLet         // idx: slot; children: bound expression, body
+	opDef         // idx: slot; children: defining expression
+	opTable       // tableRef; children: key
+	opIf          // children: condition, then, else
+	opNot         // children: one
+	opAnd         // children: two or more
+	opOr          // children: two or more
+	opCompare     // symbol; children: two of one kind
+	opIn          // members; children: one
+	opInPrefix    // constValue: a prefix; children: an address
+	opDefault     // children: an optional, its default
+	opHas         // children: an optional
+	opNeg         // children: one
+	opArith       // symbol: '+', '-', '*', '/' or '%'; children: two of one representation
+	opConcat      // children: any number of strings
+	opCall        // callee; children: the arguments evaluated at run time
+	opClock       // idx: time zone
+	opToday       // idx: time zone
 )
 
-// node is an expression whose types are known. Nodes are not changed once they
-// are made, and classes share those that don't depend on the class.
+// node is an expression with its type. Nodes are immutable once built; the programs of different classes
+// share those that do not depend on the class.
 type node struct {
 	op         op
 	typ        Type
-	pos        int // in its source
+	pos        int // byte offset in the source
 	children   []*node
-	constValue Value // of opConst
+	constValue Value // of opConst and opInPrefix
 	idx        int
 	symbol     byte // '<', 'l' (<=), '>', 'g' (>=), '=', '!'; or an arithmetic operator
 	callee     *function
 	members    *keyIndex
 	tableRef   *table
 	re         *regexp.Regexp
-	reInsts    int // of re
-	constArg   RawValue
-	maxBytes   int   // bytes of a string
-	cost       int64 // most steps to evaluate it, kids and definitions left out
+	reInsts    int      // number of instructions of re
+	constArg   RawValue // constant argument of a call, such as its pattern
+	maxBytes   int      // maximum length of a string value
+	cost       int64    // maximum steps to evaluate it, without children and definitions
 	depth      int
-	ident      string
+	ident      string // name of the variable, text, definition, table or function
 }
 
-// addCost adds, and stays at the most that there is.
+// addCost adds two costs, saturating at math.MaxInt64.
 func addCost(a, b int64) int64 {
 	if a > math.MaxInt64-b {
 		return math.MaxInt64
@@ -62,11 +63,11 @@
 	return a + b
 }
 
-// scanCost is what it costs to go over n bytes once.
+// scanCost is the cost of reading n bytes once, in steps.
 func scanCost(n int) int64 { return 1 + int64(n)/16 }
 
-// totalCost is the most that an evaluation costs, with the kids and with each
-// definition that it uses once; seen has the definitions that were counted.
+// totalCost is the maximum cost of an evaluation, with the children and with each definition that is used,
+// counted once; seen has the slots of the definitions counted so far.
 func (n *node) totalCost(seen map[int]bool) int64 {
 	cost := n.cost
 	if n.op == opDef {
@@ -76,8 +77,8 @@
 		seen[n.idx] = true
 	}
 	if n.op == opIf {
-		// Both branches may use a definition, and one of them is evaluated. To count
-		// each as if it were is never too little.
+		// Only one branch is evaluated, and both may use the same definition. The sum of both branches is an
+		// upper bound.
 		return addCost(cost, addCost(n.children[0].totalCost(seen), addCost(n.children[1].totalCost(seen), n.children[2].totalCost(seen))))
 	}
 	for _, k := range n.children {
@@ -86,7 +87,7 @@
 	return cost
 }
 
-// builtBytes is how many bytes of strings an evaluation makes at most.
+// builtBytes is the maximum number of bytes of strings that an evaluation builds.
 func (n *node) builtBytes(seen map[int]bool) int {
 	bytes := 0
 	if n.op == opDef {
@@ -111,10 +112,10 @@
 
 func (n *node) isFalse() bool { return n.op == opConst && n.typ.Kind == Bool && !n.constValue.IsTrue }
 
-// finish sets what follows from the kids.
+// finish computes the depth and the cost of n from its children.
 func (n *node) finish() *node {
 	n.depth = 1
-	if n.op != opDef { // it has its own bounds
+	if n.op != opDef { // a definition is checked against the depth limit itself
 		for _, k := range n.children {
 			n.depth = max(n.depth, k.depth+1)
 		}
@@ -123,6 +124,7 @@
 	return n
 }
 
+// ownCost is the cost of n without its children.
 func (n *node) ownCost() int64 {
 	switch n.op {
 	case opConst:
@@ -130,7 +132,7 @@
 	case opTextRef, opVar, opLocal, opLet, opDef, opHas, opDefault:
 		return 1
 	case opClock, opToday:
-		return 40 // the first of a zone has the date worked out
+		return 40 // the first use of a zone computes its local time
 	case opTable:
 		return n.tableRef.keyIndex.lookupCost(n.children[0].maxBytes)
 	case opIn:
@@ -147,6 +149,7 @@
 	return 1
 }
 
+// newConst returns a constant node.
 func newConst(v Value, pos int) *node {
 	v.Present = true
 	n := &node{op: opConst, typ: Type{Kind: v.Kind}, pos: pos, constValue: v}
--- a/internal/rules/property_test.go
+++ b/internal/rules/property_test.go
@@ -18,7 +18,8 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried with the same values every time.
+// TestMain fixes rapid's seed and number of checks, so that each run tries the same values. Flags given on
+// the command line take precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20260515", "rapid.checks": "600", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
@@ -33,8 +34,8 @@
 	os.Exit(m.Run())
 }
 
-// randomExpr writes a random expression of a kind that the checker takes. lets are the
-// names that are bound, with their kinds.
+// randomExpr generates a random expression of kind k that the checker accepts. lets has the names bound so
+// far, each after its kind.
 func randomExpr(t *rapid.T, k Kind, depth int, lets []string) string {
 	pick := func(options ...string) string { return rapid.SampledFrom(options).Draw(t, "pick") }
 	sub := func(k Kind) string { return randomExpr(t, k, depth-1, lets) }
@@ -123,6 +124,7 @@
 	return randomLeaf(t, k)
 }
 
+// randomLeaf generates an expression of kind k without subexpressions.
 func randomLeaf(t *rapid.T, k Kind) string {
 	return rapid.SampledFrom(map[Kind][]string{
 		Bool: {"true", "false", "retry", "shared"}, Int: {"0", "1", "7", "copies", "9223372036854775807", "sum", "(today - 2026-05-01)"}, Float: {"0.5", "top", "1e308", "0.0"},
@@ -134,12 +136,11 @@
 
 var propertyDefinitions = []string{`shared = retry or class == clip`, `sum = copies + rank[viewer ?? ""]`, `name = lower(viewer ?? "?") + text(class)`}
 
-// TestCompiledMatchesReference holds the compiled form of random expressions against a
-// plain evaluator of the tree that the checker made, and its cost against the
-// bound, for each class.
+// TestCompiledMatchesReference compares the compiled form of random expressions with the result of
+// referenceEvaluator on the checked tree, and the cost with its bound, for each class.
 func TestCompiledMatchesReference(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short: one goroutine, and run without the race detector")
+		t.Skip("skipped in short mode: it uses one goroutine and is run without the race detector")
 	}
 	var evaluated, matched int
 	rapid.Check(t, func(t *rapid.T) {
@@ -157,9 +158,9 @@
 			defs = append(defs, Definition{name, diags.source(name, text)})
 		}
 		b.readDefinitions(defs)
-		var rules []Rule // which have parts in common
-		for _, w := range []string{condition + " and " + otherCondition, otherCondition, condition} {
-			rules = append(rules, Rule{"r", diags.source("r", "when "+w+" set label.a = "+text)})
+		var rules []Rule // with common subexpressions
+		for _, c := range []string{condition + " and " + otherCondition, otherCondition, condition} {
+			rules = append(rules, Rule{"r", diags.source("r", "when "+c+" set label.a = "+text)})
 		}
 		list := b.readRules(rules)
 		for _, d := range b.inSourceOrder(defs) {
@@ -174,7 +175,7 @@
 					t.Fatalf("%s\n%v", condition, diags.errors)
 				}
 			}
-			t.Skip("too much")
+			t.Skip("the expression exceeds a limit")
 		}
 		s := b.assemble(list, false)
 		f := s.NewFrame()
@@ -197,16 +198,16 @@
 				f.SetText(i, []byte(rapid.SampledFrom([]string{"", "a1b2", "-5"}).Draw(t, "text")))
 			}
 		}
-		w := &referenceEvaluator{set: s, f: f, b: b, locals: make(map[int]Value)}
-		want := slices.IndexFunc(list, func(r *checkedRule) bool { return w.eval(r.condition).IsTrue })
+		ref := &referenceEvaluator{set: s, f: f, b: b, locals: make(map[int]Value)}
+		want := slices.IndexFunc(list, func(r *checkedRule) bool { return ref.eval(r.condition).IsTrue })
 		rule := s.Evaluate(f)
 		evaluated++
 		if rule != want {
-			t.Fatalf("%s, %s: rule %d, want %d", condition, otherCondition, rule, want)
+			t.Fatalf("%s, %s: rule %d matched, want %d", condition, otherCondition, rule, want)
 		}
 		if want >= 0 {
 			matched++
-			if got, want := f.Assignments()[0].Str, w.eval(list[want].assignments[0].value).Str; got != want {
+			if got, want := f.Assignments()[0].Str, ref.eval(list[want].assignments[0].value).Str; got != want {
 				t.Fatalf("%s: %q, want %q", text, got, want)
 			}
 		}
@@ -215,12 +216,12 @@
 		}
 	})
 	if evaluated < 200 || matched < evaluated/10 || matched > evaluated*9/10 {
-		t.Errorf("%d evaluated, %d matched: too one-sided", evaluated, matched)
+		t.Errorf("%d evaluated, %d matched: want at least 200 evaluated and 10 to 90 percent of them matched", evaluated, matched)
 	}
 }
 
-// referenceEvaluator evaluates a tree as it stands: no folding, no definitions kept, big
-// numbers in place of saturation. It is the plain meaning of the language.
+// referenceEvaluator evaluates a checked tree directly: without folding or cached definitions, and with big
+// integers in place of saturating arithmetic. It defines the meaning of the language in the plainest way.
 type referenceEvaluator struct {
 	set    *Set
 	f      *Frame
@@ -228,27 +229,27 @@
 	locals map[int]Value
 }
 
-func (w *referenceEvaluator) eval(n *node) Value {
-	child := func(i int) Value { return w.eval(n.children[i]) }
+func (ref *referenceEvaluator) eval(n *node) Value {
+	child := func(i int) Value { return ref.eval(n.children[i]) }
 	out := func(k Kind, c RawValue) Value { c.Present = true; return Value{Kind: k, RawValue: c} }
 	truth := func(b bool) Value { return out(Bool, RawValue{IsTrue: b}) }
-	zone := func() time.Time { return w.f.now.In(w.b.zones[n.idx].loc) }
+	zone := func() time.Time { return ref.f.now.In(ref.b.zones[n.idx].loc) }
 	switch n.op {
 	case opConst:
 		return n.constValue
 	case opVar:
-		return Value{Kind: n.typ.Kind, RawValue: w.f.vars[n.idx]}
+		return Value{Kind: n.typ.Kind, RawValue: ref.f.vars[n.idx]}
 	case opTextRef:
-		return Value{Kind: String, RawValue: w.f.texts[n.idx]}
+		return Value{Kind: String, RawValue: ref.f.texts[n.idx]}
 	case opLocal:
-		return w.locals[n.idx]
+		return ref.locals[n.idx]
 	case opLet:
-		w.locals[n.idx] = child(0)
+		ref.locals[n.idx] = child(0)
 		return child(1)
 	case opDef:
 		return child(0)
 	case opTable:
-		if row := w.row(n.tableRef.keyIndex, child(0)); row >= 0 {
+		if row := ref.row(n.tableRef.keyIndex, child(0)); row >= 0 {
 			return n.tableRef.values[row]
 		}
 		return n.tableRef.defaultValue
@@ -270,7 +271,7 @@
 		}
 		return truth(v)
 	case opIn:
-		return truth(w.row(n.members, child(0)) >= 0)
+		return truth(ref.row(n.members, child(0)) >= 0)
 	case opInPrefix:
 		return truth(n.constValue.Network.Contains(child(0).IP))
 	case opDefault:
@@ -299,15 +300,15 @@
 		}
 		return out(n.typ.Kind, RawValue{Integer: clamp(new(big.Int).Neg(big.NewInt(v.Integer)))})
 	case opArith:
-		return w.sum(n, child(0), child(1))
+		return ref.sum(n, child(0), child(1))
 	case opCompare:
 		c := compareValues(child(0), child(1))
 		return truth(map[byte]bool{'=': c == 0, '!': c != 0, '<': c < 0, 'l': c <= 0, '>': c > 0, 'g': c >= 0}[n.symbol])
 	}
-	return w.call(n, child)
+	return ref.call(n, child)
 }
 
-func (w *referenceEvaluator) row(x *keyIndex, key Value) int {
+func (ref *referenceEvaluator) row(x *keyIndex, key Value) int {
 	switch x.kind {
 	case String:
 		for s, row := range x.byString {
@@ -349,7 +350,7 @@
 	return math.MinInt64
 }
 
-func (w *referenceEvaluator) sum(n *node, a, b Value) Value {
+func (ref *referenceEvaluator) sum(n *node, a, b Value) Value {
 	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	if v.Kind == Float {
 		switch n.symbol {
@@ -407,7 +408,7 @@
 	return big.NewInt(a.Integer).Cmp(big.NewInt(b.Integer))
 }
 
-func (w *referenceEvaluator) call(n *node, child func(int) Value) Value {
+func (ref *referenceEvaluator) call(n *node, child func(int) Value) Value {
 	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	a := child(0)
 	date := func() time.Time { return time.Date(1970, 1, 1, 0, 0, 0, 0, time.UTC).AddDate(0, 0, int(a.Integer)) }
@@ -435,11 +436,11 @@
 			v.Str = parts[n.constArg.Integer-1]
 		}
 	case "text":
-		v.Str = strings.Trim(w.set.env.FormatValue(a), `"`)
+		v.Str = strings.Trim(ref.set.env.FormatValue(a), `"`)
 	case "hash":
 		v.Integer = int64(xxhash.Sum64String(a.Str) >> 1)
 	case "bucket":
-		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(w.set.env.FormatValue(a))), big.NewInt(n.constArg.Integer))
+		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(ref.set.env.FormatValue(a))), big.NewInt(n.constArg.Integer))
 		v.Integer = z.Rsh(z, 64).Int64()
 	case "abs":
 		if v.Float64 = math.Abs(a.Float64); a.Kind != Float {
@@ -484,12 +485,13 @@
 	case "last_day":
 		v.IsTrue = date().Month() != date().Add(24*time.Hour).Month()
 	default:
-		panic("the walker has no " + n.ident)
+		panic("referenceEvaluator does not implement " + n.ident)
 	}
 	return v
 }
 
-// Whatever text comes, reading it ends with a set or with faults within the text.
+// FuzzCompile guards against texts that crash the compiler, that yield neither a set nor errors, or whose
+// errors lie outside the text.
 func FuzzCompile(f *testing.F) {
 	for _, s := range []string{`when class == clip and copies > 2 set team = north, label.a = "x" + text(key)`, "when let x = (1; x", `set budget = lower(viewer ?? "é")`,
 		"when client ?? 10.0.0.1 in [10.0.0.0/8] or today - 3 == 2026-05-15 or between(clock, 18:00, 1:00)", "when matches(field(\"a\") ?? \"\", `(a+)+`)", "when 1h30m in [1s, 5ms]", "\"\\", "when ((((", "when f(-"} {
@@ -500,13 +502,13 @@
 		src := Source{Text: text, ReportError: func(pos int, msg string) {
 			diags.errors = append(diags.errors, msg)
 			if pos < 0 || pos > len(text) || msg == "" {
-				t.Errorf("%q: fault at %d: %s", text, pos, msg)
+				t.Errorf("%q: error at %d: %s", text, pos, msg)
 			}
 		}}
 		b := newSetBuilder(testEnv())
 		s := b.buildSet(testTables(diags), nil, []Rule{{"r", src}})
 		if (s == nil) != (len(diags.errors) > 0) {
-			t.Errorf("%q: set %v, faults %v", text, s != nil, diags.errors)
+			t.Errorf("%q: set %v, errors %v", text, s != nil, diags.errors)
 		}
 		if s == nil {
 			if b.foldedConsts > 0 {
--- a/internal/rules/quick.go
+++ b/internal/rules/quick.go
@@ -5,34 +5,34 @@
 	"strings"
 )
 
-// inlineTest is a term of a condition that is tested without a call: a variable or
-// something worked out already is held against a constant. A program's quick
-// terms stand side by side in memory in the order of its rules, so that most
-// rules are passed over by reading on: what is slow about a set of hundreds of
-// rules is to fetch them, not to compare.
+// inlineTest is a term of a condition that is tested without a call: a variable or an evaluated definition is
+// compared with a constant. The inline tests of a program are contiguous in memory, in the order of its
+// rules, so that most rules are rejected by a sequential read: the time for a set of hundreds of rules goes
+// into fetching them from memory, not into the comparisons.
 type inlineTest struct {
 	kind    inlineKind
-	symbol  byte
-	idx     uint16
+	symbol  byte   // as in node
+	idx     uint16 // of a variable or text, or the slot of a definition
 	cost    int32
-	operand int64 // of a string, its position among the program's words
+	operand int64 // for a string, its index in the program's stringPool
 }
 
-// inlineIndexLimit bounds what a quick term's index can hold.
+// inlineIndexLimit is the number of values that inlineTest.idx can hold.
 const inlineIndexLimit = 1 << 16
 
+// inlineKind is what an inline test reads and how it compares.
 type inlineKind uint8
 
 const (
-	inlineInt       inlineKind = iota // a variable, held as a whole number
-	inlineBool                        // a variable that is true; cmp '!': false
-	inlineDefInt                      // a definition, held as a whole number
-	inlineDefBool                     // a definition that is true; cmp '!': false
+	inlineInt       inlineKind = iota // a variable represented as an integer
+	inlineBool                        // a variable that is true; symbol '!': false
+	inlineDefInt                      // a definition represented as an integer
+	inlineDefBool                     // a definition that is true; symbol '!': false
 	inlineDefString                   // a definition that is a string
-	inlinePrefix                      // a text that begins with a string; absent, it is ""
+	inlinePrefix                      // a text that starts with a string; an absent one is ""
 )
 
-// intern is the position of a string among the program's.
+// intern returns the index of a string in the program's stringPool.
 func (p *program) intern(s string) int64 {
 	i := slices.Index(p.stringPool, s)
 	if i < 0 {
@@ -42,7 +42,7 @@
 	return int64(i)
 }
 
-// inlineTestOf is n as a quick term.
+// inlineTestOf returns n as an inline test, if it has the form of one.
 func (p *program) inlineTestOf(n *node) (test inlineTest, ok bool) {
 	test.cost = int32(min(n.cost+childrenCost(n), 1<<20))
 	flip := byte(0)
@@ -83,8 +83,8 @@
 	return test, false
 }
 
-// childrenCost is what n's parts cost beside n, definitions' bodies left out: those
-// count when they are worked out.
+// childrenCost is the cost of the descendants of n. The bodies of definitions are left out: they are counted
+// when they are evaluated.
 func childrenCost(n *node) (cost int64) {
 	if n.op == opDef {
 		return 0
@@ -95,7 +95,7 @@
 	return cost
 }
 
-// testInline tests a quick term.
+// testInline runs an inline test.
 func (p *program) testInline(f *Frame, test *inlineTest) bool {
 	f.cost += int64(test.cost)
 	switch test.kind {
@@ -105,7 +105,7 @@
 		return f.vars[test.idx].IsTrue != (test.symbol == '!')
 	case inlinePrefix:
 		c := &f.texts[test.idx]
-		if !c.Present { // most texts are
+		if !c.Present { // most texts are absent
 			return p.stringPool[test.operand] == ""
 		}
 		return strings.HasPrefix(c.Str, p.stringPool[test.operand])
@@ -139,7 +139,7 @@
 	return a >= b
 }
 
-// slotEvaluator makes the function that works a definition out into its slot.
+// slotEvaluator returns a function that evaluates a definition into its slot.
 func (k *compiler) slotEvaluator(n *node) func(*Frame) {
 	switch n.typ.Kind.representation() {
 	case reprBool:
@@ -150,11 +150,11 @@
 		return func(fr *Frame) { fr.cost--; f(fr) }
 	}
 	f := k.compileInt(n)
-	return func(fr *Frame) { fr.cost--; f(fr) } // reading it has been counted
+	return func(fr *Frame) { fr.cost--; f(fr) } // the inline test has counted the read
 }
 
-// splitCondition compiles a condition into quick terms, which go first, and the rest. The
-// order doesn't matter: expressions have no effects and always come to an end.
+// splitCondition compiles a condition into inline tests, which are run first, and the residual terms. The
+// order does not matter, because expressions have no side effects and always terminate.
 func (p *program) splitCondition(k *compiler, condition *node) (terms int, residual evaluator[bool]) {
 	children := []*node{condition}
 	if condition.op == opAnd {
@@ -184,8 +184,7 @@
 	return len(p.inline) - first, residual
 }
 
-// variablesFirst puts the terms that may have to work something out behind those that
-// don't.
+// variablesFirst moves the tests that may have to evaluate a definition behind the others.
 func (p *program) variablesFirst(from int) {
 	tests := p.inline[from:]
 	next := 0
@@ -199,7 +198,7 @@
 	}
 }
 
-// addSlotEvaluator keeps how to work out the definition that a quick term looks at.
+// addSlotEvaluator registers the evaluator of the definition that an inline test reads.
 func (p *program) addSlotEvaluator(k *compiler, n *node, slot int) {
 	for n.op != opDef {
 		n = n.children[0]
--- a/internal/rules/reach.go
+++ b/internal/rules/reach.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// reachability finds rules that no request gets to, and those that stand for the same
-// requests and set different things.
+// reachability finds rules that no request reaches, and rules with the same condition but different
+// assignments.
 type reachability struct {
-	termIDs     map[string]int // of conditions that are terms of an and
-	reached     []bool         // for some class
-	shadowedBy  []int          // the earlier rule that takes all of a rule's requests
-	satisfiable []bool         // the condition is not false for some class
-	terms       [][]int        // for the last class that it was looked at for
+	termIDs     map[string]int // of terms, by node.key
+	reached     []bool         // by rule: reached for at least one class
+	shadowedBy  []int          // by rule: the earlier rule that matches all its requests, or -1
+	satisfiable []bool         // by rule: the condition is not constantly false for at least one class
+	terms       [][]int        // by rule: the term IDs for the last class examined
 }
 
-// maxComparedRules is up to how many rules are compared with each other.
+// maxComparedRules is the number of earlier rules up to which a rule is compared with each of them.
 const maxComparedRules = 2_000
 
 func newReachability(n int) *reachability {
@@ -27,7 +27,7 @@
 	return r
 }
 
-// classCoverage is the rules before one, for one class.
+// classCoverage has the rules before the current one, for one class.
 type classCoverage struct {
 	*reachability
 	earlierRules []int
@@ -36,8 +36,8 @@
 
 func (r *reachability) forClass() *classCoverage { return &classCoverage{reachability: r} }
 
-// addRule adds a rule. What matches all of an earlier rule's terms and more is taken
-// by that one.
+// addRule adds a rule. A rule that has all terms of an earlier rule is never reached, since the earlier one
+// matches all its requests.
 func (c *classCoverage) addRule(i int, condition *node) {
 	c.satisfiable[i] = true
 	var terms []int
@@ -74,7 +74,7 @@
 	c.earlierRules, c.earlierTerms = append(c.earlierRules, i), append(c.earlierTerms, terms)
 }
 
-// coverRest tells that rule i takes all that comes to it.
+// coverRest records that rule i matches all requests that reach it, so none reach the rules after it.
 func (c *classCoverage) coverRest(i int) {
 	for j := i + 1; j < len(c.shadowedBy); j++ {
 		if c.shadowedBy[j] < 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-// isSubset tells whether all of a are in b; both are in order.
+// isSubset reports whether all elements of a are in b; both are sorted.
 func isSubset(a, b []int) bool {
 	if len(a) > len(b) {
 		return false
@@ -120,8 +120,8 @@
 	})
 }
 
-// key is the same for expressions that mean the same by their form: the order of
-// the terms of and and or doesn't matter.
+// key returns a text that is equal for expressions that are equal in form. The order of the terms of and and
+// or does not matter.
 func (n *node) key() string {
 	var b strings.Builder
 	n.writeKey(&b)
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The parts of a request in these tests.
+// Indexes into the Vars of testEnv.
 const (
 	varClass = iota
 	varTeam
@@ -37,7 +37,7 @@
 			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "budget", Kind: String, MaxBytes: 64}, {Name: "label", Kind: String, HasSubname: true, MaxBytes: 200},
 		},
 		ClassVar: varClass,
-		CheckClassChange: func(from, to int) error { // clip and gold are paid, feed is not; gold's floor is the higher
+		CheckClassChange: func(from, to int) error { // clip and gold are paid, feed is not; gold has the higher floor
 			if from < 0 || from == 0 && to == 2 {
 				return nil
 			}
@@ -47,7 +47,7 @@
 	}
 }
 
-// diagnostics is what was wrong with a set, or remarked on.
+// diagnostics collects the errors and warnings of a set.
 type diagnostics struct {
 	errors, warnings []string
 }
@@ -69,7 +69,7 @@
 	return out
 }
 
-// compileRules compiles rules, and definitions as "NAME = EXPR".
+// compileRules compiles rules, and definitions given as "NAME = EXPR".
 func compileRules(env *Env, tables func(*diagnostics) []Table, defs []string, rules ...string) (*setBuilder, *Set, *diagnostics) {
 	t := new(diagnostics)
 	var ds []Definition
@@ -101,7 +101,7 @@
 	}
 }
 
-// A request of these tests: Friday 2026-05-15, 18:30:05 in Mexico City.
+// requestTime is when the requests of these tests are received: Friday 2026-05-15, 18:30:05 in Mexico City.
 var requestTime = time.Date(2026, 5, 16, 0, 30, 5, 0, time.UTC)
 
 func request(s *Set) *Frame {
@@ -124,8 +124,7 @@
 	return f
 }
 
-// Conditions that hold, and ones that don't, each evaluated as it stands and with
-// its negation.
+// TestConditions evaluates conditions that hold; each must match, and its negation must not.
 func TestConditions(t *testing.T) {
 	for _, e := range []string{
 		"true", "not false", "not not true", "1 + 2 * 3 == 7", "(1 + 2) * 3 == 9", "7 / 2 == 3 and 7 % 4 == 3", "-7 / 2 == -3", "1 / copies == 0",
@@ -160,12 +159,12 @@
 		}
 		f := request(s)
 		if got := s.Evaluate(f); got != 1 || f.Cost() > s.MaxCost() {
-			t.Errorf("%s: rule %d, cost %d of %d", e, got, f.Cost(), s.MaxCost())
+			t.Errorf("%s: rule %d matched, cost %d of at most %d", e, got, f.Cost(), s.MaxCost())
 		}
 	}
 }
 
-// Each fault is told at its place.
+// TestErrors checks the message of each error, and for many its position.
 func TestErrors(t *testing.T) {
 	long := "a" + strings.Repeat("a", 200)
 	for _, e := range []struct {
@@ -202,14 +201,14 @@
 			t.Errorf("%s: %q, want %q", e.rule, got, e.want)
 		}
 	}
-	// All that is wrong is told at once, also with what is not used.
+	// All errors are reported in one pass, also those in definitions that are not used.
 	_, s, diags := compileRules(testEnv(), nil, []string{"a = b", "b = nope", "c = 1 +", "clip = 1", "1x = 2", "a = 1", "when = 1"}, "when nope2 set team = nope3", "when (", "set team = north")
 	if s != nil || len(diags.errors) != 9 {
-		t.Errorf("%d faults: %s", len(diags.errors), strings.Join(diags.errors, "\n"))
+		t.Errorf("%d errors, want 9: %s", len(diags.errors), strings.Join(diags.errors, "\n"))
 	}
 }
 
-// Tables tell what is wrong with their lines.
+// TestTableErrors checks the messages of errors in tables.
 func TestTableErrors(t *testing.T) {
 	many := slices.Repeat([]string{"x=1"}, maxTableLines+1)
 	for _, e := range []struct {
@@ -239,11 +238,11 @@
 	}
 }
 
-// What would loop or grow without bound is refused when it is read, with the
-// figure and the bound, and nothing of it is ever evaluated.
+// TestExcessiveRulesAreRefused guards against rules that would loop or grow without bound: they are refused
+// at compile time, with the limit in the message, and no part of them is evaluated.
 func TestExcessiveRulesAreRefused(t *testing.T) {
 	if testing.Short() {
-		t.Skip("short: one goroutine, and run without the race detector")
+		t.Skip("skipped in short mode: it uses one goroutine and is run without the race detector")
 	}
 	doubling := []string{`d0 = field("x") ?? ""`}
 	for i := range 12 {
@@ -280,53 +279,53 @@
 		rules  []string
 		want   string
 	}{
-		"itself":           {nil, []string{"a = a + 1"}, []string{"when a == 1"}, "a is defined by itself: a uses a"},
-		"a circle":         {nil, []string{"a = b", "b = c", "c = a"}, []string{"when a == 1"}, "a uses b uses c uses a"},
-		"a circle unused":  {nil, []string{"a = b", "b = a"}, []string{"when true"}, "defined by itself"},
-		"through a let":    {nil, []string{"a = let x = b; x", "b = a"}, []string{"when true"}, "defined by itself"},
-		"through a branch": {nil, []string{"a = if retry then 1 else a"}, []string{"when true"}, "defined by itself"},
-		"doubling strings": {nil, doubling, []string{`when d12 == ""`}, "this may become a string of 8192 bytes; at most 4096 are made"},
-		"long chains":      {nil, deepDefs, []string{"when n60 == 1"}, "definitions use each other more than 50 deep"},
-		"brackets":         {nil, nil, []string{"when " + strings.Repeat("(", 1000) + "true" + strings.Repeat(")", 1000)}, "nested more than 48 deep"},
-		"lists":            {nil, nil, []string{"when copies in " + strings.Repeat("[", 1000)}, "nested more than 48 deep"},
-		"ifs":              {nil, nil, []string{"when " + strings.Repeat("if retry then true else ", 200) + "true"}, "nested more than 48 deep"},
-		"lets":             {nil, nil, []string{"when " + strings.Repeat("let x = 1; ", 200) + "true"}, "nested more than 48 deep"},
-		"a long sum":       {nil, nil, []string{"when 1" + strings.Repeat("+1", 400) + " == 1"}, "nested 301 deep; at most 300 is"},
-		"a long text":      {nil, nil, []string{"when " + strings.Repeat(" ", 9000) + "true"}, "an expression of 9009 bytes; at most 8192 are read"},
-		"a huge list":      {nil, nil, []string{"when copies in [" + strings.Repeat("1,", 5000) + "1]"}, "an expression of 10018 bytes"},
-		"a huge pattern":   {nil, nil, []string{"when matches(viewer ?? \"\", `" + strings.Repeat("a", 600) + "`)"}, "a pattern of 600 bytes; at most 512 are read"},
-		"repeats":          {nil, nil, []string{"when matches(viewer ?? \"\", `((a{30}){30}){30}`)"}, "invalid repeat count"},
-		"many repeats":     {nil, nil, []string{"when matches(viewer ?? \"\", `(abcdefghij){1,150}`)"}, "instructions; at most 1000 are run"},
-		"a glob":           {nil, nil, []string{"when glob(viewer ?? \"\", \"" + strings.Repeat("*a", 300) + "\")"}, "a pattern of 600 bytes"},
-		"all together":     {nil, nil, scans, "steps for class none; its budget is 50000"},
-		"a million lines":  {million, nil, []string{"when big[copies] == 1"}, "big: 1000000 lines; a table has at most 100000"},
-		"many tables":      {manyTables, nil, []string{"when t0[copies] == 1"}, "500000 lines in all tables; at most 400000 are kept"},
-		"constants":        {nil, nil, []string{"when " + strings.Repeat("\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\" + ", 200) + "\"\" == \"\""}, "this may become a string of"},
-		"a label":          {nil, nil, []string{"set label.a = viewer ?? \"\", class = feed"}, "checked for a clip request: this may make it feed"},
+		"self-reference":    {nil, []string{"a = a + 1"}, []string{"when a == 1"}, "a is defined by itself: a uses a"},
+		"cycle":             {nil, []string{"a = b", "b = c", "c = a"}, []string{"when a == 1"}, "a uses b uses c uses a"},
+		"unused cycle":      {nil, []string{"a = b", "b = a"}, []string{"when true"}, "defined by itself"},
+		"cycle through let": {nil, []string{"a = let x = b; x", "b = a"}, []string{"when true"}, "defined by itself"},
+		"cycle through if":  {nil, []string{"a = if retry then 1 else a"}, []string{"when true"}, "defined by itself"},
+		"doubling strings":  {nil, doubling, []string{`when d12 == ""`}, "this may become a string of 8192 bytes; at most 4096 are made"},
+		"long chains":       {nil, deepDefs, []string{"when n60 == 1"}, "definitions use each other more than 50 deep"},
+		"brackets":          {nil, nil, []string{"when " + strings.Repeat("(", 1000) + "true" + strings.Repeat(")", 1000)}, "nested more than 48 deep"},
+		"lists":             {nil, nil, []string{"when copies in " + strings.Repeat("[", 1000)}, "nested more than 48 deep"},
+		"ifs":               {nil, nil, []string{"when " + strings.Repeat("if retry then true else ", 200) + "true"}, "nested more than 48 deep"},
+		"lets":              {nil, nil, []string{"when " + strings.Repeat("let x = 1; ", 200) + "true"}, "nested more than 48 deep"},
+		"a long sum":        {nil, nil, []string{"when 1" + strings.Repeat("+1", 400) + " == 1"}, "nested 301 deep; at most 300 is"},
+		"a long text":       {nil, nil, []string{"when " + strings.Repeat(" ", 9000) + "true"}, "an expression of 9009 bytes; at most 8192 are read"},
+		"a huge list":       {nil, nil, []string{"when copies in [" + strings.Repeat("1,", 5000) + "1]"}, "an expression of 10018 bytes"},
+		"a huge pattern":    {nil, nil, []string{"when matches(viewer ?? \"\", `" + strings.Repeat("a", 600) + "`)"}, "a pattern of 600 bytes; at most 512 are read"},
+		"repeats":           {nil, nil, []string{"when matches(viewer ?? \"\", `((a{30}){30}){30}`)"}, "invalid repeat count"},
+		"many repeats":      {nil, nil, []string{"when matches(viewer ?? \"\", `(abcdefghij){1,150}`)"}, "instructions; at most 1000 are run"},
+		"a glob":            {nil, nil, []string{"when glob(viewer ?? \"\", \"" + strings.Repeat("*a", 300) + "\")"}, "a pattern of 600 bytes"},
+		"total cost":        {nil, nil, scans, "steps for class none; its budget is 50000"},
+		"a million lines":   {million, nil, []string{"when big[copies] == 1"}, "big: 1000000 lines; a table has at most 100000"},
+		"many tables":       {manyTables, nil, []string{"when t0[copies] == 1"}, "500000 lines in all tables; at most 400000 are kept"},
+		"constant strings":  {nil, nil, []string{"when " + strings.Repeat("\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\" + ", 200) + "\"\" == \"\""}, "this may become a string of"},
+		"class change":      {nil, nil, []string{"set label.a = viewer ?? \"\", class = feed"}, "checked for a clip request: this may make it feed"},
 	} {
 		b, s, diags := compileRules(testEnv(), e.tables, e.defs, e.rules...)
 		if got := strings.Join(diags.errors, "\n"); s != nil || !strings.Contains(got, e.want) {
 			t.Errorf("%s: %.300q, want %q", name, got, e.want)
 		}
 		if b.foldedConsts != 0 {
-			t.Errorf("%s: %d of its expressions were evaluated", name, b.foldedConsts)
+			t.Errorf("%s: %d constant expressions were evaluated", name, b.foldedConsts)
 		}
 	}
 	b, s, _ := compileRules(testEnv(), nil, nil, `when "a" + "b" == "ab"`)
 	if s == nil || b.foldedConsts == 0 {
-		t.Error("the count counts nothing")
+		t.Error("a constant expression did not compile or was not counted in foldedConsts")
 	}
 }
 
-// A feed can't become a clip, directly or in any roundabout way, and the message
-// says for which class the rule was checked.
+// TestClassChangesAreChecked guards against rules that turn a feed request into a clip or the reverse,
+// directly or by any detour. The message names the class for which the rule was checked.
 func TestClassChangesAreChecked(t *testing.T) {
 	feed, clip := "checked for a feed request: this may make it clip", "checked for a clip request: this may make it feed"
 	for rule, want := range map[string]string{
 		"set class = clip":                    feed,
 		"set class = feed":                    clip,
 		"when class == feed set class = clip": feed,
-		"when class != clip and class != class(\"gold\") set class = clip":               feed, // it seems to leave only what names no class
+		"when class != clip and class != class(\"gold\") set class = clip":               feed, // it seems to leave only requests without a class
 		"when retry set class = if copies > 2 then clip else feed":                       clip, // clip is checked first
 		"set class = if class == clip then clip else feed":                               "checked for a gold request: this may make it feed",
 		"when class == feed set class = kinds[key]":                                      feed,
@@ -335,7 +334,7 @@
 		"when class == feed set class = swap":                                            feed,
 		"when class == feed set class = let x = clip; x":                                 feed,
 		"when class == feed set class = let x = kinds[key]; let y = x; y":                feed,
-		"when not (class == clip or class == class(\"gold\") or retry) set class = clip": feed, // looks exclusive
+		"when not (class == clip or class == class(\"gold\") or retry) set class = clip": feed, // it only looks exclusive
 		"when class == feed and copies < 0 set class = clip":                             feed,
 		"when class in [feed, clip] and bucket(key, 2) == 0 set class = clip":            feed,
 		"when class == clip or team == south set class = clip":                           feed,
@@ -359,7 +358,7 @@
 	}
 }
 
-// The class decides which rules are looked at; what they set is what they say.
+// TestAssignments checks which rule matches for each class and what it assigns.
 func TestAssignments(t *testing.T) {
 	_, s, diags := compileRules(testEnv(), testTables, []string{"who = if team == none then owner[key] else team"},
 		"when class == none set class = clip, team = north",
@@ -390,17 +389,17 @@
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
 	}
-	f.Reset(requestTime) // nothing is known of the request: it is absent, and what can't be is zero
+	f.Reset(requestTime) // no variable is set: optional ones are absent, the others zero
 	if s.Evaluate(f) != 0 {
-		t.Error("a request without a class")
+		t.Error("the rule for requests without a class did not match after Reset")
 	}
 	if s.RuleNames()[0] != "r0" {
 		t.Error(s.RuleNames())
 	}
 }
 
-// Rules that no request gets to, and those that contradict an earlier one, are
-// remarked on.
+// TestUnreachableRules checks the warnings about rules that no request reaches and about those that
+// contradict an earlier one.
 func TestUnreachableRules(t *testing.T) {
 	for _, e := range []struct {
 		rules []string
@@ -424,7 +423,7 @@
 	}
 }
 
-// Whatever a client sends has a defined meaning.
+// TestInvalidRequestTexts checks that any bytes a client sends have a defined result.
 func TestInvalidRequestTexts(t *testing.T) {
 	_, s, diags := compileRules(testEnv(), nil, nil,
 		`when field("x") ?? "none" == "none" set label.x = "absent"`, `when contains(field("x") ?? "", "\x00") set label.x = "nul"`, `set label.x = lower(field("x") ?? "")`)
@@ -447,15 +446,15 @@
 	f.SetFloat(varTop, func() float64 { z := 0.0; return z / z }())
 	f.SetAddr(varClient, netip.Addr{})
 	if f.vars[varTop].Present || f.vars[varClient].Present {
-		t.Error("what is no number and no address is there")
+		t.Error("NaN or an invalid address is present")
 	}
 }
 
-// A frame serves one request after another, and nothing of one is left in the next.
+// TestFrameReuse guards against values of one request that remain in the frame for the next.
 func TestFrameReuse(t *testing.T) {
 	_, s, _ := compileRules(testEnv(), nil, []string{`name = lower(viewer ?? "?")`}, `when name != "" set label.a = name + "!", label.b = text(today("UTC") - 2026-05-16)`)
 	f := s.NewFrame()
-	f.generation = 1<<32 - 3 // it goes round on the way
+	f.generation = 1<<32 - 3 // the counter wraps around during the test
 	for i := range 6 {
 		f.Reset(requestTime.AddDate(0, 0, i))
 		want := "?!"
@@ -465,12 +464,12 @@
 		}
 		s.Evaluate(f)
 		if out := f.Assignments(); out[0].Str != want || out[1].Str != fmt.Sprint(i) {
-			t.Errorf("%d: %q %q", i, out[0].Str, out[1].Str)
+			t.Errorf("request %d: assigned %q and %q", i, out[0].Str, out[1].Str)
 		}
 	}
 }
 
-// Should the bound ever be wrong, evaluation stops at the budget.
+// TestEvaluationStopsAtBudget checks that an evaluation stops at the budget even if the bound is wrong.
 func TestEvaluationStopsAtBudget(t *testing.T) {
 	_, s, _ := compileRules(testEnv(), nil, nil, `when contains(viewer ?? "", "zz")`, `when true set team = north`)
 	f := request(s)
@@ -479,10 +478,11 @@
 	}
 	s.stepBudget = 5
 	if f = request(s); s.Evaluate(f) != -1 || len(f.Assignments()) != 0 {
-		t.Error("evaluated beyond its budget")
+		t.Error("a rule matched beyond the budget")
 	}
 }
 
+// TestExplain checks the trace of each rule and the values in it.
 func TestExplain(t *testing.T) {
 	env := testEnv()
 	env.Trace = true
@@ -502,11 +502,11 @@
 	}
 	want := `r0 skips=true match=false: class=clip; r1 skips=false match=false: who=north owner[…]=north key=0000000000007f3a clock=18:30:05; r2 skips=false match=true: viewer="Till-07;north" copies=4; `
 	if b.String() != want || rule != 2 || f.Assignments()[0].Integer != 0 || f.Cost() == 0 {
-		t.Errorf("%d, %s", rule, b.String())
+		t.Errorf("rule %d matched, trace %s", rule, b.String())
 	}
 }
 
-// Values are shown as they are written.
+// TestFormatValue checks that values are formatted as they are written in rules.
 func TestFormatValue(t *testing.T) {
 	env := testEnv()
 	for _, text := range []string{"bool true", "int -5", "float 2.5", "duration 1.5s", "clock 18:30:05", "date 2026-05-15", "date 1969-12-31", "addr 10.0.0.1", "prefix 10.0.0.0/8", "class feed", "team none", "title 0000000000007f3a"} {
@@ -517,12 +517,12 @@
 		}
 	}
 	if KindByName("none") != 0 || KindByName("x") != 0 || env.FormatValue(Value{Kind: Int}) != "absent" || env.FormatValue(Value{Kind: String, RawValue: RawValue{Str: "a\n", Present: true}}) != `"a\n"` {
-		t.Error("odd kinds")
+		t.Error("an unknown kind was found, or a value was formatted wrongly")
 	}
 }
 
-// Dates are the standard library's, from the first to the last, and clocks go by
-// the zone's changes.
+// TestCalendar compares dates with the standard library from the first to the last, and clocks across changes
+// of daylight-saving time.
 func TestCalendar(t *testing.T) {
 	for n := firstDate; n <= lastDate; n += 17 {
 		y, m, d := civilDate(n)
@@ -531,7 +531,7 @@
 		}
 	}
 	env := testEnv()
-	env.LocalZone = "Europe/Berlin" // the clocks change there
+	env.LocalZone = "Europe/Berlin" // has daylight-saving time
 	_, s, diags := compileRules(env, nil, nil, `set label.a = text(hour(clock)) + ":" + text(minute(clock)) + " " + text(day(today)) + " " + text(hour(clock("America/Mexico_City")))`)
 	if s == nil {
 		t.Fatal(diags.errors)
@@ -543,9 +543,9 @@
 		now := time.Date(2026, 3, 29, 0, 0, 0, 0, time.UTC).Add(time.Duration(i*i%9973) * 53 * time.Minute)
 		f.Reset(now)
 		s.Evaluate(f)
-		pos := now.In(berlin)
-		if got, want := f.Assignments()[0].Str, fmt.Sprintf("%d:%d %d %d", pos.Hour(), pos.Minute(), pos.Day(), now.In(mexico).Hour()); got != want {
-			t.Fatalf("%v: %s, want %s", pos, got, want)
+		local := now.In(berlin)
+		if got, want := f.Assignments()[0].Str, fmt.Sprintf("%d:%d %d %d", local.Hour(), local.Minute(), local.Day(), now.In(mexico).Hour()); got != want {
+			t.Fatalf("%v: %s, want %s", local, got, want)
 		}
 	}
 }
--- a/internal/rules/set.go
+++ b/internal/rules/set.go
@@ -6,11 +6,10 @@
 	"strings"
 )
 
-// Set is a set of rules that is ready for use. Any number of frames may be
-// evaluated in it at once.
+// Set is a compiled set of rules. Any number of frames may be evaluated in it concurrently.
 type Set struct {
 	env            *Env
-	ruleNames      []string // of the rules
+	ruleNames      []string // by rule
 	texts          []TextRef
 	zones          []*timeZone
 	slots          int
@@ -22,30 +21,29 @@
 	tracedRules    []tracedRule
 }
 
-// program is what is evaluated for the requests of one class: the rules that may
-// match, with what doesn't depend on the request worked out.
+// program is the form of a set for requests of one class: the rules that may match, with everything folded
+// that does not depend on the request.
 type program struct {
 	entries        []ruleEntry
-	residual       []evaluator[bool] // by step: the terms that are not quick; nil: there are none
-	assigners      [][]assigner      // by step
+	residual       []evaluator[bool] // by entry: the terms that are not inline tests; nil: none
+	assigners      [][]assigner      // by entry
 	inline         []inlineTest
 	stringPool     []string
-	slotEvaluators []func(*Frame) // by slot: what quick terms look at
+	slotEvaluators []func(*Frame) // by slot: the definitions that inline tests read
 	maxCost        int64
 }
 
-// ruleEntry is one rule. It is small, so that going over many is quick.
+// ruleEntry is one rule of a program. It is small, so that a scan over many entries is fast.
 type ruleEntry struct {
-	rule     uint16
-	inline   uint8 // how many of the program's quick terms are its own
-	residual bool  // it has other terms
+	rule     uint16 // index of the rule in the Set
+	inline   uint8  // number of its inline tests
+	residual bool   // it has other terms
 }
 
-// maxInlineTests is how many quick terms a step can have.
+// maxInlineTests is the maximum number of inline tests of an entry: ruleEntry.inline is a uint8.
 const maxInlineTests = 255
 
-// matches tells whether the rule of step i matches; at is where its quick terms
-// begin.
+// matches reports whether the rule of entry i matches; firstInline is the index of its first inline test.
 func (p *program) matches(f *Frame, i, firstInline int) bool {
 	f.cost++
 	entry := p.entries[i]
@@ -57,23 +55,24 @@
 	return !entry.residual || p.residual[i](f)
 }
 
-// assigner sets one target.
+// assigner assigns a value to one target.
 type assigner struct {
 	template Assignment
-	compute  func(*Frame, *Assignment) // nil: it is fixed
+	compute  func(*Frame, *Assignment) // nil: the template has the value
 }
 
-// TextRefs are the texts that the caller sets by Frame.SetText.
+// TextRefs returns the texts that the caller sets with Frame.SetText, in the order of the indexes that it
+// takes.
 func (s *Set) TextRefs() []TextRef { return s.texts }
 
-// RuleNames are the rules' names.
+// RuleNames returns the names of the rules in order.
 func (s *Set) RuleNames() []string { return s.ruleNames }
 
-// MaxCost is the most that an evaluation may cost, in steps: of any class.
+// MaxCost returns the maximum cost of an evaluation for a request of any class, in steps.
 func (s *Set) MaxCost() int64 { return s.maxCost }
 
-// Evaluate finds the first rule that matches what the frame was given, and
-// returns its position, or -1. Settings tells what it sets.
+// Evaluate returns the index of the first rule that matches the request in the frame, or -1. Its assignments
+// are returned by Frame.Assignments.
 func (s *Set) Evaluate(f *Frame) int {
 	f.cost++
 	p := &s.programs[0]
@@ -92,7 +91,7 @@
 			continue
 		}
 		if f.cost > s.stepBudget {
-			break // Guard: the bound was checked when the set was read; this holds it
+			break // Guard: the cost bound was checked at compile time; should it be wrong, the budget still holds
 		}
 		for j := range p.assigners[i] {
 			a := &p.assigners[i][j]
@@ -106,7 +105,7 @@
 	return -1
 }
 
-// Assignments are what the rule that matched sets, until the next Begin.
+// Assignments returns what the matching rule assigns. It is valid until the next Reset.
 func (f *Frame) Assignments() []Assignment { return f.assignments }
 
 // checkedRule is a rule whose types are known.
@@ -116,6 +115,7 @@
 	assignments []checkedAssignment
 }
 
+// checkedAssignment is TARGET.SUBNAME = VALUE of a rule.
 type checkedAssignment struct {
 	target  int
 	subname string
@@ -123,8 +123,8 @@
 	value   *node
 }
 
-// Compile reads tables, definitions and rules. What is wrong is told to each
-// source's Fault; then no set is returned, and nothing of it is ever evaluated.
+// Compile compiles tables, definitions and rules. Errors are reported to the ReportError function of the
+// source; in that case it returns nil and evaluates nothing of the set.
 func Compile(env *Env, tables []Table, definitions []Definition, rules []Rule) *Set {
 	return newSetBuilder(env).buildSet(tables, definitions, rules)
 }
@@ -150,8 +150,8 @@
 	if b.failed {
 		return nil
 	}
-	// Guard: what is refused is never evaluated, not even its constants. The first
-	// time only what classes decide is worked out, and all bounds are checked.
+	// Guard: what is refused is never evaluated, not even its constants. The first pass folds only what
+	// the class decides and checks all limits.
 	if b.assemble(list, true); b.failed {
 		return nil
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-// nameError tells why something can't be called so, or "".
+// nameError returns why a name is invalid, or "".
 func (b *setBuilder) nameError(name string) string {
 	for i := range len(name) {
 		if c := name[i]; !isIdentByte(c) || i == 0 && c >= '0' && c <= '9' {
@@ -212,7 +212,7 @@
 	src.ReportError(pos, fmt.Sprintf(format, args...))
 }
 
-// inSourceOrder are the definitions as they stand in the file.
+// inSourceOrder returns the checked definitions in the order of the source.
 func (b *setBuilder) inSourceOrder(definitions []Definition) []*checkedDef {
 	var list []*checkedDef
 	for _, d := range definitions {
@@ -250,7 +250,7 @@
 	return list
 }
 
-// addAssignment checks TARGET = VALUE.
+// addAssignment checks TARGET = VALUE and adds it to r.
 func (c *checker) addAssignment(r *checkedRule, g *gAssign) {
 	pos := g.Pos.Offset
 	value := c.expr(g.Value)
@@ -291,8 +291,8 @@
 	r.assignments = append(r.assignments, checkedAssignment{target, g.Subname, pos, value})
 }
 
-// assemble goes through the rules once for each class, holding what they set and
-// what they cost against what is allowed. It compiles them unless it only checks.
+// assemble builds the program of each class and checks assignments and costs against the limits. With check
+// set, it evaluates only comparisons of classes and teams, compiles nothing and returns nil.
 func (b *setBuilder) assemble(list []*checkedRule, check bool) *Set {
 	s := &Set{env: b.env, texts: b.texts, zones: b.zones, stepBudget: b.env.StepBudget}
 	if s.stepBudget == 0 {
@@ -309,7 +309,7 @@
 		first, last = anyClass, anyClass
 	}
 	worstClass := 0
-	reported := make(map[*checkedRule]bool) // that it is no rule for a class
+	reported := make(map[*checkedRule]bool) // a forbidden change of class has been reported
 	for class := first; class <= last; class++ {
 		p, builtBytes := b.program(list, class, k, reachability, reported)
 		if p.maxCost > s.maxCost {
@@ -346,7 +346,7 @@
 	return s
 }
 
-// program compiles the rules for one class.
+// program builds the program of one class. It also returns the maximum number of bytes of strings built.
 func (b *setBuilder) program(list []*checkedRule, class int, k *compiler, reachability *reachability, reported map[*checkedRule]bool) (program, int) {
 	folder := b.constFolder(class)
 	var out program
@@ -400,7 +400,7 @@
 		out.entries, out.residual, out.assigners = append(out.entries, entry), append(out.residual, residual), append(out.assigners, assigners)
 		if always {
 			cover.coverRest(i)
-			break // what follows is never reached
+			break // the rules after it are never reached
 		}
 	}
 	out.entries, out.inline = slices.Clip(out.entries), slices.Clip(out.inline)
@@ -408,11 +408,11 @@
 	return out, builtBytes + maxValueBytes
 }
 
-// checkClassChange checks what a rule may make of a request of a class.
+// checkClassChange checks the classes that a rule may give a request of class from.
 func (b *setBuilder) checkClassChange(r *checkedRule, a checkedAssignment, from int, value *node) bool {
 	possible := value.possibleClasses(make(map[int]uint64))
 	for to := range len(b.env.Classes) + 1 {
-		to-- // -1: none
+		to-- // from -1, no class
 		if possible&(1<<(to+1)) == 0 || to == from {
 			continue
 		}
@@ -432,6 +432,7 @@
 	return true
 }
 
+// newAssigner compiles an assignment.
 func newAssigner(k *compiler, a checkedAssignment, n *node) assigner {
 	s := assigner{template: Assignment{Target: a.target, Subname: a.subname, Value: Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}}}
 	if n.isConst() {
@@ -447,7 +448,7 @@
 		s.compute = func(f *Frame, out *Assignment) { out.Float64 = v(f) }
 	case reprString:
 		v := k.compileString(n)
-		s.template.Persistent = n.op == opTable // a table's strings stay
+		s.template.Persistent = n.op == opTable // the strings of a table belong to the set
 		s.compute = func(f *Frame, out *Assignment) { out.Str = v(f) }
 	case reprAddr:
 		v := k.compileAddr(n)
--- a/internal/rules/share.go
+++ b/internal/rules/share.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// subexprSharer finds what several conditions of a program work out alike, and has it
-// worked out once for a request, as if it had been given a name.
+// subexprSharer finds subexpressions that several conditions of a program have in common, and has each
+// evaluated once per request, as if it were a definition.
 type subexprSharer struct {
 	*setBuilder
 	uses      map[string]int
@@ -11,14 +11,14 @@
 	rewritten map[string]*node
 }
 
-// minSharedCost is from how many steps on something is kept for others.
+// minSharedCost is the cost in steps from which on a common subexpression is kept in a slot.
 const minSharedCost = 6
 
 func (b *setBuilder) subexprSharer() *subexprSharer {
 	return &subexprSharer{b, make(map[string]int), make(map[*node]string), make(map[string]*node)}
 }
 
-// key is n's key, or "" if it is not to be shared.
+// key returns the key of n, or "" if n is not to be shared.
 func (s *subexprSharer) key(n *node) string {
 	if key, ok := s.keys[n]; ok {
 		return key
@@ -35,17 +35,17 @@
 	return key
 }
 
-// countUses counts the parts of a condition.
+// countUses counts how often each subexpression of a condition occurs.
 func (s *subexprSharer) countUses(n *node) {
 	if n.op == opDef && s.uses[n.key()] > 0 {
-		return // its parts have been counted
+		return // its children have been counted
 	}
 	if n.op == opDef {
 		s.uses[n.key()]++
 	}
 	if key := s.key(n); key != "" {
 		if s.uses[key]++; s.uses[key] > 1 {
-			return // so are the parts of what is shared
+			return // the children of a shared subexpression have been counted, too
 		}
 	}
 	for _, k := range n.children {
@@ -53,7 +53,7 @@
 	}
 }
 
-// rewrite is n with what it has in common with others kept in slots.
+// rewrite returns n with the common subexpressions replaced by slots.
 func (s *subexprSharer) rewrite(n *node) *node {
 	key := s.key(n)
 	id := key
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -12,14 +12,14 @@
 	"millethinge/internal/spell"
 )
 
-// keyIndex finds the row of a key: of a set literal, a table's line or a set's.
+// keyIndex maps the keys of a list literal, a table or a set to rows.
 type keyIndex struct {
 	kind          Kind // of the keys
 	byInt         map[int64]int32
 	byString      map[string]int32
-	byIPv6Prefix  map[netip.Prefix]int32 // of IPv6
-	byIPv4Prefix  map[uint64]int32       // prefixes of IPv4, by shortKey
-	prefixLengths [2][]int               // of prefixes, the longest first, for IPv4 and IPv6
+	byIPv6Prefix  map[netip.Prefix]int32 // IPv6 prefixes
+	byIPv4Prefix  map[uint64]int32       // IPv4 prefixes, by ipv4PrefixKey
+	prefixLengths [2][]int               // of IPv4 and of IPv6 prefixes, the longest first
 }
 
 func newKeyIndex(kind Kind, n int) *keyIndex {
@@ -36,7 +36,7 @@
 	return x
 }
 
-// add puts a key in. False: it is there already.
+// add adds a key. It reports whether the key is new.
 func (x *keyIndex) add(v Value, row int32) bool {
 	switch x.kind {
 	case String:
@@ -86,7 +86,7 @@
 	return -1
 }
 
-// findAddr finds the longest prefix that holds an address.
+// findAddr returns the row of the longest prefix that contains an address, or -1.
 func (x *keyIndex) findAddr(a netip.Addr) int32 {
 	a = a.Unmap()
 	if a.Is4() {
@@ -108,13 +108,13 @@
 	return -1
 }
 
-// ipv4PrefixKey is an IPv4 address's first bits, with their number.
+// ipv4PrefixKey combines the first bits of an IPv4 address with their number.
 func ipv4PrefixKey(a netip.Addr, bits int) uint64 {
 	b := a.As4()
 	return uint64(binary.BigEndian.Uint32(b[:])>>(32-bits)<<(32-bits))<<8 | uint64(bits)
 }
 
-// lookupCost is the most steps of one look-up by a key of up to most bytes.
+// lookupCost is the maximum cost of one lookup by a key of up to maxBytes bytes, in steps.
 func (x *keyIndex) lookupCost(maxBytes int) int64 {
 	switch x.kind {
 	case String:
@@ -125,16 +125,16 @@
 	return 6
 }
 
-// table is a look-up that has been read.
+// table is a compiled Table.
 type table struct {
 	Table
 	keyIndex     *keyIndex
 	values       []Value
-	defaultValue Value // what there is no line for
-	maxBytes     int   // bytes of a string among the values
+	defaultValue Value // for keys without a line
+	maxBytes     int   // of the strings among the values
 }
 
-// lookupKind is the kind that an expression must have to be looked up.
+// lookupKind is the kind that a lookup expression must have.
 func (t *table) lookupKind() Kind {
 	if t.KeyKind == Prefix {
 		return Addr
@@ -142,7 +142,7 @@
 	return t.KeyKind
 }
 
-// readTable reads a table's lines and tells what is wrong with them.
+// readTable compiles a table and reports the errors in its lines.
 func (b *setBuilder) readTable(t Table) *table {
 	out := &table{Table: t, keyIndex: newKeyIndex(t.KeyKind, min(len(t.Lines), maxTableLines))}
 	out.Lines = nil
@@ -190,7 +190,7 @@
 		if err != nil {
 			b.lineError(l, 1, err.Error())
 		}
-		for len(out.values) < row { // faulty lines before
+		for len(out.values) < row { // faulty lines before this one have no value
 			out.values = append(out.values, Value{})
 		}
 		out.values = append(out.values, v)
@@ -199,7 +199,7 @@
 	return out
 }
 
-// valueAt is the value of a row, or what there is no line for.
+// valueAt returns the value of a row; row -1 has the default value.
 func (t *table) valueAt(row int32) *Value {
 	if row < 0 {
 		return &t.defaultValue
@@ -207,7 +207,7 @@
 	return &t.values[row]
 }
 
-// parseValue understands the text of a table's key or value.
+// parseValue parses the text of a literal, a table key or a table value.
 func (e *Env) parseValue(k Kind, text string) (Value, error) {
 	v := Value{Kind: k, RawValue: RawValue{Present: true}}
 	bad := func(what string) (Value, error) { return v, fmt.Errorf("%q is no %s", text, what) }
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -1,14 +1,13 @@
-// Package rules is a small language for matching requests and computing what
-// they are to be given: typed, checked before use, bounded in cost, and compiled
-// once to a form that allocates nothing when it is evaluated.
+// Package rules implements a small language that matches requests and computes what they are to be given. It
+// is typed, checked before use, bounded in cost, and compiled once to a form whose evaluation does not
+// allocate.
 //
-// A rule reads "when CONDITION set TARGET = VALUE, …". The package knows nothing
-// of what the targets mean. It does no I/O; the time and the zones' rules are
-// handed to it.
+// A rule reads "when CONDITION set TARGET = VALUE, …". The package does not know what the targets mean. It
+// does no I/O: its caller provides the time and the time zones.
 //
-// Expressions are total: whole numbers saturate, what is divided by zero is 0, a
-// result that is no number is 0, and a text that is too long or no UTF-8 is
-// absent. What may be absent can't be used without a default.
+// Expressions are total: integers saturate, a division by zero yields 0, a float result that is NaN becomes
+// 0, and a text that is too long or not valid UTF-8 is absent. A value that may be absent can't be used
+// without a default.
 package rules
 
 import (
@@ -18,11 +17,10 @@
 	"time"
 )
 
-// Kind is what a value is.
+// Kind is the kind of a value.
 type Kind uint8
 
-// The kinds. A class and a team are numbers that index the deployment's names; -1
-// is none.
+// The kinds. A class or a team is an index into the deployment's names; -1 stands for none.
 const (
 	Bool Kind = iota + 1
 	Int
@@ -37,14 +35,15 @@
 	Team
 	Title
 
-	untypedNone // the literal none, until it is known of what
+	untypedNone // the literal none, before its kind is known
 )
 
 var kindNames = [...]string{"", "bool", "int", "float", "string", "duration", "clock", "date", "addr", "prefix", "class", "team", "title", "none"}
 
+// String returns the name of the kind in the language.
 func (k Kind) String() string { return kindNames[k] }
 
-// KindByName returns the kind of a name, or 0.
+// KindByName returns the kind with the given name, or 0.
 func KindByName(name string) Kind {
 	for k := Bool; k < untypedNone; k++ {
 		if kindNames[k] == name {
@@ -54,12 +53,13 @@
 	return 0
 }
 
-// Type is what an expression yields.
+// Type is the type of an expression.
 type Type struct {
 	Kind     Kind
 	Optional bool
 }
 
+// String returns the type as error messages show it.
 func (t Type) String() string {
 	if t.Optional {
 		return "optional " + t.Kind.String()
@@ -67,7 +67,7 @@
 	return t.Kind.String()
 }
 
-// representation is how a kind is held when evaluated.
+// representation is the field of RawValue that holds values of a kind.
 type representation uint8
 
 const (
@@ -95,24 +95,24 @@
 	return reprInt
 }
 
-// RawValue holds a value of any kind; which field counts is the kind's.
+// RawValue holds a value of any kind; its kind determines which field is used.
 type RawValue struct {
 	Integer int64
 	Float64 float64
 	Str     string
 	IP      netip.Addr
 	IsTrue  bool
-	Present bool // it is not absent
+	Present bool // the value is not absent
 }
 
-// Value is a cell with its kind.
+// Value is a RawValue with its kind.
 type Value struct {
 	Kind Kind
 	RawValue
 	Network netip.Prefix
 }
 
-// FormatValue words a value for people.
+// FormatValue formats a value for operators.
 func (e *Env) FormatValue(v Value) string {
 	if !v.Present {
 		return "absent"
@@ -144,6 +144,7 @@
 	return strconv.FormatInt(v.Integer, 10)
 }
 
+// nameAt returns names[n], or "none" if n is out of range.
 func nameAt(names []string, n int64) string {
 	if n < 0 || n >= int64(len(names)) {
 		return "none"
@@ -151,43 +152,43 @@
 	return names[n]
 }
 
-// dateTime is the date that a number of days stands for.
+// dateTime returns the start of a day, given as a number of days since 1970-01-01, in UTC.
 func dateTime(n int64) time.Time { return time.Unix(n*86400, 0).UTC() }
 
-// The first and last dates.
+// The first and last dates, in days since 1970-01-01.
 var (
 	firstDate = time.Date(1, 1, 1, 0, 0, 0, 0, time.UTC).Unix() / 86400
 	lastDate  = time.Date(9999, 12, 31, 0, 0, 0, 0, time.UTC).Unix() / 86400
 )
 
-// Var is something that expressions may refer to by its name.
+// Var is a variable that expressions may refer to by its name.
 type Var struct {
 	Name     string
 	Kind     Kind
 	Optional bool
-	MaxBytes int // bytes of a string; a longer one is absent
+	MaxBytes int // of a string; a longer one is absent
 	Doc      string
 }
 
 // TextFamily is a family of optional strings that expressions refer to as NAME("x").
 type TextFamily struct {
 	Name     string
-	MaxBytes int // bytes; a longer one is absent
+	MaxBytes int // a longer text is absent
 	Doc      string
 }
 
-// TextRef is one of a family that a set refers to.
+// TextRef is a text of a family that a set refers to.
 type TextRef struct {
-	Family int // index into Env.Texts
+	Family int // index into Env.TextFamilies
 	Name   string
 }
 
-// Target is something that a rule may set.
+// Target is something that a rule may assign a value to.
 type Target struct {
 	Name       string
 	Kind       Kind
-	HasSubname bool // NAME.x for any x
-	MaxBytes   int  // bytes of a string
+	HasSubname bool // it is written NAME.x, for any x
+	MaxBytes   int  // of a string
 }
 
 // Env is what the rules of a set may refer to, and their limits.
@@ -197,39 +198,38 @@
 	Vars         []Var
 	TextFamilies []TextFamily
 	Targets      []Target
-	// Class is the position in Vars of the request's class. It is special: rules
-	// are checked, and compiled, once for each class.
+	// ClassVar is the index in Vars of the request's class, or negative if there is none. Rules are checked
+	// and compiled once for each class.
 	ClassVar int
-	// Becomes tells why a request of class from, -1 if it has none, may not be
-	// given class to.
+	// CheckClassChange returns an error if a rule may not change the class of a request from from to to; from
+	// is -1 if the request names none.
 	CheckClassChange func(from, to int) error
-	// Zone finds a time zone; Local is the one of clock and today.
+	// LoadZone loads a time zone; LocalZone is the one that clock and today refer to.
 	LoadZone  func(name string) (*time.Location, error)
 	LocalZone string
-	// Budget is the most that the evaluation of a set may cost, in steps; 0 means
-	// DefaultBudget.
+	// StepBudget is the maximum cost of an evaluation, in steps; 0 means DefaultStepBudget.
 	StepBudget int64
-	// Trace keeps what Explain needs.
+	// Trace keeps what Set.Explain needs.
 	Trace bool
 }
 
-// Bounds of a set of rules.
+// Limits of a set of rules.
 const (
-	DefaultStepBudget = 50_000
-	MaxStepBudget     = 1_000_000
+	DefaultStepBudget = 50_000    // steps; used if Env.StepBudget is 0
+	MaxStepBudget     = 1_000_000 // steps; the upper limit of Env.StepBudget
 
-	maxExprBytes       = 8 << 10 // bytes of an expression
+	maxExprBytes       = 8 << 10 // of one expression
 	maxNesting         = 48      // of brackets, and of if and let
-	maxTreeDepth       = 300     // of its tree
-	maxDefinitionChain = 50      // of definitions that use each other
-	maxStringBytes     = 4 << 10 // bytes of a string
-	maxBuiltBytes      = 1 << 20 // bytes of all strings that a set may make for a request
-	maxPatternBytes    = 512     // bytes of a regular expression or glob
-	maxPatternInsts    = 1_000   // instructions of a compiled regular expression
+	maxTreeDepth       = 300     // of the expression tree
+	maxDefinitionChain = 50      // of definitions that refer to each other
+	maxStringBytes     = 4 << 10 // of one string
+	maxBuiltBytes      = 1 << 20 // of all strings that an evaluation may build
+	maxPatternBytes    = 512     // of a regular expression or a glob
+	maxPatternInsts    = 1_000   // of a compiled regular expression
 	maxRules           = 10_000
 	maxDefinitions     = 2_000
 	maxTables          = 200
-	maxTableLines      = 100_000 // of a table
+	maxTableLines      = 100_000 // of one table
 	maxAllLines        = 400_000 // of all tables
 	maxNameBytes       = 64
 	maxBuckets         = 1 << 20
@@ -238,16 +238,15 @@
 	maxZones           = 16
 )
 
-// Source is a text and where to tell what is wrong with it, by the byte at which
-// it is.
+// Source is the text of an expression or a rule, with functions that report errors and warnings at a byte
+// offset in it.
 type Source struct {
 	Text          string
 	ReportError   func(pos int, msg string)
-	ReportWarning func(pos int, msg string) // what is no fault but may surprise; may be nil
+	ReportWarning func(pos int, msg string) // about what is valid but may surprise; may be nil
 }
 
-// Rule is one rule: "when CONDITION set TARGET = VALUE, …". Both parts may be
-// left out.
+// Rule is one rule: "when CONDITION set TARGET = VALUE, …". Both parts are optional.
 type Rule struct {
 	Name string
 	Source
@@ -259,18 +258,18 @@
 	Source
 }
 
-// Table is a named look-up. Without a value's kind it is a set.
+// Table is a named lookup table. Without a ValueKind it is a set of keys.
 type Table struct {
 	Name        string
 	KeyKind     Kind
-	ValueKind   Kind // 0: none
+	ValueKind   Kind // 0: the table is a set
 	Default     string
 	Lines       []TableLine
-	ReportError func(msg string) // of the table as a whole
+	ReportError func(msg string) // about the table as a whole
 }
 
-// TableLine is one of a table's.
+// TableLine is one line of a table.
 type TableLine struct {
 	Key, Value  string
-	ReportError func(argument int, msg string) // 0: the key, 1: the value
+	ReportError func(argument int, msg string) // argument 0: the key, 1: the value
 }
