--- a/cmd/millethinge/command.go
+++ b/cmd/millethinge/command.go
@@ -41,10 +41,10 @@
   millethinge convert operator.json > operator.conf
   source <(millethinge completion bash)`
 
-// status ends a command with an exit status and no further message.
-type status int
+// exitStatus ends a command with an exit status and no further message.
+type exitStatus int
 
-func (s status) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
+func (s exitStatus) Error() string { return fmt.Sprintf("exit status %d", int(s)) }
 
 // parser builds the command line, whose commands use a.
 func (a *app) parser(c *cli, exit func(int)) (*kong.Kong, error) {
@@ -88,7 +88,7 @@
 		return env(name)
 	}
 	err = ctx.Run()
-	if ended := status(0); errors.As(err, &ended) {
+	if ended := exitStatus(0); errors.As(err, &ended) {
 		return int(ended)
 	}
 	if err != nil {
@@ -101,8 +101,8 @@
 type serveCmd struct{}
 
 func (serveCmd) Run(a *app, c *cli) error {
-	if code := a.serve(logging{c.LogLevel, c.LogFormat}); code != statusOK {
-		return status(code)
+	if code := a.serve(logOptions{c.LogLevel, c.LogFormat}); code != statusOK {
+		return exitStatus(code)
 	}
 	return nil
 }
@@ -113,7 +113,7 @@
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
 		fmt.Fprintln(a.err, remedy.Text(err))
-		return status(statusFailed)
+		return exitStatus(statusFailed)
 	}
 	for _, w := range append(cfg.Operator.Warnings, cfg.SiteWarnings()...) {
 		fmt.Fprintln(a.err, "warning:", w)
@@ -126,14 +126,14 @@
 	File string `arg:"" type:"existingfile" help:"The JSON file."`
 }
 
-func (v convertCmd) Run(a *app) error {
-	text, err := os.ReadFile(v.File)
+func (cmd convertCmd) Run(a *app) error {
+	text, err := os.ReadFile(cmd.File)
 	if err != nil {
 		return err
 	}
 	out, err := config.Convert(text)
 	if err != nil {
-		return fmt.Errorf("%s: %w", v.File, err)
+		return fmt.Errorf("%s: %w", cmd.File, err)
 	}
 	_, err = a.out.Write(out)
 	return err
--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -24,80 +24,80 @@
 
 // Run tells of each message which rule matched at which step, with which values,
 // what came out and what it cost.
-func (v explainCmd) Run(a *app) error {
+func (cmd explainCmd) Run(a *app) error {
 	cfg, err := config.LoadTraced(a.getenv)
 	if err != nil {
 		return err
 	}
-	set := cfg.Operator.Routes
-	if set == nil {
+	rules := cfg.Operator.Routes
+	if rules == nil {
 		return fmt.Errorf("the operator's file has no rules")
 	}
-	from := message.Origin{Front: v.Front, Came: time.Now()}
-	if v.Client != "" {
-		if from.Client, err = netip.ParseAddr(v.Client); err != nil {
+	origin := message.Origin{Front: cmd.Front, Received: time.Now()}
+	if cmd.Client != "" {
+		if origin.Client, err = netip.ParseAddr(cmd.Client); err != nil {
 			return fmt.Errorf("--client: %w", err)
 		}
 	}
-	if v.At != "" {
-		if from.Came, err = time.Parse(time.RFC3339, v.At); err != nil {
+	if cmd.At != "" {
+		if origin.Received, err = time.Parse(time.RFC3339, cmd.At); err != nil {
 			return fmt.Errorf("--at: %w", err)
 		}
 	}
 	in := a.in
-	if v.File != "-" {
-		f, err := os.Open(v.File)
+	if cmd.File != "-" {
+		f, err := os.Open(cmd.File)
 		if err != nil {
 			return err
 		}
 		defer f.Close()
 		in = f
 	}
-	text, err := io.ReadAll(io.LimitReader(in, mostExplained))
+	input, err := io.ReadAll(io.LimitReader(in, maxExplainInput))
 	if err != nil {
 		return err
 	}
 	catalog := server.Catalog(&cfg)
-	bad, n := 0, 0
-	for line := range bytes.Lines(text) {
+	failed, n := 0, 0
+	for line := range bytes.Lines(input) {
 		if line = bytes.TrimSpace(line); len(line) == 0 {
 			continue
 		}
 		n++
-		if err := v.explain(a.out, &cfg, &catalog, set, line, from); err != nil {
+		if err := cmd.explainMessage(a.out, &cfg, &catalog, rules, line, origin); err != nil {
 			fmt.Fprintf(a.out, "message %d: %v\n", n, err)
-			bad++
+			failed++
 		}
 	}
 	switch {
 	case n == 0:
 		return fmt.Errorf("no message")
-	case bad > 0:
-		return status(statusFailed)
+	case failed > 0:
+		return exitStatus(statusFailed)
 	}
 	return nil
 }
 
-// mostExplained is how much of a file is read.
-const mostExplained = 16 << 20
+// maxExplainInput is how much of a file is read.
+const maxExplainInput = 16 << 20
 
-func (v explainCmd) explain(out io.Writer, cfg *config.Config, catalog *message.Catalog, set *route.Set, line []byte, from message.Origin) error {
-	if len(line) > message.Max {
-		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.Max)
+func (cmd explainCmd) explainMessage(out io.Writer, cfg *config.Config, catalog *message.SetupDecoder, rules *route.Set, line []byte, origin message.Origin) error {
+	if len(line) > message.MaxSize {
+		return fmt.Errorf("%d bytes; a message has at most %d", len(line), message.MaxSize)
 	}
 	var m message.Message
 	if err := message.Parse(line, &m); err != nil {
 		return err
 	}
-	r, err := catalog.Read(&m, from)
+	request, err := catalog.DecodeUnrouted(&m, origin)
 	if err != nil {
 		return err
 	}
 	teams := cfg.Teams()
-	e := set.Explain(message.Routed(&m, &r, from))
-	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(r.ID), name(cfg.Classes, r.Class), name(teams, r.Team))
-	for i, s := range e.RuleTraces {
-		if !s.Matched && !v.All {
+	explanation := rules.Explain(message.RouteRequest(&m, &request, origin))
+	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.Classes, request.Class), nameAt(teams, request.Team))
+	for i, s := range explanation.RuleTraces {
+		if !s.Matched && !cmd.All {
 			continue
 		}
 		verdict := "does not match"
@@ -112,27 +112,27 @@
 			fmt.Fprintf(out, "    %s\n", s.Source)
 		}
 		for _, p := range s.Values {
-			fmt.Fprintf(out, "    %s = %s\n", p.Name, e.FormatValue(p.Value))
+			fmt.Fprintf(out, "    %s = %s\n", p.Name, explanation.FormatValue(p.Value))
 		}
 	}
-	if e.Rule == "" {
-		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(e.RuleTraces))
+	if explanation.Rule == "" {
+		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(explanation.RuleTraces))
 	}
-	fmt.Fprintf(out, "  it is given class %s, team %s", name(cfg.Classes, e.Class), name(teams, e.Team))
-	if e.BudgetKey != "" {
-		fmt.Fprintf(out, ", budget key %q", e.BudgetKey)
+	fmt.Fprintf(out, "  it is given class %s, team %s", nameAt(cfg.Classes, explanation.Class), nameAt(teams, explanation.Team))
+	if explanation.BudgetKey != "" {
+		fmt.Fprintf(out, ", budget key %q", explanation.BudgetKey)
 	}
-	for _, l := range e.Labels {
+	for _, l := range explanation.Labels {
 		fmt.Fprintf(out, ", label %s %q", l.Name, l.Value)
 	}
-	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", e.Cost, set.MaxCost())
-	if e.Class < 0 {
+	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", explanation.Cost, rules.MaxCost())
+	if explanation.Class < 0 {
 		return message.ErrNoClass
 	}
 	return nil
 }
 
-func name(names []string, i int) string {
+func nameAt(names []string, i int) string {
 	if i < 0 || i >= len(names) {
 		return "none"
 	}
--- a/cmd/millethinge/main.go
+++ b/cmd/millethinge/main.go
@@ -36,13 +36,13 @@
 	a := &app{os.Getenv, os.Stdin, os.Stdout, os.Stderr}
 	if len(os.Args) == 1 {
 		// As the platform starts it: nothing of the command line is built.
-		os.Exit(a.serve(logging{}))
+		os.Exit(a.serve(logOptions{}))
 	}
 	os.Exit(a.command(os.Args[1:]))
 }
 
 // serve runs the session manager until a signal ends it.
-func (a *app) serve(l logging) int {
+func (a *app) serve(options logOptions) int {
 	// Guard: first of all. It asks for a look at the files, and is not to end a process
 	// that is still at its first one; what ends one that has taken nothing may do so.
 	signals := make(chan os.Signal, 4)
@@ -52,9 +52,9 @@
 		fmt.Fprintln(a.err, "millethinge:", remedy.Text(err))
 		return statusUsage
 	}
-	runtime.GOMAXPROCS(procs(cfg.Cores))
+	runtime.GOMAXPROCS(maxProcs(cfg.Cores))
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
-	log, err := l.logger()
+	log, err := options.logger()
 	if err != nil {
 		fmt.Fprintf(a.err, "millethinge: %v\n", err)
 		return statusUsage
@@ -62,9 +62,9 @@
 	log = log.With(zap.String("name", cfg.Name))
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	reload := func(running *config.Config) (config.Config, error) { return config.Reload(a.getenv, running) }
-	at, err := server.Listen(cfg)
+	listeners, err := server.Listen(cfg)
 	if err == nil {
-		err = server.Run(cfg, at, signals, reload, log)
+		err = server.Run(cfg, listeners, signals, reload, log)
 	}
 	if err != nil {
 		log.Error("ended", remedy.Fields(err)...)
@@ -73,26 +73,26 @@
 	return statusOK
 }
 
-// procs is how many threads may run Go code at once. Guard: each costs memory, so what is
+// maxProcs is how many threads may run Go code at once. Guard: each costs memory, so what is
 // allowed beyond the machine's processors buys nothing.
-func procs(cores float64) int {
+func maxProcs(cores float64) int {
 	return int(min(max(math.Round(cores), 1), float64(runtime.NumCPU())))
 }
 
-// logging is how the log is written. The zero value is the platform's.
-type logging struct{ level, format string }
+// logOptions is how the log is written. The zero value is the platform's.
+type logOptions struct{ level, format string }
 
 // logger writes to standard error. Of equal lines in a second only the first
 // hundred and each hundredth more are written, so that a storm of them can't
 // fill a disk.
-func (l logging) logger() (*zap.Logger, error) {
+func (o logOptions) logger() (*zap.Logger, error) {
 	c := zap.NewProductionConfig() // this has the sampling
-	if l.format == "console" {
+	if o.format == "console" {
 		c.Encoding = "console"
 		c.EncoderConfig = zap.NewDevelopmentEncoderConfig()
 	}
-	if l.level != "" {
-		level, err := zap.ParseAtomicLevel(l.level)
+	if o.level != "" {
+		level, err := zap.ParseAtomicLevel(o.level)
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/millethinge/peaks.go
+++ b/cmd/millethinge/peaks.go
@@ -16,7 +16,7 @@
 
 // Run lists the coming peaks with what would be held for them, and when, if what
 // comes ordinarily is as the operator's file says.
-func (v peaksCmd) Run(a *app) error {
+func (cmd peaksCmd) Run(a *app) error {
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
 		return err
@@ -24,38 +24,38 @@
 	if len(cfg.Operator.Peaks) == 0 {
 		return fmt.Errorf("the operator's file announces no peak")
 	}
-	if v.Days < 1 || v.Days > 3660 {
+	if cmd.Days < 1 || cmd.Days > 3660 {
 		return fmt.Errorf("--days: from 1 to 3660")
 	}
 	from := time.Now()
-	if v.From != "" {
-		if from, err = time.Parse(time.RFC3339, v.From); err != nil {
+	if cmd.From != "" {
+		if from, err = time.Parse(time.RFC3339, cmd.From); err != nil {
 			return fmt.Errorf("--from: %w", err)
 		}
 	}
 	classes, room := cfg.PlannedClasses()
 	calendar := peaks.Calendar{Peaks: cfg.Operator.Peaks}
-	list := calendar.Between(from, from.AddDate(0, 0, v.Days))
-	for _, o := range list {
+	occurrences := calendar.Between(from, from.AddDate(0, 0, cmd.Days))
+	for _, o := range occurrences {
 		_, until := o.Window()
 		size := fmt.Sprintf("%g times", o.Peak.Factor)
 		if o.Peak.Factor == 0 {
 			size = fmt.Sprintf("%g more a second", o.Peak.Rate)
 		}
 		fmt.Fprintf(a.out, "%s %s to %s, %s of %s\n", o.Begin.Format("2006-01-02 15:04 MST"), o.Peak.Name, o.End.Format("15:04"), size,
-			strings.Join(named(cfg.Classes, o.Peak.Classes), ", "))
+			strings.Join(selectNames(cfg.Classes, o.Peak.Classes), ", "))
 		if classes == nil {
 			continue
 		}
-		p, err := peaks.Make(o, room, classes)
+		plan, err := peaks.Make(o, room, classes)
 		if err != nil {
 			return err
 		}
 		fmt.Fprint(a.out, "    ")
 		held := 0.0
-		for k, part := range p.Part {
-			if held += part; part > 0 {
-				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.Classes[k], part*room, 100*part)
+		for k, share := range plan.Part {
+			if held += share; share > 0 {
+				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.Classes[k], share*room, 100*share)
 			}
 		}
 		if held == 0 {
@@ -63,10 +63,10 @@
 			continue
 		}
 		fmt.Fprintf(a.out, "held from %s on, growing until %s; expected to earn %+.2f%%, to cost ordinary sessions before %.2f%%\n",
-			p.From.Format("15:04:05"), o.Begin.Format("15:04:05"), 100*(p.Earned/p.Without-1), 100*p.Lost)
+			plan.From.Format("15:04:05"), o.Begin.Format("15:04:05"), 100*(plan.Earned/plan.Without-1), 100*plan.Lost)
 	}
-	if len(list) == 0 {
-		fmt.Fprintf(a.out, "none within %d days\n", v.Days)
+	if len(occurrences) == 0 {
+		fmt.Fprintf(a.out, "none within %d days\n", cmd.Days)
 	}
 	if classes == nil {
 		fmt.Fprintln(a.out, "what would be held is told if an ordinary block says what comes")
@@ -74,10 +74,10 @@
 	return nil
 }
 
-// named are the names that are set.
-func named(names []string, set []bool) (out []string) {
+// selectNames are the names that are set.
+func selectNames(names []string, selected []bool) (out []string) {
 	for i, n := range names {
-		if i < len(set) && set[i] {
+		if i < len(selected) && selected[i] {
 			out = append(out, n)
 		}
 	}
--- a/cmd/millethinge/sites_test.go
+++ b/cmd/millethinge/sites_test.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	halls     = "../../example/two-halls.json"
-	hallSites = "../../example/sites.conf"
+	twoHallsConfig = "../../example/two-halls.json"
+	twoHallsSites  = "../../example/sites.conf"
 )
 
 func TestSites(t *testing.T) {
-	code, out, errs := try(t, nil, "", "--platform", halls, "--operator", hallSites, "sites")
+	code, out, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", twoHallsSites, "sites")
 	if code != 0 || errs != "" {
 		t.Fatal(code, errs)
 	}
@@ -28,11 +28,11 @@
 	if strings.Contains(out, "clip from rung 1") {
 		t.Error("clip goes to the lowest rung")
 	}
-	if code, out, _ := try(t, nil, "", "--platform", halls, "--operator", hallSites, "sites", "--lost", "hall-a,hall-b"); code != 0 ||
+	if code, out, _ := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", twoHallsSites, "sites", "--lost", "hall-a,hall-b"); code != 0 ||
 		!strings.Contains(out, "without hall-a and hall-b: 0.0% of the worth is kept") {
 		t.Error(code, out)
 	}
-	if code, _, errs := try(t, nil, "", "--platform", halls, "--operator", hallSites, "sites", "--lost", "hall-c"); code == 0 || !strings.Contains(errs, `"hall-c" is no site`) {
+	if code, _, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", twoHallsSites, "sites", "--lost", "hall-c"); code == 0 || !strings.Contains(errs, `"hall-c" is no site`) {
 		t.Error(code, errs)
 	}
 	record := func(text string) (int, string, string) {
@@ -40,7 +40,7 @@
 		if err := os.WriteFile(log, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return try(t, nil, "", "--platform", halls, "--operator", hallSites, "sites", "--record", log)
+		return runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", twoHallsSites, "sites", "--record", log)
 	}
 	lines := `{"msg":"site demand","rates":[9,9],"lasts":[45,35]}
 panic: not a line of the log
@@ -56,7 +56,7 @@
 			t.Errorf("%d, %q, want %q", code, errs, want)
 		}
 	}
-	if code, _, errs := try(t, nil, "", "--platform", halls, "--operator", "../../example/operator.conf", "sites"); code == 0 || !strings.Contains(errs, "an ordinary block is wanted") {
+	if code, _, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", "../../example/operator.conf", "sites"); code == 0 || !strings.Contains(errs, "an ordinary block is wanted") {
 		t.Error(code, errs)
 	}
 }
@@ -64,17 +64,17 @@
 // check tells of a site whose loss the rest can't carry for what is to be kept, and of
 // what is wrong with a site block.
 func TestCheckSites(t *testing.T) {
-	heavy := written(t, "op.conf", "ordinary {\n    clip 3 45s\n    feed 1 35s\n}\nsite hall-a {\n    zones hall-a\n    keep clip\n}\n")
-	code, _, errs := try(t, nil, "", "--platform", halls, "--operator", heavy, "check")
+	heavy := writeTempFile(t, "op.conf", "ordinary {\n    clip 3 45s\n    feed 1 35s\n}\nsite hall-a {\n    zones hall-a\n    keep clip\n}\n")
+	code, _, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", heavy, "check")
 	if code != 0 || !strings.Contains(errs, "warning: site hall-a: if it is lost, the rest can't carry") || !strings.Contains(errs, "sessions that are to be kept") {
 		t.Error(code, errs)
 	}
-	untold := written(t, "op.conf", "site hall-a {\n    zones hall-a\n}\n")
-	if code, _, errs := try(t, nil, "", "--platform", halls, "--operator", untold, "check"); code != 0 || !strings.Contains(errs, "warning: site: not checked: an ordinary block is wanted") {
+	untold := writeTempFile(t, "op.conf", "site hall-a {\n    zones hall-a\n}\n")
+	if code, _, errs := runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", untold, "check"); code != 0 || !strings.Contains(errs, "warning: site: not checked: an ordinary block is wanted") {
 		t.Error(code, errs)
 	}
-	bad := written(t, "op.conf", "site a {\n    zones hall-a hall-x\n    refuse feed feed\n    keep none\n    pace -1s\n}\nsite a {\n    zones hall-a\n}\nsite c {\n}\n")
-	code, _, errs = try(t, nil, "", "--platform", halls, "--operator", bad, "check")
+	bad := writeTempFile(t, "op.conf", "site a {\n    zones hall-a hall-x\n    refuse feed feed\n    keep none\n    pace -1s\n}\nsite a {\n    zones hall-a\n}\nsite c {\n}\n")
+	code, _, errs = runCommand(t, nil, "", "--platform", twoHallsConfig, "--operator", bad, "check")
 	for _, want := range []string{`"hall-x" is no zone of this deployment`, `"feed" stands twice`, `"none" is not a class`, "not from 1ms to 1h0m0s",
 		`"a" is used twice`, `"hall-a" is in a site already`, "zones is missing"} {
 		if code == 0 || !strings.Contains(errs, want) {
--- a/cmd/millethinge/terms_test.go
+++ b/cmd/millethinge/terms_test.go
@@ -19,8 +19,8 @@
 // flags, of the run line or of an import that starts programs fails here,
 // without the platform's bench.
 
-// deployLines returns the key = "value" lines of deploy/balancer.toml.
-func deployLines(t *testing.T) (root string, lines map[string]string) {
+// deploySettings returns the key = "value" lines of deploy/balancer.toml.
+func deploySettings(t *testing.T) (root string, settings map[string]string) {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -31,23 +31,23 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	lines = map[string]string{}
-	line := regexp.MustCompile(`^(\w+) = "(.*)"$`)
-	s := bufio.NewScanner(f)
-	for s.Scan() {
-		if m := line.FindStringSubmatch(s.Text()); m != nil {
-			lines[m[1]] = m[2]
+	settings = map[string]string{}
+	pattern := regexp.MustCompile(`^(\w+) = "(.*)"$`)
+	scanner := bufio.NewScanner(f)
+	for scanner.Scan() {
+		if m := pattern.FindStringSubmatch(scanner.Text()); m != nil {
+			settings[m[1]] = m[2]
 		}
 	}
-	if err := s.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		t.Fatal(err)
 	}
-	return root, lines
+	return root, settings
 }
 
 func TestDeployRunIsOneProcess(t *testing.T) {
-	_, lines := deployLines(t)
-	run := lines["run"]
+	_, settings := deploySettings(t)
+	run := settings["run"]
 	// exec replaces the shell, so that the platform's signals reach the
 	// manager and the process it watches is the manager itself.
 	if !strings.HasPrefix(run, "exec ") {
@@ -67,8 +67,8 @@
 	if testing.Short() {
 		t.Skip("builds the whole program with the external linker")
 	}
-	root, lines := deployLines(t)
-	build := lines["build"]
+	root, settings := deploySettings(t)
+	build := settings["build"]
 	for _, want := range []string{"CGO_ENABLED=1", "-ldflags=-linkmode=external", "-o bin/"} {
 		if !strings.Contains(build, want) {
 			t.Fatalf("build = %q lacks %q", build, want)
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -11,38 +11,38 @@
 	"testing"
 )
 
-// coldPlay is fronts of the module over twelve nodes, in virtual time. Node 1 breaks and
+// coldSimulation is fronts of the module over twelve nodes, in virtual time. Node 1 breaks and
 // starts again cold, and the fronts' lists tell of it at different times.
-type coldPlay struct {
-	fronts   int
-	load     float64 // times that of coldFull sessions
-	busy     float64 // times the mean load at front 0; 0: as at all
-	restarts float64 // part of the fronts that are killed within the warm-up and start anew
-	upgrades bool    // they go on beside the new process for 0.6 s, with half of its viewers
-	late     float64 // s within which the lists tell of the start
-	crowd    bool    // the load comes at once, 3 s after the start, and was a third until then
-	fresh    bool    // the node is new, and no front has sent to it
-	seed     uint64
+type coldSimulation struct {
+	managers         int
+	loadFactor       float64 // times that of coldFull sessions
+	firstManagerLoad float64 // times the mean load at front 0; 0: as at all
+	restartShare     float64 // part of the fronts that are killed within the warm-up and start anew
+	upgrade          bool    // they go on beside the new process for 0.6 s, with half of its viewers
+	listDelayS       float64 // s within which the lists tell of the start
+	burst            bool    // the load comes at once, 3 s after the start, and was a third until then
+	newNode          bool    // the node is new, and no front has sent to it
+	seed             uint64
 }
 
 type coldResult struct {
-	over         int     // set-ups beyond the bound
-	most         float64 // sum in a window over the bound, at most
-	cold, served float64 // set-ups to the cold node; part of the viewers who were served
-	worth        float64 // earned of what was asked for
+	violations              int     // set-ups beyond the bound
+	maxOfBound              float64 // sum in a window over the bound, at most
+	coldSetups, servedShare float64 // set-ups to the cold node; part of the viewers who were served
+	worthShare              float64 // earned of what was asked for
 }
 
 type coldEvent struct {
-	at float64
-	n  int
-	do func()
+	at       float64
+	sequence int
+	action   func()
 }
 
 type coldQueue []coldEvent
 
 func (q coldQueue) Len() int { return len(q) }
 func (q coldQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q coldQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *coldQueue) Push(x any)   { *q = append(*q, x.(coldEvent)) }
@@ -52,267 +52,267 @@
 	return e
 }
 
-type coldFront struct {
-	c    *Controller
-	dead bool
+type coldManager struct {
+	controller *Controller
+	stopped    bool
 }
 
 type coldSession struct {
-	front   *coldFront
+	manager *coldManager
 	class   int
 	rung    int
 	attempt int
 	node    int // 0: none
 }
 
-func (p coldPlay) settings() Settings {
+func (p coldSimulation) settings() Settings {
 	s := settings()
-	s.Classes[0] = Class{Effect: AtMostOnce, GoalS: 1.5, Worth: 2, Floor: 1, Top: 3, Scale: 1}
-	s.Classes[1] = Class{Effect: Idempotent, GoalS: 1.5, Worth: 1, Top: 3, Scale: 1}
+	s.Classes[0] = Class{RepeatEffect: AtMostOnce, StartGoalS: 1.5, Worth: 2, FloorRung: 1, TopRung: 3, RateScale: 1}
+	s.Classes[1] = Class{RepeatEffect: Idempotent, StartGoalS: 1.5, Worth: 1, TopRung: 3, RateScale: 1}
 	s.RatesKB, s.LadderWorth = []float64{200, 420, 640, 1900}, []float64{0.24, 0.55, 0.77, 1}
-	s.Fronts, s.Cells, s.Racks, s.KindStreams = p.fronts, coldCells, 1, []int{30}
-	s.LinkKB, s.FleetKB, s.RackKB, s.Guard = coldLink, coldCells*coldLink, 1e9, 1.2
-	s.Fields, s.Feed, s.Probes, s.ProbeCost = []string{"load_share", "x1"}, FeedProbe, true, 0.01
-	s.FallMultiple, s.StartCapacity, s.WarmAfterS = 3, 0.4, 12
+	s.Managers, s.Cells, s.Racks, s.MaxStreamsByKind = p.managers, coldCells, 1, []int{30}
+	s.LinkKBPerWeight, s.FleetLinkKB, s.RackUplinkKB, s.FullAtUtilization = coldLinkKB, coldCells*coldLinkKB, 1e9, 1.2
+	s.LoadFields, s.LoadReporting, s.ProbesAllowed, s.ProbeCost = []string{"load_share", "x1"}, LoadReportsInProbes, true, 0.01
+	s.ColdSetupMultiple, s.StartCapacityShare, s.WarmAfterS = 3, 0.4, 12
 	return s
 }
 
 const (
-	coldStart = 20.0
-	coldEnd   = coldStart + 13
-	coldWay   = 0.002
-	coldSpan  = 4
-	coldCells = 12
-	coldLink  = 60000 // kB a second: streams are short before it is
-	coldHold  = 5.0   // s, mean length of a session
-	coldFull  = 310.5 // sessions of load 1, of 360 streams
+	coldStartS       = 20.0
+	coldEndS         = coldStartS + 13
+	coldOneWayS      = 0.002
+	coldCopies       = 4
+	coldCells        = 12
+	coldLinkKB       = 60000 // kB a second: streams are short before it is
+	coldLengthS      = 5.0   // s, mean length of a session
+	coldFullSessions = 310.5 // sessions of load 1, of 360 streams
 )
 
-// play holds what all fronts send to the cold node in each window of a second against
+// run holds what all fronts send to the cold node in each window of a second against
 // N + 2 roots of N + 2, N being a multiple of what has warmed of its places over the
 // warm-up.
-func (p coldPlay) play(t *testing.T) (r coldResult) {
+func (p coldSimulation) run(t *testing.T) (r coldResult) {
 	t.Helper()
-	set := p.settings()
+	cfg := p.settings()
 	rng := rand.New(rand.NewPCG(p.seed, 7))
-	var q coldQueue
-	now, n := 0.0, 0
-	at := func(when float64, do func()) {
-		n++
-		heap.Push(&q, coldEvent{max(when, now), n, do})
+	var queue coldQueue
+	now, events := 0.0, 0
+	schedule := func(when float64, action func()) {
+		events++
+		heap.Push(&queue, coldEvent{max(when, now), events, action})
 	}
 	sessions := map[SessionID]*coldSession{}
-	nodes := make([]map[SessionID]*coldSession, set.Cells+1)
+	nodes := make([]map[SessionID]*coldSession, cfg.Cells+1)
 	for i := range nodes {
 		nodes[i] = map[SessionID]*coldSession{}
 	}
-	link := func(node int) float64 {
-		if warm := (now - coldStart) / set.WarmAfterS; node == 1 && warm >= 0 {
-			return set.LinkKB * (set.StartCapacity + (1-set.StartCapacity)*min(warm, 1))
+	linkKB := func(node int) float64 {
+		if warm := (now - coldStartS) / cfg.WarmAfterS; node == 1 && warm >= 0 {
+			return cfg.LinkKBPerWeight * (cfg.StartCapacityShare + (1-cfg.StartCapacityShare)*min(warm, 1))
 		}
-		return set.LinkKB
+		return cfg.LinkKBPerWeight
 	}
-	asked := func(node int) (kb float64) {
+	askedKB := func(node int) (kb float64) {
 		for _, s := range nodes[node] {
-			kb += set.RatesKB[s.rung]
+			kb += cfg.RatesKB[s.rung]
 		}
 		return kb
 	}
-	load := func(node int) []float64 { return []float64{asked(node) / link(node), 0.1} }
-	down := func(node int) bool { return node == 1 && now < coldStart && (p.fresh || now >= coldStart-0.5) }
-	entries := func(told bool) (l []Entry) {
-		for i := 1; i <= set.Cells; i++ {
-			e := Entry{Server: Server(i), State: Ready, Cell: i - 1, Weight: 1}
-			if i == 1 && told {
-				e.SinceS = coldStart
+	load := func(node int) []float64 { return []float64{askedKB(node) / linkKB(node), 0.1} }
+	down := func(node int) bool { return node == 1 && now < coldStartS && (p.newNode || now >= coldStartS-0.5) }
+	entries := func(started bool) (list []Entry) {
+		for i := 1; i <= cfg.Cells; i++ {
+			e := Entry{Server: ServerID(i), State: Ready, Cell: i - 1, Weight: 1}
+			if i == 1 && started {
+				e.StartedAtS = coldStartS
 			}
-			if i > 1 || told || !p.fresh {
-				l = append(l, e)
+			if i > 1 || started || !p.newNode {
+				list = append(list, e)
 			}
 		}
-		return l
+		return list
 	}
 	var sent []float64
-	count := func() {
+	countColdSetup := func() {
 		sent = append(sent, now)
 		for now-sent[0] > 1 {
 			sent = sent[1:]
 		}
-		if age := now - coldStart; age <= set.WarmAfterS {
-			r.cold++
-			most := set.FallMultiple * float64(set.KindStreams[0]) / set.WarmAfterS *
-				(set.StartCapacity + (1-set.StartCapacity)*age/set.WarmAfterS)
-			most += 2*math.Sqrt(most) + 2
-			if r.most = max(r.most, float64(len(sent))/most); float64(len(sent)) > most {
-				r.over++
+		if age := now - coldStartS; age <= cfg.WarmAfterS {
+			r.coldSetups++
+			bound := cfg.ColdSetupMultiple * float64(cfg.MaxStreamsByKind[0]) / cfg.WarmAfterS *
+				(cfg.StartCapacityShare + (1-cfg.StartCapacityShare)*age/cfg.WarmAfterS)
+			bound += 2*math.Sqrt(bound) + 2
+			if r.maxOfBound = max(r.maxOfBound, float64(len(sent))/bound); float64(len(sent)) > bound {
+				r.violations++
 			}
 		}
 	}
-	var handle func(f *coldFront, e Event)
-	end := func(id SessionID, s *coldSession, st Status, finished bool) {
+	var handle func(manager *coldManager, e Event)
+	endAttempt := func(id SessionID, s *coldSession, st Status, finished bool) {
 		delete(nodes[s.node], id)
 		node := s.node
 		s.node = 0
-		handle(s.front, Event{Kind: EvEnd, Session: id, Attempt: s.attempt - 1, Server: Server(node), Status: st,
-			Down: st == ConnectFailed, Finished: finished}) // a node that is down refuses connections
+		handle(s.manager, Event{Kind: EventAttemptEnded, Session: id, Attempt: s.attempt - 1, Server: ServerID(node), Status: st,
+			ProcessDown: st == ConnectFailed, RequestFinished: finished}) // a node that is down refuses connections
 	}
-	handle = func(f *coldFront, e Event) {
-		if f.dead {
+	handle = func(manager *coldManager, e Event) {
+		if manager.stopped {
 			return
 		}
-		for _, a := range append([]Action(nil), f.c.Handle(now, e)...) {
+		for _, a := range append([]Action(nil), manager.controller.Handle(now, e)...) {
 			s := sessions[a.Session]
 			switch a.Kind {
-			case ActWake:
-				at(now+a.DelayS, func() { handle(f, Event{Kind: EvTimer, Token: a.Token}) })
-			case ActProbe:
+			case ActionSetTimer:
+				schedule(now+a.DelayS, func() { handle(manager, Event{Kind: EventTimer, Token: a.Token}) })
+			case ActionProbe:
 				node := int(a.Server)
-				at(now+2*coldWay, func() {
+				schedule(now+2*coldOneWayS, func() {
 					if down(node) {
-						handle(f, Event{Kind: EvProbed, Server: a.Server, Status: ConnectFailed, Down: true})
+						handle(manager, Event{Kind: EventProbeResult, Server: a.Server, Status: ConnectFailed, ProcessDown: true})
 						return
 					}
-					handle(f, Event{Kind: EvProbed, Server: a.Server, Load: load(node)})
+					handle(manager, Event{Kind: EventProbeResult, Server: a.Server, Load: load(node)})
 				})
-			case ActRung:
+			case ActionSetRung:
 				s.rung = a.Rung
-			case ActHandOff:
+			case ActionSetUp:
 				s.attempt++
 				s.node = int(a.Server)
 				attempt := s.attempt
-				at(now+coldWay, func() {
-					if f.dead || s.attempt != attempt {
+				schedule(now+coldOneWayS, func() {
+					if manager.stopped || s.attempt != attempt {
 						return
 					}
 					if down(s.node) {
-						end(a.Session, s, ConnectFailed, false)
+						endAttempt(a.Session, s, ConnectFailed, false)
 						return
 					}
-					if s.node == 1 && now >= coldStart {
-						count()
+					if s.node == 1 && now >= coldStartS {
+						countColdSetup()
 					}
-					if asked(s.node) >= set.Guard*link(s.node) {
-						end(a.Session, s, Full, false)
+					if askedKB(s.node) >= cfg.FullAtUtilization*linkKB(s.node) {
+						endAttempt(a.Session, s, Full, false)
 						return
 					}
 					nodes[s.node][a.Session] = s
-					at(now+coldWay, func() {
-						handle(f, Event{Kind: EvFirst, Session: a.Session, Server: a.Server, Attempt: attempt - 1})
+					schedule(now+coldOneWayS, func() {
+						handle(manager, Event{Kind: EventStarted, Session: a.Session, Server: a.Server, Attempt: attempt - 1})
 					})
-					at(now+coldHold*(0.5+rng.Float64()), func() {
+					schedule(now+coldLengthS*(0.5+rng.Float64()), func() {
 						if nodes[s.node][a.Session] == s {
-							end(a.Session, s, OK, true)
+							endAttempt(a.Session, s, OK, true)
 						}
 					})
 				})
 			}
 		}
 	}
-	fronts := make([]*coldFront, p.fronts)
-	start := func(i int, gen uint64, told bool) {
-		c, err := New(set, p.seed<<20|gen<<10|uint64(i))
+	managers := make([]*coldManager, p.managers)
+	start := func(i int, generation uint64, started bool) {
+		c, err := New(cfg, p.seed<<20|generation<<10|uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		fronts[i] = &coldFront{c: c}
-		handle(fronts[i], Event{Kind: EvList, List: ListCached, Entries: entries(told)})
+		managers[i] = &coldManager{controller: c}
+		handle(managers[i], Event{Kind: EventList, List: ListCached, Entries: entries(started)})
 	}
-	tell := func(i int, when float64) {
-		at(when, func() {
-			handle(fronts[i], Event{Kind: EvList, List: ListDelta, Entries: entries(true)[:1]})
+	sendStart := func(i int, when float64) {
+		schedule(when, func() {
+			handle(managers[i], Event{Kind: EventList, List: ListDelta, Entries: entries(true)[:1]})
 		})
 	}
-	weights, all := make([]float64, p.fronts), 0.0
-	for i := range fronts {
+	weights, totalWeight := make([]float64, p.managers), 0.0
+	for i := range managers {
 		start(i, 0, false)
 		weights[i] = 0.5 + rng.Float64()
-		if i == 0 && p.busy > 0 {
-			weights[i] = p.busy
+		if i == 0 && p.firstManagerLoad > 0 {
+			weights[i] = p.firstManagerLoad
 		}
-		all += weights[i]
-		told := coldStart + 0.05 + p.late*rng.Float64()
-		tell(i, told)
-		if rng.Float64() < p.restarts {
-			when := coldStart + 4*rng.Float64()
-			old := fronts[i]
-			at(when, func() {
-				start(i, 1, told <= now)
-				at(now+map[bool]float64{true: 0.6}[p.upgrades], func() {
-					old.dead = true
-					for _, m := range nodes {
-						maps.DeleteFunc(m, func(_ SessionID, s *coldSession) bool { return s.front == old })
+		totalWeight += weights[i]
+		started := coldStartS + 0.05 + p.listDelayS*rng.Float64()
+		sendStart(i, started)
+		if rng.Float64() < p.restartShare {
+			when := coldStartS + 4*rng.Float64()
+			old := managers[i]
+			schedule(when, func() {
+				start(i, 1, started <= now)
+				schedule(now+map[bool]float64{true: 0.6}[p.upgrade], func() {
+					old.stopped = true
+					for _, playing := range nodes {
+						maps.DeleteFunc(playing, func(_ SessionID, s *coldSession) bool { return s.manager == old })
 					}
 				})
-				if p.upgrades {
-					next := fronts[i]
-					fronts[i] = old // half of its viewers come to the old one still
-					at(now+0.3, func() { fronts[i] = next })
+				if p.upgrade {
+					successor := managers[i]
+					managers[i] = old // half of its viewers come to the old one still
+					schedule(now+0.3, func() { managers[i] = successor })
 				}
 			})
 		}
 	}
-	rate := p.load * coldFull / coldHold
-	id, came, placed, offered, earned := SessionID(0), 0.0, 0.0, 0.0, 0.0
+	rate := p.loadFactor * coldFullSessions / coldLengthS
+	id, arrived, placed, offered, earned := SessionID(0), 0.0, 0.0, 0.0, 0.0
 	var arrive func()
 	arrive = func() {
 		gap := rng.ExpFloat64() / rate
-		if p.crowd && now < coldStart+3 {
+		if p.burst && now < coldStartS+3 {
 			gap *= 3
 		}
-		at(now+gap, arrive)
-		i, x := 0, rng.Float64()*all
-		for ; i < p.fronts-1 && x >= weights[i]; i++ {
-			x -= weights[i]
+		schedule(now+gap, arrive)
+		i, draw := 0, rng.Float64()*totalWeight
+		for ; i < p.managers-1 && draw >= weights[i]; i++ {
+			draw -= weights[i]
 		}
 		id++
 		title, class := rng.IntN(24), rng.IntN(2)
-		s := &coldSession{front: fronts[i], class: class}
+		s := &coldSession{manager: managers[i], class: class}
 		sessions[id] = s
-		if now >= coldStart {
-			came++
-			offered += set.Classes[class].Worth * coldHold
-			at(now+4, func() {
+		if now >= coldStartS {
+			arrived++
+			offered += cfg.Classes[class].Worth * coldLengthS
+			schedule(now+4, func() {
 				if s.attempt > 0 {
 					placed++
 				}
 			})
 		}
-		handle(fronts[i], Event{Kind: EvArrive, Session: id, Class: class, Title: uint64(title), LeftS: 3, Home: title % coldCells, Span: coldSpan, MaxRung: 3})
+		handle(managers[i], Event{Kind: EventArrival, Session: id, Class: class, Title: uint64(title), TimeLeftS: 3, HomeCell: title % coldCells, Copies: coldCopies, MaxRung: 3})
 	}
-	at(0.1, arrive)
-	at(coldStart-0.5, func() {
+	schedule(0.1, arrive)
+	schedule(coldStartS-0.5, func() {
 		for _, id := range slices.Sorted(maps.Keys(nodes[1])) {
-			end(id, nodes[1][id], Reset, true)
+			endAttempt(id, nodes[1][id], ConnectionReset, true)
 		}
 	})
 	const step = 0.5
-	var look func()
-	look = func() {
-		at(now+step, look)
+	var measure func()
+	measure = func() {
+		schedule(now+step, measure)
 		for i := 1; i < len(nodes); i++ {
-			share := min(link(i)/max(asked(i), 1), 1)
-			part := max(1-7*max(0.98-share, 0), 0)
+			delivered := min(linkKB(i)/max(askedKB(i), 1), 1)
+			worthFactor := max(1-7*max(0.98-delivered, 0), 0)
 			for _, id := range slices.Sorted(maps.Keys(nodes[i])) {
 				s := nodes[i][id]
 				if s == nil {
 					continue
 				}
-				if now >= coldStart {
-					earned += step * part * set.Classes[s.class].Worth * set.LadderWorth[s.rung]
+				if now >= coldStartS {
+					earned += step * worthFactor * cfg.Classes[s.class].Worth * cfg.LadderWorth[s.rung]
 				}
-				if share < 0.98 && math.Mod(now, 1) < step {
-					handle(s.front, Event{Kind: EvNote, Session: id, Server: Server(i), Note: NoteShare, Value: share})
+				if delivered < 0.98 && math.Mod(now, 1) < step {
+					handle(s.manager, Event{Kind: EventNote, Session: id, Server: ServerID(i), Note: NoteDeliveredShare, Value: delivered})
 				}
 			}
 		}
 	}
-	at(step, look)
-	for len(q) > 0 && now < coldEnd {
-		e := heap.Pop(&q).(coldEvent)
+	schedule(step, measure)
+	for len(queue) > 0 && now < coldEndS {
+		e := heap.Pop(&queue).(coldEvent)
 		now = e.at
-		e.do()
+		e.action()
 	}
-	r.served, r.worth = placed/came, earned/offered
+	r.servedShare, r.worthShare = placed/arrived, earned/offered
 	return r
 }
 
@@ -322,42 +322,42 @@
 // second at first, and 7.5 once it is warm. At the mean load about 20 viewers a second
 // come whom it could serve. Fronts that began on a list which hides the start are told
 // at the next one: what they send until then at three times the load isn't held here.
-func TestColdNodeUnderTheSum(t *testing.T) {
+func TestColdNodeSetupBound(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: the race detector's run")
 	}
 	for _, fronts := range []int{2, 20, 30} {
 		for _, e := range []struct {
 			name string
-			p    coldPlay
+			p    coldSimulation
 		}{
-			{"mean load, lists 3 s late", coldPlay{load: 1, late: 3}},
-			{"three times the mean at one", coldPlay{load: 1, busy: 3, late: 3}},
-			{"all are upgraded", coldPlay{load: 1, restarts: 1, upgrades: true}},
-			{"half are killed", coldPlay{load: 1, restarts: 0.5}},
-			{"half are killed, lists 3 s late", coldPlay{load: 1, restarts: 0.5, late: 3}},
-			{"three times, lists 3 s late", coldPlay{load: 3, late: 3}},
-			{"three times, lists 8 s late", coldPlay{load: 3, late: 8}},
-			{"three times, half are killed", coldPlay{load: 3, restarts: 0.5}},
-			{"three times at once, a new node", coldPlay{load: 3, crowd: true, fresh: true}},
+			{"mean load, lists 3 s late", coldSimulation{loadFactor: 1, listDelayS: 3}},
+			{"three times the mean at one", coldSimulation{loadFactor: 1, firstManagerLoad: 3, listDelayS: 3}},
+			{"all are upgraded", coldSimulation{loadFactor: 1, restartShare: 1, upgrade: true}},
+			{"half are killed", coldSimulation{loadFactor: 1, restartShare: 0.5}},
+			{"half are killed, lists 3 s late", coldSimulation{loadFactor: 1, restartShare: 0.5, listDelayS: 3}},
+			{"three times, lists 3 s late", coldSimulation{loadFactor: 3, listDelayS: 3}},
+			{"three times, lists 8 s late", coldSimulation{loadFactor: 3, listDelayS: 8}},
+			{"three times, half are killed", coldSimulation{loadFactor: 3, restartShare: 0.5}},
+			{"three times at once, a new node", coldSimulation{loadFactor: 3, burst: true, newNode: true}},
 		} {
 			t.Run(fmt.Sprint(fronts, " fronts, ", e.name), func(t *testing.T) {
 				t.Parallel()
 				var sum coldResult
-				broken, n := 0, float64(*coldSeeds)
+				violated, n := 0, float64(*coldSeeds)
 				for seed := range uint64(*coldSeeds) {
 					p := e.p
-					p.fronts, p.seed = fronts, seed+1
-					r := p.play(t)
-					if r.over > 0 {
-						broken++
+					p.managers, p.seed = fronts, seed+1
+					r := p.run(t)
+					if r.violations > 0 {
+						violated++
 					}
-					sum.most = max(sum.most, r.most)
-					sum.cold, sum.served, sum.worth = sum.cold+r.cold/n, sum.served+r.served/n, sum.worth+r.worth/n
+					sum.maxOfBound = max(sum.maxOfBound, r.maxOfBound)
+					sum.coldSetups, sum.servedShare, sum.worthShare = sum.coldSetups+r.coldSetups/n, sum.servedShare+r.servedShare/n, sum.worthShare+r.worthShare/n
 				}
-				t.Logf("%.2f of the bound at most, %.1f set-ups to the cold node, served %.3f, worth %.3f", sum.most, sum.cold, sum.served, sum.worth)
-				if broken > 0 || sum.cold == 0 {
-					t.Errorf("broken on %d of %d seeds, %.1f set-ups", broken, *coldSeeds, sum.cold)
+				t.Logf("%.2f of the bound at most, %.1f set-ups to the cold node, served %.3f, worth %.3f", sum.maxOfBound, sum.coldSetups, sum.servedShare, sum.worthShare)
+				if violated > 0 || sum.coldSetups == 0 {
+					t.Errorf("broken on %d of %d seeds, %.1f set-ups", violated, *coldSeeds, sum.coldSetups)
 				}
 			})
 		}
@@ -367,7 +367,7 @@
 // A server whose process was down, as a refused connection tells, is paced for a warm-up
 // from its first sign of life, since it may have started as late as that. Where the list
 // has told of the start, or it is not known that the process was down, that changes nothing.
-func TestStartIsDated(t *testing.T) {
+func TestStartTimeOfColdServer(t *testing.T) {
 	for _, e := range []struct {
 		name   string
 		status Status
@@ -375,35 +375,35 @@
 		listed float64 // s after the failure at which the list dates a start; 0: not told
 		til    float64 // s after the failure at which the pace ends, beside the warm-up
 	}{
-		{"its process was down", Reset, true, 0, 3},
+		{"its process was down", ConnectionReset, true, 0, 3},
 		{"likewise, by a failed connection", ConnectFailed, true, 0, 3},
-		{"the list tells of the start first", Reset, true, 1, 1},
+		{"the list tells of the start first", ConnectionReset, true, 1, 1},
 		{"only out of reach", ConnectFailed, false, 0, 0},
 	} {
-		b := newBed(t, settings())
-		bad := b.mustSend(b.arrive(1, 1))
-		b.do(Event{Kind: EvEnd, Session: 1, Server: bad, Status: e.status, Down: e.down, Finished: true})
-		failed, sv := b.now, b.c.servers[bad]
+		b := newHarness(t, settings())
+		failing := b.mustSetUp(b.arrive(1, 1))
+		b.handle(Event{Kind: EventAttemptEnded, Session: 1, Server: failing, Status: e.status, ProcessDown: e.down, RequestFinished: true})
+		failed, sv := b.now, b.controller.servers[failing]
 		if e.listed > 0 {
 			n := sv.Entry
-			n.SinceS = failed + e.listed
+			n.StartedAtS = failed + e.listed
 			b.now += 2
-			b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{n}})
+			b.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{n}})
 		}
 		b.now = failed + 3
 		for range 2 { // only the first sign of life dates it
-			b.do(Event{Kind: EvProbed, Server: bad, Load: []float64{0.1, 0.1}})
+			b.handle(Event{Kind: EventProbeResult, Server: failing, Load: []float64{0.1, 0.1}})
 			b.now++
 		}
-		if want := failed + e.til + b.c.set.WarmAfterS; math.Abs(sv.coldTil-want) > 0.01 {
-			t.Errorf("%s: paced until %.2f s, want %.2f", e.name, sv.coldTil, want)
+		if want := failed + e.til + b.controller.cfg.WarmAfterS; math.Abs(sv.coldUntil-want) > 0.01 {
+			t.Errorf("%s: paced until %.2f s, want %.2f", e.name, sv.coldUntil, want)
 		}
 	}
 }
 
 // A report of next to nothing shows a restart that the list hides, but not where the
 // fleet has as little, few sessions were there, or the server has only just warmed.
-func TestEmptiedServerIsPaced(t *testing.T) {
+func TestSuddenlyEmptyServerIsPaced(t *testing.T) {
 	for _, e := range []struct {
 		name             string
 		before, now, all float64 // its use, and that of the others at last
@@ -416,23 +416,23 @@
 		{"few were there", 0.05, 0.001, 0.05, 0, false},
 		{"fills after its warm-up", 0.95, 0.02, 0.95, 5, false},
 	} {
-		b := many(t)
-		report := func(sv Server, use float64) {
-			b.do(Event{Kind: EvProbed, Server: sv, Load: []float64{use, use}})
+		b := newManyManagers(t)
+		report := func(sv ServerID, use float64) {
+			b.handle(Event{Kind: EventProbeResult, Server: sv, Load: []float64{use, use}})
 		}
-		for sv := Server(2); sv <= 12; sv++ {
+		for sv := ServerID(2); sv <= 12; sv++ {
 			report(sv, e.all)
 		}
 		report(1, e.before)
 		if e.warmed > 0 {
-			b.c.servers[1].coldTil = b.now - e.warmed
+			b.controller.servers[1].coldUntil = b.now - e.warmed
 		}
 		b.now++
-		for sv := Server(2); sv <= 12; sv++ {
+		for sv := ServerID(2); sv <= 12; sv++ {
 			report(sv, e.all)
 		}
 		report(1, e.now)
-		if got := b.c.paced(b.c.servers[1]); got != e.paced {
+		if got := b.controller.isCold(b.controller.servers[1]); got != e.paced {
 			t.Errorf("%s: paced is %v", e.name, got)
 		}
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -15,95 +15,95 @@
 
 const (
 	// Slots.
-	TargetUse = 0.9 // of a link or uplink that slots may fill; room for the spread of true rates
-	penalty   = 0.5 // a refusal's cost, in parts of the worth (Eq. 6's q)
-	rescoreS  = 10  // s between re-scorings of the reserves
-	ratesS    = 30  // s of arrivals that a re-scoring measures
-	priorHold = 60  // s, a session's length until ends are seen; long errs to caution in raising rungs
-	usualGoal = 1.5 // s, the goal that all times here suit; where it is shorter, they shrink with it
-	mostSlots = 256 // slots that a re-scoring searches; it takes their square in time
-	staleS    = 12  // s after which what a report said of others' load is dropped
+	TargetUtilization = 0.9 // of a link or uplink that slots may fill; room for the spread of true rates
+	refusalPenalty    = 0.5 // a refusal's cost, in parts of the worth (Eq. 6's q)
+	reserveUpdateS    = 10  // s between re-scorings of the reserves
+	arrivalWindowS    = 30  // s of arrivals that a re-scoring measures
+	priorLengthS      = 60  // s, a session's length until ends are seen; long errs to caution in raising rungs
+	baseGoalS         = 1.5 // s, the goal that all times here suit; where it is shorter, they shrink with it
+	maxSearchSlots    = 256 // slots that a re-scoring searches; it takes their square in time
+	staleAfterS       = 12  // s after which what a report said of others' load is dropped
 
 	// Rungs in play.
-	tickS       = 0.5  // s between looks at the links; shorter answers a shortage sooner, for more CPU
-	shortUse    = 1.08 // use above which rungs are lowered; what lies under 0.98 of a rate costs dearly
-	lowerTo     = 0.95 // use that lowering aims at
-	slackUse    = 0.7  // use under which rungs are raised; far from shortUse, so that it doesn't swing
-	raiseGain   = 3    // a raise must be expected to earn so many times its switch cost
-	dwellS      = 6    // s between raises of one session; keeps an on-and-off neighbour from swinging it
-	firstProbes = 3    // single ones that a front makes at its start
-	unseen      = 1    // added to the use of a holder whose load isn't known, where it can be asked for
-	evenHeld    = 8    // sessions beside a front's own by which its count damps as a sign of the crowd
-	roomLife    = 2    // s since a server's last sign of life, up to which room is made there
-	roomGain    = 1.5  // a newcomer must be worth so many times what lowering others for it costs
-	roomPart    = 0.5  // of the room that a newcomer leaves if all other arrivals are of other fronts
-	probePart   = 0.01 // part of the sessions' worth that dear probes of single servers may cost
-	probeS      = 30   // s between probes of a server that tells its load in no other way; each is priced
-	smooth      = 0.7  // weight of a new note against an older one of about the same time
-	smoothLoad  = 0.25 // weight of a load report likewise; it is noisier
-	blendS      = 3    // s after which an older report counts no more beside a new one
-	capped      = 0.99 // load_share from which a link may be asked for more than it says
-	fullShare   = 0.98 // delivered share under which sessions lose
-	leastShare  = 0.05 // delivered share, at the least; bounds what one note can say
-	reportLagS  = 0.3  // s, how old a load report is taken to be
-	reactS      = 1    // s, beyond the notes' lateness, until a report can show what others did
+	tickIntervalS      = 0.5  // s between looks at the links; shorter answers a shortage sooner, for more CPU
+	lowerAbove         = 1.08 // use above which rungs are lowered; what lies under 0.98 of a rate costs dearly
+	lowerTarget        = 0.95 // use that lowering aims at
+	raiseBelow         = 0.7  // use under which rungs are raised; far from shortUse, so that it doesn't swing
+	minRaiseGain       = 3    // a raise must be expected to earn so many times its switch cost
+	raiseIntervalS     = 6    // s between raises of one session; keeps an on-and-off neighbour from swinging it
+	initialProbes      = 3    // single ones that a front makes at its start
+	unknownLoadPenalty = 1    // added to the use of a holder whose load isn't known, where it can be asked for
+	countPrior         = 8    // sessions beside a front's own by which its count damps as a sign of the crowd
+	makeRoomSilenceS   = 2    // s since a server's last sign of life, up to which room is made there
+	minMakeRoomGain    = 1.5  // a newcomer must be worth so many times what lowering others for it costs
+	othersRoomShare    = 0.5  // of the room that a newcomer leaves if all other arrivals are of other fronts
+	probeCostShare     = 0.01 // part of the sessions' worth that dear probes of single servers may cost
+	probeIntervalS     = 30   // s between probes of a server that tells its load in no other way; each is priced
+	noteWeight         = 0.7  // weight of a new note against an older one of about the same time
+	loadReportWeight   = 0.25 // weight of a load report likewise; it is noisier
+	reportBlendS       = 3    // s after which an older report counts no more beside a new one
+	cappedLoadShare    = 0.99 // load_share from which a link may be asked for more than it says
+	fullDelivery       = 0.98 // delivered share under which sessions lose
+	minDelivery        = 0.05 // delivered share, at the least; bounds what one note can say
+	loadReportAgeS     = 0.3  // s, how old a load report is taken to be
+	reactionS          = 1    // s, beyond the notes' lateness, until a report can show what others did
 
 	// Health.
-	strangeN   = 6     // errors on titles that never played, with no start between, that rest a server
-	titlesS    = 60    // s for which a title is remembered to have played
-	lostN      = 3     // failures in a zone, with no word from any server of it, that rest the zone
-	lostS      = 4     // s that it rests, give or take a half by lot
-	restS      = 2     // s that a server rests after a full or failing answer
-	silentS    = 1     // s a set-up may be unanswered before its server is left alone
-	patienceS  = 0.4   // s, the shortest time-out of a set-up that may be sent again
-	paceShare  = 0.7   // part of a front's pace to a cold server that is used; the rest is for chance
-	askN       = 2     // holders probed at most for a session whose holders' load isn't known
-	askPrice   = 0.04  // most that these probes may cost, in parts of the session's worth
-	askS       = 0.15  // s that a session waits for these probes
-	freshS     = 2     // s for which a report spares a probe at an arrival
-	emptyPart  = 0.15  // of what a server was taken to be asked for: under it, it has just started
-	emptyFrom  = 8     // sessions that it was taken to have, at the least; fewer end by chance
-	viewerS    = 8     // s in which a front is taken to have one viewer for a cold server
-	crowdS     = 1     // s in which it is taken to have no more arrivals than one
-	meanShare  = 0.25  // weight of one report in the mean use of the fleet
-	floodTimes = 6     // times a tenant's share from which arrivals are a flood; few of them are within it
-	floodBurst = 5     // arrivals of a tenant that a front takes at once; they come by chance
-	tinyS      = 0.001 // s by which a wake may come early, clocks being rounded
-	awayS      = 1     // s that a refused viewer is asked to stay away, till reports tell of change
-	marginS    = 0.03  // s before a deadline at which nothing more is begun
+	unprovenErrorLimit  = 6     // errors on titles that never played, with no start between, that rest a server
+	titleMemoryS        = 60    // s for which a title is remembered to have played
+	zoneLostAfter       = 3     // failures in a zone, with no word from any server of it, that rest the zone
+	zoneLostS           = 4     // s that it rests, give or take a half by lot
+	ejectionS           = 2     // s that a server rests after a full or failing answer
+	unansweredS         = 1     // s a set-up may be unanswered before its server is left alone
+	minSetupTimeoutS    = 0.4   // s, the shortest time-out of a set-up that may be sent again
+	coldRateShare       = 0.7   // part of a front's pace to a cold server that is used; the rest is for chance
+	maxSessionProbes    = 2     // holders probed at most for a session whose holders' load isn't known
+	maxSessionProbeCost = 0.04  // most that these probes may cost, in parts of the session's worth
+	probeWaitS          = 0.15  // s that a session waits for these probes
+	freshReportS        = 2     // s for which a report spares a probe at an arrival
+	restartLoadShare    = 0.15  // of what a server was taken to be asked for: under it, it has just started
+	restartMinSessions  = 8     // sessions that it was taken to have, at the least; fewer end by chance
+	coldViewerS         = 8     // s in which a front is taken to have one viewer for a cold server
+	burstWindowS        = 1     // s in which it is taken to have no more arrivals than one
+	meanWeight          = 0.25  // weight of one report in the mean use of the fleet
+	floodFactor         = 6     // times a tenant's share from which arrivals are a flood; few of them are within it
+	floodBurst          = 5     // arrivals of a tenant that a front takes at once; they come by chance
+	timerToleranceS     = 0.001 // s by which a wake may come early, clocks being rounded
+	minRetryAfterS      = 1     // s that a refused viewer is asked to stay away, till reports tell of change
+	deadlineMarginS     = 0.03  // s before a deadline at which nothing more is begun
 )
 
 const (
 	tokenTick = iota
-	tokenPace
-	tokenWatch
+	tokenRetryWaiting
+	tokenSubscribe
 )
 
 // New returns a Controller, or an error that names the setting it can't act on.
-func New(set Settings, seed uint64) (*Controller, error) {
-	if err := validate(&set); err != nil {
+func New(cfg Settings, seed uint64) (*Controller, error) {
+	if err := validate(&cfg); err != nil {
 		return nil, err
 	}
-	unit := 0.0
-	for _, k := range set.Classes {
-		unit = min(max(unit, k.GoalS/usualGoal), 1)
+	timeUnitS := 0.0
+	for _, class := range cfg.Classes {
+		timeUnitS = min(max(timeUnitS, class.StartGoalS/baseGoalS), 1)
 	}
-	set = inUnits(set, unit)
+	cfg = scaleTimes(cfg, timeUnitS)
 	c := &Controller{
-		set: set, unit: unit, seed: seed,
-		servers: make(map[Server]*server), sessions: make(map[SessionID]*session),
-		seats: make(map[seatKey]int), cells: make([][]*server, set.Cells),
-		shares: make([]bucket, len(set.Quotas)), arrivals: make([][]float64, len(set.Classes)),
-		reserve: make([]float64, len(set.Classes)),
-		mix:     make([]float64, len(set.Classes)),
-		middle:  set.RatesKB[len(set.RatesKB)/2],
-		titles:  make(map[uint64]float64),
-		lost:    make(map[int]int), lostTil: make(map[int]float64),
-		credit: firstProbes,
-		dear:   askN*(set.ProbeCost+set.HandshakeCost) > askPrice,
-	}
-	for range max(set.Racks, 1) {
-		c.racks = append(c.racks, &rack{pipe: newPipe()})
+		cfg: cfg, timeUnitS: timeUnitS, seed: seed,
+		servers: make(map[ServerID]*server), sessions: make(map[SessionID]*session),
+		sessionsPerTitle: make(map[titleClass]int), serversByCell: make([][]*server, cfg.Cells),
+		tenantBuckets: make([]tokenBucket, len(cfg.TenantQuotas)), arrivalTimes: make([][]float64, len(cfg.Classes)),
+		reservedSlots:   make([]float64, len(cfg.Classes)),
+		classLoadShares: make([]float64, len(cfg.Classes)),
+		slotKB:          cfg.RatesKB[len(cfg.RatesKB)/2],
+		lastPlayed:      make(map[uint64]float64),
+		zoneFailures:    make(map[int]int), zoneLostUntil: make(map[int]float64),
+		probeCredit:  initialProbes,
+		probesCostly: maxSessionProbes*(cfg.ProbeCost+cfg.HandshakeCost) > maxSessionProbeCost,
+	}
+	for range max(cfg.Racks, 1) {
+		c.racks = append(c.racks, &rack{linkLoad: newLinkLoad()})
 	}
 	return c, nil
 }
@@ -111,96 +111,96 @@
 // Handle takes one event and returns what to do, in order. The slice is valid
 // until the next call.
 func (c *Controller) Handle(now float64, e Event) []Action {
-	c.now, c.out = now/c.unit, c.out[:0]
-	e.LeftS, e.HintS = e.LeftS/c.unit, e.HintS/c.unit
-	if !c.begun {
-		c.begun, c.started, c.rescoreAt = true, c.now, c.now+rescoreS/5
-		c.wake(tickS, tokenTick)
-		if c.set.Subscribe {
-			c.emit(Action{Kind: ActWatch})
+	c.now, c.actions = now/c.timeUnitS, c.actions[:0]
+	e.TimeLeftS, e.ExpectedLengthS = e.TimeLeftS/c.timeUnitS, e.ExpectedLengthS/c.timeUnitS
+	if !c.started {
+		c.started, c.startedAt, c.reserveUpdateAt = true, c.now, c.now+reserveUpdateS/5
+		c.setTimer(tickIntervalS, tokenTick)
+		if c.cfg.SubscribeToList {
+			c.emit(Action{Kind: ActionSubscribe})
 		}
 	}
 	switch s := c.sessions[e.Session]; {
-	case e.Kind == EvList:
+	case e.Kind == EventList:
 		c.onList(e)
-	case e.Kind == EvArrive:
-		c.onArrive(e)
-	case e.Kind == EvOpen:
-		c.onOpen(e)
-	case e.Kind == EvTimer:
+	case e.Kind == EventArrival:
+		c.onArrival(e)
+	case e.Kind == EventEstablished:
+		c.onEstablished(e)
+	case e.Kind == EventTimer:
 		c.onTimer(e.Token)
-	case e.Kind == EvProbed:
-		c.onProbed(e)
-	case e.Kind == EvHold || e.Kind == EvRation:
-		c.planned(e)
+	case e.Kind == EventProbeResult:
+		c.onProbeResult(e)
+	case e.Kind == EventHold || e.Kind == EventRation:
+		c.onPlan(e)
 	case s == nil: // the rest is news of a session; this one has ended
-	case e.Kind == EvFirst:
-		c.onFirst(s, e)
-	case e.Kind == EvEnd:
-		c.onEnd(s, e)
-	case e.Kind == EvAborted:
-		if s.gone = true; s.server == nil { // else its attempt still gets an end
+	case e.Kind == EventStarted:
+		c.onStarted(s, e)
+	case e.Kind == EventAttemptEnded:
+		c.onAttemptEnded(s, e)
+	case e.Kind == EventAbandoned:
+		if s.requestEnded = true; s.server == nil { // else its attempt still gets an end
 			delete(c.sessions, s.id)
 		}
-	case e.Kind == EvNote:
+	case e.Kind == EventNote:
 		c.onNote(s, e)
 	}
-	return c.inSeconds()
+	return c.actionsInSeconds()
 }
 
 // The server list.
 
 func (c *Controller) onList(e Event) {
 	if e.List == ListFailed {
-		if c.set.Subscribe {
-			c.wake(1, tokenWatch)
+		if c.cfg.SubscribeToList {
+			c.setTimer(1, tokenSubscribe)
 		}
 		return
 	}
 	if e.List != ListDelta {
-		for _, sv := range c.order { // what a whole list lacks is gone
+		for _, sv := range c.serverOrder { // what a whole list lacks is gone
 			sv.State = Gone
 		}
 	}
-	for _, n := range e.Entries {
-		c.listEntry(n)
+	for _, entry := range e.Entries {
+		c.updateServer(entry)
 	}
-	c.reindex()
+	c.rebuildIndexes()
 }
 
-func (c *Controller) listEntry(n Entry) {
-	n.SinceS /= c.unit
-	if n.Cell < 0 || n.Cell >= c.set.Cells {
+func (c *Controller) updateServer(entry Entry) {
+	entry.StartedAtS /= c.timeUnitS
+	if entry.Cell < 0 || entry.Cell >= c.cfg.Cells {
 		return
 	}
-	sv := c.servers[n.Server]
+	sv := c.servers[entry.Server]
 	if sv == nil {
-		sv = &server{pipe: newPipe(), byClass: make([]float64, len(c.set.Classes))}
-		c.servers[n.Server] = sv
-		c.order = append(c.order, sv)
+		sv = &server{linkLoad: newLinkLoad(), ownKBByClass: make([]float64, len(c.cfg.Classes))}
+		c.servers[entry.Server] = sv
+		c.serverOrder = append(c.serverOrder, sv)
 	}
-	if n.SinceS > sv.SinceS && n.SinceS+c.set.WarmAfterS > c.now {
-		c.welcome(sv, n)
+	if entry.StartedAtS > sv.StartedAtS && entry.StartedAtS+c.cfg.WarmAfterS > c.now {
+		c.recordStart(sv, entry)
 	}
-	sv.Entry, sv.rack = n, c.racks[n.Cell%len(c.racks)]
-	c.account(sv)
+	sv.Entry, sv.rack = entry, c.racks[entry.Cell%len(c.racks)]
+	c.updateOwnLoad(sv)
 }
 
 // markCold takes a server as just started. It guards against pushing over a
 // process that restarted before the list says so; it costs some pace on a
 // server that only broke a connection.
 func (c *Controller) markCold(sv *server, at float64) {
-	sv.coldAt = max(sv.coldAt, at)
-	sv.coldTil = max(sv.coldTil, at+c.set.WarmAfterS)
+	sv.coldSince = max(sv.coldSince, at)
+	sv.coldUntil = max(sv.coldUntil, at+c.cfg.WarmAfterS)
 }
 
-// pace is the least time between this front's sends to a cold server.
-func (c *Controller) pace(sv *server) float64 {
-	rate := c.set.FallMultiple * c.streams(sv) * c.set.StartCapacity * paceShare
+// coldSendInterval is the least time between this front's sends to a cold server.
+func (c *Controller) coldSendInterval(sv *server) float64 {
+	rate := c.cfg.ColdSetupMultiple * c.maxStreams(sv) * c.cfg.StartCapacityShare * coldRateShare
 	if rate <= 0 {
 		return 0
 	}
-	return c.set.WarmAfterS * float64(c.set.Fronts) / rate
+	return c.cfg.WarmAfterS * float64(c.cfg.Managers) / rate
 }
 
 // admitCold tells whether a session may be sent to a cold server at all. Each front's
@@ -208,303 +208,303 @@
 // server is listed or all others are full. It harms where few viewers come: a
 // new server fills more slowly.
 func (c *Controller) admitCold(s *session, sv *server) bool {
-	crowd := 0.0 // where this front's viewers come at once, those of all do
-	for _, times := range c.arrivals {
-		crowd += float64(len(since(times, c.now-crowdS)))
+	recentArrivals := 0.0 // where this front's viewers come at once, those of all do
+	for _, times := range c.arrivalTimes {
+		recentArrivals += float64(len(dropBefore(times, c.now-burstWindowS)))
 	}
-	part := viewerS / c.pace(sv) / max(crowd, 1)
-	return c.now >= sv.coldTil || c.due(sv) || chance(c.seed^uint64(s.id), uint64(sv.Server)) < part
+	chance := coldViewerS / c.coldSendInterval(sv) / max(recentArrivals, 1)
+	return c.now >= sv.coldUntil || c.dueAfterReenabling(sv) || hashToUnit(c.seed^uint64(s.id), uint64(sv.Server)) < chance
 }
 
-// paced tells whether sends to sv are paced: the list or an error says that
+// isCold tells whether sends to sv are paced: the list or an error says that
 // it started within the warm-up. A young front learns of starts from the list
 // it is started with, as old ones do; pacing all its servers besides cost a
 // restarted front one new connection a set-up.
-func (c *Controller) paced(sv *server) bool {
-	return c.now < sv.coldTil
+func (c *Controller) isCold(sv *server) bool {
+	return c.now < sv.coldUntil
 }
 
-// emptied tells whether a report shows so little on a server that it must have started
+// looksRestarted tells whether a report shows so little on a server that it must have started
 // again, beside what it was taken to have and what the fleet has. It harms where sessions
 // went for another reason: the server is paced for a warm-up.
-func (c *Controller) emptied(sv *server, kb, at float64) bool {
-	had := min(sv.ownAt(at)+c.othersOn(sv), c.fleetUse.v/c.links()*c.link(sv))
-	return c.now > sv.coldTil+staleS && had > emptyFrom*c.meanSize() && kb < emptyPart*had
+func (c *Controller) looksRestarted(sv *server, kb, measuredAt float64) bool {
+	expectedKB := min(sv.ownKBAt(measuredAt)+c.othersKB(sv), c.meanLoad.value/c.totalLinkKB()*c.linkKB(sv))
+	return c.now > sv.coldUntil+staleAfterS && expectedKB > restartMinSessions*c.meanRateKB() && kb < restartLoadShare*expectedKB
 }
 
 // Load and room.
 
-// othersOn is what other fronts ask of a server's link: as last reported, or
+// othersKB is what other fronts ask of a server's link: as last reported, or
 // without a fresh report an even share of what this front's own load suggests.
-func (c *Controller) othersOn(sv *server) float64 {
-	if c.now-sv.seenAt < staleS {
-		return sv.others
+func (c *Controller) othersKB(sv *server) float64 {
+	if c.now-sv.measuredAt < staleAfterS {
+		return sv.reportedOthersKB
 	}
-	if c.fleetUse.seen {
-		return max(c.fleetUse.v/c.links()*c.link(sv)-sv.own, 0)
+	if c.meanLoad.hasValue {
+		return max(c.meanLoad.value/c.totalLinkKB()*c.linkKB(sv)-sv.ownKB, 0)
 	}
-	return c.own * float64(c.set.Fronts-1) / float64(max(len(c.order), 1))
+	return c.ownKB * float64(c.cfg.Managers-1) / float64(max(len(c.serverOrder), 1))
 }
 
-func (c *Controller) othersOnRack(r *rack) float64 {
-	if c.now-r.seenAt < staleS {
-		return r.others
+func (c *Controller) rackOthersKB(r *rack) float64 {
+	if c.now-r.measuredAt < staleAfterS {
+		return r.reportedOthersKB
 	}
-	if c.rackUse.seen {
-		return max(c.rackUse.v/c.links()*c.set.RackKB-r.own, 0)
+	if c.meanUplinkLoad.hasValue {
+		return max(c.meanUplinkLoad.value/c.totalLinkKB()*c.cfg.RackUplinkKB-r.ownKB, 0)
 	}
-	if c.fleetUse.seen { // how racks differ is not told; a guess sends all fronts to the same one
-		return max(c.fleetUse.v/float64(len(c.racks))-r.own, 0)
+	if c.meanLoad.hasValue { // how racks differ is not told; a guess sends all fronts to the same one
+		return max(c.meanLoad.value/float64(len(c.racks))-r.ownKB, 0)
 	}
 	sum := 0.0
 	for _, sv := range r.servers {
-		sum += c.othersOn(sv)
+		sum += c.othersKB(sv)
 	}
 	return sum
 }
 
-// use is the share of the tighter of link and uplink that is asked for.
-func (c *Controller) use(sv *server) float64 {
-	return max((sv.own+c.othersOn(sv))/c.link(sv), (sv.rack.own+c.othersOnRack(sv.rack))/c.set.RackKB)
+// utilization is the share of the tighter of link and uplink that is asked for.
+func (c *Controller) utilization(sv *server) float64 {
+	return max((sv.ownKB+c.othersKB(sv))/c.linkKB(sv), (sv.rack.ownKB+c.rackOthersKB(sv.rack))/c.cfg.RackUplinkKB)
 }
 
-// room is what is free of a server's slots, in kB a second.
-func (c *Controller) room(sv *server) float64 {
-	others := c.othersOn(sv)
-	room := min(TargetUse*c.link(sv)-sv.own-others, c.rackRoom(sv.rack))
-	if held := float64(len(sv.sessions)) + others/c.meanSize(); held+1 > c.streams(sv) {
-		return min(room, 0)
+// freeKB is what is free of a server's slots, in kB a second.
+func (c *Controller) freeKB(sv *server) float64 {
+	others := c.othersKB(sv)
+	free := min(TargetUtilization*c.linkKB(sv)-sv.ownKB-others, c.rackFreeKB(sv.rack))
+	if streams := float64(len(sv.sessions)) + others/c.meanRateKB(); streams+1 > c.maxStreams(sv) {
+		return min(free, 0)
 	}
-	return room
+	return free
 }
 
-// free is what a session may fill: its class's reserve, then the shared part. What
+// availableKB is what a session may fill: its class's reserve, then the shared part. What
 // other classes have reserved and not filled is not free, nor what is held.
-func (c *Controller) free(sv *server, s *session) float64 {
-	free := c.room(sv) - c.heldFrom(s, sv)
-	others := c.othersOn(sv)
-	for k := range c.set.Classes {
+func (c *Controller) availableKB(sv *server, s *session) float64 {
+	available := c.freeKB(sv) - c.heldForOthersKB(s, sv)
+	others := c.othersKB(sv)
+	for k := range c.cfg.Classes {
 		if k != s.class && c.meanSlots > 0 {
-			reserved := c.reserve[k] / c.meanSlots * c.slots(sv)
-			free -= max(reserved-sv.byClass[k]-others*c.mix[k], 0)
+			reserved := c.reservedSlots[k] / c.meanSlots * c.capacityKB(sv)
+			available -= max(reserved-sv.ownKBByClass[k]-others*c.classLoadShares[k], 0)
 		}
 	}
-	return free
+	return available
 }
 
 // Admission.
 
-func (c *Controller) onArrive(e Event) {
+func (c *Controller) onArrival(e Event) {
 	if c.sessions[e.Session] != nil {
 		return
 	}
-	if e.Class < 0 || e.Class >= len(c.set.Classes) {
-		c.emit(Action{Kind: ActDeny, Session: e.Session, WaitS: awayS})
+	if e.Class < 0 || e.Class >= len(c.cfg.Classes) {
+		c.emit(Action{Kind: ActionRefuse, Session: e.Session, RetryAfterS: minRetryAfterS})
 		return
 	}
 	s := c.newSession(e)
-	c.arrivals[s.class] = append(c.arrivals[s.class], c.now)
-	c.credit = min(c.credit+probePart/max(c.set.ProbeCost, probePart), firstProbes)
-	if c.set.BudgetWindowS > 0 {
-		c.takenAt = append(c.takenAt, c.now)
+	c.arrivalTimes[s.class] = append(c.arrivalTimes[s.class], c.now)
+	c.probeCredit = min(c.probeCredit+probeCostShare/max(c.cfg.ProbeCost, probeCostShare), initialProbes)
+	if c.cfg.BudgetWindowS > 0 {
+		c.budgetArrivals = append(c.budgetArrivals, c.now)
 	}
-	if c.flooded(e.Tenant) && max(c.fleetUse.v, c.rackUse.v) > slackUse*c.links() || c.rationed(s) {
-		c.answer(s, ActDeny)
+	if c.isFlooding(e.Tenant) && max(c.meanLoad.value, c.meanUplinkLoad.value) > raiseBelow*c.totalLinkKB() || c.overRation(s) {
+		c.answer(s, ActionRefuse)
 		return
 	}
 	c.place(s)
 }
 
-// flooded takes an arrival from its tenant's share and tells whether so many
+// isFlooding takes an arrival from its tenant's share and tells whether so many
 // come that few can be within it. While the fleet is tight these are refused,
 // or they take the room of sessions that are worth ten times as much. It harms
 // where the front's own viewers of a tenant are many by chance.
-func (c *Controller) flooded(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.set.Quotas) || c.set.Quotas[tenant] <= 0 {
+func (c *Controller) isFlooding(tenant int) bool {
+	if tenant < 0 || tenant >= len(c.cfg.TenantQuotas) || c.cfg.TenantQuotas[tenant] <= 0 {
 		return false
 	}
-	b := &c.shares[tenant]
-	rate := floodTimes * c.set.Quotas[tenant] / float64(c.set.Fronts)
-	b.left, b.at = min(b.left+(c.now-b.at)*rate, floodBurst), c.now
-	if b.left < 1 {
+	bucket := &c.tenantBuckets[tenant]
+	rate := floodFactor * c.cfg.TenantQuotas[tenant] / float64(c.cfg.Managers)
+	bucket.tokens, bucket.refilledAt = min(bucket.tokens+(c.now-bucket.refilledAt)*rate, floodBurst), c.now
+	if bucket.tokens < 1 {
 		return true
 	}
-	b.left--
+	bucket.tokens--
 	return false
 }
 
 func (c *Controller) newSession(e Event) *session {
-	k := c.set.Classes[e.Class]
-	left := e.LeftS
+	class := c.cfg.Classes[e.Class]
+	left := e.TimeLeftS
 	if !notNegative(left) {
 		left = 0
 	}
 	s := &session{
-		id: e.Session, class: e.Class, title: e.Title, home: e.Home, span: e.Span,
-		rung: k.Floor, worth: k.Worth, deadline: c.now + left, goal: c.now + k.GoalS,
-		top: min(k.Top, len(c.set.RatesKB)-1), own: e.Own,
+		id: e.Session, class: e.Class, title: e.Title, homeCell: e.HomeCell, copies: e.Copies,
+		rung: class.FloorRung, worth: class.Worth, deadline: c.now + left, startGoal: c.now + class.StartGoalS,
+		topRung: min(class.TopRung, len(c.cfg.RatesKB)-1), inPeak: e.InPeak,
 	}
-	if e.MaxRung < float64(s.top) {
-		s.top = int(max(e.MaxRung, -1))
+	if e.MaxRung < float64(s.topRung) {
+		s.topRung = int(max(e.MaxRung, -1))
 	}
-	if positive(e.HintS) {
-		s.hintEnd = c.now + e.HintS
+	if positive(e.ExpectedLengthS) {
+		s.expectedEnd = c.now + e.ExpectedLengthS
 	}
 	c.sessions[s.id] = s
 	return s
 }
 
-func (c *Controller) onOpen(e Event) {
+func (c *Controller) onEstablished(e Event) {
 	sv := c.servers[e.Server]
-	if sv == nil || e.Class < 0 || e.Class >= len(c.set.Classes) || c.sessions[e.Session] != nil {
+	if sv == nil || e.Class < 0 || e.Class >= len(c.cfg.Classes) || c.sessions[e.Session] != nil {
 		return
 	}
 	s := c.newSession(e)
-	s.attempt, s.playing, s.playedAt, s.changedAt = 1, true, c.now, c.now-dwellS
-	c.adopt(s, sv, e.Rung)
-	c.titles[s.title] = c.now
+	s.nextAttempt, s.playing, s.playingSince, s.rungChangedAt = 1, true, c.now, c.now-raiseIntervalS
+	c.attachEstablished(s, sv, e.Rung)
+	c.lastPlayed[s.title] = c.now
 }
 
 // place sends a session to the least used holder with a free slot of its class,
 // or answers it at once.
 func (c *Controller) place(s *session) {
-	k := &c.set.Classes[s.class]
-	if c.now >= s.deadline-marginS || s.attempt >= c.set.AttemptsCap || s.attempt > 0 && !c.mayRepeat() ||
-		s.top < k.Floor || k.Seats > 0 && c.seats[seatKey{s.title, s.class}] >= k.Seats {
-		c.answer(s, ActDeny)
+	class := &c.cfg.Classes[s.class]
+	if c.now >= s.deadline-deadlineMarginS || s.nextAttempt >= c.cfg.AttemptsCap || s.nextAttempt > 0 && !c.budgetAllowsAttempt() ||
+		s.topRung < class.FloorRung || class.MaxPerTitle > 0 && c.sessionsPerTitle[titleClass{s.title, s.class}] >= class.MaxPerTitle {
+		c.answer(s, ActionRefuse)
 		return
 	}
-	if c.ask(s) {
-		c.keep(s, s.askTil)
+	if c.probeHolders(s) {
+		c.postpone(s, s.probesUntil)
 		return
 	}
-	list, later := c.holders(s)
+	list, coldReadyAt := c.candidates(s)
 	for _, h := range list {
-		if free := c.free(h.sv, s); free >= c.size(s, k.Floor) {
-			c.send(s, h.sv, c.fit(s, h.sv, free))
+		if available := c.availableKB(h.server, s); available >= c.rateKB(s, class.FloorRung) {
+			c.sendSetup(s, h.server, c.initialRung(s, h.server, available))
 			return
 		}
 	}
-	if len(list) == 0 && later < min(s.goal, s.deadline-marginS) {
-		c.keep(s, later)
+	if len(list) == 0 && coldReadyAt < min(s.startGoal, s.deadline-deadlineMarginS) {
+		c.postpone(s, coldReadyAt)
 		return
 	}
 	for _, h := range list {
-		if c.makeRoom(s, h.sv) {
-			c.send(s, h.sv, k.Floor)
+		if c.makeRoom(s, h.server) {
+			c.sendSetup(s, h.server, class.FloorRung)
 			return
 		}
 	}
-	c.answer(s, ActDeny)
+	c.answer(s, ActionRefuse)
 }
 
 // makeRoom lowers sessions in play on a full holder, where that costs less than a
 // viewer who would be refused is worth: the upper steps earn little for their
 // rate. It harms where the newcomer leaves soon, since each change is paid.
 func (c *Controller) makeRoom(s *session, sv *server) bool {
-	if c.quiet(sv, 0) > roomLife || float64(len(sv.sessions)+1)+c.othersOn(sv)/c.meanSize() > c.streams(sv) {
+	if c.silentFor(sv, 0) > makeRoomSilenceS || float64(len(sv.sessions)+1)+c.othersKB(sv)/c.meanRateKB() > c.maxStreams(sv) {
 		return false
 	}
-	floor := c.set.Classes[s.class].Floor
-	need := c.size(s, floor) - c.free(sv, s)
-	gain := s.worth * c.set.LadderWorth[floor] * c.hold()
-	var down []*session
+	floor := c.cfg.Classes[s.class].FloorRung
+	need := c.rateKB(s, floor) - c.availableKB(sv, s)
+	gain := s.worth * c.cfg.LadderWorth[floor] * c.meanLength()
+	var lowered []*session
 	for need > 0 {
 		var best *session
 		cost, freed := 0.0, 0.0
 		for _, o := range sv.sessions {
-			if !o.playing || o.rung <= c.set.Classes[o.class].Floor || slices.Contains(down, o) {
+			if !o.playing || o.rung <= c.cfg.Classes[o.class].FloorRung || slices.Contains(lowered, o) {
 				continue
 			}
-			kb := c.size(o, o.rung) - c.size(o, o.rung-1)
-			loss := o.worth * (c.set.LadderWorth[o.rung] - c.set.LadderWorth[o.rung-1]) * c.leftOf(o)
-			if loss += o.worth * c.set.SwitchS; best == nil || loss/kb < cost/freed {
+			kb := c.rateKB(o, o.rung) - c.rateKB(o, o.rung-1)
+			loss := o.worth * (c.cfg.LadderWorth[o.rung] - c.cfg.LadderWorth[o.rung-1]) * c.remaining(o)
+			if loss += o.worth * c.cfg.RungChangeCostS; best == nil || loss/kb < cost/freed {
 				best, cost, freed = o, loss, kb
 			}
 		}
-		if gain -= roomGain * cost; best == nil || gain <= 0 {
+		if gain -= minMakeRoomGain * cost; best == nil || gain <= 0 {
 			return false
 		}
-		down = append(down, best)
+		lowered = append(lowered, best)
 		need -= freed
 	}
-	for _, o := range down {
+	for _, o := range lowered {
 		c.setRung(o, o.rung-1)
 	}
 	return true
 }
 
-// keep makes a session wait until a time, or until a probe is answered.
-func (c *Controller) keep(s *session, til float64) {
-	s.keptTil = max(til, c.now+marginS)
+// postpone makes a session wait until a time, or until a probe is answered.
+func (c *Controller) postpone(s *session, until float64) {
+	s.waitUntil = max(until, c.now+deadlineMarginS)
 	c.waiting = append(c.waiting, s)
-	c.wake(s.keptTil-c.now, tokenPace)
+	c.setTimer(s.waitUntil-c.now, tokenRetryWaiting)
 }
 
-// ask probes some of the holders whose load isn't known, drawn by lot, before a
+// probeHolders probes some of the holders whose load isn't known, drawn by lot, before a
 // session is placed, and tells whether an answer is still awaited. Each probe is
 // priced; where they are dear, none is made here.
-func (c *Controller) ask(s *session) bool {
-	if s.askTil > 0 || c.set.Feed == FeedNone || !c.set.Probes || c.dear {
-		return c.now < s.askTil-tinyS && c.probesOut > 0
+func (c *Controller) probeHolders(s *session) bool {
+	if s.probesUntil > 0 || c.cfg.LoadReporting == LoadReportsNone || !c.cfg.ProbesAllowed || c.probesCostly {
+		return c.now < s.probesUntil-timerToleranceS && c.probesPending > 0
 	}
-	s.askTil = c.now
-	list, _ := c.holders(s)
-	var unknown, near []*server
+	s.probesUntil = c.now
+	list, _ := c.candidates(s)
+	var unknown, sameZone []*server
 	for _, h := range list {
-		if c.now-h.sv.seenAt >= freshS {
-			unknown = append(unknown, h.sv)
-			if h.sv.Zone == c.set.Zone {
-				near = append(near, h.sv)
+		if c.now-h.server.measuredAt >= freshReportS {
+			unknown = append(unknown, h.server)
+			if h.server.Zone == c.cfg.Zone {
+				sameZone = append(sameZone, h.server)
 			}
 		}
 	}
 	n := len(list) - len(unknown)
-	if len(near) >= askN { // a crossing is priced
-		unknown = near
+	if len(sameZone) >= maxSessionProbes { // a crossing is priced
+		unknown = sameZone
 	}
-	for ; n < askN && len(unknown) > 0; n++ {
-		i := int(c.draw() * float64(len(unknown)))
-		c.probe(unknown[i])
-		s.askTil = c.now + askS
+	for ; n < maxSessionProbes && len(unknown) > 0; n++ {
+		i := int(c.random() * float64(len(unknown)))
+		c.sendProbe(unknown[i])
+		s.probesUntil = c.now + probeWaitS
 		unknown = append(unknown[:i], unknown[i+1:]...)
 	}
-	return s.askTil > c.now
+	return s.probesUntil > c.now
 }
 
-// holders lists the usable holders of a session's title, least used first. If
+// candidates lists the usable holders of a session's title, least used first. If
 // a cold one is only held back by its pace, it also tells when it may be used.
-func (c *Controller) holders(s *session) (list []candidate, later float64) {
-	later = math.Inf(1)
-	for _, sv := range c.holdersOf(s) {
+func (c *Controller) candidates(s *session) (list []candidate, coldReadyAt float64) {
+	coldReadyAt = math.Inf(1)
+	for _, sv := range c.titleHolders(s) {
 		if !c.usable(s, sv) || !c.admitCold(s, sv) {
 			continue
 		}
-		if c.paced(sv) && sv.nextSend > c.now {
-			later = min(later, sv.nextSend)
+		if c.isCold(sv) && sv.nextSendAt > c.now {
+			coldReadyAt = min(coldReadyAt, sv.nextSendAt)
 			continue
 		}
-		use := c.use(sv)
-		if sv.Zone != c.set.Zone {
-			use += c.set.CrossZoneCost // a crossing is priced
+		utilization := c.utilization(sv)
+		if sv.Zone != c.cfg.Zone {
+			utilization += c.cfg.CrossZoneCost // a crossing is priced
 		}
-		tie := hash(s.title, uint64(sv.Server))
-		if stale := c.now-sv.seenAt >= staleS; stale && c.dear { // at the mean, by an own lot
-			tie = hash(c.seed^uint64(s.id), uint64(sv.Server))
+		tieBreak := hash(s.title, uint64(sv.Server))
+		if stale := c.now-sv.measuredAt >= staleAfterS; stale && c.probesCostly { // at the mean, by an own lot
+			tieBreak = hash(c.seed^uint64(s.id), uint64(sv.Server))
 		} else if stale {
-			use += unseen
+			utilization += unknownLoadPenalty
 		}
-		list = append(list, candidate{sv, use, tie})
+		list = append(list, candidate{sv, utilization, tieBreak})
 	}
 	slices.SortFunc(list, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.use, b.use), cmp.Compare(a.tie, b.tie))
+		return cmp.Or(cmp.Compare(a.utilization, b.utilization), cmp.Compare(a.tieBreak, b.tieBreak))
 	})
-	return list, later
+	return list, coldReadyAt
 }
 
 // usable tells whether a holder may be sent a session at all.
 func (c *Controller) usable(s *session, sv *server) bool {
-	if sv.State != Ready || c.now < max(sv.restTil, c.shutTil(sv.Zone)) {
+	if sv.State != Ready || c.now < max(sv.ejectedUntil, c.zoneBlockedUntil(sv.Zone)) {
 		return false
 	}
 	for _, t := range s.tried {
@@ -513,39 +513,39 @@
 		}
 	}
 	for _, o := range sv.sessions { // a silent server takes work and answers nothing
-		if !o.playing && c.quiet(sv, o.sentAt) > silentS {
+		if !o.playing && c.silentFor(sv, o.sentAt) > unansweredS {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRepeat tells whether the budget allows one more further attempt.
-func (c *Controller) mayRepeat() bool {
-	if c.set.BudgetWindowS <= 0 {
+// budgetAllowsAttempt tells whether the budget allows one more further attempt.
+func (c *Controller) budgetAllowsAttempt() bool {
+	if c.cfg.BudgetWindowS <= 0 {
 		return true
 	}
-	c.takenAt = since(c.takenAt, c.now-c.set.BudgetWindowS+marginS)
-	c.extraAt = since(c.extraAt, c.now-c.set.BudgetWindowS-marginS)
-	return float64(len(c.extraAt)+1) <= c.set.BudgetFree+c.set.BudgetShare*float64(len(c.takenAt))
+	c.budgetArrivals = dropBefore(c.budgetArrivals, c.now-c.cfg.BudgetWindowS+deadlineMarginS)
+	c.repeatTimes = dropBefore(c.repeatTimes, c.now-c.cfg.BudgetWindowS-deadlineMarginS)
+	return float64(len(c.repeatTimes)+1) <= c.cfg.BudgetFree+c.cfg.BudgetShare*float64(len(c.budgetArrivals))
 }
 
-// fit is the top rung that the viewer allows and that fits a new session's
+// initialRung is the top rung that the viewer allows and that fits a new session's
 // part of the room: the rung it would have if this front's sessions there were
 // levelled out over what they may fill.
-func (c *Controller) fit(s *session, sv *server, free float64) int {
-	floor := c.set.Classes[s.class].Floor
-	if c.now-sv.seenAt >= staleS && c.fleetUse.seen && !c.dear {
+func (c *Controller) initialRung(s *session, sv *server, available float64) int {
+	floor := c.cfg.Classes[s.class].FloorRung
+	if c.now-sv.measuredAt >= staleAfterS && c.meanLoad.hasValue && !c.probesCostly {
 		return floor
 	}
 	list := append(append([]*session(nil), sv.sessions...), s)
-	part := 1 - roomPart*(1-1/float64(c.set.Fronts)) // the others' arrivals count on the rest
-	kb := sv.own + free*part
-	if c.slots(sv) < c.middle*float64(c.set.Fronts) {
+	roomShare := 1 - othersRoomShare*(1-1/float64(c.cfg.Managers)) // the others' arrivals count on the rest
+	kb := sv.ownKB + available*roomShare
+	if c.capacityKB(sv) < c.slotKB*float64(c.cfg.Managers) {
 		list, kb = c.fleetShare(s)
 	}
-	rung := c.level(list, kb)[len(list)-1]
-	for rung > floor && c.size(s, rung) > free {
+	rung := c.allocateRungs(list, kb)[len(list)-1]
+	for rung > floor && c.rateKB(s, rung) > available {
 		rung--
 	}
 	return rung
@@ -556,31 +556,31 @@
 // its sessions there say nothing, and all fronts fill the room that each sees before a
 // report tells. What is asked for over the front's own count and size of sessions
 // changes slowly, whatever the fronts do. It harms where these are unlike the fleet's.
-func (c *Controller) fleetShare(s *session) (list []*session, kb float64) {
-	for _, sv := range c.order {
-		list = append(list, sv.sessions...)
+func (c *Controller) fleetShare(s *session) (all []*session, kb float64) {
+	for _, sv := range c.serverOrder {
+		all = append(all, sv.sessions...)
 	}
-	list = append(list, s)
-	n := float64(len(list))
-	if c.crowd.seen {
-		return list, n / (n + evenHeld) * TargetUse * c.links() / c.crowd.v
+	all = append(all, s)
+	n := float64(len(all))
+	if c.sessionRatio.hasValue {
+		return all, n / (n + countPrior) * TargetUtilization * c.totalLinkKB() / c.sessionRatio.value
 	}
-	return list, min(TargetUse*c.links()/float64(c.set.Fronts), n*c.middle)
+	return all, min(TargetUtilization*c.totalLinkKB()/float64(c.cfg.Managers), n*c.slotKB)
 }
 
-// level gives each session the rung that earns most within kb: from the floors
+// allocateRungs gives each session the rung that earns most within kb: from the floors
 // up, always the step that earns most for its rate.
-func (c *Controller) level(list []*session, kb float64) []int {
-	rungs := make([]int, len(list))
-	for i, s := range list {
-		rungs[i] = c.set.Classes[s.class].Floor
-		kb -= c.size(s, rungs[i])
+func (c *Controller) allocateRungs(sessions []*session, kb float64) []int {
+	rungs := make([]int, len(sessions))
+	for i, s := range sessions {
+		rungs[i] = c.cfg.Classes[s.class].FloorRung
+		kb -= c.rateKB(s, rungs[i])
 	}
 	for {
 		best, gain := -1, 0.0
-		for i, s := range list {
-			if r := rungs[i]; r < c.topOf(s) && c.size(s, r+1)-c.size(s, r) <= kb {
-				if g := c.stepWorth(s, r); g > gain {
+		for i, s := range sessions {
+			if r := rungs[i]; r < c.highestRung(s) && c.rateKB(s, r+1)-c.rateKB(s, r) <= kb {
+				if g := c.stepWorthPerKB(s, r); g > gain {
 					best, gain = i, g
 				}
 			}
@@ -588,141 +588,141 @@
 		if best < 0 {
 			return rungs
 		}
-		s := list[best]
-		kb -= c.size(s, rungs[best]+1) - c.size(s, rungs[best])
+		s := sessions[best]
+		kb -= c.rateKB(s, rungs[best]+1) - c.rateKB(s, rungs[best])
 		rungs[best]++
 	}
 }
 
-// stepWorth is what the step above rung r earns for its rate.
-func (c *Controller) stepWorth(s *session, r int) float64 {
-	return s.worth * (c.set.LadderWorth[r+1] - c.set.LadderWorth[r]) / (c.size(s, r+1) - c.size(s, r))
+// stepWorthPerKB is what the step above rung r earns for its rate.
+func (c *Controller) stepWorthPerKB(s *session, r int) float64 {
+	return s.worth * (c.cfg.LadderWorth[r+1] - c.cfg.LadderWorth[r]) / (c.rateKB(s, r+1) - c.rateKB(s, r))
 }
 
-// lower sets sessions to rungs under their present ones until kb is saved.
-func (c *Controller) lower(list []*session, rungs []int, kb float64) {
+// lowerRungs sets sessions to rungs under their present ones until kb is saved.
+func (c *Controller) lowerRungs(sessions []*session, rungs []int, kb float64) {
 	for kb > 0 {
-		best, most := -1, 0.0 // few large changes cost less than many small ones
-		for i, o := range list {
-			if d := c.size(o, o.rung) - c.size(o, min(rungs[i], o.rung)); d > most {
-				best, most = i, d
+		best, largest := -1, 0.0 // few large changes cost less than many small ones
+		for i, o := range sessions {
+			if saved := c.rateKB(o, o.rung) - c.rateKB(o, min(rungs[i], o.rung)); saved > largest {
+				best, largest = i, saved
 			}
 		}
-		if best < 0 || kb < most && c.draw()*most > kb {
+		if best < 0 || kb < largest && c.random()*largest > kb {
 			break // a lot keeps the sum over all fronts
 		}
-		kb -= most
-		c.setRung(list[best], rungs[best])
+		kb -= largest
+		c.setRung(sessions[best], rungs[best])
 	}
 }
 
-func (c *Controller) send(s *session, sv *server, rung int) {
-	k := &c.set.Classes[s.class]
-	if s.attempt > 0 && c.set.BudgetWindowS > 0 {
-		c.extraAt = append(c.extraAt, c.now)
+func (c *Controller) sendSetup(s *session, sv *server, rung int) {
+	class := &c.cfg.Classes[s.class]
+	if s.nextAttempt > 0 && c.cfg.BudgetWindowS > 0 {
+		c.repeatTimes = append(c.repeatTimes, c.now)
 	}
-	s.attempt++
+	s.nextAttempt++
 	s.sentAt, s.rung = c.now, rung
-	sv.nextSend = c.now + c.pace(sv)
-	c.emit(Action{Kind: ActRung, Session: s.id, Rung: rung})
-	patience := 0.0 // an early time-out of a set-up that must not run twice forfeits it
-	if left := s.goal - c.now; k.Effect != AtMostOnce && left > 0 {
-		patience = max(left/2, patienceS)
+	sv.nextSendAt = c.now + c.coldSendInterval(sv)
+	c.emit(Action{Kind: ActionSetRung, Session: s.id, Rung: rung})
+	timeout := 0.0 // an early time-out of a set-up that must not run twice forfeits it
+	if goalLeft := s.startGoal - c.now; class.RepeatEffect != AtMostOnce && goalLeft > 0 {
+		timeout = max(goalLeft/2, minSetupTimeoutS)
 	}
-	c.emit(Action{Kind: ActHandOff, Session: s.id, Server: sv.Server, PatienceS: patience})
+	c.emit(Action{Kind: ActionSetUp, Session: s.id, Server: sv.Server, SetupTimeoutS: timeout})
 	c.attach(s, sv)
 }
 
 // answer gives the final answer to a session that has no attempt out.
 func (c *Controller) answer(s *session, kind ActionKind) {
-	a := Action{Kind: kind, Session: s.id}
-	if kind == ActDeny {
-		a.WaitS = c.away(s)
+	action := Action{Kind: kind, Session: s.id}
+	if kind == ActionRefuse {
+		action.RetryAfterS = c.retryAfterTime(s)
 	}
-	c.emit(a)
-	s.gone = true
+	c.emit(action)
+	s.requestEnded = true
 	delete(c.sessions, s.id)
 }
 
 // Attempts.
 
-func (c *Controller) onFirst(s *session, e Event) {
+func (c *Controller) onStarted(s *session, e Event) {
 	if s.server != nil && s.server.Server == e.Server && !s.playing {
-		s.playing, s.playedAt, s.changedAt = true, c.now, c.now
-		s.server.faults = 0
-		c.heard(s.server)
-		c.titles[s.title] = c.now
+		s.playing, s.playingSince, s.rungChangedAt = true, c.now, c.now
+		s.server.unprovenErrors = 0
+		c.markAlive(s.server)
+		c.lastPlayed[s.title] = c.now
 	}
 }
 
-func (c *Controller) onEnd(s *session, e Event) {
+func (c *Controller) onAttemptEnded(s *session, e Event) {
 	sv := s.server
-	if sv == nil || e.Attempt != s.attempt-1 {
+	if sv == nil || e.Attempt != s.nextAttempt-1 {
 		return
 	}
 	if s.playing {
-		c.playedS += c.now - s.playedAt
-		c.ends++
+		c.playedTime += c.now - s.playingSince
+		c.endedSessions++
 	}
-	c.onLoad(sv, e.Load)
+	c.onLoadReport(sv, e.Load)
 	c.detach(s)
-	c.judge(s, sv, e)
-	if e.Finished || s.gone {
+	c.updateHealth(s, sv, e)
+	if e.RequestFinished || s.requestEnded {
 		delete(c.sessions, s.id)
 		return
 	}
 	s.tried = append(s.tried, sv)
-	unseen := e.Status == Full || e.Status == ConnectFailed || e.Status == Moot
-	if !unseen && c.set.Classes[s.class].Effect != Idempotent { // it may have run, and must not run twice
-		c.answer(s, ActFail)
+	notRun := e.Status == Full || e.Status == ConnectFailed || e.Status == NotSent
+	if !notRun && c.cfg.Classes[s.class].RepeatEffect != Idempotent { // it may have run, and must not run twice
+		c.answer(s, ActionFail)
 		return
 	}
 	c.place(s)
 }
 
-// judge keeps a server's health by how its attempts end. Guard: what may be the
+// updateHealth keeps a server's health by how its attempts end. Guard: what may be the
 // fault of the set-up or of its connection is not held against a server that
 // serves others, or a few bad viewers would rest the whole fleet.
-func (c *Controller) judge(s *session, sv *server, e Event) {
+func (c *Controller) updateHealth(s *session, sv *server, e Event) {
 	switch e.Status {
-	case OK, Cancelled, Moot:
+	case OK, Cancelled, NotSent:
 		return
-	case Reset, ConnectFailed: // its process may be gone or have come back cold
-		if e.Confined {
+	case ConnectionReset, ConnectFailed: // its process may be gone or have come back cold
+		if e.ConnectionOnly {
 			return
 		}
 		c.markCold(sv, c.now)
 	case TimedOut:
-		if c.quiet(sv, 0) < patienceS {
+		if c.silentFor(sv, 0) < minSetupTimeoutS {
 			return
 		}
 	case Errored:
-		c.heard(sv)
-		if _, known := c.titles[s.title]; !known {
-			if sv.faults++; sv.faults < strangeN {
+		c.markAlive(sv)
+		if _, played := c.lastPlayed[s.title]; !played {
+			if sv.unprovenErrors++; sv.unprovenErrors < unprovenErrorLimit {
 				return
 			}
 		}
 	case Full:
-		c.heard(sv)
-		if c.set.Guard > 0 {
-			sv.observe(c.now, max(c.set.Guard*c.link(sv), sv.own+c.othersOn(sv)), smooth)
+		c.markAlive(sv)
+		if c.cfg.FullAtUtilization > 0 {
+			sv.observe(c.now, max(c.cfg.FullAtUtilization*c.linkKB(sv), sv.ownKB+c.othersKB(sv)), noteWeight)
 		}
 	}
-	c.rest(sv, e)
+	c.eject(sv, e)
 }
 
-// rest leaves a server alone for a while, and its zone once several of it in a row
+// eject leaves a server alone for a while, and its zone once several of it in a row
 // could not be reached while another zone is heard of: at size each front would fail
 // on each server else. It harms where just these were at fault.
-func (c *Controller) rest(sv *server, e Event) {
-	silent := sv.failed(c.now, e)
-	if silent {
-		c.lost[sv.Zone]++
+func (c *Controller) eject(sv *server, e Event) {
+	connectFailed := sv.recordFailure(c.now, e)
+	if connectFailed {
+		c.zoneFailures[sv.Zone]++
 	}
-	lives := func(o *server) bool { return o.State == Ready && o.Zone != sv.Zone && c.lost[o.Zone] == 0 }
-	if silent && c.lost[sv.Zone] >= lostN && slices.ContainsFunc(c.order, lives) {
-		c.lostTil[sv.Zone] = c.now + lostS*(0.5+c.draw())
+	up := func(o *server) bool { return o.State == Ready && o.Zone != sv.Zone && c.zoneFailures[o.Zone] == 0 }
+	if connectFailed && c.zoneFailures[sv.Zone] >= zoneLostAfter && slices.ContainsFunc(c.serverOrder, up) {
+		c.zoneLostUntil[sv.Zone] = c.now + zoneLostS*(0.5+c.random())
 	}
 }
 
@@ -733,65 +733,65 @@
 	if sv == nil || sv.Server != e.Server || !notNegative(e.Value) || e.Value > 100 {
 		return
 	}
-	c.lost[sv.Zone] = 0
-	at := c.now - c.set.SeeS
-	if e.Note != NoteShare && c.now-s.sentAt < c.set.SeeS { // sent at set-up: of now
-		at = c.now
+	c.zoneFailures[sv.Zone] = 0
+	measuredAt := c.now - c.cfg.NoteDelayS
+	if e.Note != NoteDeliveredShare && c.now-s.sentAt < c.cfg.NoteDelayS { // sent at set-up: of now
+		measuredAt = c.now
 	}
 	switch e.Note {
 	case NoteRung:
-		if r := int(e.Value); r < len(c.set.RatesKB) {
+		if r := int(e.Value); r < len(c.cfg.RatesKB) {
 			s.rung = r
-			c.account(sv)
+			c.updateOwnLoad(sv)
 		}
-	case NoteShare:
-		kb := c.link(sv) / max(e.Value, leastShare)
-		if e.Value < fullShare && kb > sv.own+c.othersOn(sv) {
-			sv.observe(at, kb, 1) // smoothed where it is measured
+	case NoteDeliveredShare:
+		kb := c.linkKB(sv) / max(e.Value, minDelivery)
+		if e.Value < fullDelivery && kb > sv.ownKB+c.othersKB(sv) {
+			sv.observe(measuredAt, kb, 1) // smoothed where it is measured
 		}
-	case NoteLink:
-		sv.observe(at, e.Value*c.link(sv), smooth)
-	case NoteUplink:
-		sv.rack.observe(at, e.Value*c.set.RackKB, smooth)
+	case NoteLinkUtilization:
+		sv.observe(measuredAt, e.Value*c.linkKB(sv), noteWeight)
+	case NoteUplinkUtilization:
+		sv.rack.observe(measuredAt, e.Value*c.cfg.RackUplinkKB, noteWeight)
 	}
 }
 
-func (c *Controller) onProbed(e Event) {
-	c.probesOut = max(c.probesOut-1, 0)
+func (c *Controller) onProbeResult(e Event) {
+	c.probesPending = max(c.probesPending-1, 0)
 	if sv := c.servers[e.Server]; sv != nil && e.Status == OK {
-		c.heard(sv)
-		c.onLoad(sv, e.Load)
-	} else if sv != nil && e.Status != Moot && c.quiet(sv, 0) > patienceS {
-		c.rest(sv, e)
+		c.markAlive(sv)
+		c.onLoadReport(sv, e.Load)
+	} else if sv != nil && e.Status != NotSent && c.silentFor(sv, 0) > minSetupTimeoutS {
+		c.eject(sv, e)
 	}
-	c.placeWaiting(true)
+	c.retryWaiting(true)
 }
 
-func (c *Controller) onLoad(sv *server, load []float64) {
-	at, tight := c.now-reportLagS, -1.0 // the tighter use; other fields, such as counts, say nothing of it
+func (c *Controller) onLoadReport(sv *server, load []float64) {
+	measuredAt, highest := c.now-loadReportAgeS, -1.0 // the tighter use; other fields, such as counts, say nothing of it
 	for i, v := range load {
-		if sv == nil || i >= len(c.set.Fields) || !notNegative(v) || v > 100 {
+		if sv == nil || i >= len(c.cfg.LoadFields) || !notNegative(v) || v > 100 {
 			continue
 		}
-		switch c.set.Fields[i] {
+		switch c.cfg.LoadFields[i] {
 		case "x0", "load_share": // at its cap, a share of load says no more than that
-			tight = max(tight, v)
-			kb := v * c.link(sv)
-			if c.emptied(sv, kb, at) { // it restarted, and the list hides it
-				c.markCold(sv, at)
+			highest = max(highest, v)
+			kb := v * c.linkKB(sv)
+			if c.looksRestarted(sv, kb, measuredAt) { // it restarted, and the list hides it
+				c.markCold(sv, measuredAt)
 			}
-			c.fleetUse.add(min(v, 2) * c.links())
-			if c.set.Fields[i] == "x0" || v < capped || kb > sv.own+c.othersOn(sv) {
-				sv.observe(at, kb, smoothLoad)
+			c.meanLoad.add(min(v, 2) * c.totalLinkKB())
+			if c.cfg.LoadFields[i] == "x0" || v < cappedLoadShare || kb > sv.ownKB+c.othersKB(sv) {
+				sv.observe(measuredAt, kb, loadReportWeight)
 			}
 		case "x1":
-			tight = max(tight, v)
-			c.rackUse.add(min(v, 2) * c.links())
-			sv.rack.observe(at, v*c.set.RackKB, smoothLoad)
+			highest = max(highest, v)
+			c.meanUplinkLoad.add(min(v, 2) * c.totalLinkKB())
+			sv.rack.observe(measuredAt, v*c.cfg.RackUplinkKB, loadReportWeight)
 		}
 	}
-	if tight >= 0 {
-		c.crowd.add(tight * c.links() / c.meanSize() / float64(len(c.sessions)+evenHeld))
+	if highest >= 0 {
+		c.sessionRatio.add(highest * c.totalLinkKB() / c.meanRateKB() / float64(len(c.sessions)+countPrior))
 	}
 }
 
@@ -799,30 +799,30 @@
 
 func (c *Controller) onTimer(token uint32) {
 	switch token {
-	case tokenPace:
-		c.placeWaiting(false)
-	case tokenWatch:
-		c.emit(Action{Kind: ActWatch})
+	case tokenRetryWaiting:
+		c.retryWaiting(false)
+	case tokenSubscribe:
+		c.emit(Action{Kind: ActionSubscribe})
 	case tokenTick:
-		c.wake(tickS, tokenTick)
-		c.placeWaiting(false)
-		c.probeAll()
-		c.balance()
-		if c.now >= c.rescoreAt {
-			c.rescoreAt = c.now + rescoreS
-			c.rescore()
-			maps.DeleteFunc(c.titles, func(_ uint64, at float64) bool { return at < c.now-titlesS })
+		c.setTimer(tickIntervalS, tokenTick)
+		c.retryWaiting(false)
+		c.probeForLoad()
+		c.adjustRungs()
+		if c.now >= c.reserveUpdateAt {
+			c.reserveUpdateAt = c.now + reserveUpdateS
+			c.updateReserves()
+			maps.DeleteFunc(c.lastPlayed, func(_ uint64, at float64) bool { return at < c.now-titleMemoryS })
 		}
 	}
 }
 
-// placeWaiting tries again what has waited long enough, or for an answer.
-func (c *Controller) placeWaiting(answered bool) {
+// retryWaiting tries again what has waited long enough, or for an answer.
+func (c *Controller) retryWaiting(answered bool) {
 	list := c.waiting
 	c.waiting = nil
 	for _, s := range list {
-		if answered && c.now < s.askTil || c.now >= s.keptTil-tinyS {
-			if !s.gone {
+		if answered && c.now < s.probesUntil || c.now >= s.waitUntil-timerToleranceS {
+			if !s.requestEnded {
 				c.place(s)
 			}
 			continue
@@ -831,83 +831,83 @@
 	}
 }
 
-// probeAll asks servers in play for their load where they tell it in no other
+// probeForLoad asks servers in play for their load where they tell it in no other
 // way. Where probes are dear it asks one at a time, of the rack that was heard of
 // least lately, as often as its arrivals pay for: so fronts don't ask in step.
-func (c *Controller) probeAll() {
-	if c.set.Feed != FeedProbe || !c.set.Probes {
+func (c *Controller) probeForLoad() {
+	if c.cfg.LoadReporting != LoadReportsInProbes || !c.cfg.ProbesAllowed {
 		return
 	}
 	var best *server
-	for _, sv := range c.order {
-		if sv.State != Ready || c.now < sv.probedAt+probeS || len(sv.sessions) == 0 {
+	for _, sv := range c.serverOrder {
+		if sv.State != Ready || c.now < sv.probedAt+probeIntervalS || len(sv.sessions) == 0 {
 			continue
 		}
-		if !c.dear {
-			c.probe(sv)
-		} else if best == nil || sv.rack.seenAt < best.rack.seenAt {
+		if !c.probesCostly {
+			c.sendProbe(sv)
+		} else if best == nil || sv.rack.measuredAt < best.rack.measuredAt {
 			best = sv
 		}
 	}
-	if best != nil && c.credit >= 1 {
-		c.credit--
-		c.probe(best)
+	if best != nil && c.probeCredit >= 1 {
+		c.probeCredit--
+		c.sendProbe(best)
 	}
 }
 
-// balance answers a shortage under way, whatever its cause, and uses lasting
+// adjustRungs answers a shortage under way, whatever its cause, and uses lasting
 // slack. All fronts hear the same reports, so each lowers its own load by the
 // same factor, and raises by its part of the room. It harms where a report is
 // false: rungs fall, and rise again only after a switch is paid.
-func (c *Controller) balance() {
+func (c *Controller) adjustRungs() {
 	for _, r := range c.racks {
 		var list []*session
 		for _, sv := range r.servers {
 			list = append(list, sv.sessions...)
 		}
-		c.ease(&r.pipe, list, (r.own+c.othersOnRack(r))/c.set.RackKB)
+		c.relieveShortage(&r.linkLoad, list, (r.ownKB+c.rackOthersKB(r))/c.cfg.RackUplinkKB)
 	}
-	for _, sv := range c.order {
+	for _, sv := range c.serverOrder {
 		if len(sv.sessions) == 0 {
 			continue
 		}
-		c.ease(&sv.pipe, sv.sessions, (sv.own+c.othersOn(sv))/c.link(sv))
-		if c.use(sv) < slackUse && c.now >= sv.restTil && c.now-sv.seenAt < staleS &&
-			sv.seenAt > sv.raisedOn {
-			sv.raisedOn = sv.seenAt
-			c.raise(sv)
+		c.relieveShortage(&sv.linkLoad, sv.sessions, (sv.ownKB+c.othersKB(sv))/c.linkKB(sv))
+		if c.utilization(sv) < raiseBelow && c.now >= sv.ejectedUntil && c.now-sv.measuredAt < staleAfterS &&
+			sv.measuredAt > sv.raisedReportAt {
+			sv.raisedReportAt = sv.measuredAt
+			c.raiseRungs(sv)
 		}
 	}
 }
 
-// ease lowers rungs where more is asked than a link or uplink gives.
-func (c *Controller) ease(p *pipe, list []*session, use float64) {
-	short := shortUse
-	if c.dear { // notes tell then, which are less noisy than reports
-		short = 1 / fullShare
+// relieveShortage lowers rungs where more is asked than a link or uplink gives.
+func (c *Controller) relieveShortage(link *linkLoad, sessions []*session, utilization float64) {
+	threshold := lowerAbove
+	if c.probesCostly { // notes tell then, which are less noisy than reports
+		threshold = 1 / fullDelivery
 	}
-	if len(list) == 0 || use <= short || c.now < p.quietTil {
+	if len(sessions) == 0 || utilization <= threshold || c.now < link.ignoreUntil {
 		return
 	}
-	keep := lowerTo / use
-	c.lower(list, c.level(list, p.own*keep), p.own*(1-keep))
-	p.others *= keep
-	p.quietTil = c.now + reactS
+	factor := lowerTarget / utilization
+	c.lowerRungs(sessions, c.allocateRungs(sessions, link.ownKB*factor), link.ownKB*(1-factor))
+	link.reportedOthersKB *= factor
+	link.ignoreUntil = c.now + reactionS
 }
 
-func (c *Controller) raise(sv *server) {
-	room := c.room(sv)
+func (c *Controller) raiseRungs(sv *server) {
+	free := c.freeKB(sv)
 	r := sv.rack
-	kb := sv.own * min(room/(sv.own+c.othersOn(sv)), c.rackRoom(r)/(r.own+c.othersOnRack(r)))
-	own, all := c.level(sv.sessions, sv.own+kb), c.level(sv.sessions, sv.own+room)
+	kb := sv.ownKB * min(free/(sv.ownKB+c.othersKB(sv)), c.rackFreeKB(r)/(r.ownKB+c.rackOthersKB(r)))
+	shared, whole := c.allocateRungs(sv.sessions, sv.ownKB+kb), c.allocateRungs(sv.sessions, sv.ownKB+free)
 	for i, s := range sv.sessions {
-		to := max(own[i], min(all[i], s.rung+1))
-		if to <= s.rung || s.playing && c.now-s.changedAt < dwellS {
+		to := max(shared[i], min(whole[i], s.rung+1))
+		if to <= s.rung || s.playing && c.now-s.rungChangedAt < raiseIntervalS {
 			continue
 		}
-		gain := c.set.LadderWorth[to] - c.set.LadderWorth[s.rung]
-		need := c.size(s, to) - c.size(s, s.rung)
-		if gain*c.leftOf(s) > raiseGain*c.set.SwitchS && c.draw()*need < kb {
+		gain := c.cfg.LadderWorth[to] - c.cfg.LadderWorth[s.rung]
+		need := c.rateKB(s, to) - c.rateKB(s, s.rung)
+		if gain*c.remaining(s) > minRaiseGain*c.cfg.RungChangeCostS && c.random()*need < kb {
 			kb -= need
 			c.setRung(s, to)
 		}
@@ -916,21 +916,21 @@
 
 // Re-scoring.
 
-// rescore measures the classes' rates and chooses the reserves by Equation 6,
+// updateReserves measures the classes' rates and chooses the reserves by Equation 6,
 // for a server of mean size and the traffic of all fronts.
-func (c *Controller) rescore() {
+func (c *Controller) updateReserves() {
 	slots, servers := 0.0, 0.0
-	held, earned := make([]float64, len(c.set.Classes)), make([]float64, len(c.set.Classes))
-	count := make([]float64, len(c.set.Classes))
-	for _, sv := range c.order {
+	held, earned := make([]float64, len(c.cfg.Classes)), make([]float64, len(c.cfg.Classes))
+	count := make([]float64, len(c.cfg.Classes))
+	for _, sv := range c.serverOrder {
 		if sv.State != Ready {
 			continue
 		}
-		slots += c.slots(sv) / c.middle
+		slots += c.capacityKB(sv) / c.slotKB
 		servers++
 		for _, s := range sv.sessions {
-			held[s.class] += c.size(s, s.rung) / c.middle
-			earned[s.class] += s.worth * c.set.LadderWorth[s.rung]
+			held[s.class] += c.rateKB(s, s.rung) / c.slotKB
+			earned[s.class] += s.worth * c.cfg.LadderWorth[s.rung]
 			count[s.class]++
 		}
 	}
@@ -942,47 +942,47 @@
 	lambda, v, q := make([]float64, len(held)), make([]float64, len(held)), make([]float64, len(held))
 	total := 0.0
 	for k := range held {
-		size, worth := c.set.Classes[k].Scale, c.set.Classes[k].Worth*c.set.LadderWorth[len(c.set.RatesKB)/2]
+		size, worth := c.cfg.Classes[k].RateScale, c.cfg.Classes[k].Worth*c.cfg.LadderWorth[len(c.cfg.RatesKB)/2]
 		if count[k] > 0 {
 			size, worth = held[k]/count[k], earned[k]/count[k]
 		}
-		lambda[k] = c.rate(k) * float64(c.set.Fronts) / servers * size
+		lambda[k] = c.arrivalRate(k) * float64(c.cfg.Managers) / servers * size
 		v[k] = worth / size
-		q[k] = penalty * v[k]
+		q[k] = refusalPenalty * v[k]
 		total += lambda[k]
 	}
 	if total <= 0 || n < 1 {
 		return
 	}
 	for k := range lambda {
-		c.mix[k] = lambda[k] / total
+		c.classLoadShares[k] = lambda[k] / total
 	}
 	// Servers of more slots are scored by a part of them, at that part of the load.
-	part := min(mostSlots/c.meanSlots, 1)
+	scale := min(maxSearchSlots/c.meanSlots, 1)
 	for k := range lambda {
-		lambda[k] *= part
+		lambda[k] *= scale
 	}
-	for k, r := range search(min(n, mostSlots), lambda, 1/c.hold(), v, q) {
-		c.reserve[k] = float64(r) / part
+	for k, r := range searchReserves(min(n, maxSearchSlots), lambda, 1/c.meanLength(), v, q) {
+		c.reservedSlots[k] = float64(r) / scale
 	}
 }
 
-// search finds the reserves that pay most on n slots, one class's reserve at a
+// searchReserves finds the reserves that pay most on n slots, one class's reserve at a
 // time until none gains.
-func search(n int, lambda []float64, mu float64, v, q []float64) []int {
+func searchReserves(n int, lambda []float64, mu float64, v, q []float64) []int {
 	reserve, shared := make([]int, len(lambda)), n
 	best := payoff(reserve, n, lambda, mu, v, q)
 	for gained := true; gained; {
 		gained = false
 		for k := range reserve {
-			keep, left := reserve[k], shared+reserve[k]
-			for r := 0; r <= left; r++ {
+			kept, available := reserve[k], shared+reserve[k]
+			for r := 0; r <= available; r++ {
 				reserve[k] = r
-				if p := payoff(reserve, left-r, lambda, mu, v, q); p > best+1e-9 {
-					best, keep, gained = p, r, true
+				if p := payoff(reserve, available-r, lambda, mu, v, q); p > best+1e-9 {
+					best, kept, gained = p, r, true
 				}
 			}
-			reserve[k], shared = keep, left-keep
+			reserve[k], shared = kept, available-kept
 		}
 	}
 	return reserve
@@ -994,10 +994,10 @@
 func payoff(reserve []int, shared int, lambda []float64, mu float64, v, q []float64) float64 {
 	pay, spill, cost := 0.0, 0.0, 0.0
 	for k, l := range lambda {
-		over := l * erlangLoss(reserve[k], l/mu)
+		overflow := l * erlangLoss(reserve[k], l/mu)
 		pay += v[k] * l
-		spill += over
-		cost += over * (v[k] + q[k])
+		spill += overflow
+		cost += overflow * (v[k] + q[k])
 	}
 	return pay - cost*erlangLoss(shared, spill/mu)
 }
--- a/control/hold_test.go
+++ b/control/hold_test.go
@@ -4,68 +4,68 @@
 
 // Room counts nothing of what drains, is gone or seems cut off, and of a cold server
 // what it has warmed.
-func TestRoomForPlans(t *testing.T) {
-	set := settings()
-	set.Zone = 0
-	b := newBed(t, set)
-	b.c.Handle(b.now, Event{Kind: EvNote}) // only moves the clock
-	all := b.c.Room()
+func TestCapacitySlots(t *testing.T) {
+	cfg := settings()
+	cfg.Zone = 0
+	b := newHarness(t, cfg)
+	b.controller.Handle(b.now, Event{Kind: EventNote}) // only moves the clock
+	all := b.controller.CapacitySlots()
 	one := all / 4
 	if want := 0.9 * 4000 / 400; one < want-1e-9 || one > want+1e-9 {
 		t.Fatalf("a server has %v slots, want %v", one, want)
 	}
-	near := func(what string, want float64) {
+	check := func(what string, want float64) {
 		t.Helper()
-		b.c.Handle(b.now, Event{Kind: EvNote})
-		if got := b.c.Room() / one; got < want-1e-6 || got > want+1e-6 {
+		b.controller.Handle(b.now, Event{Kind: EventNote})
+		if got := b.controller.CapacitySlots() / one; got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("%s: %v servers' room, want %v", what, got, want)
 		}
 	}
-	b.list(ListDelta, Draining)
-	near("one drains", 3)
-	b.list(ListDelta, Gone)
-	near("one is gone", 3)
+	b.sendList(ListDelta, Draining)
+	check("one drains", 3)
+	b.sendList(ListDelta, Gone)
+	check("one is gone", 3)
 	// It comes back cold, and half of its warm-up passes.
 	at := b.now
-	b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, SinceS: at}}})
-	near("it is back, cold", 3)
-	b.now += set.WarmAfterS / 2
-	b.c.Handle(b.now, Event{Kind: EvNote})
-	near("half warm", 3+b.c.slots(b.c.servers[1])/b.c.middle/one/2) // its slots are few as yet
-	b.now += set.WarmAfterS
-	near("warm", 4)
-	b.c.lostTil[0] = b.c.now + 1
-	near("its zone is cut off", 0)
+	b.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Weight: 1, StartedAtS: at}}})
+	check("it is back, cold", 3)
+	b.now += cfg.WarmAfterS / 2
+	b.controller.Handle(b.now, Event{Kind: EventNote})
+	check("half warm", 3+b.controller.capacityKB(b.controller.servers[1])/b.controller.slotKB/one/2) // its slots are few as yet
+	b.now += cfg.WarmAfterS
+	check("warm", 4)
+	b.controller.zoneLostUntil[0] = b.controller.now + 1
+	check("its zone is cut off", 0)
 }
 
 // A share is even until reports tell more, and stays within a quarter of that and
 // the whole.
-func TestShare(t *testing.T) {
-	set := settings()
-	set.Fronts = 4
-	b := newBed(t, set)
-	if got := b.c.Share(); got != 0.25 {
+func TestLoadShare(t *testing.T) {
+	cfg := settings()
+	cfg.Managers = 4
+	b := newHarness(t, cfg)
+	if got := b.controller.LoadShare(); got != 0.25 {
 		t.Errorf("%v", got)
 	}
-	b.c.fleetUse.v, b.c.fleetUse.seen = 8000, true
+	b.controller.meanLoad.value, b.controller.meanLoad.hasValue = 8000, true
 	for own, want := range map[float64]float64{4000: 0.5, 1: 0.0625, 9000: 1, 0: 0.25} {
-		if b.c.own = own; b.c.Share() != want {
-			t.Errorf("%v of 8000: %v, want %v", own, b.c.Share(), want)
+		if b.controller.ownKB = own; b.controller.LoadShare() != want {
+			t.Errorf("%v of 8000: %v, want %v", own, b.controller.LoadShare(), want)
 		}
 	}
 }
 
 // Held room is left to the announced peak's own sessions of the class; others get
 // lower rungs, and are refused where all is held. It ends with the next event.
-func TestHold(t *testing.T) {
+func TestHeldSlots(t *testing.T) {
 	rung := func(hold []float64, own bool) int {
-		b := newBed(t, settings())
-		b.do(Event{Kind: EvHold, Hold: hold})
-		acts := b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 4, MaxRung: 4, Own: own})
-		if a := find(acts, ActRung); a != nil {
+		b := newHarness(t, settings())
+		b.handle(Event{Kind: EventHold, HeldShares: hold})
+		acts := b.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 4, MaxRung: 4, InPeak: own})
+		if a := findAction(acts, ActionSetRung); a != nil {
 			return a.Rung
 		}
-		if find(acts, ActDeny) == nil {
+		if findAction(acts, ActionRefuse) == nil {
 			t.Error("neither sent nor refused")
 		}
 		return -1
@@ -85,10 +85,10 @@
 	if free <= 0 {
 		t.Errorf("rung %d without a hold", free)
 	}
-	b := newBed(t, settings())
-	b.do(Event{Kind: EvHold, Hold: []float64{0, 1}})
-	b.do(Event{Kind: EvHold})
-	if find(b.arrive(2, 1), ActHandOff) == nil {
+	b := newHarness(t, settings())
+	b.handle(Event{Kind: EventHold, HeldShares: []float64{0, 1}})
+	b.handle(Event{Kind: EventHold})
+	if findAction(b.arrive(2, 1), ActionSetUp) == nil {
 		t.Error("what was given back is still held")
 	}
 }
--- a/control/settings.go
+++ b/control/settings.go
@@ -5,15 +5,15 @@
 	"math"
 )
 
-// unbounded, in kB a second, stands for an uplink that is not told.
-const unbounded = 1e15
+// unboundedKB, in kB a second, stands for an uplink that is not told.
+const unboundedKB = 1e15
 
-// Link is what the link of one of so many listed servers should give, warm, in kB a
+// ExpectedLinkKB is what the link of one of so many listed servers should give, warm, in kB a
 // second.
-func (s *Settings) Link(e Entry, servers int) float64 {
-	kb := e.Weight * s.LinkKB
-	if s.Weights == WeighLive || !positive(kb) {
-		kb = s.FleetKB / float64(max(servers, 1))
+func (s *Settings) ExpectedLinkKB(e Entry, servers int) float64 {
+	kb := e.Weight * s.LinkKBPerWeight
+	if s.Weights == WeightSizePerLoad || !positive(kb) {
+		kb = s.FleetLinkKB / float64(max(servers, 1))
 	}
 	return kb
 }
@@ -27,52 +27,52 @@
 	if len(s.RatesKB) == 0 || len(s.LadderWorth) < len(s.RatesKB) {
 		return fmt.Errorf("settings: RatesKB has %d rungs, LadderWorth %d", len(s.RatesKB), len(s.LadderWorth))
 	}
-	for i, r := range s.RatesKB {
-		if !positive(r) || i > 0 && r <= s.RatesKB[i-1] {
-			return fmt.Errorf("settings: RatesKB[%d] = %v does not rise", i, r)
+	for i, rate := range s.RatesKB {
+		if !positive(rate) || i > 0 && rate <= s.RatesKB[i-1] {
+			return fmt.Errorf("settings: RatesKB[%d] = %v does not rise", i, rate)
 		}
 	}
-	for i, w := range s.LadderWorth {
-		if !notNegative(w) {
-			return fmt.Errorf("settings: LadderWorth[%d] = %v", i, w)
+	for i, worth := range s.LadderWorth {
+		if !notNegative(worth) {
+			return fmt.Errorf("settings: LadderWorth[%d] = %v", i, worth)
 		}
 	}
-	for i, k := range s.Classes {
-		for _, f := range []struct {
+	for i, class := range s.Classes {
+		for _, figure := range []struct {
 			name string
 			v    float64
-		}{{"Scale", k.Scale}, {"GoalS", k.GoalS}} {
-			if !positive(f.v) {
-				return fmt.Errorf("settings: Classes[%d].%s = %v", i, f.name, f.v)
+		}{{"Scale", class.RateScale}, {"GoalS", class.StartGoalS}} {
+			if !positive(figure.v) {
+				return fmt.Errorf("settings: Classes[%d].%s = %v", i, figure.name, figure.v)
 			}
 		}
-		if !notNegative(k.Worth) || k.Seats < 0 {
+		if !notNegative(class.Worth) || class.MaxPerTitle < 0 {
 			return fmt.Errorf("settings: Classes[%d].Worth or Seats", i)
 		}
-		if k.Floor < 0 || k.Floor >= len(s.RatesKB) {
-			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, k.Floor)
+		if class.FloorRung < 0 || class.FloorRung >= len(s.RatesKB) {
+			return fmt.Errorf("settings: Classes[%d].Floor = %d", i, class.FloorRung)
 		}
 	}
-	if s.Fronts < 1 || s.Cells < 1 || s.AttemptsCap < 1 || s.Racks < 0 {
+	if s.Managers < 1 || s.Cells < 1 || s.AttemptsCap < 1 || s.Racks < 0 {
 		return fmt.Errorf("settings: Fronts, Cells, AttemptsCap or Racks out of range")
 	}
-	for _, f := range []struct {
+	for _, figure := range []struct {
 		name string
 		v    float64
 	}{
-		{"LinkKB", s.LinkKB}, {"FleetKB", s.FleetKB}, {"RackKB", s.RackKB}, {"Guard", s.Guard},
-		{"SeeS", s.SeeS}, {"SwitchS", s.SwitchS},
+		{"LinkKB", s.LinkKBPerWeight}, {"FleetKB", s.FleetLinkKB}, {"RackKB", s.RackUplinkKB}, {"Guard", s.FullAtUtilization},
+		{"SeeS", s.NoteDelayS}, {"SwitchS", s.RungChangeCostS},
 		{"CrossZoneCost", s.CrossZoneCost}, {"ProbeCost", s.ProbeCost}, {"HandshakeCost", s.HandshakeCost},
-		{"FallMultiple", s.FallMultiple}, {"StartCapacity", s.StartCapacity},
+		{"FallMultiple", s.ColdSetupMultiple}, {"StartCapacity", s.StartCapacityShare},
 		{"WarmAfterS", s.WarmAfterS}, {"BudgetWindowS", s.BudgetWindowS}, {"BudgetFree", s.BudgetFree},
 		{"BudgetShare", s.BudgetShare},
 	} {
-		if !notNegative(f.v) {
-			return fmt.Errorf("settings: %s = %v", f.name, f.v)
+		if !notNegative(figure.v) {
+			return fmt.Errorf("settings: %s = %v", figure.name, figure.v)
 		}
 	}
-	if s.RackKB == 0 {
-		s.RackKB = unbounded
+	if s.RackUplinkKB == 0 {
+		s.RackUplinkKB = unboundedKB
 	}
 	return nil
 }
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// many is a deployment in which a front sees next to nothing: a hundred fronts,
+// newManyManagers is a deployment in which a front sees next to nothing: a hundred fronts,
 // twelve servers, loads told to those who ask.
-func many(t *testing.T) *bed {
+func newManyManagers(t *testing.T) *harness {
 	t.Helper()
-	set := settings()
-	set.Fronts, set.Cells, set.Probes, set.Feed = 100, 12, true, FeedProbe
-	set.FleetKB, set.RackKB = 48000, 24000
-	b := newBed(t, set)
-	states := make([]State, 12)
+	cfg := settings()
+	cfg.Managers, cfg.Cells, cfg.ProbesAllowed, cfg.LoadReporting = 100, 12, true, LoadReportsInProbes
+	cfg.FleetLinkKB, cfg.RackUplinkKB = 48000, 24000
+	b := newHarness(t, cfg)
+	states := make([]ServerState, 12)
 	for i := range states {
 		states[i] = Ready
 	}
-	b.list(ListFull, states...)
+	b.sendList(ListFull, states...)
 	return b
 }
 
-func count(acts []Action, kind ActionKind) (n int) {
+func countActions(acts []Action, kind ActionKind) (n int) {
 	for _, a := range acts {
 		if a.Kind == kind {
 			n++
@@ -29,40 +29,40 @@
 
 // A session whose holders' load isn't known waits for two probes, and goes to
 // the one that tells the lower load; an answer that stays away costs askS.
-func TestAsksBeforeItPlaces(t *testing.T) {
-	b := many(t)
+func TestProbesBeforePlacing(t *testing.T) {
+	b := newManyManagers(t)
 	acts := b.arrive(1, 1)
-	if count(acts, ActProbe) != askN || find(acts, ActHandOff) != nil {
+	if countActions(acts, ActionProbe) != maxSessionProbes || findAction(acts, ActionSetUp) != nil {
 		t.Fatalf("at the arrival %+v", acts)
 	}
 	first, second := acts[0].Server, acts[1].Server
-	acts = b.do(Event{Kind: EvProbed, Server: first, Load: []float64{0.8, 0.5}})
-	if find(acts, ActHandOff) != nil {
+	acts = b.handle(Event{Kind: EventProbeResult, Server: first, Load: []float64{0.8, 0.5}})
+	if findAction(acts, ActionSetUp) != nil {
 		t.Fatalf("placed before the second answer: %+v", acts)
 	}
-	acts = b.do(Event{Kind: EvProbed, Server: second, Load: []float64{0.3, 0.5}})
-	if got := b.mustSend(acts); got != second {
+	acts = b.handle(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.3, 0.5}})
+	if got := b.mustSetUp(acts); got != second {
 		t.Errorf("sent to %d, the least used is %d", got, second)
 	}
-	b.now += freshS + 1
-	acts = b.do(Event{Kind: EvArrive, Session: 2, Class: 1, Title: 7, LeftS: 5, Home: 6, Span: 4, MaxRung: 4})
-	if count(acts, ActProbe) == 0 {
+	b.now += freshReportS + 1
+	acts = b.handle(Event{Kind: EventArrival, Session: 2, Class: 1, Title: 7, TimeLeftS: 5, HomeCell: 6, Copies: 4, MaxRung: 4})
+	if countActions(acts, ActionProbe) == 0 {
 		t.Fatalf("no probe in %+v", acts)
 	}
-	b.now += askS + 0.01
-	if acts = b.do(Event{Kind: EvTimer, Token: tokenPace}); find(acts, ActHandOff) == nil {
+	b.now += probeWaitS + 0.01
+	if acts = b.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting}); findAction(acts, ActionSetUp) == nil {
 		t.Errorf("no answer and no send: %+v", acts)
 	}
 }
 
 // Fronts draw the holders they ask by lot, or all would meet on the same two.
-func TestFrontsAskDifferentHolders(t *testing.T) {
-	asked := map[Server]bool{}
+func TestManagersProbeDifferentHolders(t *testing.T) {
+	asked := map[ServerID]bool{}
 	for seed := uint64(1); seed <= 20; seed++ {
-		b := many(t)
-		b.c.seed = seed
+		b := newManyManagers(t)
+		b.controller.seed = seed
 		for _, a := range b.arrive(1, 1) {
-			if a.Kind == ActProbe {
+			if a.Kind == ActionProbe {
 				asked[a.Server] = true
 			}
 		}
@@ -73,62 +73,62 @@
 }
 
 // A server that doesn't answer a probe is left alone.
-func TestSilentToProbeRests(t *testing.T) {
-	b := many(t)
+func TestProbeTimeOutEjectsServer(t *testing.T) {
+	b := newManyManagers(t)
 	acts := b.arrive(1, 1)
 	first, second := acts[0].Server, acts[1].Server
-	b.do(Event{Kind: EvProbed, Server: second, Load: []float64{0.85, 0.5}})
-	if got := b.mustSend(b.do(Event{Kind: EvProbed, Server: first, Status: TimedOut})); got == first {
+	b.handle(Event{Kind: EventProbeResult, Server: second, Load: []float64{0.85, 0.5}})
+	if got := b.mustSetUp(b.handle(Event{Kind: EventProbeResult, Server: first, Status: TimedOut})); got == first {
 		t.Errorf("sent to the server that did not answer")
 	}
 }
 
 // A holder of unknown load comes after known ones, however full the fleet, and
 // gets newcomers at their floor.
-func TestUnknownComesLastAtTheFloor(t *testing.T) {
-	b := many(t)
-	acts := b.answered(b.arrive(1, 1), 0.7)
-	if sv := b.c.servers[b.mustSend(acts)]; b.c.now-sv.seenAt >= staleS {
+func TestUnknownLoadComesLastAtFloorRung(t *testing.T) {
+	b := newManyManagers(t)
+	acts := b.answerProbes(b.arrive(1, 1), 0.7)
+	if sv := b.controller.servers[b.mustSetUp(acts)]; b.controller.now-sv.measuredAt >= staleAfterS {
 		t.Errorf("an unknown server was taken before those that were asked")
 	}
-	b = many(t)
-	b.c.fleetUse.add(0.5)
+	b = newManyManagers(t)
+	b.controller.meanLoad.add(0.5)
 	acts = b.arrive(2, 1)
-	b.now += askS + 0.01
-	acts = b.do(Event{Kind: EvTimer, Token: tokenPace})
-	b.mustSend(acts)
-	if a := find(acts, ActRung); a.Rung != 0 {
+	b.now += probeWaitS + 0.01
+	acts = b.handle(Event{Kind: EventTimer, Token: tokenRetryWaiting})
+	b.mustSetUp(acts)
+	if a := findAction(acts, ActionSetRung); a.Rung != 0 {
 		t.Errorf("rung %d on a server of unknown load", a.Rung)
 	}
 }
 
 // What is seen of some servers and uplinks stands for those not seen.
-func TestFleetMeanStandsForTheUnseen(t *testing.T) {
-	b := many(t)
-	b.answered(b.arrive(1, 1), 0.8)
-	sv := b.c.servers[12]
-	if b.c.now-sv.seenAt < staleS {
+func TestFleetMeanStandsForUnknownLoad(t *testing.T) {
+	b := newManyManagers(t)
+	b.answerProbes(b.arrive(1, 1), 0.8)
+	sv := b.controller.servers[12]
+	if b.controller.now-sv.measuredAt < staleAfterS {
 		t.Fatal("server 12 does not hold the title")
 	}
-	if u := b.c.use(sv); u < 0.75 || u > 0.85 {
+	if u := b.controller.utilization(sv); u < 0.75 || u > 0.85 {
 		t.Errorf("use %v of an unseen server, 0.8 was seen elsewhere", u)
 	}
 }
 
 // Where no report tells of uplinks, fronts don't all take the same rack for the
 // emptiest because of its listed links.
-func TestRacksOfUnknownUseLookAlike(t *testing.T) {
+func TestRacksOfUnknownLoadCountAlike(t *testing.T) {
 	sent := make([]int, 2)
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed, b.c.dear, b.c.set.Fields = seed, true, []string{"x0"}
-		e := Event{Kind: EvList, List: ListFull}
+		b := newManyManagers(t)
+		b.controller.seed, b.controller.probesCostly, b.controller.cfg.LoadFields = seed, true, []string{"x0"}
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 12 {
-			e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Weight: 1 + float64(i%2)/4})
 		}
-		b.do(e)
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.5}})
-		got := b.mustSend(b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 12, MaxRung: 4}))
+		b.handle(e)
+		b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.5}})
+		got := b.mustSetUp(b.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}))
 		sent[int(got-1)%2]++
 	}
 	if min(sent[0], sent[1]) < 20 {
@@ -138,15 +138,15 @@
 
 // Each front's first send to a server that has just started is drawn by lot: a
 // hundred of them at once would push it over.
-func TestFirstSendsToColdServerByLot(t *testing.T) {
+func TestFirstSetupsAtColdServerAreRandom(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5},
+		b := newManyManagers(t)
+		b.controller.seed = seed
+		b.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5},
 			{Server: 2, State: Draining, Cell: 1, Weight: 1}}})
-		sent += count(b.answered(b.arrive(1, 1), 0), ActHandOff)
+		sent += countActions(b.answerProbes(b.arrive(1, 1), 0), ActionSetUp)
 	}
 	if sent == 0 || sent > 50 {
 		t.Errorf("%d of 100 fronts sent at once", sent)
@@ -155,15 +155,15 @@
 
 // A front takes as much of a server's room as it has of the load: over many
 // fronts the raises fill the room once.
-func TestRaisesSumToTheRoom(t *testing.T) {
+func TestRaisesSumToFreeRoom(t *testing.T) {
 	raised := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.6, 0.3}})
+		b := newManyManagers(t)
+		b.controller.seed = seed
+		b.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.6, 0.3}})
 		for range 5 { // one report is used once, however often it is looked at
-			raised += count(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung)
+			raised += countActions(b.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
 		}
 	}
 	// 0.3 of the link is free, 0.6 taken: half of the load may be added, a step doubles it.
@@ -174,16 +174,16 @@
 
 // The last step down is drawn by lot, so that many fronts save what is short
 // and not a whole step each.
-func TestStepsDownSumToTheShortage(t *testing.T) {
+func TestLoweringSumsToShortage(t *testing.T) {
 	lowered := 0
 	for seed := uint64(1); seed <= 200; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-		b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
+		b := newManyManagers(t)
+		b.controller.seed = seed
+		b.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+		b.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteRung, Value: 2})
 		b.now += 3
-		b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteShare, Value: 0.8})
-		lowered += count(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung)
+		b.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
+		lowered += countActions(b.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung)
 	}
 	// 1.25 to 0.95 of a link saves a quarter of the load; a step saves half or more.
 	if lowered < 40 || lowered > 120 {
@@ -192,13 +192,13 @@
 }
 
 // A note of a short share counts in full, whatever an older report said.
-func TestShortShareCountsInFull(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 0.3}})
+func TestDeliveredShareCountsInFull(t *testing.T) {
+	b := newManyManagers(t)
+	b.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.3}})
 	b.now += 2
-	b.do(Event{Kind: EvNote, Session: 1, Server: 1, Note: NoteShare, Value: 0.8})
-	if u := b.c.use(b.c.servers[1]); u < 1.2 {
+	b.handle(Event{Kind: EventNote, Session: 1, Server: 1, Note: NoteDeliveredShare, Value: 0.8})
+	if u := b.controller.utilization(b.controller.servers[1]); u < 1.2 {
 		t.Errorf("use %v at a delivered share of 0.8", u)
 	}
 }
@@ -206,33 +206,33 @@
 // An old report weighs less beside a new one than a fresh one does.
 func TestOldReportsFade(t *testing.T) {
 	for _, e := range []struct{ wait, low, high float64 }{{0.1, 0.25, 0.45}, {5, 0.75, 0.85}} {
-		b := many(t)
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.2, 0.2}})
+		b := newManyManagers(t)
+		b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
 		b.now += e.wait
-		b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.8, 0.2}})
-		if u := b.c.use(b.c.servers[1]); u < e.low || u > e.high {
+		b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.8, 0.2}})
+		if u := b.controller.utilization(b.controller.servers[1]); u < e.low || u > e.high {
 			t.Errorf("use %v after %v s, want %v to %v", u, e.wait, e.low, e.high)
 		}
 	}
 }
 
 // Sessions handed over at the start rise at the first report of slack.
-func TestHandedOverRiseAtOnce(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.1, 0.1}})
-	if acts := b.do(Event{Kind: EvTimer, Token: tokenTick}); find(acts, ActRung) == nil {
+func TestEstablishedSessionsRiseAtOnce(t *testing.T) {
+	b := newManyManagers(t)
+	b.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.1, 0.1}})
+	if acts := b.handle(Event{Kind: EventTimer, Token: tokenTick}); findAction(acts, ActionSetRung) == nil {
 		t.Errorf("no raise in %+v", acts)
 	}
 }
 
 // A small session does not make all others of its server look as small: there
 // would seem to be no streams left.
-func TestStreamsOfOthersAtTheMeanSize(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EvOpen, Session: 1, Class: 1, Server: 1, Span: 4, MaxRung: 4, LeftS: 5})
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.75, 0.1}})
-	if r := b.c.room(b.c.servers[1]); r <= 0 {
+func TestOthersStreamsAtMeanRate(t *testing.T) {
+	b := newManyManagers(t)
+	b.handle(Event{Kind: EventEstablished, Session: 1, Class: 1, Server: 1, Copies: 4, MaxRung: 4, TimeLeftS: 5})
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.75, 0.1}})
+	if r := b.controller.freeKB(b.controller.servers[1]); r <= 0 {
 		t.Errorf("room %v at three quarters of a link", r)
 	}
 }
@@ -240,43 +240,43 @@
 // A fleet that is replaced within a minute leaves nothing behind, and a list of
 // thousands is taken.
 func TestGoneServersAreForgotten(t *testing.T) {
-	b := many(t)
+	b := newManyManagers(t)
 	for round := range 30 {
-		e := Event{Kind: EvList, List: ListFull}
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 3000 {
-			e.Entries = append(e.Entries, Entry{Server: Server(round*3000 + i), State: Ready, Cell: i % 12, Weight: 1})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(round*3000 + i), State: Ready, Cell: i % 12, Weight: 1})
 		}
 		b.now += 2
-		b.do(e)
+		b.handle(e)
 	}
-	if len(b.c.servers) != 3000 || len(b.c.order) != 3000 {
-		t.Errorf("%d servers kept of 3000 listed", len(b.c.servers))
+	if len(b.controller.servers) != 3000 || len(b.controller.serverOrder) != 3000 {
+		t.Errorf("%d servers kept of 3000 listed", len(b.controller.servers))
 	}
 }
 
 // A jump of the clock leaves no session without its answer.
 func TestClockJumps(t *testing.T) {
-	b := many(t)
+	b := newManyManagers(t)
 	b.arrive(1, 1)
 	b.now += 60
-	acts := b.do(Event{Kind: EvTimer, Token: tokenTick})
-	if count(acts, ActHandOff) != 0 || find(acts, ActDeny) == nil {
+	acts := b.handle(Event{Kind: EventTimer, Token: tokenTick})
+	if countActions(acts, ActionSetUp) != 0 || findAction(acts, ActionRefuse) == nil {
 		t.Errorf("long after the deadline: %+v", acts)
 	}
 }
 
 // Where crossing zones is priced, holders of the own zone are asked first.
-func TestAsksTheOwnZoneFirst(t *testing.T) {
+func TestProbesOwnZoneFirst(t *testing.T) {
 	for seed := uint64(1); seed <= 20; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		e := Event{Kind: EvList, List: ListFull}
+		b := newManyManagers(t)
+		b.controller.seed = seed
+		e := Event{Kind: EventList, List: ListFull}
 		for i := range 4 {
-			e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Zone: i % 2, Weight: 1})
+			e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: i % 2, Weight: 1})
 		}
-		b.do(e)
+		b.handle(e)
 		for _, a := range b.arrive(1, 1) {
-			if a.Kind == ActProbe && a.Server%2 == 0 {
+			if a.Kind == ActionProbe && a.Server%2 == 0 {
 				t.Fatalf("asked %d of another zone", a.Server)
 			}
 		}
@@ -284,15 +284,15 @@
 }
 
 // The sum of fronts keeps rule 4 where all see a crowd at once.
-func TestColdLotInACrowd(t *testing.T) {
+func TestColdServerDuringBurst(t *testing.T) {
 	sent := 0
 	for seed := uint64(1); seed <= 100; seed++ {
-		b := many(t)
-		b.c.seed = seed
-		b.do(Event{Kind: EvList, List: ListFull, Entries: []Entry{
-			{Server: 1, State: Ready, Weight: 1, SinceS: b.now - 0.5}}})
+		b := newManyManagers(t)
+		b.controller.seed = seed
+		b.handle(Event{Kind: EventList, List: ListFull, Entries: []Entry{
+			{Server: 1, State: Ready, Weight: 1, StartedAtS: b.now - 0.5}}})
 		for id := SessionID(1); id <= 5; id++ {
-			sent += count(b.answered(b.arrive(id, 1), 0), ActHandOff)
+			sent += countActions(b.answerProbes(b.arrive(id, 1), 0), ActionSetUp)
 		}
 	}
 	if sent == 0 || sent > 38 {
@@ -308,18 +308,18 @@
 		tenant int
 		denied bool
 	}{{0.8, 0, true}, {0.3, 0, false}, {0.8, 1, false}} {
-		b := many(t)
-		b.c.set.Quotas, b.c.shares = []float64{1, 1}, make([]bucket, 2)
+		b := newManyManagers(t)
+		b.controller.cfg.TenantQuotas, b.controller.tenantBuckets = []float64{1, 1}, make([]tokenBucket, 2)
 		denied := 0
 		for id := SessionID(1); id <= 12; id++ {
 			b.now += 0.1
-			b.do(Event{Kind: EvProbed, Server: Server(id), Load: []float64{e.load, e.load}})
+			b.handle(Event{Kind: EventProbeResult, Server: ServerID(id), Load: []float64{e.load, e.load}})
 			tenant := 0
 			if id == 12 {
 				tenant = e.tenant
 			}
-			denied = count(b.do(Event{Kind: EvArrive, Session: id, Class: 1, Tenant: tenant, Title: 9,
-				LeftS: 5, Span: 4, MaxRung: 4}), ActDeny)
+			denied = countActions(b.handle(Event{Kind: EventArrival, Session: id, Class: 1, Tenant: tenant, Title: 9,
+				TimeLeftS: 5, Copies: 4, MaxRung: 4}), ActionRefuse)
 		}
 		if (denied > 0) != e.denied {
 			t.Errorf("load %v, tenant %d: refused %v", e.load, e.tenant, denied > 0)
@@ -328,79 +328,79 @@
 }
 
 // An uplink never seen is taken to be as full as those seen, though links are not.
-func TestUplinksNotSeen(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 0.8}})
-	if u := b.c.use(b.c.servers[12]); u < 0.75 || u > 0.85 {
+func TestUnreportedUplinks(t *testing.T) {
+	b := newManyManagers(t)
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 0.8}})
+	if u := b.controller.utilization(b.controller.servers[12]); u < 0.75 || u > 0.85 {
 		t.Errorf("use %v in a rack never seen, 0.8 was seen in another", u)
 	}
 }
 
 // A rack on which this front has nothing is not eased: later reports count.
-func TestNothingToEase(t *testing.T) {
-	b := many(t)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.3, 2}})
-	b.do(Event{Kind: EvTimer, Token: tokenTick})
-	if b.c.now < b.c.racks[0].quietTil {
+func TestRackWithoutOwnSessions(t *testing.T) {
+	b := newManyManagers(t)
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.3, 2}})
+	b.handle(Event{Kind: EventTimer, Token: tokenTick})
+	if b.controller.now < b.controller.racks[0].ignoreUntil {
 		t.Error("reports of the rack are thrown away")
 	}
 }
 
 // A server that answers nothing for a second gets nothing more.
-func TestSilenceOfTheOnlyHolder(t *testing.T) {
-	b := newBed(t, settings())
-	b.list(ListFull, Ready)
-	b.mustSend(b.arrive(1, 1))
-	b.now += silentS + 0.1
-	if acts := b.arrive(2, 1); find(acts, ActHandOff) != nil {
+func TestUnansweringOnlyHolder(t *testing.T) {
+	b := newHarness(t, settings())
+	b.sendList(ListFull, Ready)
+	b.mustSetUp(b.arrive(1, 1))
+	b.now += unansweredS + 0.1
+	if acts := b.arrive(2, 1); findAction(acts, ActionSetUp) != nil {
 		t.Errorf("sent to a silent server: %+v", acts)
 	}
 }
 
 // Equation 6 is given what sessions earn at their rungs. At full worth, those
 // of the lowest rung would look dearest for their size.
-func TestRewardByRung(t *testing.T) {
-	b := newBed(t, settings())
+func TestReservesCountWorthByRung(t *testing.T) {
+	b := newHarness(t, settings())
 	for id := SessionID(1); id <= 8; id++ {
 		class := int(id) % 2
-		sv := Server(id%4 + 1)
-		b.do(Event{Kind: EvOpen, Session: id, Class: class, Server: sv, Title: uint64(id), Span: 4, MaxRung: 4})
-		b.do(Event{Kind: EvNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
+		sv := ServerID(id%4 + 1)
+		b.handle(Event{Kind: EventEstablished, Session: id, Class: class, Server: sv, Title: uint64(id), Copies: 4, MaxRung: 4})
+		b.handle(Event{Kind: EventNote, Session: id, Server: sv, Note: NoteRung, Value: float64(1 - class)})
 	}
 	for range 300 {
-		b.c.arrivals[0], b.c.arrivals[1] = append(b.c.arrivals[0], b.now), append(b.c.arrivals[1], b.now)
+		b.controller.arrivalTimes[0], b.controller.arrivalTimes[1] = append(b.controller.arrivalTimes[0], b.now), append(b.controller.arrivalTimes[1], b.now)
 	}
-	if b.c.rescore(); b.c.reserve[0] <= b.c.reserve[1] {
-		t.Errorf("reserves %v: the paid class has no more than the other", b.c.reserve)
+	if b.controller.updateReserves(); b.controller.reservedSlots[0] <= b.controller.reservedSlots[1] {
+		t.Errorf("reserves %v: the paid class has no more than the other", b.controller.reservedSlots)
 	}
 }
 
-// dear is many where probes and connections cost as much as they tell.
-func dear(t *testing.T, seed uint64) *bed {
+// newCostlyProbes is many where probes and connections cost as much as they tell.
+func newCostlyProbes(t *testing.T, seed uint64) *harness {
 	t.Helper()
-	b := many(t)
-	b.c.set.ProbeCost, b.c.set.HandshakeCost, b.c.dear, b.c.seed = 0.08, 0.08, true, seed
+	b := newManyManagers(t)
+	b.controller.cfg.ProbeCost, b.controller.cfg.HandshakeCost, b.controller.probesCostly, b.controller.seed = 0.08, 0.08, true, seed
 	return b
 }
 
 // Where probes are dear, none is made for one session: it goes at once to a holder
 // that the front draws for itself, and not all fronts meet on the same.
-func TestDearProbes(t *testing.T) {
-	set := settings()
-	set.ProbeCost = 0.08
-	if c, err := New(set, 1); err != nil || !c.dear {
+func TestCostlyProbes(t *testing.T) {
+	cfg := settings()
+	cfg.ProbeCost = 0.08
+	if c, err := New(cfg, 1); err != nil || !c.probesCostly {
 		t.Errorf("a probe at 0.08 of a session is not dear: %v", err)
 	}
-	sent := map[Server]int{}
+	sent := map[ServerID]int{}
 	for seed := uint64(1); seed <= 80; seed++ {
-		b := dear(t, seed)
-		b.c.fleetUse.add(0.5)
+		b := newCostlyProbes(t, seed)
+		b.controller.meanLoad.add(0.5)
 		acts := b.arrive(1, 1)
-		if count(acts, ActProbe) > 0 {
+		if countActions(acts, ActionProbe) > 0 {
 			t.Fatalf("front %d probed at an arrival", seed)
 		}
-		sent[b.mustSend(acts)]++
-		if a := find(acts, ActRung); a.Rung == 0 {
+		sent[b.mustSetUp(acts)]++
+		if a := findAction(acts, ActionSetRung); a.Rung == 0 {
 			t.Fatalf("front %d took a server at the fleet's mean use of 0.5 for full", seed)
 		}
 	}
@@ -413,69 +413,69 @@
 
 // Dear probes are bounded by what they cost, but for a few at the start; a quiet
 // start puts none off, and 80 fronts with arrivals of their own don't probe in step.
-func TestDearProbesAreSpread(t *testing.T) {
-	const fronts, seconds = 80, 30
-	probes, most, came := 0, 0, 0
-	at := map[int]int{}
-	for seed := uint64(1); seed <= fronts; seed++ {
-		b := dear(t, seed)
+func TestCostlyProbesAreSpread(t *testing.T) {
+	const managers, seconds = 80, 30
+	probes, most, arrivals := 0, 0, 0
+	probesByTick := map[int]int{}
+	for seed := uint64(1); seed <= managers; seed++ {
+		b := newCostlyProbes(t, seed)
 		start := b.now
 		for tick := 0; tick < 2*seconds; tick++ {
 			b.now = start + float64(tick)/2
-			if tick > 2 && chance(seed, uint64(tick)) < 0.5 {
-				came++
-				b.do(Event{Kind: EvArrive, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
-					LeftS: 5, Span: 12, MaxRung: 4})
+			if tick > 2 && hashToUnit(seed, uint64(tick)) < 0.5 {
+				arrivals++
+				b.handle(Event{Kind: EventArrival, Session: SessionID(tick + 1), Class: 1, Title: uint64(tick),
+					TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			}
-			n := count(b.answered(b.do(Event{Kind: EvTimer, Token: tokenTick}), 0.5), ActProbe)
+			n := countActions(b.answerProbes(b.handle(Event{Kind: EventTimer, Token: tokenTick}), 0.5), ActionProbe)
 			probes += n
-			if at[tick] += n; tick > 10 {
-				most = max(most, at[tick])
+			if probesByTick[tick] += n; tick > 10 {
+				most = max(most, probesByTick[tick])
 			}
 		}
 	}
-	cost := float64(probes-fronts*firstProbes) * 0.08 / float64(came)
-	if cost > probePart || cost < probePart/2 {
-		t.Errorf("%d probes for %d sessions cost %.3f of them", probes, came, cost)
+	cost := float64(probes-managers*initialProbes) * 0.08 / float64(arrivals)
+	if cost > probeCostShare || cost < probeCostShare/2 {
+		t.Errorf("%d probes for %d sessions cost %.3f of them", probes, arrivals, cost)
 	}
-	if most > fronts/2 {
-		t.Errorf("%d of %d fronts probed in the same half second", most, fronts)
+	if most > managers/2 {
+		t.Errorf("%d of %d fronts probed in the same half second", most, managers)
 	}
 }
 
 // Fronts that hold less than a slot of each server fill the fleet together and not
 // each for itself: before a report, and when twice as many come as it told of.
-func TestThinFrontsSumToTheFleet(t *testing.T) {
-	const fronts, fleet = 100, 48000.0
-	asked := 0.0
-	var beds []*bed
-	for seed := uint64(1); seed <= fronts; seed++ {
-		beds = append(beds, dear(t, seed))
+func TestManyManagersSumToFleet(t *testing.T) {
+	const managers, fleetKB = 100, 48000.0
+	askedKB := 0.0
+	var harnesses []*harness
+	for seed := uint64(1); seed <= managers; seed++ {
+		harnesses = append(harnesses, newCostlyProbes(t, seed))
 	}
 	for round := SessionID(1); round <= 2; round++ {
-		told := asked / fleet
-		for _, b := range beds {
+		reported := askedKB / fleetKB
+		for _, b := range harnesses {
 			if round > 1 {
-				b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{told, told}})
+				b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{reported, reported}})
 			}
 			acts := b.arrive(round, 1)
-			b.mustSend(acts)
-			asked += b.c.set.RatesKB[find(acts, ActRung).Rung]
+			b.mustSetUp(acts)
+			askedKB += b.controller.cfg.RatesKB[findAction(acts, ActionSetRung).Rung]
 		}
-		if most := 0.9 + 0.2*float64(round); asked > most*fleet || asked < 0.6*fleet {
-			t.Errorf("after round %d the fleet is asked for %.2f of what it gives", round, asked/fleet)
+		if most := 0.9 + 0.2*float64(round); askedKB > most*fleetKB || askedKB < 0.6*fleetKB {
+			t.Errorf("after round %d the fleet is asked for %.2f of what it gives", round, askedKB/fleetKB)
 		}
 	}
 }
 
-// zones is dear with twelve servers in two zones, the odd ones in zone 1.
-func zones(t *testing.T, seed uint64) *bed {
-	b := dear(t, seed)
-	e := Event{Kind: EvList, List: ListFull}
+// newTwoZones is dear with twelve servers in two zones, the odd ones in zone 1.
+func newTwoZones(t *testing.T, seed uint64) *harness {
+	b := newCostlyProbes(t, seed)
+	e := Event{Kind: EventList, List: ListFull}
 	for i := range 12 {
-		e.Entries = append(e.Entries, Entry{Server: Server(i + 1), State: Ready, Cell: i, Zone: (i + 1) % 2, Weight: 1})
+		e.Entries = append(e.Entries, Entry{Server: ServerID(i + 1), State: Ready, Cell: i, Zone: (i + 1) % 2, Weight: 1})
 	}
-	b.do(e)
+	b.handle(e)
 	return b
 }
 
@@ -483,51 +483,51 @@
 // and comes back once one is heard of. Ends at the zone's servers alone rest no zone
 // while others of it are heard of.
 func TestLostZone(t *testing.T) {
-	const fronts = 80
+	const managers = 80
 	failed := 0
-	for seed := uint64(1); seed <= fronts; seed++ {
-		b := zones(t, seed)
+	for seed := uint64(1); seed <= managers; seed++ {
+		b := newTwoZones(t, seed)
 		id := SessionID(0)
-		place := func(lost bool) (zone1 bool) {
+		placeSession := func(lost bool) (zone1 bool) {
 			id++
-			acts := b.do(Event{Kind: EvArrive, Session: id, Class: 1, Title: uint64(id), LeftS: 5, Span: 12, MaxRung: 4})
+			acts := b.handle(Event{Kind: EventArrival, Session: id, Class: 1, Title: uint64(id), TimeLeftS: 5, Copies: 12, MaxRung: 4})
 			for n := 0; ; n++ {
-				sv := b.mustSend(acts)
+				sv := b.mustSetUp(acts)
 				if zone1 = sv%2 == 1; !zone1 || !lost {
-					b.do(Event{Kind: EvFirst, Session: id, Server: sv, Attempt: n})
-					b.end(id, n, sv, OK, true)
+					b.handle(Event{Kind: EventStarted, Session: id, Server: sv, Attempt: n})
+					b.endAttempt(id, n, sv, OK, true)
 					return zone1
 				}
 				failed++
-				acts = b.end(id, n, sv, ConnectFailed, false)
+				acts = b.endAttempt(id, n, sv, ConnectFailed, false)
 			}
 		}
 		for range 20 {
 			b.now += 0.05
-			place(true)
+			placeSession(true)
 		}
-		if !(b.now < b.c.lostTil[1]) || b.c.links() > 0.6*48000 {
+		if !(b.now < b.controller.zoneLostUntil[1]) || b.controller.totalLinkKB() > 0.6*48000 {
 			t.Fatalf("front %d does not know the zone as lost", seed)
 		}
-		b.do(Event{Kind: EvList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, SinceS: b.now}}})
+		b.handle(Event{Kind: EventList, List: ListDelta, Entries: []Entry{{Server: 1, State: Ready, Zone: 1, Weight: 1, StartedAtS: b.now}}})
 		back := false
 		for range 40 {
 			b.now += 0.05
-			back = place(false) || back
+			back = placeSession(false) || back
 		}
 		if !back {
 			t.Errorf("front %d sends nothing to a zone that is back", seed)
 		}
 	}
-	if failed > fronts*(lostN+1) {
-		t.Errorf("%d fronts failed %d times on one zone", fronts, failed)
+	if failed > managers*(zoneLostAfter+1) {
+		t.Errorf("%d fronts failed %d times on one zone", managers, failed)
 	}
-	b := zones(t, 1)
+	b := newTwoZones(t, 1)
 	for i := range 6 { // servers short of connections in a zone that lives
-		b.c.heard(b.c.servers[11])
-		b.c.rest(b.c.servers[Server(2*(i%4)+1)], Event{Status: ConnectFailed})
+		b.controller.markAlive(b.controller.servers[11])
+		b.controller.eject(b.controller.servers[ServerID(2*(i%4)+1)], Event{Status: ConnectFailed})
 	}
-	if b.now < b.c.lostTil[1] {
+	if b.now < b.controller.zoneLostUntil[1] {
 		t.Error("a zone that is heard of was given up")
 	}
 }
@@ -535,26 +535,26 @@
 // A front's own count tells of a crowd before a report does: while its sessions
 // double, newcomers get smaller ones. Where loads are told by notes, each note of
 // short delivery lowers rungs.
-func TestCrowdAndShortage(t *testing.T) {
-	b := dear(t, 1)
-	b.do(Event{Kind: EvProbed, Server: 1, Load: []float64{0.2, 0.2}})
-	each := func() float64 {
-		list, kb := b.c.fleetShare(b.c.newSession(Event{Session: 99, Class: 1, MaxRung: 4}))
-		delete(b.c.sessions, 99)
+func TestOwnCountAndDeliveredShare(t *testing.T) {
+	b := newCostlyProbes(t, 1)
+	b.handle(Event{Kind: EventProbeResult, Server: 1, Load: []float64{0.2, 0.2}})
+	newcomerKB := func() float64 {
+		list, kb := b.controller.fleetShare(b.controller.newSession(Event{Session: 99, Class: 1, MaxRung: 4}))
+		delete(b.controller.sessions, 99)
 		return kb / float64(len(list))
 	}
-	before := each()
+	before := newcomerKB()
 	for id := SessionID(1); id <= 20; id++ {
-		b.do(Event{Kind: EvOpen, Session: id, Server: Server(id%12 + 1), Class: 1, MaxRung: 4})
+		b.handle(Event{Kind: EventEstablished, Session: id, Server: ServerID(id%12 + 1), Class: 1, MaxRung: 4})
 	}
-	if now := each(); now > before/2 {
+	if now := newcomerKB(); now > before/2 {
 		t.Errorf("%.0f kB/s for a newcomer, %.0f before twenty sessions came", now, before)
 	}
-	b.do(Event{Kind: EvNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
+	b.handle(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteRung, Value: 3})
 	for range 20 {
-		b.now += 2 * reactS
-		b.do(Event{Kind: EvNote, Session: 1, Server: 2, Note: NoteShare, Value: 0.95})
-		if find(b.do(Event{Kind: EvTimer, Token: tokenTick}), ActRung) != nil {
+		b.now += 2 * reactionS
+		b.handle(Event{Kind: EventNote, Session: 1, Server: 2, Note: NoteDeliveredShare, Value: 0.95})
+		if findAction(b.handle(Event{Kind: EventTimer, Token: tokenTick}), ActionSetRung) != nil {
 			return
 		}
 	}
@@ -563,23 +563,23 @@
 
 // A report's fields that are no uses, such as a count of streams, and figures out of all
 // bounds are no sign of the crowd: a newcomer's rung is that of the use alone.
-func TestCrowdIsOfUses(t *testing.T) {
+func TestSessionRatioIgnoresOtherFields(t *testing.T) {
 	want := -1
-	for _, f := range []struct {
+	for _, report := range []struct {
 		fields []string
 		load   []float64
 	}{{[]string{"x0"}, []float64{0.2}}, {[]string{"concurrent", "x0"}, []float64{12, 0.2}}, {[]string{"x1", "x0"}, []float64{1e30, 0.2}}} {
-		b := many(t)
-		b.c.set.Fields = f.fields
+		b := newManyManagers(t)
+		b.controller.cfg.LoadFields = report.fields
 		for i := range 12 {
-			b.do(Event{Kind: EvProbed, Server: Server(i + 1), Load: f.load})
+			b.handle(Event{Kind: EventProbeResult, Server: ServerID(i + 1), Load: report.load})
 		}
-		rung := find(b.do(Event{Kind: EvArrive, Session: 1, Class: 1, Title: 9, LeftS: 5, Span: 12, MaxRung: 4}), ActRung).Rung
+		rung := findAction(b.handle(Event{Kind: EventArrival, Session: 1, Class: 1, Title: 9, TimeLeftS: 5, Copies: 12, MaxRung: 4}), ActionSetRung).Rung
 		if want < 0 {
 			want = rung
 		}
 		if rung != want || rung == 0 {
-			t.Errorf("%v: rung %d, %d by the use alone", f.fields, rung, want)
+			t.Errorf("%v: rung %d, %d by the use alone", report.fields, rung, want)
 		}
 	}
 }
--- a/control/state.go
+++ b/control/state.go
@@ -7,197 +7,197 @@
 )
 
 // A mark is a front's own load on a pipe from a time on.
-type mark struct{ at, kb float64 }
+type loadSample struct{ at, kb float64 }
 
 // A pipe is a link or an uplink. Reports are late, so what others ask of it is
 // reckoned against the front's own load at the time a report was measured.
-type pipe struct {
-	own      float64
-	log      []mark
-	others   float64
-	seenAt   float64 // when others was last measured; -Inf: never
-	quietTil float64 // until then reports don't yet show what was done
+type linkLoad struct {
+	ownKB            float64
+	history          []loadSample
+	reportedOthersKB float64
+	measuredAt       float64 // when others was last measured; -Inf: never
+	ignoreUntil      float64 // until then reports don't yet show what was done
 }
 
 // A rack shares an uplink.
 type rack struct {
-	pipe
+	linkLoad
 	servers []*server
 }
 
 // A server is what this front knows of one.
 type server struct {
-	pipe
+	linkLoad
 	Entry
-	rack     *rack
-	sessions []*session // set-ups and plays of this front
-	byClass  []float64  // own kB a second by class
-	coldTil  float64
-	coldAt   float64 // assumed start, while now < coldTil
-	downAt   float64 // when its process was last known not to run
-	nextSend float64
-	probedAt float64
-	raisedOn float64 // the report that rungs were last raised on
-	restTil  float64
-	backAt   float64 // when an operator put it back
-	heardAt  float64 // the last sign of life
-	faults   int     // errors on titles that never played, since the last start
+	rack           *rack
+	sessions       []*session // set-ups and plays of this front
+	ownKBByClass   []float64  // own kB a second by class
+	coldUntil      float64
+	coldSince      float64 // assumed start, while now < coldTil
+	downAt         float64 // when its process was last known not to run
+	nextSendAt     float64
+	probedAt       float64
+	raisedReportAt float64 // the report that rungs were last raised on
+	ejectedUntil   float64
+	reenabledAt    float64 // when an operator put it back
+	lastAliveAt    float64 // the last sign of life
+	unprovenErrors int     // errors on titles that never played, since the last start
 }
 
 // candidate is a holder in the order in which it is tried.
 type candidate struct {
-	sv  *server
-	use float64
-	tie uint64
+	server      *server
+	utilization float64
+	tieBreak    uint64
 }
 
 // A session is one try of one viewer, from its arrival to its end.
 type session struct {
-	id         SessionID
-	class      int
-	title      uint64
-	home, span int
-	top        int
-	rung       int
-	worth      float64
-	deadline   float64
-	goal       float64
-	hintEnd    float64 // expected end by hint; 0: no hint
-	server     *server // set while an attempt is out or plays
-	attempt    int     // number of the next attempt
-	sentAt     float64
-	playing    bool
-	playedAt   float64
-	changedAt  float64
-	gone       bool    // the request is finished, its attempt still out
-	keptTil    float64 // when it is tried again
-	tried      []*server
-	askTil     float64 // when it stops waiting for probes; 0: none asked
-	own        bool    // of an announced peak
+	id               SessionID
+	class            int
+	title            uint64
+	homeCell, copies int
+	topRung          int
+	rung             int
+	worth            float64
+	deadline         float64
+	startGoal        float64
+	expectedEnd      float64 // expected end by hint; 0: no hint
+	server           *server // set while an attempt is out or plays
+	nextAttempt      int     // number of the next attempt
+	sentAt           float64
+	playing          bool
+	playingSince     float64
+	rungChangedAt    float64
+	requestEnded     bool    // the request is finished, its attempt still out
+	waitUntil        float64 // when it is tried again
+	tried            []*server
+	probesUntil      float64 // when it stops waiting for probes; 0: none asked
+	inPeak           bool    // of an announced peak
 }
 
 // A mean follows what is added to it.
-type mean struct {
-	v    float64
-	seen bool
+type runningMean struct {
+	value    float64
+	hasValue bool
 }
 
-func (m *mean) add(v float64) {
-	if !m.seen {
-		m.v, m.seen = v, true
+func (m *runningMean) add(value float64) {
+	if !m.hasValue {
+		m.value, m.hasValue = value, true
 	}
-	m.v += meanShare * (v - m.v)
+	m.value += meanWeight * (value - m.value)
 }
 
 // A bucket is what is left of a share since a time.
-type bucket struct{ left, at float64 }
+type tokenBucket struct{ tokens, refilledAt float64 }
 
-type seatKey struct {
+type titleClass struct {
 	title uint64
 	class int
 }
 
 // Controller makes the decisions of one front.
 type Controller struct {
-	set      Settings
-	now      float64
-	out      []Action
-	seed     uint64
-	started  float64
-	begun    bool
-	servers  map[Server]*server
-	order    []*server // as first listed
-	cells    [][]*server
-	racks    []*rack
-	sessions map[SessionID]*session
-	waiting  []*session
-	seats    map[seatKey]int
-	titles   map[uint64]float64 // when each last started to play
-	unit     float64            // s; all times of the module are counted in it
-	middle   float64            // kB a second of a slot
-
-	own       float64     // kB a second that this front's sessions ask for
-	shares    []bucket    // what is left of each tenant's share
-	arrivals  [][]float64 // recent times by class
-	takenAt   []float64   // arrivals within the attempt budget's window
-	extraAt   []float64   // further attempts within it
-	playedS   float64
-	ends      float64
-	reserve   []float64 // slots by class on a server of meanSlots
-	held      []float64 // parts of the slots held for announced peaks, by class
-	ration    rations   // of the fleet, where a plan makes one
-	meanSlots float64
-	mix       []float64 // class shares of the load
-	rescoreAt float64
-	draws     uint64
-	linksAt   float64 // when linksKB was reckoned
-	linksKB   float64
-	lost      map[int]int     // failures in a zone since a word from any server of it
-	lostTil   map[int]float64 // when a zone that seems lost is tried again
-	probesOut int
-	credit    float64 // probes that arrivals have paid for, where they are dear
-	dear      bool    // a session doesn't pay for probes of its own
-	fleetUse  mean    // use of links as reported, times links()
-	rackUse   mean    // likewise of uplinks
-	crowd     mean    // the tighter of both likewise, over the mean size of own sessions
-}
-
-// inUnits counts the times of the settings in units. Where sessions and deadlines
+	cfg              Settings
+	now              float64
+	actions          []Action
+	seed             uint64
+	startedAt        float64
+	started          bool
+	servers          map[ServerID]*server
+	serverOrder      []*server // as first listed
+	serversByCell    [][]*server
+	racks            []*rack
+	sessions         map[SessionID]*session
+	waiting          []*session
+	sessionsPerTitle map[titleClass]int
+	lastPlayed       map[uint64]float64 // when each last started to play
+	timeUnitS        float64            // s; all times of the module are counted in it
+	slotKB           float64            // kB a second of a slot
+
+	ownKB             float64       // kB a second that this front's sessions ask for
+	tenantBuckets     []tokenBucket // what is left of each tenant's share
+	arrivalTimes      [][]float64   // recent times by class
+	budgetArrivals    []float64     // arrivals within the attempt budget's window
+	repeatTimes       []float64     // further attempts within it
+	playedTime        float64
+	endedSessions     float64
+	reservedSlots     []float64   // slots by class on a server of meanSlots
+	heldShares        []float64   // parts of the slots held for announced peaks, by class
+	ration            rationState // of the fleet, where a plan makes one
+	meanSlots         float64
+	classLoadShares   []float64 // class shares of the load
+	reserveUpdateAt   float64
+	randomDraws       uint64
+	totalLinkAt       float64 // when linksKB was reckoned
+	cachedTotalLinkKB float64
+	zoneFailures      map[int]int     // failures in a zone since a word from any server of it
+	zoneLostUntil     map[int]float64 // when a zone that seems lost is tried again
+	probesPending     int
+	probeCredit       float64     // probes that arrivals have paid for, where they are dear
+	probesCostly      bool        // a session doesn't pay for probes of its own
+	meanLoad          runningMean // use of links as reported, times links()
+	meanUplinkLoad    runningMean // likewise of uplinks
+	sessionRatio      runningMean // the tighter of both likewise, over the mean size of own sessions
+}
+
+// scaleTimes counts the times of the settings in units. Where sessions and deadlines
 // are shorter all else is quicker too, and the module's times are chosen for one
 // pace. Rates grow likewise.
-func inUnits(s Settings, unit float64) Settings {
-	s.Classes, s.Quotas = slices.Clone(s.Classes), slices.Clone(s.Quotas)
-	for i := range s.Classes {
-		s.Classes[i].GoalS /= unit
+func scaleTimes(cfg Settings, unitS float64) Settings {
+	cfg.Classes, cfg.TenantQuotas = slices.Clone(cfg.Classes), slices.Clone(cfg.TenantQuotas)
+	for i := range cfg.Classes {
+		cfg.Classes[i].StartGoalS /= unitS
 	}
-	for i := range s.Quotas {
-		s.Quotas[i] *= unit
+	for i := range cfg.TenantQuotas {
+		cfg.TenantQuotas[i] *= unitS
 	}
-	for _, t := range []*float64{&s.SeeS, &s.SwitchS, &s.WarmAfterS, &s.BudgetWindowS} {
-		*t /= unit
+	for _, t := range []*float64{&cfg.NoteDelayS, &cfg.RungChangeCostS, &cfg.WarmAfterS, &cfg.BudgetWindowS} {
+		*t /= unitS
 	}
-	return s
+	return cfg
 }
 
-func newPipe() pipe { return pipe{seenAt: math.Inf(-1)} }
+func newLinkLoad() linkLoad { return linkLoad{measuredAt: math.Inf(-1)} }
 
-func (p *pipe) note(now, own float64) {
-	if n := len(p.log); n > 0 && p.log[n-1].at == now {
-		p.log[n-1].kb = own
-	} else if n == 0 || own != p.own {
-		p.log = append(p.log, mark{now, own})
+func (l *linkLoad) recordOwn(now, ownKB float64) {
+	if n := len(l.history); n > 0 && l.history[n-1].at == now {
+		l.history[n-1].kb = ownKB
+	} else if n == 0 || ownKB != l.ownKB {
+		l.history = append(l.history, loadSample{now, ownKB})
 	}
-	for len(p.log) > 1 && p.log[1].at < now-staleS {
-		p.log = p.log[1:]
+	for len(l.history) > 1 && l.history[1].at < now-staleAfterS {
+		l.history = l.history[1:]
 	}
-	p.own = own
+	l.ownKB = ownKB
 }
 
-func (p *pipe) ownAt(t float64) float64 {
-	for i := len(p.log) - 1; i >= 0; i-- {
-		if p.log[i].at <= t {
-			return p.log[i].kb
+func (l *linkLoad) ownKBAt(t float64) float64 {
+	for i := len(l.history) - 1; i >= 0; i-- {
+		if l.history[i].at <= t {
+			return l.history[i].kb
 		}
 	}
 	return 0
 }
 
 // observe takes a report that all asked for kb at time t.
-func (p *pipe) observe(t, kb, weight float64) {
-	if t < p.quietTil || t < p.seenAt {
+func (l *linkLoad) observe(at, kb, weight float64) {
+	if at < l.ignoreUntil || at < l.measuredAt {
 		return
 	}
-	others := max(kb-p.ownAt(t), 0)
-	if age := t - p.seenAt; age < blendS {
-		weight += (1 - weight) * age / blendS
-		others = weight*others + (1-weight)*p.others
+	othersKB := max(kb-l.ownKBAt(at), 0)
+	if age := at - l.measuredAt; age < reportBlendS {
+		weight += (1 - weight) * age / reportBlendS
+		othersKB = weight*othersKB + (1-weight)*l.reportedOthersKB
 	}
-	p.others, p.seenAt = others, t
+	l.reportedOthersKB, l.measuredAt = othersKB, at
 }
 
-// since drops the times before t. They are in order, and where many viewers come
+// dropBefore drops the times before t. They are in order, and where many viewers come
 // there are a hundred thousand.
-func since(times []float64, t float64) []float64 {
+func dropBefore(times []float64, t float64) []float64 {
 	return times[sort.SearchFloat64s(times, t):]
 }
 
@@ -208,175 +208,179 @@
 	return h ^ h>>31
 }
 
-// reindex sorts the listed servers by cell and rack, and forgets those that are
+// rebuildIndexes sorts the listed servers by cell and rack, and forgets those that are
 // gone once no session of this front is left there.
-func (c *Controller) reindex() {
-	for i := range c.cells {
-		c.cells[i] = nil
+func (c *Controller) rebuildIndexes() {
+	for i := range c.serversByCell {
+		c.serversByCell[i] = nil
 	}
 	for _, r := range c.racks {
 		r.servers = nil
 	}
-	order := c.order
-	c.order = nil
-	for _, sv := range order {
+	known := c.serverOrder
+	c.serverOrder = nil
+	for _, sv := range known {
 		if sv.State == Gone && len(sv.sessions) == 0 {
 			delete(c.servers, sv.Server)
 			continue
 		}
-		c.order = append(c.order, sv)
+		c.serverOrder = append(c.serverOrder, sv)
 		if sv.State != Gone {
-			c.cells[sv.Cell] = append(c.cells[sv.Cell], sv)
+			c.serversByCell[sv.Cell] = append(c.serversByCell[sv.Cell], sv)
 			sv.rack.servers = append(sv.rack.servers, sv)
 		}
 	}
 }
 
-// chance maps two numbers to one from 0 to 1, evenly spread.
-func chance(a, b uint64) float64 { return float64(hash(a, b)>>11) / (1 << 53) }
+// hashToUnit maps two numbers to one from 0 to 1, evenly spread.
+func hashToUnit(a, b uint64) float64 { return float64(hash(a, b)>>11) / (1 << 53) }
 
-// draw is a random number from 0 to 1.
-func (c *Controller) draw() float64 {
-	c.draws++
-	return chance(c.seed, c.draws)
+// random is a random number from 0 to 1.
+func (c *Controller) random() float64 {
+	c.randomDraws++
+	return hashToUnit(c.seed, c.randomDraws)
 }
 
-// holdersOf returns the listed servers in the cells that hold a session's title.
-func (c *Controller) holdersOf(s *session) []*server {
-	var all []*server
-	for i := 0; s.home >= 0 && s.home < c.set.Cells && i < min(s.span, c.set.Cells); i++ {
-		all = append(all, c.cells[(s.home+i)%c.set.Cells]...)
+// titleHolders returns the listed servers in the cells that hold a session's title.
+func (c *Controller) titleHolders(s *session) []*server {
+	var holders []*server
+	for i := 0; s.homeCell >= 0 && s.homeCell < c.cfg.Cells && i < min(s.copies, c.cfg.Cells); i++ {
+		holders = append(holders, c.serversByCell[(s.homeCell+i)%c.cfg.Cells]...)
 	}
-	return all
+	return holders
 }
 
-// failed has a server rest, and tells whether it could not be reached.
-func (sv *server) failed(now float64, e Event) (silent bool) {
-	sv.restTil = now + restS
-	if e.Down {
+// recordFailure has a server rest, and tells whether it could not be reached.
+func (sv *server) recordFailure(now float64, e Event) (connectFailed bool) {
+	sv.ejectedUntil = now + ejectionS
+	if e.ProcessDown {
 		sv.downAt = now
 	}
 	return e.Status == ConnectFailed
 }
 
-// heard notes a sign of life of a server, and so of its zone. The first one since its process
+// markAlive notes a sign of life of a server, and so of its zone. The first one since its process
 // was down is where the start is dated that the list doesn't tell yet. Dated at the failure,
 // every front's pace ended before the process was warm, by as long as it had been down.
-func (c *Controller) heard(sv *server) {
-	if max(sv.heardAt, sv.SinceS) < sv.downAt {
+func (c *Controller) markAlive(sv *server) {
+	if max(sv.lastAliveAt, sv.StartedAtS) < sv.downAt {
 		c.markCold(sv, c.now)
 	}
-	sv.heardAt, c.lost[sv.Zone] = c.now, 0
+	sv.lastAliveAt, c.zoneFailures[sv.Zone] = c.now, 0
 }
 
-// quiet is how long a server has given no sign of life since a time.
-func (c *Controller) quiet(sv *server, since float64) float64 { return c.now - max(since, sv.heardAt) }
+// silentFor is how long a server has given no sign of life since a time.
+func (c *Controller) silentFor(sv *server, since float64) float64 {
+	return c.now - max(since, sv.lastAliveAt)
+}
 
-// link is what a server's link should give. A cold server's link is cold too.
-func (c *Controller) link(sv *server) float64 {
-	kb := c.set.Link(sv.Entry, len(c.order))
-	if c.now < sv.coldTil && c.set.WarmAfterS > 0 {
-		warm := (c.now - sv.coldAt) / c.set.WarmAfterS
-		kb *= c.set.StartCapacity + (1-c.set.StartCapacity)*min(max(warm, 0), 1)
+// linkKB is what a server's link should give. A cold server's link is cold too.
+func (c *Controller) linkKB(sv *server) float64 {
+	kb := c.cfg.ExpectedLinkKB(sv.Entry, len(c.serverOrder))
+	if c.now < sv.coldUntil && c.cfg.WarmAfterS > 0 {
+		warmedShare := (c.now - sv.coldSince) / c.cfg.WarmAfterS
+		kb *= c.cfg.StartCapacityShare + (1-c.cfg.StartCapacityShare)*min(max(warmedShare, 0), 1)
 	}
 	return kb
 }
 
-// links is what all servers in reach should give together; reckoned once an event.
-func (c *Controller) links() (kb float64) {
-	if c.linksAt == c.now {
-		return c.linksKB
+// totalLinkKB is what all servers in reach should give together; reckoned once an event.
+func (c *Controller) totalLinkKB() (kb float64) {
+	if c.totalLinkAt == c.now {
+		return c.cachedTotalLinkKB
 	}
-	for _, sv := range c.order {
-		if sv.State == Ready && c.now >= c.lostTil[sv.Zone] {
-			kb += c.link(sv)
+	for _, sv := range c.serverOrder {
+		if sv.State == Ready && c.now >= c.zoneLostUntil[sv.Zone] {
+			kb += c.linkKB(sv)
 		}
 	}
-	c.linksAt, c.linksKB = c.now, max(kb, 1)
-	return c.linksKB
+	c.totalLinkAt, c.cachedTotalLinkKB = c.now, max(kb, 1)
+	return c.cachedTotalLinkKB
 }
 
-// streams is how many streams a server runs at most, by its kind.
-func (c *Controller) streams(sv *server) float64 {
-	if sv.Kind >= 0 && sv.Kind < len(c.set.KindStreams) {
-		return float64(c.set.KindStreams[sv.Kind])
+// maxStreams is how many streams a server runs at most, by its kind.
+func (c *Controller) maxStreams(sv *server) float64 {
+	if sv.MachineKind >= 0 && sv.MachineKind < len(c.cfg.MaxStreamsByKind) {
+		return float64(c.cfg.MaxStreamsByKind[sv.MachineKind])
 	}
 	return math.Inf(1)
 }
 
-// account sums the front's own load on a server and its rack.
-func (c *Controller) account(sv *server) {
-	own := 0.0
-	for k := range sv.byClass {
-		sv.byClass[k] = 0
+// updateOwnLoad sums the front's own load on a server and its rack.
+func (c *Controller) updateOwnLoad(sv *server) {
+	ownKB := 0.0
+	for k := range sv.ownKBByClass {
+		sv.ownKBByClass[k] = 0
 	}
 	for _, s := range sv.sessions {
-		own += c.size(s, s.rung)
-		sv.byClass[s.class] += c.size(s, s.rung)
+		ownKB += c.rateKB(s, s.rung)
+		sv.ownKBByClass[s.class] += c.rateKB(s, s.rung)
 	}
-	d := own - sv.own
-	c.own += d
-	sv.pipe.note(c.now, own)
-	sv.rack.pipe.note(c.now, sv.rack.own+d)
+	change := ownKB - sv.ownKB
+	c.ownKB += change
+	sv.linkLoad.recordOwn(c.now, ownKB)
+	sv.rack.linkLoad.recordOwn(c.now, sv.rack.ownKB+change)
 }
 
-// size is the ladder's rate of a session at a rung, in kB a second.
-func (c *Controller) size(s *session, rung int) float64 {
-	return c.set.RatesKB[rung] * c.set.Classes[s.class].Scale
+// rateKB is the ladder's rate of a session at a rung, in kB a second.
+func (c *Controller) rateKB(s *session, rung int) float64 {
+	return c.cfg.RatesKB[rung] * c.cfg.Classes[s.class].RateScale
 }
 
-// meanSize is what a session of this front asks for.
-func (c *Controller) meanSize() float64 {
-	return (c.own + c.middle) / float64(len(c.sessions)+1)
+// meanRateKB is what a session of this front asks for.
+func (c *Controller) meanRateKB() float64 {
+	return (c.ownKB + c.slotKB) / float64(len(c.sessions)+1)
 }
 
-// hold is the mean length of a session as far as it was seen.
-func (c *Controller) hold() float64 { return (c.playedS + priorHold) / (c.ends + 1) }
+// meanLength is the mean length of a session as far as it was seen.
+func (c *Controller) meanLength() float64 {
+	return (c.playedTime + priorLengthS) / (c.endedSessions + 1)
+}
 
-// leftOf is how long a session is expected to play on.
-func (c *Controller) leftOf(s *session) float64 {
-	if s.hintEnd > 0 {
-		return max(s.hintEnd-c.now, 0)
+// remaining is how long a session is expected to play on.
+func (c *Controller) remaining(s *session) float64 {
+	if s.expectedEnd > 0 {
+		return max(s.expectedEnd-c.now, 0)
 	}
-	return c.hold()
+	return c.meanLength()
 }
 
-// rate is a class's arrivals per second at this front.
-func (c *Controller) rate(k int) float64 {
-	c.arrivals[k] = since(c.arrivals[k], c.now-ratesS)
-	return float64(len(c.arrivals[k])) / max(min(c.now-c.started, ratesS), tickS)
+// arrivalRate is a class's arrivals per second at this front.
+func (c *Controller) arrivalRate(class int) float64 {
+	c.arrivalTimes[class] = dropBefore(c.arrivalTimes[class], c.now-arrivalWindowS)
+	return float64(len(c.arrivalTimes[class])) / max(min(c.now-c.startedAt, arrivalWindowS), tickIntervalS)
 }
 
 // attach counts a session on a server until detach.
 func (c *Controller) attach(s *session, sv *server) {
 	s.server = sv
-	c.sentTo(sv.Zone)
+	c.countZoneSend(sv.Zone)
 	sv.sessions = append(sv.sessions, s)
-	c.seats[seatKey{s.title, s.class}]++
-	c.account(sv)
+	c.sessionsPerTitle[titleClass{s.title, s.class}]++
+	c.updateOwnLoad(sv)
 }
 
-// adopt attaches a session that played before this front knew of it. What was reported of
+// attachEstablished attaches a session that played before this front knew of it. What was reported of
 // its server until now counted it as others'. Guard: left there it counted twice, and a
 // front that is handed its predecessor's sessions took every link for full.
-func (c *Controller) adopt(s *session, sv *server, rung int) {
-	s.rung = min(max(s.rung, rung), s.top)
-	was := sv.own
+func (c *Controller) attachEstablished(s *session, sv *server, rung int) {
+	s.rung = min(max(s.rung, rung), s.topRung)
+	before := sv.ownKB
 	c.attach(s, sv)
-	sv.pipe.backdate(sv.own - was)
-	sv.rack.pipe.backdate(sv.own - was)
+	sv.linkLoad.backdate(sv.ownKB - before)
+	sv.rack.linkLoad.backdate(sv.ownKB - before)
 }
 
 // backdate takes kb of what is asked for now as having been asked for all along, by this
 // front and not by others.
-func (p *pipe) backdate(kb float64) {
-	if len(p.log) == 1 {
-		p.log = append([]mark{{at: math.Inf(-1)}}, p.log...)
+func (l *linkLoad) backdate(kb float64) {
+	if len(l.history) == 1 {
+		l.history = append([]loadSample{{at: math.Inf(-1)}}, l.history...)
 	}
-	for i := range p.log[:len(p.log)-1] {
-		p.log[i].kb += kb
+	for i := range l.history[:len(l.history)-1] {
+		l.history[i].kb += kb
 	}
-	p.others = max(p.others-kb, 0)
+	l.reportedOthersKB = max(l.reportedOthersKB-kb, 0)
 }
 
 func (c *Controller) detach(s *session) {
@@ -387,128 +391,128 @@
 			break
 		}
 	}
-	key := seatKey{s.title, s.class}
-	if c.seats[key]--; c.seats[key] <= 0 {
-		delete(c.seats, key)
+	key := titleClass{s.title, s.class}
+	if c.sessionsPerTitle[key]--; c.sessionsPerTitle[key] <= 0 {
+		delete(c.sessionsPerTitle, key)
 	}
 	s.server, s.playing = nil, false
-	c.account(sv)
+	c.updateOwnLoad(sv)
 }
 
-func (c *Controller) emit(a Action) { c.out = append(c.out, a) }
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
 
-func (c *Controller) wake(d float64, token uint32) {
-	c.emit(Action{Kind: ActWake, DelayS: d, Token: token})
+func (c *Controller) setTimer(delay float64, token uint32) {
+	c.emit(Action{Kind: ActionSetTimer, DelayS: delay, Token: token})
 }
 
-func (c *Controller) probe(sv *server) {
+func (c *Controller) sendProbe(sv *server) {
 	sv.probedAt = c.now
-	c.probesOut++
-	c.emit(Action{Kind: ActProbe, Server: sv.Server})
+	c.probesPending++
+	c.emit(Action{Kind: ActionProbe, Server: sv.Server})
 }
 
 func (c *Controller) setRung(s *session, rung int) {
-	s.rung, s.changedAt = rung, c.now
-	c.account(s.server)
-	c.emit(Action{Kind: ActRung, Session: s.id, Rung: rung})
+	s.rung, s.rungChangedAt = rung, c.now
+	c.updateOwnLoad(s.server)
+	c.emit(Action{Kind: ActionSetRung, Session: s.id, Rung: rung})
 }
 
-// heldFrom is what of a server's slots is held for others than s, in kB a second: for
+// heldForOthersKB is what of a server's slots is held for others than s, in kB a second: for
 // the announced peaks of all classes, but of its own class if it is of one of them.
-func (c *Controller) heldFrom(s *session, sv *server) float64 {
-	part := 0.0
-	for k, h := range c.held {
-		if k != s.class || !s.own {
-			part += h
+func (c *Controller) heldForOthersKB(s *session, sv *server) float64 {
+	share := 0.0
+	for k, held := range c.heldShares {
+		if k != s.class || !s.inPeak {
+			share += held
 		}
 	}
-	if part == 0 {
+	if share == 0 {
 		return 0
 	}
-	return part * c.wide(sv)
+	return share * c.usableLinkKB(sv)
 }
 
-// slots is the size of a server in kB a second: the least of its streams, its
+// capacityKB is the size of a server in kB a second: the least of its streams, its
 // link and its part of the uplink.
-func (c *Controller) slots(sv *server) float64 {
-	return min(c.streams(sv)*c.middle, c.wide(sv))
+func (c *Controller) capacityKB(sv *server) float64 {
+	return min(c.maxStreams(sv)*c.slotKB, c.usableLinkKB(sv))
 }
 
-// rackRoom is what is free of an uplink, in kB a second.
-func (c *Controller) rackRoom(r *rack) float64 {
-	return TargetUse*c.set.RackKB - r.own - c.othersOnRack(r)
+// rackFreeKB is what is free of an uplink, in kB a second.
+func (c *Controller) rackFreeKB(r *rack) float64 {
+	return TargetUtilization*c.cfg.RackUplinkKB - r.ownKB - c.rackOthersKB(r)
 }
 
-// wide is what a server's link and its part of the uplink let through, in kB a
+// usableLinkKB is what a server's link and its part of the uplink let through, in kB a
 // second.
-func (c *Controller) wide(sv *server) float64 {
-	return min(TargetUse*c.link(sv), TargetUse*c.set.RackKB/float64(max(len(sv.rack.servers), 1)))
+func (c *Controller) usableLinkKB(sv *server) float64 {
+	return min(TargetUtilization*c.linkKB(sv), TargetUtilization*c.cfg.RackUplinkKB/float64(max(len(sv.rack.servers), 1)))
 }
 
-// inSeconds is what is to be done, with its times counted as the broker does.
-func (c *Controller) inSeconds() []Action {
-	for i := range c.out {
-		a := &c.out[i]
-		a.PatienceS, a.DelayS, a.WaitS = a.PatienceS*c.unit, a.DelayS*c.unit, a.WaitS*c.unit
+// actionsInSeconds is what is to be done, with its times counted as the broker does.
+func (c *Controller) actionsInSeconds() []Action {
+	for i := range c.actions {
+		a := &c.actions[i]
+		a.SetupTimeoutS, a.DelayS, a.RetryAfterS = a.SetupTimeoutS*c.timeUnitS, a.DelayS*c.timeUnitS, a.RetryAfterS*c.timeUnitS
 	}
-	return c.out
+	return c.actions
 }
 
-// Room is what the usable servers give, in slots of the middle rung's rate: nothing
+// CapacitySlots is what the usable servers give, in slots of the middle rung's rate: nothing
 // of one that drains, is gone or stands in a zone that seems lost, and of a cold one
 // what has warmed.
-func (c *Controller) Room() float64 {
+func (c *Controller) CapacitySlots() float64 {
 	slots := 0.0
-	for _, sv := range c.order {
-		if sv.State != Ready || c.now < c.lostTil[sv.Zone] {
+	for _, sv := range c.serverOrder {
+		if sv.State != Ready || c.now < c.zoneLostUntil[sv.Zone] {
 			continue
 		}
-		warm := 1.0
-		if c.now < sv.coldTil && c.set.WarmAfterS > 0 {
-			warm = min(max((c.now-sv.coldAt)/c.set.WarmAfterS, 0), 1)
+		warmedShare := 1.0
+		if c.now < sv.coldUntil && c.cfg.WarmAfterS > 0 {
+			warmedShare = min(max((c.now-sv.coldSince)/c.cfg.WarmAfterS, 0), 1)
 		}
-		slots += c.slots(sv) * warm / c.middle
+		slots += c.capacityKB(sv) * warmedShare / c.slotKB
 	}
 	return slots
 }
 
-// Share is the part of all fronts' sessions that this one seems to have: by what it
+// LoadShare is the part of all fronts' sessions that this one seems to have: by what it
 // asks for of what is reported, or even without reports.
-func (c *Controller) Share() float64 {
-	even := 1 / float64(c.set.Fronts)
-	if all := c.fleetUse.v; c.fleetUse.seen && all > 0 && c.own > 0 {
-		return min(max(c.own/all, even/4), 1)
+func (c *Controller) LoadShare() float64 {
+	evenShare := 1 / float64(c.cfg.Managers)
+	if fleetKB := c.meanLoad.value; c.meanLoad.hasValue && fleetKB > 0 && c.ownKB > 0 {
+		return min(max(c.ownKB/fleetKB, evenShare/4), 1)
 	}
-	return even
+	return evenShare
 }
 
-// Avoided returns how many servers in service are left out at a time in s: resting
+// AvoidedServers returns how many servers in service are left out at a time in s: resting
 // after a fault, or in a zone that seems lost.
-func (c *Controller) Avoided(now float64) (n int) {
-	for _, sv := range c.order {
-		if sv.State == Ready && now/c.unit < max(sv.restTil, c.shutTil(sv.Zone)) {
+func (c *Controller) AvoidedServers(now float64) (n int) {
+	for _, sv := range c.serverOrder {
+		if sv.State == Ready && now/c.timeUnitS < max(sv.ejectedUntil, c.zoneBlockedUntil(sv.Zone)) {
 			n++
 		}
 	}
 	return n
 }
 
-// welcome takes a server as just started, as its list tells.
-func (c *Controller) welcome(sv *server, n Entry) {
-	c.markCold(sv, n.SinceS)
-	sv.restTil, c.lost[n.Zone], c.lostTil[n.Zone], sv.backAt = 0, 0, 0, 0
-	if n.Back { // it was restarted while it was out: what reports said of it is of before
-		sv.backAt, sv.others, sv.seenAt = c.now, 0, c.now
+// recordStart takes a server as just started, as its list tells.
+func (c *Controller) recordStart(sv *server, entry Entry) {
+	c.markCold(sv, entry.StartedAtS)
+	sv.ejectedUntil, c.zoneFailures[entry.Zone], c.zoneLostUntil[entry.Zone], sv.reenabledAt = 0, 0, 0, 0
+	if entry.Reenabled { // it was restarted while it was out: what reports said of it is of before
+		sv.reenabledAt, sv.reportedOthersKB, sv.measuredAt = c.now, 0, c.now
 	}
 }
 
-// due tells whether a server that an operator put back is owed its first session, by no
+// dueAfterReenabling tells whether a server that an operator put back is owed its first session, by no
 // lot but a time of this front's own within its pace: operators see that it is used.
 // Where fronts are many their paces are long, and the lot stays.
-func (c *Controller) due(sv *server) bool {
-	pace := c.pace(sv)
-	return sv.backAt > 0 && pace <= backS && c.now >= sv.backAt+pace*chance(c.seed, uint64(sv.Server))
+func (c *Controller) dueAfterReenabling(sv *server) bool {
+	interval := c.coldSendInterval(sv)
+	return sv.reenabledAt > 0 && interval <= reenabledUseS && c.now >= sv.reenabledAt+interval*hashToUnit(c.seed, uint64(sv.Server))
 }
 
-// backS is within which a server that was put back is used, in s.
-const backS = 4
+// reenabledUseS is within which a server that was put back is used, in s.
+const reenabledUseS = 4
--- a/internal/broker/api.go
+++ b/internal/broker/api.go
@@ -10,11 +10,11 @@
 // Causes of replies and releases. Refusals say that trying again is harmless;
 // other causes don't.
 const (
-	CauseEnded     = 16 // the session has come to its end
-	CauseCancelled = 31 // moved, or ended by its viewer
-	CauseRefused   = 42
-	CauseCut       = 41 // the session was cut
-	CauseFailed    = 38 // the set-up failed, or may have run
+	CauseEnded       = 16 // the session has come to its end
+	CauseCancelled   = 31 // moved, or ended by its viewer
+	CauseRefused     = 42
+	CauseInterrupted = 41 // the session was cut
+	CauseFailed      = 38 // the set-up failed, or may have run
 )
 
 // Request is a session to be set up, as a front read it. What it refers to is
@@ -24,18 +24,18 @@
 	Class int
 	Team  int // position behind the platform's tenants; -1: none
 	// Named is what the viewer named itself, before rules gave it something else.
-	Named   struct{ Class, Team int }
-	Route   route.Result // by which rule, with its budget key and labels
-	Key     string       // the title as the viewer wrote it
-	Title   uint64
-	Home    int
-	Span    int
-	MaxRung float64
-	Again   bool          // its viewer has asked before, for this or for what was broken off
-	Left    time.Duration // from Came
-	Came    time.Time     // when its last byte was read
-
-	Playing     control.Server // set: it plays there already; no answer is owed
+	Requested  struct{ Class, Team int }
+	Route      route.Result // by which rule, with its budget key and labels
+	Key        string       // the title as the viewer wrote it
+	Title      uint64
+	Home       int
+	Copies     int
+	MaxRung    float64
+	Repeated   bool          // its viewer has asked before, for this or for what was broken off
+	TimeLeft   time.Duration // from Came
+	ReceivedAt time.Time     // when its last byte was read
+
+	PlayingOn   control.ServerID // set: it plays there already; no answer is owed
 	Description []byte
 	Client      Client
 	// Grace is how long a session outlives its client's connection. With 0 a
@@ -54,13 +54,13 @@
 type ReplyKind uint8
 
 const (
-	Served  ReplyKind = iota // it stands, by Description
-	Refused                  // trying again, after Wait, is harmless
-	Failed                   // it may have run
-	Over                     // a session that stood is over
-	Moved                    // a session that stood ends here; come again
-	GivenUp                  // no answer is owed any more: not for the viewer's eyes
-	Closed                   // a session that stood has ended and its viewer knows: likewise
+	ReplyServed    ReplyKind = iota // it stands, by Description
+	ReplyRefused                    // trying again, after Wait, is harmless
+	ReplyFailed                     // it may have run
+	ReplyEnded                      // a session that stood is over
+	ReplyMoved                      // a session that stood ends here; come again
+	ReplyAbandoned                  // no answer is owed any more: not for the viewer's eyes
+	ReplyClosed                     // a session that stood has ended and its viewer knows: likewise
 )
 
 // Reply is one message to a viewer.
@@ -68,7 +68,7 @@
 	Kind        ReplyKind
 	ID          control.SessionID
 	Cause       int
-	Wait        time.Duration
+	RetryAfter  time.Duration
 	Reason      string // of a refusal or a failure, for people; may be empty
 	Description []byte
 }
@@ -100,44 +100,44 @@
 // broker by Report.
 type Nodes interface {
 	// SetUp sends an attempt. False: the list names no such node.
-	SetUp(control.Server, Attempt) bool
+	SetUp(control.ServerID, Attempt) bool
 	// GiveUp ends an attempt that is out: an Ended report follows once its
 	// TEARDOWN is written or it is certain that none is needed.
-	GiveUp(server control.Server, id control.SessionID, number int, timedOut bool)
+	Abandon(server control.ServerID, id control.SessionID, number int, timedOut bool)
 	// Stands names a session that plays at a node since before the start.
-	Stands(control.Server, control.SessionID) bool
-	Release(server control.Server, id control.SessionID, cause int)
-	SetRung(server control.Server, id control.SessionID, rung int)
-	Probe(control.Server)
+	AddEstablished(control.ServerID, control.SessionID) bool
+	Release(server control.ServerID, id control.SessionID, cause int)
+	SetRung(server control.ServerID, id control.SessionID, rung int)
+	Probe(control.ServerID)
 }
 
 // ReportKind says what a Report is.
 type ReportKind uint8
 
 const (
-	Started ReportKind = iota // the session stands, by Description
-	Ended                     // the attempt, or the session that stood, has ended
-	Probed                    // Status, Load
-	Noted                     // Note, Value
+	ReportStarted ReportKind = iota // the session stands, by Description
+	ReportEnded                     // the attempt, or the session that stood, has ended
+	ReportProbed                    // Status, Load
+	ReportNote                      // Note, Value
 )
 
 // Report is what a media node tells.
 type Report struct {
-	Kind        ReportKind
-	Server      control.Server
-	ID          control.SessionID
-	Number      int // of the attempt; 0: whichever
-	Status      control.Status
-	Cause       int  // of a release by the node
-	Confined    bool // Reset: only the connection broke, the node is there
-	Down        bool // Reset, ConnectFailed: no process listens at the node's address
-	Load        []float64
-	Note        control.NoteKind
-	Value       float64
-	Description []byte
+	Kind           ReportKind
+	Server         control.ServerID
+	ID             control.SessionID
+	AttemptNumber  int // of the attempt; 0: whichever
+	Status         control.Status
+	Cause          int  // of a release by the node
+	ConnectionOnly bool // Reset: only the connection broke, the node is there
+	Down           bool // Reset, ConnectFailed: no process listens at the node's address
+	Load           []float64
+	Note           control.NoteKind
+	Value          float64
+	Description    []byte
 }
 
-// List is a change to the list of media nodes.
-type List struct {
+// ListUpdate is a change to the list of media nodes.
+type ListUpdate struct {
 	Entries []control.Entry
 }
