--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// perMB bounds what fronts may have waiting before the module: messages for
+	// inboxPerMB bounds what fronts may have waiting before the module: messages for
 	// each MB of memory. Each holds up to 16 KiB, so together they may take a
 	// quarter of it.
-	perMB = 16
+	inboxPerMB = 16
 	// answerMargin is kept before a viewer's deadline for the answer's way.
 	answerMargin = 100 * time.Millisecond
-	// lastMargin is when the broker answers itself what the module has not.
-	lastMargin = 50 * time.Millisecond
-	// tombstones bounds the final replies kept for players that reconnect.
-	tombstones = 1 << 16
-	// tombstoneTime is how long such a reply is kept.
-	tombstoneTime = 30 * time.Second
+	// overdueMargin is when the broker answers itself what the module has not.
+	overdueMargin = 50 * time.Millisecond
+	// maxEndedReplies bounds the final replies kept for players that reconnect.
+	maxEndedReplies = 1 << 16
+	// endedReplyRetention is how long such a reply is kept.
+	endedReplyRetention = 30 * time.Second
 )
 
 // Config is what a Broker needs.
@@ -37,72 +37,72 @@
 	Settings control.Settings
 	Seed     uint64
 	MemoryMB int
-	Drain    Drain
+	Drain    DrainTimes
 	Teams    []Team
-	Peaks    Peaks
-	Sites    Sites
+	Peaks    PeakConfig
+	Sites    SiteConfig
 	Nodes    Nodes
-	Counts   *Counts        // nil: nobody asks
-	Hand     func(Handover) // takes what stands once a younger process takes over; must not wait; nil: none ever does
+	Counters *Counters      // nil: nobody asks
+	HandOver func(Handover) // takes what stands once a younger process takes over; must not wait; nil: none ever does
 	Log      *zap.Logger
 }
 
-// Drain is how a Broker ends.
-type Drain struct {
-	Take time.Duration // new requests are served for so long
-	Stay time.Duration // what stands is kept for so long
+// DrainTimes is how a Broker ends.
+type DrainTimes struct {
+	AcceptFor time.Duration // new requests are served for so long
+	KeepFor   time.Duration // what stands is kept for so long
 }
 
 // Broker is the actor round the decision module.
 type Broker struct {
-	set      control.Settings
-	ctl      *control.Controller
-	nodes    Nodes
-	log      *zap.Logger
-	clock    clock
-	inbox    *mailbox.Box[any]
-	sessions map[control.SessionID]*session
-	ended    map[control.SessionID]Reply // final replies that a player may still ask for
-	open     map[control.SessionID]bool  // set-ups not answered yet
-	timers   timers
-	ledgers  []ledger
-	parts    []Part // what watches and plans beside the module
-	drained  chan struct{}
-	drain    Drain
-	counts   *Counts
-	stopping time.Time // when the drain was asked for; zero: it was not
-	leaving  bool      // what stands is left standing: a younger process takes it over
-	hand     func(Handover)
-	final    Handover                   // once drained is closed
-	taken    map[control.SessionID]bool // over from older processes; they may have ended here
-	handed   map[control.SessionID]int  // by what cause sessions ended since they were handed over
+	settings           control.Settings
+	controller         *control.Controller
+	nodes              Nodes
+	log                *zap.Logger
+	clock              clock
+	inbox              *mailbox.Box[any]
+	sessions           map[control.SessionID]*session
+	endedReplies       map[control.SessionID]Reply // final replies that a player may still ask for
+	openSetUps         map[control.SessionID]bool  // set-ups not answered yet
+	timers             timerHeap
+	ledgers            []teamLedger
+	planners           []Planner // what watches and plans beside the module
+	drained            chan struct{}
+	drainTimes         DrainTimes
+	counters           *Counters
+	drainStart         time.Time // when the drain was asked for; zero: it was not
+	handingOver        bool      // what stands is left standing: a younger process takes it over
+	handOver           func(Handover)
+	finalHandover      Handover                   // once drained is closed
+	adoptedIDs         map[control.SessionID]bool // over from older processes; they may have ended here
+	endedSinceHandover map[control.SessionID]int  // by what cause sessions ended since they were handed over
 }
 
 // New returns a Broker. Run starts it.
 func New(cfg Config) (*Broker, error) {
-	set := cfg.Settings
-	for _, t := range cfg.Teams {
-		set.Quotas = append(set.Quotas, t.Rate)
+	settings := cfg.Settings
+	for _, team := range cfg.Teams {
+		settings.TenantQuotas = append(settings.TenantQuotas, team.SessionsPerS)
 	}
-	ctl, err := control.New(set, cfg.Seed)
+	controller, err := control.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("broker: %w", err)
 	}
 	b := &Broker{
-		set: set, ctl: ctl, nodes: cfg.Nodes, log: cfg.Log, clock: newClock(),
-		inbox:    mailbox.New[any](max(cfg.MemoryMB, 1) * perMB),
-		sessions: make(map[control.SessionID]*session),
-		ended:    make(map[control.SessionID]Reply),
-		open:     make(map[control.SessionID]bool),
-		ledgers:  newLedgers(cfg.Teams, len(cfg.Settings.Quotas)),
-		drained:  make(chan struct{}),
-		drain:    cfg.Drain,
-		counts:   cfg.Counts,
-		hand:     cfg.Hand,
-		parts:    parts(&cfg, set.Fronts, cfg.Log),
+		settings: settings, controller: controller, nodes: cfg.Nodes, log: cfg.Log, clock: newClock(),
+		inbox:        mailbox.New[any](max(cfg.MemoryMB, 1) * inboxPerMB),
+		sessions:     make(map[control.SessionID]*session),
+		endedReplies: make(map[control.SessionID]Reply),
+		openSetUps:   make(map[control.SessionID]bool),
+		ledgers:      newLedgers(cfg.Teams, len(cfg.Settings.TenantQuotas)),
+		drained:      make(chan struct{}),
+		drainTimes:   cfg.Drain,
+		counters:     cfg.Counters,
+		handOver:     cfg.HandOver,
+		planners:     newPlanners(&cfg, settings.Managers, cfg.Log),
 	}
-	for i := range b.parts {
-		b.timers.add(b.clock.now(), timerPart, 0, uint32(i))
+	for i := range b.planners {
+		b.timers.add(b.clock.now(), timerPlanner, 0, uint32(i))
 	}
 	return b, nil
 }
@@ -114,30 +114,30 @@
 func (b *Broker) End(e ViewerEnd) bool { return b.inbox.Put(e) }
 
 // Lost tells that a client's connection is gone.
-func (b *Broker) Lost(c Client) { b.inbox.Force(lost{c}) }
+func (b *Broker) Lost(c Client) { b.inbox.Force(connectionLost{c}) }
 
 // Report takes what a media node tells. Their number is bounded by that of
 // attempts, probes and notes, so none is dropped.
 func (b *Broker) Report(r Report) { b.inbox.Force(r) }
 
-// List takes a change to the list of media nodes.
-func (b *Broker) List(l List) { b.inbox.Force(l) }
+// UpdateList takes a change to the list of media nodes.
+func (b *Broker) UpdateList(l ListUpdate) { b.inbox.Force(l) }
 
-// Finish asks the broker to end: it serves on for a while, answers all that it
+// Drain asks the broker to end: it serves on for a while, answers all that it
 // took, keeps what stands for as long as it may, and then closes Drained.
-func (b *Broker) Finish() { b.inbox.Force(finish{}) }
+func (b *Broker) Drain() { b.inbox.Force(drainRequest{}) }
 
-// Leave is Finish where a younger process of this manager takes over: what stands is left
+// DrainForSuccessor is Finish where a younger process of this manager takes over: what stands is left
 // standing, so the broker need not stay for it.
-func (b *Broker) Leave() { b.inbox.Force(finish{leave: true}) }
+func (b *Broker) DrainForSuccessor() { b.inbox.Force(drainRequest{forSuccessor: true}) }
 
 // Drained is closed once all that was taken before and during a drain is
 // answered.
 func (b *Broker) Drained() <-chan struct{} { return b.drained }
 
 type (
-	lost   struct{ client Client }
-	finish struct{ leave bool }
+	connectionLost struct{ client Client }
+	drainRequest   struct{ forSuccessor bool }
 )
 
 // Run is the actor's loop.
@@ -159,137 +159,137 @@
 		}
 		batch = b.inbox.Take(batch)
 		for _, m := range batch {
-			b.handle(m)
+			b.handleMessage(m)
 		}
-		b.expire()
+		b.runTimers()
 		b.checkDrained()
 	}
 }
 
-func (b *Broker) handle(m any) {
+func (b *Broker) handleMessage(m any) {
 	switch m := m.(type) {
 	case Request:
-		b.request(m)
+		b.handleRequest(m)
 	case ViewerEnd:
-		b.viewerEnd(m)
-	case lost:
-		b.clientLost(m.client)
+		b.handleViewerEnd(m)
+	case connectionLost:
+		b.handleConnectionLost(m.client)
 	case Report:
-		b.report(m)
-	case List:
-		for _, p := range b.parts {
-			p.Listed(b.clock.now(), m.Entries)
+		b.handleReport(m)
+	case ListUpdate:
+		for _, p := range b.planners {
+			p.ListUpdated(b.clock.now(), m.Entries)
 		}
-		b.tell(control.Event{Kind: control.EvList, List: control.ListDelta, Entries: m.Entries})
-	case stood:
-		for _, p := range b.parts {
-			p.Stalled(b.clock.now(), m.d)
+		b.dispatch(control.Event{Kind: control.EventList, List: control.ListDelta, Entries: m.Entries})
+	case processPause:
+		for _, p := range b.planners {
+			p.ProcessPaused(b.clock.now(), m.duration)
 		}
-	case finish:
-		if b.stopping.IsZero() {
-			b.stopping = b.clock.now()
-			if m.leave {
-				b.leave()
+	case drainRequest:
+		if b.drainStart.IsZero() {
+			b.drainStart = b.clock.now()
+			if m.forSuccessor {
+				b.handOverSessions()
 			}
-			b.timers.add(b.stopping.Add(b.stay()), timerDrain, 0, 0)
+			b.timers.add(b.drainStart.Add(b.minDrainTime()), timerDrain, 0, 0)
 		}
-	case adopt:
-		b.adopt(m)
-	case census:
-		m.to <- b.count()
+	case adoption:
+		b.handleAdoption(m)
+	case statsRequest:
+		m.result <- b.collectStats()
 	}
 }
 
 func (b *Broker) checkDrained() {
-	if b.stopping.IsZero() || b.clock.now().Before(b.stopping.Add(b.stay())) || len(b.open) > 0 {
+	if b.drainStart.IsZero() || b.clock.now().Before(b.drainStart.Add(b.minDrainTime())) || len(b.openSetUps) > 0 {
 		return
 	}
 	select {
 	case <-b.drained:
 	default:
-		if b.leaving {
-			b.final = b.handover(true)
+		if b.handingOver {
+			b.finalHandover = b.buildHandover(true)
 		}
-		b.closeStanding()
+		b.endEstablished()
 		close(b.drained)
 	}
 }
 
-// stay is how long the broker stays at least once it is asked to end.
-func (b *Broker) stay() time.Duration {
-	if b.leaving {
-		return b.drain.Take
+// minDrainTime is how long the broker stays at least once it is asked to end.
+func (b *Broker) minDrainTime() time.Duration {
+	if b.handingOver {
+		return b.drainTimes.AcceptFor
 	}
-	return b.drain.Stay
+	return b.drainTimes.KeepFor
 }
 
-// closing tells whether it is too late for a new request.
-func (b *Broker) closing() bool {
-	return !b.stopping.IsZero() && !b.clock.now().Before(b.stopping.Add(b.drain.Take))
+// refusesNew tells whether it is too late for a new request.
+func (b *Broker) refusesNew() bool {
+	return !b.drainStart.IsZero() && !b.clock.now().Before(b.drainStart.Add(b.drainTimes.AcceptFor))
 }
 
-// closeStanding ends what stands on both sides before the program exits.
-func (b *Broker) closeStanding() {
+// endEstablished ends what stands on both sides before the program exits.
+func (b *Broker) endEstablished() {
 	for id, s := range b.sessions {
-		if _, ok := s.client.(hosted); ok && b.leaving && s.Grace == 0 {
+		if _, ok := s.client.(hostedClient); ok && b.handingOver && s.Grace == 0 {
 			continue // it is handed over
 		}
 		if s.playing {
-			b.toldOver(s, Reply{Kind: Over, ID: id, Cause: CauseCut}) // its player's connection may be lost
-			b.nodes.Release(s.server, id, CauseCut)
+			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: id, Cause: CauseInterrupted}) // its player's connection may be lost
+			b.nodes.Release(s.server, id, CauseInterrupted)
 		}
 	}
 }
 
-// tell hands one event to the module and carries its actions out.
-func (b *Broker) tell(e control.Event) {
+// dispatch hands one event to the module and carries its actions out.
+func (b *Broker) dispatch(event control.Event) {
 	now := b.clock.now()
-	for _, a := range b.ctl.Handle(unix(now), e) {
-		b.act(now, a)
+	for _, action := range b.controller.Handle(unixSeconds(now), event) {
+		b.execute(now, action)
 	}
 }
 
-func (b *Broker) act(now time.Time, a control.Action) {
-	s := b.sessions[a.Session]
-	switch a.Kind {
-	case control.ActHandOff:
-		b.handOff(now, s, a)
-	case control.ActRung:
+func (b *Broker) execute(now time.Time, action control.Action) {
+	s := b.sessions[action.Session]
+	switch action.Kind {
+	case control.ActionSetUp:
+		b.startAttempt(now, s, action)
+	case control.ActionSetRung:
 		if s != nil {
 			// Guard: no class plays under its floor, whatever the module says.
-			s.rung = max(a.Rung, b.set.Classes[s.Class].Floor)
-			if s.out || s.playing && !b.leaving { // what was handed over has another master
+			s.rung = max(action.Rung, b.settings.Classes[s.Class].FloorRung)
+			if s.inFlight || s.playing && !b.handingOver { // what was handed over has another master
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
-	case control.ActDeny:
+	case control.ActionRefuse:
 		if s != nil && !s.answered {
-			b.refuse(s, seconds(a.WaitS))
+			b.refuse(s, seconds(action.RetryAfterS))
 		}
-	case control.ActFail:
+	case control.ActionFail:
 		if s != nil && !s.answered {
-			b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
+			b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		}
-	case control.ActWake:
-		b.timers.add(now.Add(seconds(a.DelayS)), timerWake, 0, a.Token)
-	case control.ActProbe:
-		b.nodes.Probe(a.Server)
-	case control.ActMove:
+	case control.ActionSetTimer:
+		b.timers.add(now.Add(seconds(action.DelayS)), timerWake, 0, action.Token)
+	case control.ActionProbe:
+		b.nodes.Probe(action.Server)
+	case control.ActionMove:
 		// Guard: a move ends the session on both sides. The module hears of the
 		// end after its present actions.
 		if s != nil && s.playing {
-			b.toldOver(s, Reply{Kind: Moved, ID: s.ID})
+			b.notifyEnded(s, Reply{Kind: ReplyMoved, ID: s.ID})
 			b.nodes.Release(s.server, s.ID, CauseCancelled)
-			b.Report(Report{Kind: Ended, Server: s.server, ID: s.ID, Number: s.attempt,
+			b.Report(Report{Kind: ReportEnded, Server: s.server, ID: s.ID, AttemptNumber: s.attemptNumber,
 				Status: control.Cancelled, Cause: CauseCancelled})
 		}
-	case control.ActRemark:
-		b.log.Info("module", zap.String("remark", a.Text))
+	case control.ActionRemark:
+		b.log.Info("module", zap.String("remark", action.Text))
 	}
 }
 
-// expire runs the timers that are due.
-func (b *Broker) expire() {
+// runTimers runs the timers that are due.
+func (b *Broker) runTimers() {
 	for {
 		t, ok := b.timers.pop(b.clock.now())
 		if !ok {
@@ -298,23 +298,23 @@
 		s := b.sessions[t.session]
 		switch t.kind {
 		case timerWake:
-			b.tell(control.Event{Kind: control.EvTimer, Token: t.token})
+			b.dispatch(control.Event{Kind: control.EventTimer, Token: t.token})
 		case timerAttempt:
-			if s != nil && s.out && s.attempt == int(t.token) {
-				b.nodes.GiveUp(s.server, s.ID, s.attempt, true)
+			if s != nil && s.inFlight && s.attemptNumber == int(t.token) {
+				b.nodes.Abandon(s.server, s.ID, s.attemptNumber, true)
 			}
 		case timerDeadline:
-			b.overdue(t.session)
+			b.answerOverdue(t.session)
 		case timerGrace:
-			if s != nil && s.client == nil && s.losses == t.token {
-				b.abandon(s)
+			if s != nil && s.client == nil && s.disconnects == t.token {
+				b.abandonSession(s)
 			}
-		case timerLook:
-			b.look(t.session)
-		case timerPart:
-			b.tickPart(int(t.token))
-		case timerForget:
-			delete(b.ended, t.session)
+		case timerRecheck:
+			b.recheckClient(t.session)
+		case timerPlanner:
+			b.tickPlanner(int(t.token))
+		case timerForgetReply:
+			delete(b.endedReplies, t.session)
 		}
 	}
 }
--- a/internal/broker/hand_test.go
+++ b/internal/broker/hand_test.go
@@ -6,64 +6,64 @@
 	"millethinge/control"
 )
 
-// at is a client that knows where its viewer is.
-type at struct {
-	*fake
+// clientAtHost is a client that knows where its viewer is.
+type clientAtHost struct {
+	*recorder
 	host string
 }
 
-func (a at) From() string { return a.host }
+func (a clientAtHost) From() string { return a.host }
 
 // What stands is handed over once, with what has ended since; nothing is cut, and the
 // younger process has each session once, tells its end, and gives it to the viewer who
 // names it.
-func TestHandOver(t *testing.T) {
-	old, f := bed(t)
-	var first Handover
-	old.hand = func(e Handover) { first = e }
+func TestHandover(t *testing.T) {
+	predecessor, oldCalls := newTestBroker(t)
+	var initial Handover
+	predecessor.handOver = func(e Handover) { initial = e }
 	for id := control.SessionID(1); id <= 3; id++ {
-		old.ask(f, id, feed, -1, 0)
-		old.tells(id, Started, 0)
-		old.sessions[id].client = at{f, "h1"}
+		predecessor.submitNow(oldCalls, id, feed, -1, 0)
+		predecessor.reportNow(id, ReportStarted, 0)
+		predecessor.sessions[id].client = clientAtHost{oldCalls, "h1"}
 	}
-	f.take()
-	on := func(id control.SessionID) control.Server { return old.sessions[id].server }
-	at1, at2, at3 := on(1), on(2), on(3)
-	old.handle(finish{leave: true})
-	if len(first.Standing) != 3 || first.Last || first.Standing[0].Host != "h1" {
-		t.Fatalf("%+v", first)
+	oldCalls.takeCalls()
+	serverOf := func(id control.SessionID) control.ServerID { return predecessor.sessions[id].server }
+	server1, server2, server3 := serverOf(1), serverOf(2), serverOf(3)
+	predecessor.handleMessage(drainRequest{forSuccessor: true})
+	if len(initial.Sessions) != 3 || initial.Final || initial.Sessions[0].ViewerHost != "h1" {
+		t.Fatalf("%+v", initial)
 	}
-	old.handle(Report{Kind: Ended, Server: at2, ID: 2, Status: control.Reset, Cause: CauseCut})
-	old.stopping = old.stopping.Add(-old.stay())
-	old.checkDrained()
-	last := old.Handover()
-	if got := f.take(); len(last.Standing) != 2 || !last.Last || last.Over[2] != CauseCut || got != "over 2" {
-		t.Fatalf("%+v; told %s", last, got)
+	predecessor.handleMessage(Report{Kind: ReportEnded, Server: server2, ID: 2, Status: control.ConnectionReset, Cause: CauseInterrupted})
+	predecessor.drainStart = predecessor.drainStart.Add(-predecessor.minDrainTime())
+	predecessor.checkDrained()
+	final := predecessor.Handover()
+	if got := oldCalls.takeCalls(); len(final.Sessions) != 2 || !final.Final || final.Ended[2] != CauseInterrupted || got != "over 2" {
+		t.Fatalf("%+v; told %s", final, got)
 	}
 
-	young, g := bed(t)
-	client := func(string) Client { return g }
-	young.handle(adopt{first, client})
-	young.handle(adopt{first, client}) // read twice
-	if len(young.sessions) != 3 {
-		t.Fatalf("%d sessions", len(young.sessions))
+	successor, newCalls := newTestBroker(t)
+	clientFor := func(string) Client { return newCalls }
+	successor.handleMessage(adoption{initial, clientFor})
+	successor.handleMessage(adoption{initial, clientFor}) // read twice
+	if len(successor.sessions) != 3 {
+		t.Fatalf("%d sessions", len(successor.sessions))
 	}
-	young.handle(Report{Kind: Ended, Server: at3, ID: 3, Status: control.OK, Cause: CauseEnded})
-	if got := g.take(); got != "over 3" {
+	successor.handleMessage(Report{Kind: ReportEnded, Server: server3, ID: 3, Status: control.OK, Cause: CauseEnded})
+	if got := newCalls.takeCalls(); got != "over 3" {
 		t.Error(got)
 	}
-	young.handle(adopt{last, client}) // 3 is known to have ended, though the old one lists it
-	if got := g.take(); got != "teardown 2, over 2" || len(young.sessions) != 1 {
-		t.Errorf("%s; %d sessions", got, len(young.sessions))
+	successor.handleMessage(adoption{final, clientFor}) // 3 is known to have ended, though the old one lists it
+	if got := newCalls.takeCalls(); got != "teardown 2, over 2" || len(successor.sessions) != 1 {
+		t.Errorf("%s; %d sessions", got, len(successor.sessions))
 	}
-	young.handle(adopt{first, client}) // by another older one, which heard of no end
-	if got := g.take(); got != "" || len(young.sessions) != 1 {
-		t.Errorf("%s; %d sessions", got, len(young.sessions))
+	successor.handleMessage(adoption{initial, clientFor}) // by another older one, which heard of no end
+	if got := newCalls.takeCalls(); got != "" || len(successor.sessions) != 1 {
+		t.Errorf("%s; %d sessions", got, len(successor.sessions))
 	}
-	viewer := &fake{}
-	young.handle(Request{ID: 1, Class: feed, Team: -1, Playing: at1, Client: viewer})
-	young.handle(Report{Kind: Ended, Server: at1, ID: 1, Status: control.OK, Cause: CauseEnded})
-	if got := viewer.take() + g.take(); got != "over 1" || len(young.sessions) != 0 {
-		t.Errorf("%s; %d sessions", got, len(young.sessions))
+	viewer := &recorder{}
+	successor.handleMessage(Request{ID: 1, Class: feed, Team: -1, PlayingOn: server1, Client: viewer})
+	successor.handleMessage(Report{Kind: ReportEnded, Server: server1, ID: 1, Status: control.OK, Cause: CauseEnded})
+	if got := viewer.takeCalls() + newCalls.takeCalls(); got != "over 1" || len(successor.sessions) != 0 {
+		t.Errorf("%s; %d sessions", got, len(successor.sessions))
 	}
 }
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -15,15 +15,15 @@
 var (
 	lossSeeds    = flag.Int("loss-seeds", 1, "seeds of TestSiteLoss")
 	lossManagers = flag.Int("loss-managers", 6, "its managers, of two sites: 6 on 16 nodes, more on 60")
-	lossLoads    = flag.Float64("loss-load", 0, "only this load; 0: 0.75, and with more than one seed 0.45, 1.1 and 2 as well")
+	lossLoad     = flag.Float64("loss-load", 0, "only this load; 0: 0.75, and with more than one seed 0.45, 1.1 and 2 as well")
 )
 
-// lossSettings are daySettings with larger nodes and what a site costs.
-func lossSettings(managers, nodes int) control.Settings {
-	const big = 8
-	set := daySettings(managers, nodes)
-	set.LinkKB, set.FleetKB, set.KindStreams = big*set.LinkKB, big*set.FleetKB, []int{big * 30}
-	set.CrossZoneCost, set.WarmAfterS, set.StartCapacity, set.FallMultiple = 0.021, 3, 0.2, 3
+// siteLossSettings are daySettings with larger nodes and what a site costs.
+func siteLossSettings(managers, nodes int) control.Settings {
+	const sizeFactor = 8
+	set := peakTestSettings(managers, nodes)
+	set.LinkKBPerWeight, set.FleetLinkKB, set.MaxStreamsByKind = sizeFactor*set.LinkKBPerWeight, sizeFactor*set.FleetLinkKB, []int{sizeFactor * 30}
+	set.CrossZoneCost, set.WarmAfterS, set.StartCapacityShare, set.ColdSetupMultiple = 0.021, 3, 0.2, 3
 	return set
 }
 
@@ -38,51 +38,51 @@
 	if *lossSeeds > 1 {
 		loads = []float64{0.45, 0.75, 1.1, 2}
 	}
-	if *lossLoads > 0 {
-		loads = []float64{*lossLoads}
+	if *lossLoad > 0 {
+		loads = []float64{*lossLoad}
 	}
 	if *lossManagers > 10 {
 		nodes = 60
 	}
-	for _, gone := range []bool{false, true} {
+	for _, managersLost := range []bool{false, true} {
 		for _, load := range loads {
-			var kept, late, bare, gain, after []float64
-			var sum [2]standin.SiteLossResult
+			var keptDuring, keptSettled, keptWithoutPlan, gainDuring, gainAfter []float64
+			var totals [2]standin.SiteLossResult
 			for seed := range uint64(*lossSeeds) {
-				var r [2]standin.SiteLossResult
-				for i := range r {
+				var results [2]standin.SiteLossResult
+				for i := range results {
 					synctest.Test(t, func(t *testing.T) {
 						var err error
-						arm := standin.SiteLoss{Settings: lossSettings(*lossManagers, nodes), Managers: *lossManagers, Nodes: nodes,
-							Plan: i == 1, Gone: gone, Load: load, Seed: seed + 1}
-						if r[i], err = arm.Play(); err != nil {
+						run := standin.SiteLoss{Settings: siteLossSettings(*lossManagers, nodes), Managers: *lossManagers, Nodes: nodes,
+							Plan: i == 1, Gone: managersLost, Load: load, Seed: seed + 1}
+						if results[i], err = run.Play(); err != nil {
 							t.Error(err)
 						}
 					})
-					for k := range r[i].Asked {
-						sum[i].Asked[k] += r[i].Asked[k]
-						sum[i].Served[k] += r[i].Served[k]
+					for k := range results[i].Asked {
+						totals[i].Asked[k] += results[i].Asked[k]
+						totals[i].Served[k] += results[i].Served[k]
 					}
-					sum[i].Falls += r[i].Falls
-					sum[i].Back += r[i].Back / time.Duration(*lossSeeds)
+					totals[i].Falls += results[i].Falls
+					totals[i].Back += results[i].Back / time.Duration(*lossSeeds)
 				}
-				kept = append(kept, r[1].During/min(r[1].Best, r[1].Before))
-				late = append(late, r[1].Settled/min(r[1].Best, r[1].Before))
-				bare = append(bare, r[0].Settled/min(r[0].Best, r[0].Before))
-				gain = append(gain, r[1].During/r[0].During-1)
-				after = append(after, r[1].After/r[0].After-1)
+				keptDuring = append(keptDuring, results[1].During/min(results[1].Best, results[1].Before))
+				keptSettled = append(keptSettled, results[1].Settled/min(results[1].Best, results[1].Before))
+				keptWithoutPlan = append(keptWithoutPlan, results[0].Settled/min(results[0].Best, results[0].Before))
+				gainDuring = append(gainDuring, results[1].During/results[0].During-1)
+				gainAfter = append(gainAfter, results[1].After/results[0].After-1)
 			}
 			t.Logf("managers lost %v, load %.2f: kept %.3f of the optimum, %.3f from 10 s on (none %.3f); against none: during %s, after %s; served clip %.3f feed %.3f, none %.3f %.3f; falls %d, none %d; back after %.1f s, none %.1f s",
-				gone, load, stat.Mean(kept, nil), stat.Mean(late, nil), stat.Mean(bare, nil), interval(gain), interval(after), sum[1].Served[0]/sum[1].Asked[0], sum[1].Served[1]/sum[1].Asked[1],
-				sum[0].Served[0]/sum[0].Asked[0], sum[0].Served[1]/sum[0].Asked[1], sum[1].Falls, sum[0].Falls, sum[1].Back.Seconds(), sum[0].Back.Seconds())
-			if m := stat.Mean(late, nil); m < 0.85 {
+				managersLost, load, stat.Mean(keptDuring, nil), stat.Mean(keptSettled, nil), stat.Mean(keptWithoutPlan, nil), formatConfidence(gainDuring), formatConfidence(gainAfter), totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1],
+				totals[0].Served[0]/totals[0].Asked[0], totals[0].Served[1]/totals[0].Asked[1], totals[1].Falls, totals[0].Falls, totals[1].Back.Seconds(), totals[0].Back.Seconds())
+			if m := stat.Mean(keptSettled, nil); m < 0.85 {
 				t.Errorf("%.3f of the optimum are kept, 0.85 is wanted", m)
 			}
-			if clip, feed := sum[1].Served[0]/sum[1].Asked[0], sum[1].Served[1]/sum[1].Asked[1]; clip < feed {
+			if clip, feed := totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1]; clip < feed {
 				t.Errorf("%.3f of feed are served and %.3f of clip: the plan refuses feed first", feed, clip)
 			}
-			if sum[1].Falls > *lossSeeds {
-				t.Errorf("%d set-ups more than cold nodes bear", sum[1].Falls)
+			if totals[1].Falls > *lossSeeds {
+				t.Errorf("%d set-ups more than cold nodes bear", totals[1].Falls)
 			}
 		}
 	}
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -15,77 +15,77 @@
 
 // What is held is open to the announced peak's own sessions of the class, and to no
 // others.
-func TestHeldRoom(t *testing.T) {
-	b, f := bed(t)
-	h := newHolder(Peaks{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
-	b.parts = []Part{h}
-	ask := func(id control.SessionID, class int, peak string) {
-		r := Request{ID: id, Class: class, Team: -1, Title: 1, Span: 1, MaxRung: 2, Left: 3 * time.Second, Came: time.Now(), Client: f}
+func TestHeldSlots(t *testing.T) {
+	b, f := newTestBroker(t)
+	h := newPeakPlanner(PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{{Name: "quincena", Zone: time.UTC}}}, Classes: make([]peaks.Class, 2)}, 1, zap.NewNop())
+	b.planners = []Planner{h}
+	submit := func(id control.SessionID, class int, peak string) {
+		r := Request{ID: id, Class: class, Team: -1, Title: 1, Copies: 1, MaxRung: 2, TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: f}
 		if peak != "" {
 			r.Route.Labels = []route.Label{{Name: "shop", Value: "quincena"}, {Name: peakLabel, Value: peak}}
 		}
-		b.handle(r)
+		b.handleMessage(r)
 	}
-	b.tell(control.Event{Kind: control.EvHold, Hold: []float64{0, 1}}) // all is held for feeds of the peak
-	ask(1, feed, "")
-	ask(2, clip, "")
-	ask(3, feed, "quincena")
-	ask(4, clip, "quincena") // its class has none held
-	ask(5, feed, "another")
-	b.tell(control.Event{Kind: control.EvHold, Hold: []float64{0, 0}})
-	ask(6, feed, "")
-	if got := f.take(); got != "refused 1, refused 2, setup 3, refused 4, refused 5, setup 6" {
+	b.dispatch(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 1}}) // all is held for feeds of the peak
+	submit(1, feed, "")
+	submit(2, clip, "")
+	submit(3, feed, "quincena")
+	submit(4, clip, "quincena") // its class has none held
+	submit(5, feed, "another")
+	b.dispatch(control.Event{Kind: control.EventHold, HeldShares: []float64{0, 0}})
+	submit(6, feed, "")
+	if got := f.takeCalls(); got != "refused 1, refused 2, setup 3, refused 4, refused 5, setup 6" {
 		t.Error(got)
 	}
-	if h.counts[feed] != 4 || h.counts[clip] != 2 || h.own[0] != 2 || !h.ruled[0] {
+	if h.arrivals[feed] != 4 || h.arrivals[clip] != 2 || h.ownArrivals[0] != 2 || !h.hasOwnRule[0] {
 		t.Errorf("%+v", h)
 	}
 }
 
 // With no peak announced and no site named nothing is looked at: no timer, no counts.
-func TestNoParts(t *testing.T) {
-	b, f := bed(t)
-	b.ask(f, 1, clip, -1, 0)
-	b.tells(1, Started, 0)
-	b.handle(ViewerEnd{ID: 1, Cause: CauseEnded})
-	for _, timer := range b.timers.list {
-		if timer.kind == timerPart {
+func TestNoPlanners(t *testing.T) {
+	b, f := newTestBroker(t)
+	b.submitNow(f, 1, clip, -1, 0)
+	b.reportNow(1, ReportStarted, 0)
+	b.handleMessage(ViewerEnd{ID: 1, Cause: CauseEnded})
+	for _, timer := range b.timers.entries {
+		if timer.kind == timerPlanner {
 			t.Error("parts are looked at")
 		}
 	}
-	if got := f.take(); b.parts != nil || got != "setup 1, served 1, teardown 1" {
+	if got := f.takeCalls(); b.planners != nil || got != "setup 1, served 1, teardown 1" {
 		t.Error(got)
 	}
 }
 
 // A manager that starts in the middle of a hold holds for what is left of it, by
 // what the operator says comes ordinarily.
-func TestRestartInAHold(t *testing.T) {
+func TestStartDuringHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // it begins at midnight
 		p := peaks.Peak{Name: "q", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: 4 * time.Second, Length: time.Hour, Lead: 90 * time.Second, Classes: []bool{true, true}, Factor: 20, Sure: 0.9, Harm: 0.9}
 		class := func(rate float64, floor int) peaks.Class {
 			return peaks.Class{Rate: rate, Sizes: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
 		}
-		set := settings()
-		set.FleetKB, set.LinkKB = 200, 100
-		b, err := New(Config{Settings: set, Seed: 1, Nodes: &fake{}, Log: zap.NewNop(),
-			Peaks: Peaks{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, Lasts: []float64{40, 40}}})
+		set := testSettings()
+		set.FleetLinkKB, set.LinkKBPerWeight = 200, 100
+		b, err := New(Config{Settings: set, Seed: 1, Nodes: &recorder{}, Log: zap.NewNop(),
+			Peaks: PeakConfig{Calendar: peaks.Calendar{Peaks: []peaks.Peak{p}}, Classes: []peaks.Class{class(0.5, 1), class(1, 0)}, MeanLengthsS: []float64{40, 40}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.handle(List{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
-		held := []float64{}
+		b.handleMessage(ListUpdate{Entries: []control.Entry{{Server: 1, State: control.Ready, Weight: 1}, {Server: 2, State: control.Ready, Weight: 1}}})
+		heldByTick := []float64{}
 		for range 60 {
-			b.expire()
+			b.runTimers()
 			sum := 0.0
-			for _, h := range b.parts[0].(*holder).held {
+			for _, h := range b.planners[0].(*peakPlanner).heldShares {
 				sum += h
 			}
-			held = append(held, sum)
+			heldByTick = append(heldByTick, sum)
 			time.Sleep(time.Second)
 		}
-		if most := slices.Max(held[:5]); most <= 0 || most > 0.9 || held[59] != 0 { // the peak does not come
-			t.Errorf("%.3f", held)
+		if most := slices.Max(heldByTick[:5]); most <= 0 || most > 0.9 || heldByTick[59] != 0 { // the peak does not come
+			t.Errorf("%.3f", heldByTick)
 		}
 	})
 }
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -9,82 +9,82 @@
 	"millethinge/control"
 )
 
-// lastWait is how long a viewer should stay away from a program that ends.
-const lastWait = 100 * time.Millisecond
+// drainRetryAfter is how long a viewer should stay away from a program that ends.
+const drainRetryAfter = 100 * time.Millisecond
 
 const (
-	lookTime    = 50 * time.Millisecond // between looks at a client that an attempt waits for
-	unheardWait = time.Second           // for which one is sent away that was not heard in time
+	recheckInterval    = 50 * time.Millisecond // between looks at a client that an attempt waits for
+	deferredRetryAfter = time.Second           // for which one is sent away that was not heard in time
 )
 
 // session is one request from its arrival until all of it has ended.
 type session struct {
 	Request
-	client   Client // nil: its player's connection is lost
-	losses   uint32 // how often it was
-	deadline time.Time
-	answered bool // the final answer is given, or none is owed
-	reply    Reply
-	attempt  int // number of the last attempt
-	server   control.Server
-	rung     int
-	out      bool            // an attempt is out
-	paused   *control.Action // the attempt that is out has not begun: its client has gone
-	playing  bool
-	mayRun   bool // an earlier attempt may have run
-	billed   bool
-	adopted  bool      // an older process set it up; its client is only where its viewer is
-	stood    time.Time // since when it plays
+	client        Client // nil: its player's connection is lost
+	disconnects   uint32 // how often it was
+	deadline      time.Time
+	answered      bool // the final answer is given, or none is owed
+	finalReply    Reply
+	attemptNumber int // number of the last attempt
+	server        control.ServerID
+	rung          int
+	inFlight      bool            // an attempt is out
+	deferred      *control.Action // the attempt that is out has not begun: its client has gone
+	playing       bool
+	mayHaveRun    bool // an earlier attempt may have run
+	countedInTeam bool
+	adopted       bool      // an older process set it up; its client is only where its viewer is
+	establishedAt time.Time // since when it plays
 }
 
-func (b *Broker) request(r Request) {
+func (b *Broker) handleRequest(r Request) {
 	now := b.clock.now()
 	if s := b.sessions[r.ID]; s != nil {
 		b.rejoin(s, r)
 		return
 	}
-	if last, ok := b.ended[r.ID]; ok {
+	if previous, ok := b.endedReplies[r.ID]; ok {
 		// A player that lost the final answer asks again: it gets the same one,
 		// and nothing is set up a second time.
-		tellAgain(r.Client, last)
+		repeatReply(r.Client, previous)
 		return
 	}
-	if b.closing() {
+	if b.refusesNew() {
 		// Guard: a request that comes late in a drain is answered too, at once: the
 		// program may be killed before an attempt ends. Another manager may take it.
-		b.counts.Answered(r.Class, Refused)
-		r.Client.Deliver(Reply{Kind: Refused, ID: r.ID, Cause: CauseRefused, Wait: lastWait})
+		b.counters.CountAnswer(r.Class, ReplyRefused)
+		r.Client.Deliver(Reply{Kind: ReplyRefused, ID: r.ID, Cause: CauseRefused, RetryAfter: drainRetryAfter})
 		return
 	}
-	s := &session{Request: r, client: r.Client, deadline: r.Came.Add(r.Left), rung: b.set.Classes[r.Class].Floor}
-	e := control.Event{
+	s := &session{Request: r, client: r.Client, deadline: r.ReceivedAt.Add(r.TimeLeft), rung: b.settings.Classes[r.Class].FloorRung}
+	event := control.Event{
 		Session: r.ID, Class: r.Class, Tenant: r.Team, Title: r.Title,
-		Home: r.Home, Span: r.Span, MaxRung: r.MaxRung,
+		HomeCell: r.Home, Copies: r.Copies, MaxRung: r.MaxRung,
 	}
-	if r.Playing != 0 {
-		if !b.nodes.Stands(r.Playing, r.ID) {
-			b.log.Warn("a session stands at an unlisted node", zap.Uint64("node", uint64(r.Playing)))
-			r.Client.Deliver(Reply{Kind: Over, ID: r.ID, Cause: CauseCut})
+	if r.PlayingOn != 0 {
+		if !b.nodes.AddEstablished(r.PlayingOn, r.ID) {
+			b.log.Warn("a session stands at an unlisted node", zap.Uint64("node", uint64(r.PlayingOn)))
+			r.Client.Deliver(Reply{Kind: ReplyEnded, ID: r.ID, Cause: CauseInterrupted})
 			return
 		}
-		s.playing, s.answered, s.server, s.attempt = true, true, r.Playing, 1
-		s.reply = Reply{Kind: Failed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
+		s.playing, s.answered, s.server, s.attemptNumber = true, true, r.PlayingOn, 1
+		s.finalReply = Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed} // to whoever asks for it anew
 		b.sessions[r.ID] = s
-		e.Kind, e.Server = control.EvOpen, r.Playing
-		e.LeftS = r.Left.Seconds()
-		b.tell(e)
+		event.Kind, event.Server = control.EventEstablished, r.PlayingOn
+		event.TimeLeftS = r.TimeLeft.Seconds()
+		b.dispatch(event)
 		return
 	}
 	b.sessions[r.ID] = s
-	b.open[r.ID] = true
-	b.timers.add(s.deadline.Add(-lastMargin), timerDeadline, r.ID, 0)
-	if wait, ok := b.admit(now, s); !ok {
-		b.refuse(s, wait)
+	b.openSetUps[r.ID] = true
+	b.timers.add(s.deadline.Add(-overdueMargin), timerDeadline, r.ID, 0)
+	if retryAfter, ok := b.admit(now, s); !ok {
+		b.refuse(s, retryAfter)
 		return
 	}
-	e.Kind, e.Own = control.EvArrive, b.arrived(now, &r)
-	e.LeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
-	b.tell(e)
+	event.Kind, event.InPeak = control.EventArrival, b.requestArrived(now, &r)
+	event.TimeLeftS = max(s.deadline.Sub(now)-answerMargin, 0).Seconds()
+	b.dispatch(event)
 }
 
 // rejoin gives a running session to the connection that its player came back
@@ -96,56 +96,56 @@
 // one id has two meanings and can have one answer: it failed.
 func (b *Broker) rejoin(s *session, r Request) {
 	switch {
-	case r.Playing != 0: // it names what is held already
+	case r.PlayingOn != 0: // it names what is held already
 		if s.adopted {
 			s.client, s.adopted = r.Client, false
 		} else if s.client != r.Client {
-			r.Client.Deliver(Reply{Kind: Closed, ID: r.ID}) // there
+			r.Client.Deliver(Reply{Kind: ReplyClosed, ID: r.ID}) // there
 		}
 	case (s.Grace > 0) != (r.Grace > 0) || !s.repeats(r):
 		if s.client == r.Client && !s.answered {
-			b.fail(s)
+			b.failSession(s)
 			return
 		}
-		b.counts.Answered(r.Class, Failed)
-		r.Client.Deliver(Reply{Kind: Failed, ID: r.ID, Cause: CauseFailed})
+		b.counters.CountAnswer(r.Class, ReplyFailed)
+		r.Client.Deliver(Reply{Kind: ReplyFailed, ID: r.ID, Cause: CauseFailed})
 	default:
 		switch {
 		case s.client == nil:
 		case s.playing:
-			s.client.Deliver(Reply{Kind: Closed, ID: s.ID}) // it stands by the other set-up now
+			s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID}) // it stands by the other set-up now
 		case s.client != r.Client:
-			s.client.Deliver(Reply{Kind: GivenUp, ID: s.ID})
+			s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 		}
 		s.client = r.Client
-		switch a := s.paused; {
+		switch action := s.deferred; {
 		case s.answered:
-			tellAgain(s.client, s.reply)
-		case a != nil:
-			b.begin(b.clock.now(), s, *a)
+			repeatReply(s.client, s.finalReply)
+		case action != nil:
+			b.sendOrDefer(b.clock.now(), s, *action)
 		}
 	}
 }
 
-// tellAgain answers a set-up by how its session ended before. Guard: the end of what stood
+// repeatReply answers a set-up by how its session ended before. Guard: the end of what stood
 // is no answer to a set-up, and leaves one that is open under that id as it is.
-func tellAgain(c Client, r Reply) {
+func repeatReply(c Client, r Reply) {
 	c.Deliver(r)
-	if r.Kind == Over || r.Kind == Moved {
-		c.Deliver(Reply{Kind: GivenUp, ID: r.ID})
+	if r.Kind == ReplyEnded || r.Kind == ReplyMoved {
+		c.Deliver(Reply{Kind: ReplyAbandoned, ID: r.ID})
 	}
 }
 
 // repeats tells whether r asks for the same as s did. What it named counts, not
 // what rules made of it: they may have been swapped since.
 func (s *session) repeats(r Request) bool {
-	return s.Playing == 0 && s.Named == r.Named && s.Key == r.Key && s.Home == r.Home &&
-		s.Span == r.Span && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
+	return s.PlayingOn == 0 && s.Requested == r.Requested && s.Key == r.Key && s.Home == r.Home &&
+		s.Copies == r.Copies && s.MaxRung == r.MaxRung && bytes.Equal(s.Description, r.Description)
 }
 
-// clientLost gives up the set-ups open on a connection that is gone, or keeps
+// handleConnectionLost gives up the set-ups open on a connection that is gone, or keeps
 // them for a player that may come back.
-func (b *Broker) clientLost(c Client) {
+func (b *Broker) handleConnectionLost(c Client) {
 	now := b.clock.now()
 	for _, s := range b.sessions {
 		if s.client != c {
@@ -153,159 +153,159 @@
 		}
 		if s.Grace > 0 {
 			s.client = nil
-			s.losses++
-			b.timers.add(now.Add(s.Grace), timerGrace, s.ID, s.losses)
+			s.disconnects++
+			b.timers.add(now.Add(s.Grace), timerGrace, s.ID, s.disconnects)
 		} else if !s.answered {
-			b.abandon(s)
+			b.abandonSession(s)
 		}
 	}
 }
 
-// viewerEnd gives a set-up up or ends a session that stands.
-func (b *Broker) viewerEnd(e ViewerEnd) {
+// handleViewerEnd gives a set-up up or ends a session that stands.
+func (b *Broker) handleViewerEnd(e ViewerEnd) {
 	s := b.sessions[e.ID]
 	if s == nil {
 		return
 	}
 	if s.playing {
-		b.known(s, e.Cause)
+		b.recordViewerEnd(s, e.Cause)
 		b.nodes.Release(s.server, s.ID, e.Cause)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 		return
 	}
 	if s.client == e.Client {
 		s.client = nil // it knows, and may have asked anew under that id
 	}
-	b.abandon(s)
+	b.abandonSession(s)
 }
 
-// abandon ends a session whose viewer waits no more. No answer is owed.
-func (b *Broker) abandon(s *session) {
+// abandonSession ends a session whose viewer waits no more. No answer is owed.
+func (b *Broker) abandonSession(s *session) {
 	if s.playing {
-		b.known(s, CauseEnded)
+		b.recordViewerEnd(s, CauseEnded)
 		b.nodes.Release(s.server, s.ID, CauseEnded)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 		return
 	}
-	s.answered, s.reply = true, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed}
-	delete(b.open, s.ID)
+	s.answered, s.finalReply = true, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed}
+	delete(b.openSetUps, s.ID)
 	if s.client != nil {
-		s.client.Deliver(Reply{Kind: GivenUp, ID: s.ID})
+		s.client.Deliver(Reply{Kind: ReplyAbandoned, ID: s.ID})
 	}
-	b.giveUp(s, false)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+	b.abandonAttempt(s, false)
+	b.dispatch(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
-// giveUp ends the attempt that is out, if one is.
-func (b *Broker) giveUp(s *session, timedOut bool) {
+// abandonAttempt ends the attempt that is out, if one is.
+func (b *Broker) abandonAttempt(s *session, timedOut bool) {
 	switch {
-	case !s.out:
-	case s.paused != nil:
-		s.paused = nil
-		b.moot(s, s.server)
+	case !s.inFlight:
+	case s.deferred != nil:
+		s.deferred = nil
+		b.reportUnsent(s, s.server)
 	default:
-		b.nodes.GiveUp(s.server, s.ID, s.attempt, timedOut)
+		b.nodes.Abandon(s.server, s.ID, s.attemptNumber, timedOut)
 	}
 }
 
-// overdue answers what nothing else has answered: the last guard before a
+// answerOverdue answers what nothing else has answered: the last guard before a
 // viewer's time is up, whatever a node or the module does.
-func (b *Broker) overdue(id control.SessionID) {
+func (b *Broker) answerOverdue(id control.SessionID) {
 	s := b.sessions[id]
 	if s == nil || s.answered {
 		return
 	}
 	b.log.Warn("answered at the deadline", zap.Uint64("session", uint64(id)))
-	if s.paused != nil { // nothing of this attempt has run
-		b.refuse(s, unheardWait)
+	if s.deferred != nil { // nothing of this attempt has run
+		b.refuse(s, deferredRetryAfter)
 	}
-	b.fail(s)
+	b.failSession(s)
 }
 
-// fail answers a session that waits no longer for what is out.
-func (b *Broker) fail(s *session) {
-	b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
-	b.giveUp(s, true)
-	b.tell(control.Event{Kind: control.EvAborted, Session: s.ID})
+// failSession answers a session that waits no longer for what is out.
+func (b *Broker) failSession(s *session) {
+	b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
+	b.abandonAttempt(s, true)
+	b.dispatch(control.Event{Kind: control.EventAbandoned, Session: s.ID})
 	b.forget(s)
 }
 
-// handOff sends an attempt. One attempt is out at a time: the module is told
+// startAttempt sends an attempt. One attempt is out at a time: the module is told
 // an attempt's end only when its TEARDOWN is written, and this guards it.
-func (b *Broker) handOff(now time.Time, s *session, a control.Action) {
-	if s == nil || s.answered || s.out || s.playing {
+func (b *Broker) startAttempt(now time.Time, s *session, action control.Action) {
+	if s == nil || s.answered || s.inFlight || s.playing {
 		return
 	}
-	s.attempt++
-	if s.mayRun && b.set.Classes[s.Class].Effect != control.Idempotent {
+	s.attemptNumber++
+	if s.mayHaveRun && b.settings.Classes[s.Class].RepeatEffect != control.Idempotent {
 		// Guard: a paid session is sent again only if no attempt can have run.
-		b.moot(s, a.Server)
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	if s.attempt > b.set.AttemptsCap || !b.spend(now, s) {
-		b.moot(s, a.Server)
+	if s.attemptNumber > b.settings.AttemptsCap || !b.takeFurtherAttempt(now, s) {
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	s.server, s.out = a.Server, true
-	b.begin(now, s, a)
+	s.server, s.inFlight = action.Server, true
+	b.sendOrDefer(now, s, action)
 }
 
-// begin has the attempt that is out begin if its client is there.
+// sendOrDefer has the attempt that is out begin if its client is there.
 //
 // Guard: nothing begins for a client that has gone. What it had begun goes on, and this
 // waits for its player, who may come back, or for its loss, which is on its way here. A
 // client that is not heard for a time may still want it: it is looked at again.
-func (b *Broker) begin(now time.Time, s *session, a control.Action) {
-	s.paused = nil
+func (b *Broker) sendOrDefer(now time.Time, s *session, action control.Action) {
+	s.deferred = nil
 	if s.client == nil || s.client.Gone(s.ID) {
-		s.paused = &a
-		b.timers.add(now.Add(lookTime), timerLook, s.ID, 0)
+		s.deferred = &action
+		b.timers.add(now.Add(recheckInterval), timerRecheck, s.ID, 0)
 		return
 	}
-	b.send(now, s, a)
+	b.sendAttempt(now, s, action)
 }
 
-// look looks again whether the client of an attempt that waits for it is there.
-func (b *Broker) look(id control.SessionID) {
-	if s := b.sessions[id]; s != nil && s.paused != nil && s.client != nil {
-		b.begin(b.clock.now(), s, *s.paused)
+// recheckClient looks again whether the client of an attempt that waits for it is there.
+func (b *Broker) recheckClient(id control.SessionID) {
+	if s := b.sessions[id]; s != nil && s.deferred != nil && s.client != nil {
+		b.sendOrDefer(b.clock.now(), s, *s.deferred)
 	}
 }
 
-// send has the attempt that is out begin.
-func (b *Broker) send(now time.Time, s *session, a control.Action) {
-	end := s.deadline.Add(-answerMargin)
-	if a.PatienceS > 0 {
-		if t := now.Add(seconds(a.PatienceS)); t.Before(end) {
-			end = t
+// sendAttempt has the attempt that is out begin.
+func (b *Broker) sendAttempt(now time.Time, s *session, action control.Action) {
+	attemptDeadline := s.deadline.Add(-answerMargin)
+	if action.SetupTimeoutS > 0 {
+		if limit := now.Add(seconds(action.SetupTimeoutS)); limit.Before(attemptDeadline) {
+			attemptDeadline = limit
 		}
 	}
-	ok := b.nodes.SetUp(a.Server, Attempt{
-		ID: s.ID, Number: s.attempt, Class: s.Class, Key: s.Key, Rung: s.rung,
-		Deadline: end, Description: s.Description, Client: s.client,
+	ok := b.nodes.SetUp(action.Server, Attempt{
+		ID: s.ID, Number: s.attemptNumber, Class: s.Class, Key: s.Key, Rung: s.rung,
+		Deadline: attemptDeadline, Description: s.Description, Client: s.client,
 	})
 	if !ok {
-		b.moot(s, a.Server)
+		b.reportUnsent(s, action.Server)
 		return
 	}
-	b.timers.add(end, timerAttempt, s.ID, uint32(s.attempt))
+	b.timers.add(attemptDeadline, timerAttempt, s.ID, uint32(s.attemptNumber))
 }
 
-// moot reports an attempt that never left, after the module's present actions.
-func (b *Broker) moot(s *session, server control.Server) {
-	s.out, s.server = true, server
-	b.Report(Report{Kind: Ended, Server: server, ID: s.ID, Number: s.attempt, Status: control.Moot})
+// reportUnsent reports an attempt that never left, after the module's present actions.
+func (b *Broker) reportUnsent(s *session, server control.ServerID) {
+	s.inFlight, s.server = true, server
+	b.Report(Report{Kind: ReportEnded, Server: server, ID: s.ID, AttemptNumber: s.attemptNumber, Status: control.NotSent})
 }
 
 // refuse tells a viewer to come again later. The rule on paid sessions covers
 // every refusal: where an attempt may have run the answer is that it failed.
-func (b *Broker) refuse(s *session, wait time.Duration) {
-	if b.set.Classes[s.Class].Effect != control.Idempotent && (s.mayRun || s.out && s.paused == nil) {
-		b.answer(s, Reply{Kind: Failed, ID: s.ID, Cause: CauseFailed})
+func (b *Broker) refuse(s *session, retryAfter time.Duration) {
+	if b.settings.Classes[s.Class].RepeatEffect != control.Idempotent && (s.mayHaveRun || s.inFlight && s.deferred == nil) {
+		b.answer(s, Reply{Kind: ReplyFailed, ID: s.ID, Cause: CauseFailed})
 		return
 	}
-	b.answer(s, Reply{Kind: Refused, ID: s.ID, Cause: CauseRefused, Wait: wait})
+	b.answer(s, Reply{Kind: ReplyRefused, ID: s.ID, Cause: CauseRefused, RetryAfter: retryAfter})
 }
 
 // answer gives the one final answer. False: it can't reach the viewer.
@@ -314,20 +314,20 @@
 		return true
 	}
 	reached := true
-	s.answered, s.reply = true, r
-	b.counts.Answered(s.Class, r.Kind)
+	s.answered, s.finalReply = true, r
+	b.counters.CountAnswer(s.Class, r.Kind)
 	if ce := b.log.Check(zap.DebugLevel, "answered"); ce != nil {
 		// One line a request, so that a request can be followed by its id
 		// through every manager that had it.
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("class", s.Class), zap.Uint8("kind", uint8(r.Kind)),
-			zap.Int("cause", r.Cause), zap.Int("attempts", s.attempt), zap.Uint64("node", uint64(s.server)),
-			zap.Bool("mayRun", s.mayRun), zap.Duration("wait", r.Wait), zap.Duration("left", s.deadline.Sub(b.clock.now())))
+			zap.Int("cause", r.Cause), zap.Int("attempts", s.attemptNumber), zap.Uint64("node", uint64(s.server)),
+			zap.Bool("mayRun", s.mayHaveRun), zap.Duration("wait", r.RetryAfter), zap.Duration("left", s.deadline.Sub(b.clock.now())))
 	}
-	delete(b.open, s.ID)
+	delete(b.openSetUps, s.ID)
 	if s.client != nil { // else it waits in s.reply for its player
 		reached = s.client.Deliver(r) || s.Grace > 0
 	}
-	if r.Kind != Served {
+	if r.Kind != ReplyServed {
 		b.forget(s)
 	}
 	return reached
@@ -336,66 +336,66 @@
 // forget drops a session that has its answer and nothing out. What a player
 // may still ask for is kept a while.
 func (b *Broker) forget(s *session) {
-	if s.out || s.playing || !s.answered {
+	if s.inFlight || s.playing || !s.answered {
 		return
 	}
 	if b.sessions[s.ID] != s {
 		return
 	}
 	delete(b.sessions, s.ID)
-	b.settle(s)
-	if s.Grace > 0 && len(b.ended) < tombstones {
-		b.ended[s.ID] = s.reply
-		b.timers.add(b.clock.now().Add(tombstoneTime), timerForget, s.ID, 0)
+	b.releaseTeamSession(s)
+	if s.Grace > 0 && len(b.endedReplies) < maxEndedReplies {
+		b.endedReplies[s.ID] = s.finalReply
+		b.timers.add(b.clock.now().Add(endedReplyRetention), timerForgetReply, s.ID, 0)
 	}
 }
 
-// report takes what a media node tells of an attempt or a session.
-func (b *Broker) report(r Report) {
-	for _, p := range b.parts {
-		p.Reported(b.clock.now(), &r)
+// handleReport takes what a media node tells of an attempt or a session.
+func (b *Broker) handleReport(r Report) {
+	for _, p := range b.planners {
+		p.NodeReported(b.clock.now(), &r)
 	}
-	if r.Kind == Probed {
-		b.tell(control.Event{Kind: control.EvProbed, Server: r.Server, Status: r.Status, Down: r.Down, Load: r.Load})
+	if r.Kind == ReportProbed {
+		b.dispatch(control.Event{Kind: control.EventProbeResult, Server: r.Server, Status: r.Status, ProcessDown: r.Down, Load: r.Load})
 		return
 	}
 	s := b.sessions[r.ID]
-	if s == nil || s.server != r.Server || r.Number != 0 && r.Number != s.attempt {
-		if r.Kind == Started {
+	if s == nil || s.server != r.Server || r.AttemptNumber != 0 && r.AttemptNumber != s.attemptNumber {
+		if r.Kind == ReportStarted {
 			// Guard: a late 200 after giving up is torn down.
 			b.nodes.Release(r.Server, r.ID, CauseEnded)
 		}
 		return
 	}
 	switch r.Kind {
-	case Started:
-		b.started(s, r)
-	case Ended:
+	case ReportStarted:
+		b.attemptStarted(s, r)
+	case ReportEnded:
 		b.attemptEnded(s, r)
-	case Noted:
-		b.tell(control.Event{Kind: control.EvNote, Session: s.ID, Server: r.Server,
-			Attempt: s.attempt - 1, Note: r.Note, Value: r.Value})
+	case ReportNote:
+		b.dispatch(control.Event{Kind: control.EventNote, Session: s.ID, Server: r.Server,
+			Attempt: s.attemptNumber - 1, Note: r.Note, Value: r.Value})
 	}
 }
 
-func (b *Broker) started(s *session, r Report) {
-	if !s.out || s.playing {
+func (b *Broker) attemptStarted(s *session, r Report) {
+	if !s.inFlight || s.playing {
 		return
 	}
-	s.out = false
+	s.inFlight = false
 	if s.answered {
 		b.nodes.Release(r.Server, s.ID, CauseEnded)
-		b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1,
-			Server: s.server, Status: control.Cancelled, Finished: true})
+		b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1,
+			Server: s.server, Status: control.Cancelled, RequestFinished: true})
 		b.forget(s)
 		return
 	}
-	s.playing, s.stood = true, b.clock.now()
-	b.tell(control.Event{Kind: control.EvFirst, Session: s.ID, Server: s.server, Attempt: s.attempt - 1})
-	if !b.answer(s, Reply{Kind: Served, ID: s.ID, Description: r.Description}) {
+	s.playing, s.establishedAt = true, b.clock.now()
+	b.dispatch(control.Event{Kind: control.EventStarted, Session: s.ID, Server: s.server, Attempt: s.attemptNumber - 1})
+	if !b.answer(s, Reply{Kind: ReplyServed, ID: s.ID, Description: r.Description}) {
 		// Its connection is gone and nobody will come back for it.
 		b.nodes.Release(s.server, s.ID, CauseEnded)
-		b.over(s, Report{Status: control.Cancelled})
+		b.endSession(s, Report{Status: control.Cancelled})
 	}
 }
 
@@ -403,65 +403,65 @@
 	if s.playing {
 		cause := r.Cause
 		if cause == 0 {
-			cause = CauseCut
+			cause = CauseInterrupted
 		}
 		if cause == CauseCancelled { // the viewer knows of its own end
-			b.known(s, cause)
+			b.recordViewerEnd(s, cause)
 		} else {
-			b.toldOver(s, Reply{Kind: Over, ID: s.ID, Cause: cause})
+			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause})
 		}
-		b.over(s, r)
+		b.endSession(s, r)
 		return
 	}
-	if !s.out {
+	if !s.inFlight {
 		return
 	}
-	s.out = false
+	s.inFlight = false
 	if ce := b.log.Check(zap.DebugLevel, "attempt ended"); ce != nil {
-		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("attempt", s.attempt), zap.Uint64("node", uint64(s.server)),
+		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Int("attempt", s.attemptNumber), zap.Uint64("node", uint64(s.server)),
 			zap.Int("status", int(r.Status)), zap.Bool("answered", s.answered))
 	}
 	switch r.Status {
-	case control.Full, control.ConnectFailed, control.Moot: // proven not to have run
+	case control.Full, control.ConnectFailed, control.NotSent: // proven not to have run
 	default:
-		s.mayRun = true
+		s.mayHaveRun = true
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
-		Status: r.Status, Confined: r.Confined, Down: r.Down, Finished: s.answered, Load: r.Load})
+	b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
+		Status: r.Status, ConnectionOnly: r.ConnectionOnly, ProcessDown: r.Down, RequestFinished: s.answered, Load: r.Load})
 	b.forget(s)
 }
 
-func (b *Broker) toldOver(s *session, r Reply) {
+func (b *Broker) notifyEnded(s *session, r Reply) {
 	if ce := b.log.Check(zap.DebugLevel, "session over"); ce != nil {
 		ce.Write(zap.Uint64("session", uint64(s.ID)), zap.Uint64("node", uint64(s.server)), zap.Int("cause", r.Cause),
-			zap.Duration("stood", b.clock.now().Sub(s.stood)))
+			zap.Duration("stood", b.clock.now().Sub(s.establishedAt)))
 	}
-	s.reply = r
+	s.finalReply = r
 	if s.client != nil {
 		s.client.Deliver(r)
 	}
 }
 
-// known notes the end of a session that its viewer knows of.
-func (b *Broker) known(s *session, cause int) {
+// recordViewerEnd notes the end of a session that its viewer knows of.
+func (b *Broker) recordViewerEnd(s *session, cause int) {
 	if s.client != nil {
-		s.client.Deliver(Reply{Kind: Closed, ID: s.ID})
+		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
 	}
-	s.reply = Reply{Kind: Over, ID: s.ID, Cause: cause}
+	s.finalReply = Reply{Kind: ReplyEnded, ID: s.ID, Cause: cause}
 }
 
-// over ends a session that stood, as its node's report says.
-func (b *Broker) over(s *session, r Report) {
+// endSession ends a session that stood, as its node's report says.
+func (b *Broker) endSession(s *session, r Report) {
 	s.playing = false
-	if b.handed != nil {
-		b.handed[s.ID] = s.reply.Cause
+	if b.endedSinceHandover != nil {
+		b.endedSinceHandover[s.ID] = s.finalReply.Cause
 	}
-	if now := b.clock.now(); !s.stood.IsZero() {
-		for _, p := range b.parts {
-			p.Over(now, s.Class, now.Sub(s.stood), r.Status != control.OK && r.Status != control.Cancelled)
+	if now := b.clock.now(); !s.establishedAt.IsZero() {
+		for _, p := range b.planners {
+			p.SessionEnded(now, s.Class, now.Sub(s.establishedAt), r.Status != control.OK && r.Status != control.Cancelled)
 		}
 	}
-	b.tell(control.Event{Kind: control.EvEnd, Session: s.ID, Attempt: s.attempt - 1, Server: s.server,
-		Status: r.Status, Down: r.Down, Finished: true, Load: r.Load})
+	b.dispatch(control.Event{Kind: control.EventAttemptEnded, Session: s.ID, Attempt: s.attemptNumber - 1, Server: s.server,
+		Status: r.Status, ProcessDown: r.Down, RequestFinished: true, Load: r.Load})
 	b.forget(s)
 }
--- a/internal/broker/sites_test.go
+++ b/internal/broker/sites_test.go
@@ -15,27 +15,27 @@
 
 // What nodes report is a sign of their site, or none: what this manager does itself
 // says nothing.
-func TestSigns(t *testing.T) {
+func TestSignFromReport(t *testing.T) {
 	for _, e := range []struct {
 		report Report
 		sign   site.Sign
 		none   bool
 	}{
-		{report: Report{Kind: Started}, sign: site.Heard},
-		{report: Report{Kind: Noted}, sign: site.Heard},
-		{report: Report{Kind: Probed, Status: control.OK}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Full}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Errored}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.ConnectFailed}, sign: site.NoWay},
-		{report: Report{Kind: Probed, Status: control.ConnectFailed}, sign: site.NoWay},
-		{report: Report{Kind: Ended, Status: control.TimedOut}, sign: site.Silence},
-		{report: Report{Kind: Ended, Status: control.Reset}, sign: site.Broke},
-		{report: Report{Kind: Ended, Status: control.Reset, Confined: true}, sign: site.Heard},
-		{report: Report{Kind: Ended, Status: control.Cancelled}, none: true},
-		{report: Report{Kind: Ended, Status: control.Moot}, none: true},
-		{report: Report{Kind: Probed, Status: control.Moot}, none: true},
+		{report: Report{Kind: ReportStarted}, sign: site.Heard},
+		{report: Report{Kind: ReportNote}, sign: site.Heard},
+		{report: Report{Kind: ReportProbed, Status: control.OK}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Full}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Errored}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectFailed}, sign: site.NoWay},
+		{report: Report{Kind: ReportProbed, Status: control.ConnectFailed}, sign: site.NoWay},
+		{report: Report{Kind: ReportEnded, Status: control.TimedOut}, sign: site.Silence},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectionReset}, sign: site.Broke},
+		{report: Report{Kind: ReportEnded, Status: control.ConnectionReset, ConnectionOnly: true}, sign: site.Heard},
+		{report: Report{Kind: ReportEnded, Status: control.Cancelled}, none: true},
+		{report: Report{Kind: ReportEnded, Status: control.NotSent}, none: true},
+		{report: Report{Kind: ReportProbed, Status: control.NotSent}, none: true},
 	} {
-		if sign, ok := signOf(&e.report); ok == e.none || ok && sign != e.sign {
+		if sign, ok := signFromReport(&e.report); ok == e.none || ok && sign != e.sign {
 			t.Errorf("%+v: %v, %v", e.report, sign, ok)
 		}
 	}
@@ -45,31 +45,31 @@
 // node that drains is no evidence, nor is what failed before the program stood still.
 func TestSiteEpisodes(t *testing.T) {
 	core, logs := observer.New(zapcore.InfoLevel)
-	s := newSites(Sites{Names: []string{"a", "b"}, Of: []int{0, 1}, Rules: make([]site.Rule, 2)}, control.Settings{}, zap.New(core))
-	ctl, err := control.New(settings(), 1)
+	s := newSitePlanner(SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Rules: make([]site.Rule, 2)}, control.Settings{}, zap.New(core))
+	controller, err := control.New(testSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Unix(1000, 0)
-	var list []control.Entry
+	var entries []control.Entry
 	for n := range 8 {
-		list = append(list, control.Entry{Server: control.Server(n), State: control.Ready, Zone: n / 4})
+		entries = append(entries, control.Entry{Server: control.ServerID(n), State: control.Ready, Zone: n / 4})
 	}
-	list = append(list, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // of no zone that is known
-	s.Listed(now, list)
-	round := func(status control.Status) {
+	entries = append(entries, control.Entry{Server: 9, State: control.Ready, Zone: 7}) // of no zone that is known
+	s.ListUpdated(now, entries)
+	reportRound := func(status control.Status) {
 		for n := range 8 {
 			now = now.Add(50 * time.Millisecond)
-			r := Report{Kind: Ended, Server: control.Server(n), Status: control.Full}
+			r := Report{Kind: ReportEnded, Server: control.ServerID(n), Status: control.Full}
 			if n >= 4 {
 				r.Status = status
 			}
-			s.Reported(now, &r)
-			s.Tick(now, view{&Broker{ctl: ctl, nodes: &fake{}}})
+			s.NodeReported(now, &r)
+			s.Tick(now, brokerView{&Broker{controller: controller, nodes: &recorder{}}})
 		}
 	}
-	lasts := false // an episode
-	told := func(want ...string) {
+	ongoing := false // an episode
+	expectLogged := func(want ...string) {
 		t.Helper()
 		var got []string
 		for _, l := range logs.TakeAll() {
@@ -81,39 +81,39 @@
 			if f["evidence"] == "" {
 				t.Error("no evidence")
 			}
-			if _, since := f["since"]; since != lasts {
+			if _, since := f["since"]; since != ongoing {
 				t.Errorf("%v: since %v", got, f["since"])
 			}
-			lasts = f["state"] != "present"
+			ongoing = f["state"] != "present"
 		}
 		if !slices.Equal(got, want) {
 			t.Errorf("told %v, want %v", got, want)
 		}
 	}
-	round(control.Full)
-	round(control.ConnectFailed)
-	s.Stalled(now, 6*time.Second)
-	round(control.ConnectFailed)
-	told("b thin")
-	for i := range list {
-		if list[i].Zone == 1 {
-			list[i].State = control.Draining
+	reportRound(control.Full)
+	reportRound(control.ConnectFailed)
+	s.ProcessPaused(now, 6*time.Second)
+	reportRound(control.ConnectFailed)
+	expectLogged("b thin")
+	for i := range entries {
+		if entries[i].Zone == 1 {
+			entries[i].State = control.Draining
 		}
 	}
-	s.Listed(now, list)
+	s.ListUpdated(now, entries)
 	for range 4 {
-		round(control.ConnectFailed)
+		reportRound(control.ConnectFailed)
 	}
-	told("b present") // nothing of it is expected to be there
-	for i := range list {
-		list[i].State = control.Ready
+	expectLogged("b present") // nothing of it is expected to be there
+	for i := range entries {
+		entries[i].State = control.Ready
 	}
-	s.Listed(now, list)
+	s.ListUpdated(now, entries)
 	for range 3 {
-		round(control.ConnectFailed)
+		reportRound(control.ConnectFailed)
 	}
 	for range 3 {
-		round(control.Full)
+		reportRound(control.Full)
 	}
-	told("b lost", "b back", "b present")
+	expectLogged("b lost", "b back", "b present")
 }
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -6,44 +6,44 @@
 	"millethinge/control"
 )
 
-// capWait is how long a viewer should stay away whom a cap refuses for now.
-const capWait = time.Second
+// capRetryAfter is how long a viewer should stay away whom a cap refuses for now.
+const capRetryAfter = time.Second
 
 // Team is one team's contract and budget.
 type Team struct {
-	Name     string
-	Classes  []bool        // by class: whether the team may use it
-	Rate     float64       // sessions a second over all managers; 0: no quota
-	Standing int           // most sessions set up or playing here; 0: no cap
-	SetUps   int           // billed set-ups in a period; 0: no cap
-	Extra    int           // further attempts in a period; 0: no cap
-	Period   time.Duration // of the budget
+	Name               string
+	Classes            []bool        // by class: whether the team may use it
+	SessionsPerS       float64       // sessions a second over all managers; 0: no quota
+	MaxSessions        int           // most sessions set up or playing here; 0: no cap
+	MaxBilledSetUps    int           // billed set-ups in a period; 0: no cap
+	MaxFurtherAttempts int           // further attempts in a period; 0: no cap
+	BudgetPeriod       time.Duration // of the budget
 }
 
-// ledger is what a team has used.
-type ledger struct {
+// teamLedger is what a team has used.
+type teamLedger struct {
 	Team
-	standing int
-	since    time.Time // when the period began
-	setUps   int
-	extra    int
+	sessions        int
+	periodStart     time.Time // when the period began
+	billedSetUps    int
+	furtherAttempts int
 }
 
-func newLedgers(teams []Team, first int) []ledger {
-	ledgers := make([]ledger, first, first+len(teams)) // the platform's own tenants have no caps
+func newLedgers(teams []Team, firstTeam int) []teamLedger {
+	ledgers := make([]teamLedger, firstTeam, firstTeam+len(teams)) // the platform's own tenants have no caps
 	for _, t := range teams {
-		ledgers = append(ledgers, ledger{Team: t})
+		ledgers = append(ledgers, teamLedger{Team: t})
 	}
 	return ledgers
 }
 
-func (b *Broker) ledger(now time.Time, s *session) *ledger {
+func (b *Broker) ledger(now time.Time, s *session) *teamLedger {
 	if s.Team < 0 || s.Team >= len(b.ledgers) {
 		return nil
 	}
 	l := &b.ledgers[s.Team]
-	if l.Period > 0 && now.Sub(l.since) >= l.Period {
-		l.since, l.setUps, l.extra = now, 0, 0
+	if l.BudgetPeriod > 0 && now.Sub(l.periodStart) >= l.BudgetPeriod {
+		l.periodStart, l.billedSetUps, l.furtherAttempts = now, 0, 0
 	}
 	return l
 }
@@ -55,39 +55,39 @@
 	if l == nil {
 		return 0, true
 	}
-	billed := b.set.Classes[s.Class].Effect != control.Idempotent
+	billed := b.settings.Classes[s.Class].RepeatEffect != control.Idempotent
 	switch {
 	case len(l.Classes) > 0 && !l.Classes[s.Class]:
-		return capWait, false
-	case l.Standing > 0 && l.standing >= l.Standing:
-		return capWait, false
-	case billed && l.SetUps > 0 && l.setUps >= l.SetUps:
-		return l.since.Add(l.Period).Sub(now), false
+		return capRetryAfter, false
+	case l.MaxSessions > 0 && l.sessions >= l.MaxSessions:
+		return capRetryAfter, false
+	case billed && l.MaxBilledSetUps > 0 && l.billedSetUps >= l.MaxBilledSetUps:
+		return l.periodStart.Add(l.BudgetPeriod).Sub(now), false
 	}
-	l.standing++
-	s.billed = true
+	l.sessions++
+	s.countedInTeam = true
 	if billed {
-		l.setUps++
+		l.billedSetUps++
 	}
 	return 0, true
 }
 
-// spend takes a further attempt from the team's budget.
-func (b *Broker) spend(now time.Time, s *session) bool {
+// takeFurtherAttempt takes a further attempt from the team's budget.
+func (b *Broker) takeFurtherAttempt(now time.Time, s *session) bool {
 	l := b.ledger(now, s)
-	if l == nil || s.attempt <= 1 || l.Extra == 0 {
+	if l == nil || s.attemptNumber <= 1 || l.MaxFurtherAttempts == 0 {
 		return true
 	}
-	if l.extra >= l.Extra {
+	if l.furtherAttempts >= l.MaxFurtherAttempts {
 		return false
 	}
-	l.extra++
+	l.furtherAttempts++
 	return true
 }
 
-// settle gives a session's place back.
-func (b *Broker) settle(s *session) {
-	if s.billed {
-		b.ledgers[s.Team].standing--
+// releaseTeamSession gives a session's place back.
+func (b *Broker) releaseTeamSession(s *session) {
+	if s.countedInTeam {
+		b.ledgers[s.Team].sessions--
 	}
 }
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -65,7 +65,7 @@
 
 func teamBlock(l *loader) conf.Key {
 	return conf.Key{Name: "team", Usage: "NAME { … }", Doc: "a team's contract and budget", Many: true, Read: func(d *conf.Directive) {
-		t := broker.Team{Name: d.Word("a team's name"), Period: defaultPeriod}
+		t := broker.Team{Name: d.Word("a team's name"), BudgetPeriod: defaultPeriod}
 		names := make([]string, len(l.Teams))
 		for i := range l.Teams {
 			names[i] = l.Teams[i].Name
@@ -79,14 +79,14 @@
 				t.Classes = l.classes(d)
 			}},
 			conf.Key{Name: "rate", Usage: "N", Doc: "sessions a second over all managers; unbounded if absent", Read: func(d *conf.Directive) {
-				t.Rate = d.Float("sessions a second", 0, 1e9)
+				t.SessionsPerS = d.Float("sessions a second", 0, 1e9)
 			}},
-			count("standing", "most sessions set up or playing here; unbounded if absent", &t.Standing),
+			count("standing", "most sessions set up or playing here; unbounded if absent", &t.MaxSessions),
 			conf.Key{Name: "period", Usage: "DURATION", Doc: "of the budget; 1h if absent", Read: func(d *conf.Directive) {
-				t.Period = d.Duration("a period", time.Second, mostPeriod)
+				t.BudgetPeriod = d.Duration("a period", time.Second, mostPeriod)
 			}},
-			count("billed-setups", "most in a period; unbounded if absent", &t.SetUps),
-			count("further-attempts", "most in a period; unbounded if absent", &t.Extra),
+			count("billed-setups", "most in a period; unbounded if absent", &t.MaxBilledSetUps),
+			count("further-attempts", "most in a period; unbounded if absent", &t.MaxFurtherAttempts),
 		)
 		l.Teams = append(l.Teams, t)
 	}}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -88,7 +88,7 @@
 	Classes     []string      // names by class
 	Tenants     []string      // of the platform, by number
 	MostLeft    time.Duration // the longest that a viewer may say it waits
-	Drain       broker.Drain
+	Drain       broker.DrainTimes
 
 	DrainGrace     time.Duration // after which nothing goes to a node that drains
 	ConnIdle       time.Duration
@@ -207,7 +207,7 @@
 	on := Deployment{Name: c.Name, Teams: c.Tenants, Zones: c.Names.Zones}
 	on.Room, on.Planned = planned(&c.Settings)
 	for i, k := range c.Settings.Classes {
-		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], BilledSetup: k.Effect != control.Idempotent, FloorRung: k.Floor})
+		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], BilledSetup: k.RepeatEffect != control.Idempotent, FloorRung: k.FloorRung})
 	}
 	return on
 }
@@ -299,9 +299,9 @@
 		c.Classes = append(c.Classes, l.Name)
 		giveUp := orDefault(l.GiveUp, defaultGiveUp)
 		c.MostLeft = max(c.MostLeft, leftTimes*giveUp)
-		c.Drain.Stay = max(c.Drain.Stay, min(giveUp, drainMostGiveUp)+drainStay)
+		c.Drain.KeepFor = max(c.Drain.KeepFor, min(giveUp, drainMostGiveUp)+drainStay)
 	}
-	c.Drain.Take = min(drainTake, c.Drain.Stay)
+	c.Drain.AcceptFor = min(drainTake, c.Drain.KeepFor)
 	for _, t := range p.Projects {
 		c.Tenants = append(c.Tenants, t.Name)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	// The drain ends before SIGKILL can come, 0.7 s after the longest deadline.
-	if want := (broker.Drain{Take: 700 * time.Millisecond, Stay: 3600 * time.Millisecond}); c.Drain != want || c.MostLeft != 12*time.Second {
+	if want := (broker.DrainTimes{AcceptFor: 700 * time.Millisecond, KeepFor: 3600 * time.Millisecond}); c.Drain != want || c.MostLeft != 12*time.Second {
 		t.Errorf("drain %v, most left %v", c.Drain, c.MostLeft)
 	}
 	if v, n := c.ViewerConns(), c.NodeConns(); v < c.Sockets/3 || n < 400 || v+n > c.Sockets-descriptorsForSelf {
@@ -99,7 +99,7 @@
 // A time that stands for "never" is only very long.
 func TestLongTimes(t *testing.T) {
 	c, err := Parse([]byte(strings.NewReplacer(`"connIdleS": 15`, `"connIdleS": 1e12`, `"giveUpS": 3`, `"giveUpS": 1e12`, `"policyLimits"`, `"obligations": {"drainGraceS": 0.8}, "policyLimits"`).Replace(example(t))))
-	if err != nil || c.ConnIdle*9 <= c.ConnIdle || c.MostLeft <= c.ConnIdle || c.DrainGrace != 800*time.Millisecond || c.Drain.Stay != 3600*time.Millisecond {
+	if err != nil || c.ConnIdle*9 <= c.ConnIdle || c.MostLeft <= c.ConnIdle || c.DrainGrace != 800*time.Millisecond || c.Drain.KeepFor != 3600*time.Millisecond {
 		t.Errorf("idle %v, left %v, drain %v, grace %v, %v", c.ConnIdle, c.MostLeft, c.Drain, c.DrainGrace, err)
 	}
 }
@@ -119,7 +119,7 @@
 	text := operatorExample(t)
 	o, err := ParseOperator("op", []byte(text), nil, deployment)
 	if err != nil || o.WebSocket.Grace != 3*time.Second || len(o.Teams) != 2 || o.Teams[0].Classes[0] || !o.Teams[0].Classes[1] ||
-		o.Teams[1].SetUps != 4000 || o.Teams[1].Period != time.Hour || o.DNSSD.Service == "" || o.Viewers.MostOpen != 512 || !o.Viewers.Reasons || len(o.Routes.RuleNames()) != 2 {
+		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MostOpen != 512 || !o.Viewers.Reasons || len(o.Routes.RuleNames()) != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, e := range [][3]string{
@@ -219,7 +219,7 @@
 		t.Fatal(err)
 	}
 	o, err := ParseOperator("op", text, nil, deployment)
-	want := broker.Team{Name: `a "b" #1`, Classes: []bool{false, true}, Rate: 0.5, Standing: 2, SetUps: 3, Extra: 4, Period: 90 * time.Second}
+	want := broker.Team{Name: `a "b" #1`, Classes: []bool{false, true}, SessionsPerS: 0.5, MaxSessions: 2, MaxBilledSetUps: 3, MaxFurtherAttempts: 4, BudgetPeriod: 90 * time.Second}
 	if err != nil || len(o.Teams) != 2 || !reflect.DeepEqual(o.Teams[0], want) || o.Teams[1].Name != "{" ||
 		*o.WebSocket != (WebSocket{"127.0.0.1:5080", "/s", 1500 * time.Millisecond}) || *o.DNSSD != (DNSSD{"127.0.0.1:53", "_x._tcp"}) {
 		t.Errorf("%+v, %v\n%s", o, err, text)
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -31,14 +31,14 @@
 	}
 	middle := s.RatesKB[len(s.RatesKB)/2]
 	for _, k := range s.Classes {
-		c := peaks.Class{Floor: k.Floor, Top: min(k.Top, len(s.RatesKB)-1)}
+		c := peaks.Class{Floor: k.FloorRung, Top: min(k.TopRung, len(s.RatesKB)-1)}
 		for r, rate := range s.RatesKB {
-			c.Sizes = append(c.Sizes, rate*k.Scale/middle)
+			c.Sizes = append(c.Sizes, rate*k.RateScale/middle)
 			c.Worth = append(c.Worth, k.Worth*s.LadderWorth[r])
 		}
 		classes = append(classes, c)
 	}
-	return control.TargetUse * s.FleetKB / middle, classes
+	return control.TargetUtilization * s.FleetLinkKB / middle, classes
 }
 
 // ordinaryBlock tells what comes and how long it lasts, until that is measured.
@@ -209,16 +209,16 @@
 }
 
 // Announced is what the broker is told of peaks.
-func (c *Config) Announced() broker.Peaks {
+func (c *Config) Announced() broker.PeakConfig {
 	on := c.Deployment()
-	p := broker.Peaks{Calendar: peaks.Calendar{Peaks: c.Operator.Peaks}, Classes: on.Planned}
+	p := broker.PeakConfig{Calendar: peaks.Calendar{Peaks: c.Operator.Peaks}, Classes: on.Planned}
 	for i := range p.Classes {
 		lasts := 0.0
 		if i < len(c.Operator.Ordinary) {
 			p.Classes[i].Rate = c.Operator.Ordinary[i].Rate
 			lasts = c.Operator.Ordinary[i].Lasts.Seconds()
 		}
-		p.Lasts = append(p.Lasts, lasts)
+		p.MeanLengthsS = append(p.MeanLengthsS, lasts)
 	}
 	return p
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -156,47 +156,47 @@
 		}
 	}
 	s := control.Settings{
-		Fronts: p.Balancers, Zone: p.Zone,
-		RatesKB: f.RatesKB, LadderWorth: f.LadderWorth, KindStreams: f.KindStreams,
-		Cells: f.Places, Racks: f.Groups, FleetKB: f.FleetKB, LinkKB: f.KBPerWeight,
-		RackKB: f.RackLinkKB, Guard: f.Guard, SeeS: f.SeeS, SwitchS: f.SwitchS,
-		Fields: p.Feedback.Fields, Subscribe: p.Discovery == "subscribe", Probes: p.Limits.Probes,
+		Managers: p.Balancers, Zone: p.Zone,
+		RatesKB: f.RatesKB, LadderWorth: f.LadderWorth, MaxStreamsByKind: f.KindStreams,
+		Cells: f.Places, Racks: f.Groups, FleetLinkKB: f.FleetKB, LinkKBPerWeight: f.KBPerWeight,
+		RackUplinkKB: f.RackLinkKB, FullAtUtilization: f.Guard, NoteDelayS: f.SeeS, RungChangeCostS: f.SwitchS,
+		LoadFields: p.Feedback.Fields, SubscribeToList: p.Discovery == "subscribe", ProbesAllowed: p.Limits.Probes,
 		AttemptsCap: p.Limits.AttemptsCap, CrossZoneCost: p.Charges.CrossZone,
 		ProbeCost: p.Charges.Probe, HandshakeCost: p.Charges.Handshake,
-		FallMultiple: r.FallMultiple, StartCapacity: r.StartCap, WarmAfterS: r.WarmAfterS,
+		ColdSetupMultiple: r.FallMultiple, StartCapacityShare: r.StartCap, WarmAfterS: r.WarmAfterS,
 		BudgetWindowS: r.RatioSpanS, BudgetFree: r.ExtraFloor, BudgetShare: r.RepeatRatio,
 	}
 	switch p.Weights {
 	case "nominal", "rough":
-		s.Weights = control.WeighSize
+		s.Weights = control.WeightSize
 	case "live":
-		s.Weights = control.WeighLive
+		s.Weights = control.WeightSizePerLoad
 	}
 	switch p.Feedback.Via {
 	case "answers":
-		s.Feed = control.FeedAnswers
+		s.LoadReporting = control.LoadReportsInAnswers
 	case "probe":
-		s.Feed = control.FeedProbe
+		s.LoadReporting = control.LoadReportsInProbes
 	}
 	for i, l := range p.Lanes {
 		c := control.Class{
-			GoalS: l.GoalTime, Worth: l.Worth,
-			Floor: f.ClassFloor[i], Top: f.TopByClass[i], Scale: f.Scale[i], Seats: f.LicenceCap[i],
+			StartGoalS: l.GoalTime, Worth: l.Worth,
+			FloorRung: f.ClassFloor[i], TopRung: f.TopByClass[i], RateScale: f.Scale[i], MaxPerTitle: f.LicenceCap[i],
 		}
 		switch l.Effect {
 		case "idempotent":
-			c.Effect = control.Idempotent
+			c.RepeatEffect = control.Idempotent
 		case "deduplicated":
-			c.Effect = control.Deduplicated
+			c.RepeatEffect = control.Deduplicated
 		case "at_most_once":
-			c.Effect = control.AtMostOnce
+			c.RepeatEffect = control.AtMostOnce
 		default:
 			return control.Settings{}, fmt.Errorf("settings: lanes[%d].effect %q", i, l.Effect)
 		}
 		s.Classes = append(s.Classes, c)
 	}
 	for _, t := range p.Projects {
-		s.Quotas = append(s.Quotas, t.Quota)
+		s.TenantQuotas = append(s.TenantQuotas, t.Quota)
 	}
 	return s, nil
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -22,8 +22,8 @@
 		t.Fatal(err)
 	}
 	k := s.Classes[0]
-	if k.Effect != control.Deduplicated || k.Floor != 1 || k.Seats != 3 ||
-		s.Fronts != 2 || !s.Subscribe || s.Weights != control.WeighLive || s.Feed != control.FeedProbe ||
+	if k.RepeatEffect != control.Deduplicated || k.FloorRung != 1 || k.MaxPerTitle != 3 ||
+		s.Managers != 2 || !s.SubscribeToList || s.Weights != control.WeightSizePerLoad || s.LoadReporting != control.LoadReportsInProbes ||
 		s.ProbeCost != 0.08 || s.HandshakeCost != 0.07 || s.BudgetFree != 4 || s.BudgetWindowS != 10 {
 		t.Errorf("settings %+v", s)
 	}
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -105,7 +105,7 @@
 	for _, r := range rules {
 		p.Names = append(p.Names, r.Name)
 		warm := r.warm(set)
-		p.Returns = append(p.Returns, site.Return{Warm: warm, Share: set.StartCapacity, Returns: 1})
+		p.Returns = append(p.Returns, site.Return{Warm: warm, Share: set.StartCapacityShare, Returns: 1})
 	}
 	var listed []control.Entry
 	c.eachNode(func(e control.Entry) { listed = append(listed, e) })
@@ -122,7 +122,7 @@
 	if len(nodes) == 0 {
 		return nil, fmt.Errorf("known: the list names no media node")
 	}
-	p.Fleet.Sites = site.Build(p.Names, nodes, set.RackKB*control.TargetUse)
+	p.Fleet.Sites = site.Build(p.Names, nodes, set.RackUplinkKB*control.TargetUtilization)
 	p.Fleet.Classes = c.siteClasses()
 	sessions := make([]float64, len(set.Classes))
 	for k := range set.Classes {
@@ -141,9 +141,9 @@
 func (c *Config) siteClasses() (all []site.Class) {
 	set := &c.Settings
 	for k, class := range set.Classes {
-		v := site.Class{Name: c.Classes[k], Floor: class.Floor, Top: min(class.Top, len(set.RatesKB)-1)}
+		v := site.Class{Name: c.Classes[k], Floor: class.FloorRung, Top: min(class.TopRung, len(set.RatesKB)-1)}
 		for r, kb := range set.RatesKB {
-			v.RatesKB = append(v.RatesKB, kb*class.Scale)
+			v.RatesKB = append(v.RatesKB, kb*class.RateScale)
 			v.Worth = append(v.Worth, class.Worth*set.LadderWorth[r])
 		}
 		all = append(all, v)
@@ -167,7 +167,7 @@
 
 // Watched is which sites a running manager looks after: none where the operator's file
 // names none.
-func (c *Config) Watched() (s broker.Sites) {
+func (c *Config) Watched() (s broker.SiteConfig) {
 	if len(c.Operator.Sites) == 0 {
 		return s
 	}
@@ -175,7 +175,7 @@
 	set := &c.Settings
 	for _, r := range rules {
 		s.Names = append(s.Names, r.Name)
-		rule := site.Rule{Warm: r.warm(set), Share: set.StartCapacity}
+		rule := site.Rule{Warm: r.warm(set), Share: set.StartCapacityShare}
 		for k := range set.Classes {
 			rule.Tier = append(rule.Tier, r.tier(k))
 		}
@@ -187,9 +187,9 @@
 			e.Rate = c.Operator.Ordinary[k].Rate
 			e.Lasts = cmp.Or(c.Operator.Ordinary[k].Lasts, defaultLast)
 		}
-		s.Expect = append(s.Expect, e)
+		s.Expected = append(s.Expected, e)
 	}
-	s.Of, s.Classes = of, c.siteClasses()
+	s.SiteByZone, s.Classes = of, c.siteClasses()
 	return s
 }
 
@@ -204,8 +204,8 @@
 // eachNode calls do for each media node of the list that the configuration holds and
 // that neither drains nor is gone.
 func (c *Config) eachNode(do func(control.Entry)) {
-	var order []control.Server
-	nodes := map[control.Server]control.Entry{}
+	var order []control.ServerID
+	nodes := map[control.ServerID]control.Entry{}
 	directory.Apply(c.Known, c.Names, func(ch directory.Change) {
 		if ch.Full {
 			clear(nodes)
--- a/internal/directory/coordinator.go
+++ b/internal/directory/coordinator.go
@@ -92,7 +92,7 @@
 	for _, m := range e.Members {
 		entry := control.Entry{
 			Server: ServerOf(m.ID), Cell: m.Cell, Weight: m.Size,
-			Zone: index(names.Zones, m.Locality), Kind: index(names.Kinds, m.Flavor),
+			Zone: index(names.Zones, m.Locality), MachineKind: index(names.Kinds, m.Flavor),
 		}
 		switch m.Phase {
 		case inService:
@@ -105,7 +105,7 @@
 		member := Member{Entry: entry, ID: m.ID, Addr: m.HostPort}
 		if m.UpSince > 0 {
 			member.Up = time.UnixMilli(m.UpSince)
-			member.SinceS = float64(m.UpSince) / 1000
+			member.StartedAtS = float64(m.UpSince) / 1000
 		}
 		c.Members = append(c.Members, member)
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -27,10 +27,10 @@
 type Sink func(Change)
 
 // ServerOf numbers a node for the decision module: the same at every manager.
-func ServerOf(id string) control.Server {
+func ServerOf(id string) control.ServerID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
-	return control.Server(max(h.Sum64(), 1)) // 0 stands for none
+	return control.ServerID(max(h.Sum64(), 1)) // 0 stands for none
 }
 
 // Names gives the settings' numbers for names that sources use.
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -23,7 +23,7 @@
 func show(c Change) string {
 	var out []string
 	for _, m := range c.Members {
-		out = append(out, fmt.Sprint(m.ID, " ", m.Addr, " ", m.State, " ", m.Zone, " ", m.Cell, " ", m.Weight, " ", m.SinceS))
+		out = append(out, fmt.Sprint(m.ID, " ", m.Addr, " ", m.State, " ", m.Zone, " ", m.Cell, " ", m.Weight, " ", m.StartedAtS))
 	}
 	slices.Sort(out)
 	return strings.Join(out, "; ")
--- a/internal/directory/dnssd.go
+++ b/internal/directory/dnssd.go
@@ -199,7 +199,7 @@
 	}
 	m := Member{ID: name, Entry: control.Entry{
 		Server: ServerOf(name), State: control.Ready, Weight: 1,
-		Zone: index(d.Names.Zones, keys["zone"]), Kind: index(d.Names.Kinds, keys["kind"]),
+		Zone: index(d.Names.Zones, keys["zone"]), MachineKind: index(d.Names.Kinds, keys["kind"]),
 	}}
 	if keys["state"] == "draining" {
 		m.State = control.Draining
@@ -218,7 +218,7 @@
 	number("cell", func(v float64) { m.Cell = int(v) })
 	number("size", func(v float64) { m.Weight = v })
 	number("up", func(v float64) {
-		m.Up, m.SinceS = time.UnixMilli(int64(v)), v/1000
+		m.Up, m.StartedAtS = time.UnixMilli(int64(v)), v/1000
 	})
 	return m, err
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -17,7 +17,7 @@
 type List struct {
 	sink  Sink
 	box   *mailbox.Box[news]
-	owner map[control.Server]owned
+	owner map[control.ServerID]owned
 }
 
 type news struct {
@@ -33,7 +33,7 @@
 
 // NewList returns a List that tells sink.
 func NewList(sink Sink) *List {
-	return &List{sink: sink, box: mailbox.New[news](listBox), owner: make(map[control.Server]owned)}
+	return &List{sink: sink, box: mailbox.New[news](listBox), owner: make(map[control.ServerID]owned)}
 }
 
 // Source returns where a source of that name posts its changes.
@@ -70,7 +70,7 @@
 	}
 	out := Change{Members: n.change.Members}
 	if n.change.Full {
-		named := make(map[control.Server]bool)
+		named := make(map[control.ServerID]bool)
 		for _, m := range n.change.Members {
 			named[m.Server] = true
 		}
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -98,8 +98,8 @@
 	if !order.Out {
 		// Guard: it was restarted meanwhile and comes back cold, though the list may not
 		// show it yet. What stood there from before has ended with it, or goes on.
-		m.SinceS = max(m.SinceS, float64(order.At.UnixNano())/1e9)
-		m.Back = true
+		m.StartedAtS = max(m.StartedAtS, float64(order.At.UnixNano())/1e9)
+		m.Reenabled = true
 	}
 	c.Members = append(c.Members, m)
 	return c
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -10,7 +10,7 @@
 	"millethinge/internal/directory"
 )
 
-func listed(id string, s control.State) directory.Change {
+func listed(id string, s control.ServerState) directory.Change {
 	m := directory.Member{ID: id}
 	m.State = s
 	return directory.Change{Members: []directory.Member{m}}
@@ -22,7 +22,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := NewOrders()
 		ids := []string{"a", "b"}
-		said, seen := map[string]control.State{}, map[string]control.State{}
+		said, seen := map[string]control.ServerState{}, map[string]control.ServerState{}
 		out, at := map[string]bool{}, map[string]int{}
 		took := func(c directory.Change) {
 			for _, m := range c.Members {
@@ -33,7 +33,7 @@
 			id := rapid.SampledFrom(ids).Draw(t, "node")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				said[id] = rapid.SampledFrom([]control.State{control.Ready, control.Draining, control.Gone}).Draw(t, "state")
+				said[id] = rapid.SampledFrom([]control.ServerState{control.Ready, control.Draining, control.Gone}).Draw(t, "state")
 				took(o.Listed(listed(id, said[id])))
 			case 1:
 				when, ban := rapid.IntRange(1, 20).Draw(t, "when"), rapid.Bool().Draw(t, "out")
@@ -78,10 +78,10 @@
 	o.Listed(listed("a", control.Ready))
 	o.Give("a", Order{true, time.Unix(100, 0)})
 	c, _ := o.Give("a", Order{false, time.Unix(160, 0)})
-	if len(c.Members) != 1 || c.Members[0].SinceS != 160 || !c.Members[0].Back || c.Members[0].State != control.Ready {
+	if len(c.Members) != 1 || c.Members[0].StartedAtS != 160 || !c.Members[0].Reenabled || c.Members[0].State != control.Ready {
 		t.Errorf("%+v", c.Members)
 	}
-	if m := o.Listed(listed("a", control.Ready)).Members[0]; m.Back {
+	if m := o.Listed(listed("a", control.Ready)).Members[0]; m.Reenabled {
 		t.Error("the list's next word says so again")
 	}
 }
@@ -90,7 +90,7 @@
 	t0 := time.Unix(1000, 0)
 	after := func(d time.Duration) time.Time { return t0.Add(d) }
 	var g Gate
-	if !g.Takes() || g.LetsGo(t0, time.Hour, false) || g.Refuses(t0) {
+	if !g.AcceptsClients() || g.ClosesIdle(t0, time.Hour, false) || g.RefusesSetups(t0) {
 		t.Error("an open gate sends away")
 	}
 	g.Shut(t0)
@@ -107,13 +107,13 @@
 		{Enough - 1, 0, true, false, false},
 		{Enough, 0, true, false, true},
 	} {
-		if goes, refuses := g.LetsGo(after(e.at), e.idle, e.holds), g.Refuses(after(e.at)); g.Takes() || goes != e.goes || refuses != e.refuses {
+		if goes, refuses := g.ClosesIdle(after(e.at), e.idle, e.holds), g.RefusesSetups(after(e.at)); g.AcceptsClients() || goes != e.goes || refuses != e.refuses {
 			t.Errorf("%+v: goes %v, refuses %v", e, goes, refuses)
 		}
 	}
 	g.Open()
 	g.Move(t0)
-	if !g.Takes() || !g.LetsGo(after(LetGo), Quiet, true) || g.Refuses(after(time.Hour)) {
+	if !g.AcceptsClients() || !g.ClosesIdle(after(LetGo), Quiet, true) || g.RefusesSetups(after(time.Hour)) {
 		t.Error("what moves to a younger process is not let go, or not served")
 	}
 }
--- a/internal/duty/gate.go
+++ b/internal/duty/gate.go
@@ -34,23 +34,23 @@
 // their new ones come to a younger process.
 func (g *Gate) Move(now time.Time) { g.moved.CompareAndSwap(0, now.UnixNano()) }
 
-// Takes tells whether clients are taken: what a test at the viewers' address says.
-func (g *Gate) Takes() bool { return g == nil || g.shut.Load() == 0 }
+// AcceptsClients tells whether clients are taken: what a test at the viewers' address says.
+func (g *Gate) AcceptsClients() bool { return g == nil || g.shut.Load() == 0 }
 
-// LetsGo tells whether a connection is closed on which nothing is open and nothing has
+// ClosesIdle tells whether a connection is closed on which nothing is open and nothing has
 // come for a time.
 //
 // Guard: while clients are only sent away, one that holds sessions stays: their ends go
 // on it, and no other will come. One that is led to a younger process comes again there.
-func (g *Gate) LetsGo(now time.Time, idle time.Duration, holds bool) bool {
+func (g *Gate) ClosesIdle(now time.Time, idle time.Duration, holds bool) bool {
 	if g == nil || idle < Quiet {
 		return false
 	}
 	return past(&g.moved, now, LetGo) || !holds && past(&g.shut, now, LetGo)
 }
 
-// Refuses tells whether a new request is refused unheard.
-func (g *Gate) Refuses(now time.Time) bool { return g != nil && past(&g.shut, now, Enough) }
+// RefusesSetups tells whether a new request is refused unheard.
+func (g *Gate) RefusesSetups(now time.Time) bool { return g != nil && past(&g.shut, now, Enough) }
 
 // past tells whether a time was so long ago.
 func past(at *atomic.Int64, now time.Time, d time.Duration) bool {
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -122,7 +122,7 @@
 	for _, h := range [][2]string{{"CSeq", "1"}, {"Session", id}, {"Call-Kind", class}, {"Answer-Within", "1000"}, {"X-Quality", rung}} {
 		m = rtsp.AppendHeader(m, h[0], h[1])
 	}
-	c.Write(rtsp.Finish(m, []byte(sdp)))
+	c.Write(rtsp.AppendBody(m, []byte(sdp)))
 }
 
 func (b *badManager) hear(c net.Conn) {
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -233,7 +233,7 @@
 	}
 	delete(n.pending, c.manager)
 	n.mu.Unlock()
-	in := stream.NewReader(c, rtsp.MaxMessage)
+	in := stream.NewReader(c, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
 		c.SetReadDeadline(time.Now().Add(n.model.ConnIdle))
@@ -262,7 +262,7 @@
 }
 
 func rung(m *rtsp.Message) int {
-	v, ok := header.Uint(m.Get("X-Quality"))
+	v, ok := header.ParseDecimal(m.Get("X-Quality"))
 	if !ok {
 		return -1
 	}
@@ -383,10 +383,10 @@
 func (n *Node) report(seq, id string) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	b := rtsp.AppendStatus(nil, 200, "OK")
+	b := rtsp.AppendResponse(nil, 200, "OK")
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
-	return rtsp.Finish(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.asked()/n.link())), nil)
+	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.asked()/n.link())), nil)
 }
 
 // Note tells each manager with sessions here what share is delivered, on one of its
@@ -408,7 +408,7 @@
 		b = rtsp.AppendHeader(b, "CSeq", "4")
 		b = rtsp.AppendHeader(b, "Session", id)
 		b = rtsp.AppendHeader(b, "Fail-Word", "delivered")
-		s.conn.say(rtsp.Finish(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.link()/asked)), nil))
+		s.conn.say(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.link()/asked)), nil))
 	}
 }
 
@@ -421,15 +421,15 @@
 }
 
 func answer(code int, seq, id, body string) []byte {
-	b := rtsp.AppendStatus(nil, code, strconv.Itoa(code))
+	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
-	return rtsp.Finish(b, []byte(body))
+	return rtsp.AppendBody(b, []byte(body))
 }
 
 func endOf(id string, cause int) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+id)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", id)
-	return rtsp.Finish(rtsp.AppendHeader(b, "Reason", "cause="+strconv.Itoa(cause)), nil)
+	return rtsp.AppendBody(rtsp.AppendHeader(b, "Reason", "cause="+strconv.Itoa(cause)), nil)
 }
--- a/internal/front/gone_test.go
+++ b/internal/front/gone_test.go
@@ -18,55 +18,55 @@
 	"millethinge/internal/front/websocket"
 )
 
-// patience bounds what a test waits for; nothing passes or fails by less.
-const patience = 20 * time.Second
+// testTimeout bounds what a test waits for; nothing passes or fails by less.
+const testTimeout = 20 * time.Second
 
-// core is a broker that takes set-ups and never gets round to anything.
-type core struct {
-	taken chan broker.Request
-	seen  chan bool // whether a client that is lost is seen to have gone
+// fakeBroker is a broker that takes set-ups and never gets round to anything.
+type fakeBroker struct {
+	requests     chan broker.Request
+	goneWhenLost chan bool // whether a client that is lost is seen to have gone
 }
 
-func (c core) Submit(r broker.Request) bool { c.taken <- r; return true }
-func (c core) End(broker.ViewerEnd) bool    { return true }
-func (c core) Lost(l broker.Client)         { c.seen <- l.Gone(1) }
+func (c fakeBroker) Submit(r broker.Request) bool { c.requests <- r; return true }
+func (c fakeBroker) End(broker.ViewerEnd) bool    { return true }
+func (c fakeBroker) Lost(l broker.Client)         { c.goneWhenLost <- l.Gone(1) }
 
 const (
-	setUp   = `{"type":"setup","id":"0000000000000001","fields":{"class":"feed","left":"900","key":"1","extras":"home:0;copies:1;top:0"},"sdp":""}`
-	release = `{"type":"release","id":"000000000000000%d","fields":{},"cause":16}`
-	opening = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
+	setupMessage     = `{"type":"setup","id":"0000000000000001","fields":{"class":"feed","left":"900","key":"1","extras":"home:0;copies:1;top:0"},"sdp":""}`
+	releaseMessage   = `{"type":"release","id":"000000000000000%d","fields":{},"cause":16}`
+	handshakeRequest = "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n"
 )
 
-// frame makes a client's frame. Its mask is of zeros, which changes nothing.
-func frame(op byte, text string) string {
+// clientFrame makes a client's frame. Its mask is of zeros, which changes nothing.
+func clientFrame(opcode byte, text string) string {
 	size := string([]byte{0x80 | byte(len(text))})
 	if len(text) > 125 { // the shortest form, else it is refused
 		size = string([]byte{0x80 | 126, byte(len(text) >> 8), byte(len(text))})
 	}
-	return string([]byte{0x80 | op}) + size + "\x00\x00\x00\x00" + text
+	return string([]byte{0x80 | opcode}) + size + "\x00\x00\x00\x00" + text
 }
 
 // That a client has gone can be seen at once, by any goroutine, however long the broker's
 // mailbox is, and by the time that the broker is told of its loss at the latest.
-func TestGoneIsSeenAtOnce(t *testing.T) {
-	leave := map[string]func(c *net.TCPConn, say func(string)){
+func TestGoneReportedPromptly(t *testing.T) {
+	leave := map[string]func(c *net.TCPConn, send func(string)){
 		"close":       func(c *net.TCPConn, _ func(string)) { c.Close() },
 		"reset":       func(c *net.TCPConn, _ func(string)) { c.SetLinger(0); c.Close() },
 		"half close":  func(c *net.TCPConn, _ func(string)) { c.CloseWrite() },
-		"release":     func(_ *net.TCPConn, say func(string)) { say(fmt.Sprintf(release, 1)) },
-		"close frame": func(c *net.TCPConn, _ func(string)) { io.WriteString(c, frame(8, "")+"\n") }, // no message to the other front
+		"release":     func(_ *net.TCPConn, send func(string)) { send(fmt.Sprintf(releaseMessage, 1)) },
+		"close frame": func(c *net.TCPConn, _ func(string)) { io.WriteString(c, clientFrame(8, "")+"\n") }, // no message to the other front
 	}
-	for front, lines := range map[string]bool{"lines": true, "frames": false} {
-		taken := core{make(chan broker.Request, 1), make(chan bool, 1)}
-		catalog := message.Catalog{Classes: []string{"feed"}, Cells: 1, MostLeft: time.Second}
+	for front, isJSONL := range map[string]bool{"lines": true, "frames": false} {
+		fake := fakeBroker{make(chan broker.Request, 1), make(chan bool, 1)}
+		decoder := message.SetupDecoder{Classes: []string{"feed"}, Cells: 1, MaxTimeLeft: time.Second}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		serve := (&websocket.Front{Core: taken, Catalog: catalog, Path: "/", Limits: peer.Limits{Most: 9}, Log: zap.NewNop()}).Serve
-		if lines {
-			serve = (&jsonl.Front{Core: taken, Catalog: catalog, Limits: peer.Limits{Most: 9}, Log: zap.NewNop()}).Serve
+		serve := (&websocket.Front{Broker: fake, Decoder: decoder, Path: "/", Limits: peer.Limits{MaxConns: 9}, Log: zap.NewNop()}).Serve
+		if isJSONL {
+			serve = (&jsonl.Front{Broker: fake, Decoder: decoder, Limits: peer.Limits{MaxConns: 9}, Log: zap.NewNop()}).Serve
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
@@ -76,23 +76,23 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			say := func(m string) { io.WriteString(nc, m+"\n") }
-			if !lines {
-				io.WriteString(nc, opening)
-				say = func(m string) { io.WriteString(nc, frame(1, m)) }
+			send := func(m string) { io.WriteString(nc, m+"\n") }
+			if !isJSONL {
+				io.WriteString(nc, handshakeRequest)
+				send = func(m string) { io.WriteString(nc, clientFrame(1, m)) }
 			}
-			say(setUp)
-			r := <-taken.taken
-			say(fmt.Sprintf(release, 2)) // of another one
-			for _, kind := range []broker.ReplyKind{broker.Over, broker.Moved, broker.Closed} {
-				r.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // what stood under that id before ends
+			send(setupMessage)
+			request := <-fake.requests
+			send(fmt.Sprintf(releaseMessage, 2)) // of another one
+			for _, kind := range []broker.ReplyKind{broker.ReplyEnded, broker.ReplyMoved, broker.ReplyClosed} {
+				request.Client.Deliver(broker.Reply{Kind: kind, ID: 1}) // what stood under that id before ends
 			}
-			if r.Client.Gone(1) {
+			if request.Client.Gone(1) {
 				t.Errorf("%s: gone before it left by %s", front, how)
 			}
-			leave(nc.(*net.TCPConn), say)
-			for end := time.Now().Add(patience); !r.Client.Gone(1); time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
+			leave(nc.(*net.TCPConn), send)
+			for deadline := time.Now().Add(testTimeout); !request.Client.Gone(1); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
 					t.Errorf("%s: not gone after a %s", front, how)
 					break
 				}
@@ -100,7 +100,7 @@
 			if how == "release" {
 				nc.Close()
 			}
-			if !<-taken.seen {
+			if !<-fake.goneWhenLost {
 				t.Errorf("%s: not gone when the broker is told of a %s", front, how)
 			}
 			nc.Close()
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -22,16 +22,16 @@
 
 // Front serves viewers on one address.
 type Front struct {
-	Core    message.Core
-	Catalog message.Catalog
-	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
-	Reasons bool           // failures and refusals say why; the platform's protocol has no field for it
-	Log     *zap.Logger
-
-	mu     sync.Mutex
-	conns  []*conn
-	unsent []*end // those that found no open connection of a known viewer
+	Broker      message.Broker
+	Decoder     message.SetupDecoder
+	Limits      peer.Limits
+	Counts      *broker.Counters // nil: nobody asks
+	SendReasons bool             // failures and refusals say why; the platform's protocol has no field for it
+	Log         *zap.Logger
+
+	mu          sync.Mutex
+	conns       []*conn
+	pendingEnds []*sessionEnd // those that found no open connection of a known viewer
 }
 
 // conn is one viewers' connection.
@@ -39,9 +39,9 @@
 	*peer.Conn
 	front *Front
 
-	mu   sync.Mutex
-	ends []*end // sent on it and not said to be heard, the oldest first
-	left bool   // it is not read any more: no end goes on it
+	mu             sync.Mutex
+	unacknowledged []*sessionEnd // sent on it and not said to be heard, the oldest first
+	endsStopped    bool          // it is not read any more: no end goes on it
 }
 
 // Serve accepts until ctx ends.
@@ -50,7 +50,7 @@
 		c := &conn{Conn: p, front: f}
 		f.add(c)
 		defer f.remove(c)
-		c.read()
+		c.readLoop()
 	})
 }
 
@@ -58,21 +58,21 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conns = append(f.conns, c)
-	f.flush(c)
+	f.sendPendingEnds(c)
 }
 
-// carries tells whether the end of a session whose set-up came from a host may
+// mayCarryEnd tells whether the end of a session whose set-up came from a host may
 // be sent on c. Guard: an unknown host's connection may be anybody's, and its
 // client would take no notice.
-func (c *conn) carries(host string) bool { return c.Host == host || c.Known() }
+func (c *conn) mayCarryEnd(host string) bool { return c.Host == host || c.HadSession() }
 
 func (f *Front) remove(c *conn) {
-	c.Leave()
+	c.MarkReadEnded()
 	f.mu.Lock()
-	f.conns = slices.DeleteFunc(f.conns, func(o *conn) bool { return o == c })
+	f.conns = slices.DeleteFunc(f.conns, func(other *conn) bool { return other == c })
 	f.mu.Unlock()
-	f.sendAgain(c.leave())
-	f.Core.Lost(c)
+	f.resendEnds(c.takeUnacknowledged())
+	f.Broker.Lost(c)
 }
 
 // From tells where the viewer is.
@@ -82,56 +82,56 @@
 // that stood goes on any open one: none owns it.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
-		c.Fell()
+	case broker.ReplyClosed: // its set-up was answered; one that is open under that id is another
+		c.SessionEnded()
 		return true
-	case broker.Over, broker.Moved: // likewise
-		c.Fell()
-		e := &end{reply: r, host: c.Host, until: time.Now().Add(keepEnd)}
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
+		c.SessionEnded()
+		e := &sessionEnd{reply: r, host: c.Host, expires: time.Now().Add(endLifetime)}
 		if !c.sendEnd(e) {
-			c.front.sendEnd(e)
+			c.front.routeEnd(e)
 		}
 		return true
 	}
-	defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+	defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
-		c.know()
-		c.Stands()
+	case broker.ReplyServed:
+		c.markHadSession()
+		c.SessionEstablished()
 	}
-	return c.send(r)
+	return c.sendReply(r)
 }
 
 // Gone is part of broker.Client.
 func (c *conn) Gone(id control.SessionID) bool { return c.Conn.Gone(uint64(id)) }
 
-// know marks c as a connection of viewers who have had a session.
-func (c *conn) know() {
-	if c.Known() {
+// markHadSession marks c as a connection of viewers who have had a session.
+func (c *conn) markHadSession() {
+	if c.HadSession() {
 		return
 	}
-	c.Know()
+	c.MarkHadSession()
 	c.front.mu.Lock()
-	c.front.flush(c)
+	c.front.sendPendingEnds(c)
 	c.front.mu.Unlock()
 }
 
-func (c *conn) send(r broker.Reply) bool {
-	if !c.front.Reasons {
+func (c *conn) sendReply(r broker.Reply) bool {
+	if !c.front.SendReasons {
 		r.Reason = ""
 	}
-	return c.Put(append(message.AppendReply(nil, r), '\n'))
+	return c.Send(append(message.AppendReply(nil, r), '\n'))
 }
 
-// read handles lines until the connection ends or sends what is no message.
-func (c *conn) read() {
-	in := stream.NewReader(c, message.Max)
+// readLoop handles lines until the connection ends or sends what is no message.
+func (c *conn) readLoop() {
+	reader := stream.NewReader(c, message.MaxSize)
 	var m message.Message
-	for c.Pace() {
+	for c.Throttle() {
 		var line []byte
-		err := in.Next(func(b []byte) (int, error) {
+		err := reader.Next(func(b []byte) (int, error) {
 			i := bytes.IndexByte(b, '\n')
 			line = b[:max(i, 0)]
 			return i + 1, nil
@@ -139,7 +139,7 @@
 		if err != nil {
 			return
 		}
-		c.Whole(in.Buffered() > 0)
+		c.MessageRead(reader.Buffered() > 0)
 		if len(bytes.TrimSpace(line)) == 0 {
 			continue
 		}
@@ -147,65 +147,65 @@
 			c.front.Log.Info("viewer sent what is no message", zap.Stringer("from", c.RemoteAddr()))
 			return
 		}
-		if !c.handle(&m) {
+		if !c.handleMessage(&m) {
 			return
 		}
 	}
 }
 
-// handle takes one message; false ends the connection.
-func (c *conn) handle(m *message.Message) bool {
+// handleMessage takes one message; false ends the connection.
+func (c *conn) handleMessage(m *message.Message) bool {
 	switch string(m.Type) {
 	case "setup":
-		return c.setUp(m)
+		return c.handleSetup(m)
 	case "release":
 		id, err := message.ParseID(m.ID)
 		if err != nil {
 			return false
 		}
-		c.Answered(uint64(id)) // first: an attempt that is under way in the broker is not begun
-		return c.front.Core.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c})
+		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		return c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c})
 	case "released":
 		if id, err := message.ParseID(m.ID); err == nil {
-			c.heard(id)
+			c.acknowledgeEnd(id)
 		}
 	case "ping":
-		return c.Put(append(message.AppendPong(nil, m.ID, c.Takes()), '\n'))
+		return c.Send(append(message.AppendPong(nil, m.ID, c.AcceptsClients()), '\n'))
 	}
 	return true // progress means nothing
 }
 
-func (c *conn) setUp(m *message.Message) bool {
-	r, err := c.front.Catalog.Setup(m, message.Origin{Front: "jsonl", Client: c.Addr, Came: time.Now()})
+func (c *conn) handleSetup(m *message.Message) bool {
+	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "jsonl", Client: c.Addr, Received: time.Now()})
 	r.Client = c
-	if at := m.At(); at != nil {
-		return c.stands(m, r, directory.ServerOf(string(at)), err)
+	if node := m.CurrentNode(); node != nil {
+		return c.resumeSession(m, r, directory.ServerOf(string(node)), err)
 	}
 	switch {
 	case err != nil && r.ID == 0:
 		return false // there is no id to answer under
 	case err != nil:
 		c.front.Log.Info("set-up not understood", zap.Error(err))
-		return c.send(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
-	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
+		return c.sendReply(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many wait, on this connection or before the module, or clients are
 		// sent away. Nothing has been tried.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		return c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		return c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return true
 }
 
-// stands takes a session that plays already. It is owed no answer, but an end
+// resumeSession takes a session that plays already. It is owed no answer, but an end
 // where it can't be held.
-func (c *conn) stands(m *message.Message, r broker.Request, at control.Server, err error) bool {
-	r.Playing = at
-	c.Stands()
-	if err == nil && c.front.Core.Submit(r) {
-		c.know()
+func (c *conn) resumeSession(m *message.Message, r broker.Request, node control.ServerID, err error) bool {
+	r.PlayingOn = node
+	c.SessionEstablished()
+	if err == nil && c.front.Broker.Submit(r) {
+		c.markHadSession()
 		return true
 	}
 	c.front.Log.Info("standing session not taken", zap.Error(err))
-	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.Over, ID: r.ID, Cause: broker.CauseCut})
+	return r.ID != 0 && c.Deliver(broker.Reply{Kind: broker.ReplyEnded, ID: r.ID, Cause: broker.CauseInterrupted})
 }
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -21,8 +21,8 @@
 	"millethinge/internal/route"
 )
 
-// Max is the longest message.
-const Max = 16 << 10
+// MaxSize is the longest message.
+const MaxSize = 16 << 10
 
 // ReasonBusy is told where too many set-ups wait already, on one connection or
 // before the module.
@@ -63,27 +63,27 @@
 	if !utf8.Valid(b) {
 		return ErrSyntax
 	}
-	p := parser{b: b}
-	p.object(func(name []byte) {
+	p := parser{buf: b}
+	p.parseObject(func(name []byte) {
 		switch string(name) {
 		case "type":
-			m.Type = p.scalar()
+			m.Type = p.parseScalar()
 		case "id":
-			m.ID = p.scalar()
+			m.ID = p.parseScalar()
 		case "sdp":
-			m.SDP = p.scalar()
+			m.SDP = p.parseScalar()
 		case "cause":
-			n, err := strconv.Atoi(string(p.scalar()))
+			n, err := strconv.Atoi(string(p.parseScalar()))
 			m.Cause = n
-			p.bad = p.bad || err != nil || n < 0 || n > 1<<16
+			p.failed = p.failed || err != nil || n < 0 || n > 1<<16
 		case "fields":
-			p.object(func(name []byte) { m.Fields = append(m.Fields, Field{name, p.scalar()}) })
+			p.parseObject(func(name []byte) { m.Fields = append(m.Fields, Field{name, p.parseScalar()}) })
 		default:
-			p.skip(0)
+			p.skipValue(0)
 		}
 	})
-	p.space()
-	if p.bad || p.at != len(b) || len(m.Type) == 0 {
+	p.skipSpace()
+	if p.failed || p.pos != len(b) || len(m.Type) == 0 {
 		return ErrSyntax
 	}
 	return nil
@@ -91,49 +91,49 @@
 
 // parser walks a JSON text. After a fault it only fails.
 type parser struct {
-	b   []byte
-	at  int
-	bad bool
+	buf    []byte
+	pos    int
+	failed bool
 }
 
-func (p *parser) space() {
-	for p.at < len(p.b) && (p.b[p.at] == ' ' || p.b[p.at] == '\t' || p.b[p.at] == '\r' || p.b[p.at] == '\n') {
-		p.at++
+func (p *parser) skipSpace() {
+	for p.pos < len(p.buf) && (p.buf[p.pos] == ' ' || p.buf[p.pos] == '\t' || p.buf[p.pos] == '\r' || p.buf[p.pos] == '\n') {
+		p.pos++
 	}
 }
 
 // peek returns the next byte that is no space, or 0.
 func (p *parser) peek() byte {
-	p.space()
-	if p.bad || p.at >= len(p.b) {
+	p.skipSpace()
+	if p.failed || p.pos >= len(p.buf) {
 		return 0
 	}
-	return p.b[p.at]
+	return p.buf[p.pos]
 }
 
 func (p *parser) expect(c byte) {
 	if p.peek() != c {
-		p.bad = true
+		p.failed = true
 		return
 	}
-	p.at++
+	p.pos++
 }
 
-func (p *parser) object(member func(name []byte)) {
+func (p *parser) parseObject(member func(name []byte)) {
 	p.expect('{')
 	if p.peek() == '}' {
-		p.at++
+		p.pos++
 		return
 	}
-	for !p.bad {
-		name := p.text()
+	for !p.failed {
+		name := p.parseString()
 		p.expect(':')
-		if p.bad {
+		if p.failed {
 			return
 		}
 		member(name)
 		if p.peek() == ',' {
-			p.at++
+			p.pos++
 			continue
 		}
 		p.expect('}')
@@ -141,44 +141,44 @@
 	}
 }
 
-// scalar returns the text of a string or a number.
-func (p *parser) scalar() []byte {
+// parseScalar returns the text of a string or a number.
+func (p *parser) parseScalar() []byte {
 	if p.peek() == '"' {
-		return p.text()
+		return p.parseString()
 	}
-	start := p.at
-	for p.at < len(p.b) && isNumber(p.b[p.at]) {
-		p.at++
+	start := p.pos
+	for p.pos < len(p.buf) && isNumberByte(p.buf[p.pos]) {
+		p.pos++
 	}
-	if _, err := strconv.ParseFloat(string(p.b[start:p.at]), 64); err != nil {
-		p.bad = true
+	if _, err := strconv.ParseFloat(string(p.buf[start:p.pos]), 64); err != nil {
+		p.failed = true
 	}
-	return p.b[start:p.at]
+	return p.buf[start:p.pos]
 }
 
-func isNumber(c byte) bool {
+func isNumberByte(c byte) bool {
 	return c >= '0' && c <= '9' || c == '-' || c == '+' || c == '.' || c == 'e' || c == 'E'
 }
 
-// skip passes over a value of any kind.
-func (p *parser) skip(depth int) {
+// skipValue passes over a value of any kind.
+func (p *parser) skipValue(depth int) {
 	if depth > 16 {
-		p.bad = true
+		p.failed = true
 		return
 	}
 	switch p.peek() {
 	case '{':
-		p.object(func([]byte) { p.skip(depth + 1) })
+		p.parseObject(func([]byte) { p.skipValue(depth + 1) })
 	case '[':
-		p.at++
+		p.pos++
 		if p.peek() == ']' {
-			p.at++
+			p.pos++
 			return
 		}
-		for !p.bad {
-			p.skip(depth + 1)
+		for !p.failed {
+			p.skipValue(depth + 1)
 			if p.peek() == ',' {
-				p.at++
+				p.pos++
 				continue
 			}
 			p.expect(']')
@@ -186,96 +186,96 @@
 		}
 	case 't', 'f', 'n':
 		for _, w := range []string{"true", "false", "null"} {
-			if bytes.HasPrefix(p.b[p.at:], []byte(w)) {
-				p.at += len(w)
+			if bytes.HasPrefix(p.buf[p.pos:], []byte(w)) {
+				p.pos += len(w)
 				return
 			}
 		}
-		p.bad = true
+		p.failed = true
 	default:
-		p.scalar()
+		p.parseScalar()
 	}
 }
 
-// text reads a string and resolves its escapes in place: none is shorter than
+// parseString reads a string and resolves its escapes in place: none is shorter than
 // what it stands for.
-func (p *parser) text() []byte {
+func (p *parser) parseString() []byte {
 	p.expect('"')
-	start, to := p.at, p.at
-	for !p.bad && p.at < len(p.b) {
-		c := p.b[p.at]
-		p.at++
+	start, end := p.pos, p.pos
+	for !p.failed && p.pos < len(p.buf) {
+		c := p.buf[p.pos]
+		p.pos++
 		switch {
 		case c == '"':
-			return p.b[start:to]
+			return p.buf[start:end]
 		case c == '\\':
-			to += len(p.escape(p.b[to:to]))
+			end += len(p.parseEscape(p.buf[end:end]))
 			continue
 		case c < ' ':
-			p.bad = true
+			p.failed = true
 		}
-		p.b[to] = c
-		to++
+		p.buf[end] = c
+		end++
 	}
-	p.bad = true
+	p.failed = true
 	return nil
 }
 
-// escape resolves one escape into the empty slice into.
-func (p *parser) escape(into []byte) []byte {
-	if p.at >= len(p.b) {
-		p.bad = true
-		return into
+// parseEscape resolves one escape into the empty slice into.
+func (p *parser) parseEscape(dst []byte) []byte {
+	if p.pos >= len(p.buf) {
+		p.failed = true
+		return dst
 	}
-	c := p.b[p.at]
-	p.at++
+	c := p.buf[p.pos]
+	p.pos++
 	switch c {
 	case '"', '\\', '/':
-		return append(into, c)
+		return append(dst, c)
 	case 'b':
-		return append(into, '\b')
+		return append(dst, '\b')
 	case 'f':
-		return append(into, '\f')
+		return append(dst, '\f')
 	case 'n':
-		return append(into, '\n')
+		return append(dst, '\n')
 	case 'r':
-		return append(into, '\r')
+		return append(dst, '\r')
 	case 't':
-		return append(into, '\t')
+		return append(dst, '\t')
 	case 'u':
-		r := p.unit()
-		if r >= 0xd800 && r < 0xdc00 && bytes.HasPrefix(p.b[p.at:], []byte(`\u`)) {
-			at := p.at
-			p.at += 2
-			if low := p.unit(); low >= 0xdc00 && low < 0xe000 {
+		r := p.parseCodeUnit()
+		if r >= 0xd800 && r < 0xdc00 && bytes.HasPrefix(p.buf[p.pos:], []byte(`\u`)) {
+			saved := p.pos
+			p.pos += 2
+			if low := p.parseCodeUnit(); low >= 0xdc00 && low < 0xe000 {
 				r = 0x10000 + (r-0xd800)<<10 + (low - 0xdc00)
 			} else {
-				p.at = at
+				p.pos = saved
 			}
 		}
 		// Guard: half a surrogate pair stands for no character, and a description
 		// must pass on unchanged.
-		p.bad = p.bad || !utf8.ValidRune(r)
-		return utf8.AppendRune(into, r)
+		p.failed = p.failed || !utf8.ValidRune(r)
+		return utf8.AppendRune(dst, r)
 	}
-	p.bad = true
-	return into
+	p.failed = true
+	return dst
 }
 
-// unit reads four hexadecimal digits.
-func (p *parser) unit() rune {
-	if len(p.b)-p.at < 4 {
-		p.bad = true
+// parseCodeUnit reads four hexadecimal digits.
+func (p *parser) parseCodeUnit() rune {
+	if len(p.buf)-p.pos < 4 {
+		p.failed = true
 		return 0
 	}
-	n, err := strconv.ParseUint(string(p.b[p.at:p.at+4]), 16, 16)
-	p.bad = p.bad || err != nil
-	p.at += 4
+	n, err := strconv.ParseUint(string(p.buf[p.pos:p.pos+4]), 16, 16)
+	p.failed = p.failed || err != nil
+	p.pos += 4
 	return rune(n)
 }
 
-// appendText adds s as a JSON string.
-func appendText(b, s []byte) []byte {
+// appendString adds s as a JSON string.
+func appendString(b, s []byte) []byte {
 	const digits = "0123456789abcdef"
 	b = append(b, '"')
 	for _, c := range s {
@@ -298,20 +298,20 @@
 
 // AppendReply adds a reply to a viewer, without a line end.
 func AppendReply(b []byte, r broker.Reply) []byte {
-	kind := "release"
+	messageType := "release"
 	switch r.Kind {
-	case broker.Served:
-		kind = "answer"
-	case broker.Moved:
-		kind = "move"
+	case broker.ReplyServed:
+		messageType = "answer"
+	case broker.ReplyMoved:
+		messageType = "move"
 	}
-	b = appendHead(b, kind)
+	b = appendType(b, messageType)
 	b = append(b, `,"id":"`...)
 	b = appendID(b, uint64(r.ID))
 	b = append(b, `","fields":{`...)
-	if r.Kind == broker.Refused && r.Wait > 0 {
+	if r.Kind == broker.ReplyRefused && r.RetryAfter > 0 {
 		b = append(b, `"wait":"`...)
-		b = strconv.AppendInt(b, max(r.Wait.Milliseconds(), 1), 10)
+		b = strconv.AppendInt(b, max(r.RetryAfter.Milliseconds(), 1), 10)
 		b = append(b, '"')
 	}
 	if r.Reason != "" {
@@ -319,13 +319,13 @@
 			b = append(b, ',')
 		}
 		b = append(b, `"reason":`...)
-		b = appendText(b, []byte(r.Reason))
+		b = appendString(b, []byte(r.Reason))
 	}
 	b = append(b, '}')
-	if r.Kind == broker.Served {
+	if r.Kind == broker.ReplyServed {
 		b = append(b, `,"sdp":`...)
-		b = appendText(b, r.Description)
-	} else if r.Kind != broker.Moved {
+		b = appendString(b, r.Description)
+	} else if r.Kind != broker.ReplyMoved {
 		b = append(b, `,"cause":`...)
 		b = strconv.AppendInt(b, int64(r.Cause), 10)
 	}
@@ -333,20 +333,20 @@
 }
 
 // AppendPong adds the answer to a test.
-func AppendPong(b, id []byte, passed bool) []byte {
-	b = appendHead(b, "pong")
+func AppendPong(b, id []byte, accepting bool) []byte {
+	b = appendType(b, "pong")
 	b = append(b, `,"id":`...)
-	b = appendText(b, id)
+	b = appendString(b, id)
 	b = append(b, `,"fields":{},"cause":`...)
-	if passed {
+	if accepting {
 		return append(b, "1}"...)
 	}
 	return append(b, "0}"...)
 }
 
-func appendHead(b []byte, kind string) []byte {
+func appendType(b []byte, messageType string) []byte {
 	b = append(b, `{"type":"`...)
-	b = append(b, kind...)
+	b = append(b, messageType...)
 	return append(b, '"')
 }
 
@@ -358,87 +358,87 @@
 	return b
 }
 
-// Core is the broker, as fronts see it.
-type Core interface {
+// Broker is the broker, as fronts see it.
+type Broker interface {
 	Submit(broker.Request) bool
 	End(broker.ViewerEnd) bool
 	Lost(broker.Client)
 }
 
-// Catalog is what a set-up's names mean at this deployment.
-type Catalog struct {
-	Routes   *route.ActiveSet // nil, or without a set: requests keep what they name
-	Classes  []string
-	Teams    []string // by tenant number
-	Cells    int
-	MaxRung  int
-	MostLeft time.Duration // the longest that a viewer waits
+// SetupDecoder is what a set-up's names mean at this deployment.
+type SetupDecoder struct {
+	Routes      *route.ActiveSet // nil, or without a set: requests keep what they name
+	Classes     []string
+	Teams       []string // by tenant number
+	Cells       int
+	MaxRung     int
+	MaxTimeLeft time.Duration // the longest that a viewer waits
 }
 
-// roomOnWire is what a set-up takes up beside its description on the way to a
+// setupOverhead is what a set-up takes up beside its description on the way to a
 // media node, where no message is longer than here.
-const roomOnWire = 512
+const setupOverhead = 512
 
 // Origin is where a message came from.
 type Origin struct {
-	Front  string
-	Client netip.Addr
-	Came   time.Time
+	Front    string
+	Client   netip.Addr
+	Received time.Time
 }
 
 // Field returns a field's value, or nil.
 func (m *Message) Field(name string) []byte { return m.Get(name) }
 
 // Extra returns one of the figures in extras, or nil.
-func (m *Message) Extra(name string) []byte { return extra(m.Get("extras"), name) }
+func (m *Message) Extra(name string) []byte { return extraValue(m.Get("extras"), name) }
 
-// Setup understands a set-up, and has it routed.
-func (c *Catalog) Setup(m *Message, from Origin) (broker.Request, error) {
-	r, err := c.Read(m, from)
+// Decode understands a set-up, and has it routed.
+func (d *SetupDecoder) Decode(m *Message, from Origin) (broker.Request, error) {
+	r, err := d.DecodeUnrouted(m, from)
 	if err != nil {
 		return r, err
 	}
 	var routes *route.Set
-	if c.Routes != nil {
-		routes = c.Routes.Load()
+	if d.Routes != nil {
+		routes = d.Routes.Load()
 	}
 	if routes != nil {
-		r.Route = routes.Route(Routed(m, &r, from))
+		r.Route = routes.Route(RouteRequest(m, &r, from))
 		r.Class, r.Team = r.Route.Class, r.Route.Team
 	}
 	if r.Class < 0 {
 		return r, ErrNoClass
 	}
 	r.Description = bytes.Clone(m.SDP) // it outlives the read buffer
-	r.Again = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
+	r.Repeated = string(m.Get("retry")) == "1" || string(m.Extra("again")) == "1"
 	return r, nil
 }
 
-// Routed is a set-up as rules look at it.
-func Routed(m *Message, r *broker.Request, from Origin) *route.Request {
+// RouteRequest is a set-up as rules look at it.
+func RouteRequest(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
-		Class: r.Class, Team: r.Team, Title: r.Title, HomeCell: r.Home, Copies: r.Span, TopRung: r.MaxRung, TimeLeft: r.Left,
+		Class: r.Class, Team: r.Team, Title: r.Title, HomeCell: r.Home, Copies: r.Copies, TopRung: r.MaxRung, TimeLeft: r.TimeLeft,
 		Retry: string(m.Get("retry")) == "1", Returning: string(m.Extra("again")) == "1",
-		Front: from.Front, ClientAddr: from.Client, ReceivedAt: from.Came, Texts: m,
+		Front: from.Front, ClientAddr: from.Client, ReceivedAt: from.Received, Texts: m,
 	}
 }
 
-// Read understands what a set-up names, but for its description. It may name no
+// DecodeUnrouted understands what a set-up names, but for its description. It may name no
 // class. What lacks a figure that it needs, or has one that is out of range, is an
 // error: a node could not use it either, and an error of a node's counts against
 // the node.
-func (c *Catalog) Read(m *Message, from Origin) (broker.Request, error) {
-	r := broker.Request{Came: from.Came, Class: -1, Team: -1}
+func (d *SetupDecoder) DecodeUnrouted(m *Message, from Origin) (broker.Request, error) {
+	r := broker.Request{ReceivedAt: from.Received, Class: -1, Team: -1}
 	var err error
 	if r.ID, err = ParseID(m.ID); err != nil {
 		return r, err
 	}
 	class := m.Get("class")
-	if r.Class = slices.Index(c.Classes, string(class)); r.Class < 0 && len(class) > 0 {
+	if r.Class = slices.Index(d.Classes, string(class)); r.Class < 0 && len(class) > 0 {
 		return r, errors.New("unknown class")
 	}
 	if name := m.Get("tenant"); len(name) > 0 {
-		if r.Team = slices.Index(c.Teams, string(name)); r.Team < 0 && len(c.Teams) > 0 {
+		if r.Team = slices.Index(d.Teams, string(name)); r.Team < 0 && len(d.Teams) > 0 {
 			return r, errors.New("unknown tenant")
 		}
 	}
@@ -446,36 +446,36 @@
 	if r.Title, err = strconv.ParseUint(r.Key, 16, 64); err != nil || len(r.Key) > 16 {
 		return r, errors.New("key is no title")
 	}
-	left, ok := figure(m.Get("left"), 1, float64(math.MaxInt32))
-	r.Left = time.Duration(left) * time.Millisecond
-	if !ok || r.Left > c.MostLeft && m.At() == nil {
+	left, ok := parseNumber(m.Get("left"), 1, float64(math.MaxInt32))
+	r.TimeLeft = time.Duration(left) * time.Millisecond
+	if !ok || r.TimeLeft > d.MaxTimeLeft && m.CurrentNode() == nil {
 		return r, errors.New("left is out of range")
 	}
 	extras := m.Get("extras")
-	home, ok1 := figure(extra(extras, "home"), 0, float64(c.Cells-1))
-	span, ok2 := figure(extra(extras, "copies"), 1, float64(c.Cells))
-	top, ok3 := figure(extra(extras, "top"), 0, float64(c.MaxRung))
+	home, ok1 := parseNumber(extraValue(extras, "home"), 0, float64(d.Cells-1))
+	span, ok2 := parseNumber(extraValue(extras, "copies"), 1, float64(d.Cells))
+	top, ok3 := parseNumber(extraValue(extras, "top"), 0, float64(d.MaxRung))
 	if !ok1 || !ok2 || !ok3 {
 		return r, errors.New("home, copies or top is missing or out of range")
 	}
-	r.Home, r.Span, r.MaxRung = int(home), int(span), top
-	if len(m.SDP) > Max-roomOnWire {
+	r.Home, r.Copies, r.MaxRung = int(home), int(span), top
+	if len(m.SDP) > MaxSize-setupOverhead {
 		return r, errors.New("description too long")
 	}
-	r.Named.Class, r.Named.Team = r.Class, r.Team
+	r.Requested.Class, r.Requested.Team = r.Class, r.Team
 	return r, nil
 }
 
-// figure reads a number from least to most.
-func figure(b []byte, least, most float64) (float64, bool) {
+// parseNumber reads a number from least to most.
+func parseNumber(b []byte, low, high float64) (float64, bool) {
 	v, err := strconv.ParseFloat(string(b), 64)
-	return v, err == nil && v >= least && v <= most
+	return v, err == nil && v >= low && v <= high
 }
 
-// extra returns one of the figures that come with a set-up as "name:value;…",
+// extraValue returns one of the figures that come with a set-up as "name:value;…",
 // or nil.
-func extra(b []byte, name string) []byte {
-	for part := range bytes.SplitSeq(b, []byte(";")) {
+func extraValue(extras []byte, name string) []byte {
+	for part := range bytes.SplitSeq(extras, []byte(";")) {
 		if n, v, ok := bytes.Cut(part, []byte(":")); ok && string(n) == name {
 			return v
 		}
@@ -483,8 +483,8 @@
 	return nil
 }
 
-// At returns the node that a set-up says it plays at already, or nil.
-func (m *Message) At() []byte { return extra(m.Get("extras"), "at") }
+// CurrentNode returns the node that a set-up says it plays at already, or nil.
+func (m *Message) CurrentNode() []byte { return extraValue(m.Get("extras"), "at") }
 
 // ParseID reads a session's name of 16 hexadecimal digits.
 func ParseID(b []byte) (control.SessionID, error) {
--- a/internal/front/message/message_test.go
+++ b/internal/front/message/message_test.go
@@ -11,20 +11,20 @@
 	"millethinge/internal/broker"
 )
 
-const setUp = `{"type":"setup", "id":"9b1f03aa5c7e2d41","fields":{"class":"feed","left":1500,"key":"7f3a9c21e0b4d655",` +
+const setupMessage = `{"type":"setup", "id":"9b1f03aa5c7e2d41","fields":{"class":"feed","left":1500,"key":"7f3a9c21e0b4d655",` +
 	`"extras":"home:4;copies:3;top:2;at:s-1"},"sdp":"a\r\n\u00e9\ud83d\ude00\"\/","other":[1,{"x":null}],"cause":3}`
 
-var catalog = Catalog{Classes: []string{"clip", "feed"}, Teams: []string{"a", "b"}, Cells: 8, MaxRung: 3, MostLeft: 2 * time.Second}
+var decoder = SetupDecoder{Classes: []string{"clip", "feed"}, Teams: []string{"a", "b"}, Cells: 8, MaxRung: 3, MaxTimeLeft: 2 * time.Second}
 
-func TestSetup(t *testing.T) {
+func TestDecode(t *testing.T) {
 	var m Message
-	if err := Parse([]byte(setUp), &m); err != nil {
+	if err := Parse([]byte(setupMessage), &m); err != nil {
 		t.Fatal(err)
 	}
-	r, err := catalog.Setup(&m, Origin{Came: time.Unix(9, 0)})
-	if err != nil || r.ID != 0x9b1f03aa5c7e2d41 || r.Class != 1 || r.Left != 1500*time.Millisecond || r.Team != -1 ||
-		r.Title != 0x7f3a9c21e0b4d655 || r.Home != 4 || r.Span != 3 || r.MaxRung != 2 || m.Cause != 3 ||
-		string(r.Description) != "a\r\né😀\"/" || string(m.At()) != "s-1" {
+	r, err := decoder.Decode(&m, Origin{Received: time.Unix(9, 0)})
+	if err != nil || r.ID != 0x9b1f03aa5c7e2d41 || r.Class != 1 || r.TimeLeft != 1500*time.Millisecond || r.Team != -1 ||
+		r.Title != 0x7f3a9c21e0b4d655 || r.Home != 4 || r.Copies != 3 || r.MaxRung != 2 || m.Cause != 3 ||
+		string(r.Description) != "a\r\né😀\"/" || string(m.CurrentNode()) != "s-1" {
 		t.Errorf("%+v, %v", r, err)
 	}
 	for _, change := range [][2]string{
@@ -33,19 +33,19 @@
 		{"1500", `"NaN"`}, {"1500", `"-5"`}, {"1500", `"soon"`}, {"1500", `""`}, {"1500", `"99999999999999999999999"`}, {"1500", "2001"},
 		{"home:4", "home:8"}, {"home:4", "home:-1"}, {"home:4;", ""}, {"copies:3", "copies:0"}, {"copies:3", "copies:NaN"},
 		{"copies:3", "copies:9"}, {"copies:3;", ""}, {"top:2", "top:99"}, {"top:2", "top:Inf"}, {"top:2", "x"},
-		{`a\r`, strings.Repeat("a", Max-roomOnWire)},
+		{`a\r`, strings.Repeat("a", MaxSize-setupOverhead)},
 	} {
-		text := strings.Replace(strings.Replace(setUp, ";at:s-1", "", 1), change[0], change[1], 1)
+		text := strings.Replace(strings.Replace(setupMessage, ";at:s-1", "", 1), change[0], change[1], 1)
 		if err := Parse([]byte(text), &m); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := catalog.Setup(&m, Origin{}); err == nil {
+		if _, err := decoder.Decode(&m, Origin{}); err == nil {
 			t.Errorf("no error for %s", change[1])
 		}
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestParseMalformed(t *testing.T) {
 	for _, s := range []string{
 		"", "{}", "[]", `{"type":1`, `{"type":"a"}x`, `{"type":"a",}`, `{"type":"a" "b":1}`, `{"type":"\x"}`, `{"type":"\u12"}`,
 		"{\"type\":\"a\n\"}", `{"type":"a","cause":-1}`, `{"type":"a","cause":"x"}`, `{"type":"a","fields":{"b":[1]}}`,
@@ -58,16 +58,16 @@
 	}
 }
 
-func TestReplies(t *testing.T) {
+func TestAppendReply(t *testing.T) {
 	for _, e := range []struct {
 		r    broker.Reply
 		want string
 	}{
-		{broker.Reply{Kind: broker.Served, ID: 1, Description: []byte("a\"\r\n\x01")},
+		{broker.Reply{Kind: broker.ReplyServed, ID: 1, Description: []byte("a\"\r\n\x01")},
 			`{"type":"answer","id":"0000000000000001","fields":{},"sdp":"a\"\r\n\u0001"}`},
-		{broker.Reply{Kind: broker.Refused, ID: 1, Cause: 42, Wait: 250 * time.Millisecond},
+		{broker.Reply{Kind: broker.ReplyRefused, ID: 1, Cause: 42, RetryAfter: 250 * time.Millisecond},
 			`{"type":"release","id":"0000000000000001","fields":{"wait":"250"},"cause":42}`},
-		{broker.Reply{Kind: broker.Moved, ID: 1}, `{"type":"move","id":"0000000000000001","fields":{}}`},
+		{broker.Reply{Kind: broker.ReplyMoved, ID: 1}, `{"type":"move","id":"0000000000000001","fields":{}}`},
 	} {
 		if got := AppendReply(nil, e.r); string(got) != e.want || !json.Valid(got) {
 			t.Errorf("%s, want %s", got, e.want)
@@ -77,31 +77,31 @@
 
 // What is taken is JSON, and strings come out as encoding/json reads them.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(setUp))
+	f.Add([]byte(setupMessage))
 	f.Add([]byte(`{"type":"ping","id":"\ud800\ud800x"}`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		keep := bytes.Clone(in)
+		original := bytes.Clone(in)
 		var m Message
 		if Parse(in, &m) != nil {
 			return
 		}
-		if r, err := catalog.Setup(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= catalog.Cells ||
-			r.Span < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.Left <= 0) {
-			t.Errorf("%q: taken as %+v", keep, r)
+		if r, err := decoder.Decode(&m, Origin{}); err == nil && (r.Home < 0 || r.Home >= decoder.Cells ||
+			r.Copies < 1 || !(r.MaxRung >= 0 && r.MaxRung <= 3) || r.TimeLeft <= 0) {
+			t.Errorf("%q: taken as %+v", original, r)
 		}
 		var want map[string]any
-		if json.Unmarshal(keep, &want) != nil || !utf8.Valid(keep) {
+		if json.Unmarshal(original, &want) != nil || !utf8.Valid(original) {
 			return // laxer than JSON in numbers and bytes, which harms nobody
 		}
 		if name, ok := want["type"].(string); ok && name != string(m.Type) {
-			t.Errorf("%q: type %q, want %q", keep, m.Type, name)
+			t.Errorf("%q: type %q, want %q", original, m.Type, name)
 		}
 	})
 }
 
 // BenchmarkParse reads a set-up and understands what it names.
 func BenchmarkParse(b *testing.B) {
-	catalog := Catalog{Classes: []string{"clip", "feed"}, Cells: 16, MaxRung: 3, MostLeft: time.Minute}
+	decoder := SetupDecoder{Classes: []string{"clip", "feed"}, Cells: 16, MaxRung: 3, MaxTimeLeft: time.Minute}
 	line := []byte(`{"type":"setup","id":"9b1f03aa5c7e2d41","fields":{"class":"clip","left":"1500","key":"7f3a9c21e0b4d655","extras":"home:4;copies:3;top:3;viewer:00000000b4d65521"},"sdp":"9d41c07a5be2f318 c=IN IP4 10.4.7.9 m=audio 31000 RTP/AVP 0 8 101"}`)
 	var m Message
 	b.ReportAllocs()
@@ -109,15 +109,15 @@
 		if err := Parse(line, &m); err != nil {
 			b.Fatal(err)
 		}
-		if _, err := catalog.Setup(&m, Origin{}); err != nil {
+		if _, err := decoder.Decode(&m, Origin{}); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-// BenchmarkWrite writes an answer.
-func BenchmarkWrite(b *testing.B) {
-	r := broker.Reply{Kind: broker.Served, ID: 7, Description: []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n")}
+// BenchmarkAppendReply writes an answer.
+func BenchmarkAppendReply(b *testing.B) {
+	r := broker.Reply{Kind: broker.ReplyServed, ID: 7, Description: []byte("9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0 8 101\r\n")}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
@@ -127,14 +127,14 @@
 
 // A field that is given twice counts as first given, for rules as for all else: no
 // client can have rules look at one class and the module at another.
-func TestFieldTwice(t *testing.T) {
+func TestRepeatedField(t *testing.T) {
 	var m Message
-	text := strings.Replace(setUp, `"class":"feed"`, `"class":"feed","class":"clip","shop":"a","shop":"b"`, 1)
+	text := strings.Replace(setupMessage, `"class":"feed"`, `"class":"feed","class":"clip","shop":"a","shop":"b"`, 1)
 	if err := Parse([]byte(text), &m); err != nil {
 		t.Fatal(err)
 	}
-	r, err := catalog.Read(&m, Origin{})
-	if routed := Routed(&m, &r, Origin{}); err != nil || r.Class != 1 || routed.Class != 1 || string(routed.Texts.Field("shop")) != "a" || routed.Texts.Field("none") != nil {
+	r, err := decoder.DecodeUnrouted(&m, Origin{})
+	if routed := RouteRequest(&m, &r, Origin{}); err != nil || r.Class != 1 || routed.Class != 1 || string(routed.Texts.Field("shop")) != "a" || routed.Texts.Field("none") != nil {
 		t.Errorf("%+v, %v", routed, err)
 	}
 }
--- a/internal/front/peer/ends_test.go
+++ b/internal/front/peer/ends_test.go
@@ -13,120 +13,122 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// closing is a connection that tells when it is being closed.
-type closing struct {
+// closeHook is a connection that tells when it is being closed.
+type closeHook struct {
 	net.Conn
-	tell func()
+	onClose func()
 }
 
-func (c *closing) Close() error {
-	c.tell()
+func (c *closeHook) Close() error {
+	c.onClose()
 	return c.Conn.Close()
 }
 
 // What is being closed holds its place until its descriptor is free, and takes nothing
 // more meanwhile, whoever closes it.
-func TestPlaceIsHeldUntilClosed(t *testing.T) {
-	for name, end := range map[string]func(*room, *Conn){
-		"closed":  func(_ *room, c *Conn) { c.Close() },
-		"slow":    func(_ *room, c *Conn) { c.slow("") },
-		"evicted": func(r *room, _ *Conn) { r.enter(at(0)) },
+func TestCountedUntilDescriptorIsFree(t *testing.T) {
+	for name, closeConn := range map[string]func(*registry, *Conn){
+		"closed":  func(_ *registry, c *Conn) { c.Close() },
+		"slow":    func(_ *registry, c *Conn) { c.closeSlowReader("") },
+		"evicted": func(r *registry, _ *Conn) { r.add(connOfAge(0)) },
 	} {
-		c, told := at(wordTime), false
-		c.Conn = &closing{c.Conn, func() {
-			told = true
+		c, closeCalled := connOfAge(messageTimeout), false
+		c.Conn = &closeHook{c.Conn, func() {
+			closeCalled = true
 			select {
-			case <-c.gone:
+			case <-c.closed:
 				t.Errorf("%s: its place is free before its descriptor", name)
 			default:
 			}
-			if c.Opened(1) {
+			if c.OpenSetup(1) {
 				t.Errorf("%s: a set-up opens", name)
 			}
-			if c.Put([]byte("x")) {
+			if c.Send([]byte("x")) {
 				t.Errorf("%s: an answer is taken", name)
 			}
 		}}
-		r := &room{Limits: Limits{Most: 1}, all: map[*Conn]bool{c: true}}
-		if end(r, c); !told {
+		r := &registry{Limits: Limits{MaxConns: 1}, conns: map[*Conn]bool{c: true}}
+		if closeConn(r, c); !closeCalled {
 			t.Errorf("%s: not closed", name)
 		}
-		<-c.gone
+		<-c.closed
 	}
 }
 
 // A connection is not closed over a set-up that opens between the choice and the close,
 // nor over an answer that is not written.
-func TestNothingOwedIsClosed(t *testing.T) {
-	owes, answered, idle := at(0), at(0), at(0)
-	owes.Opened(1)
-	answered.waiting.Store(1)
-	for name, c := range map[string]*Conn{"owes": owes, "answered": answered} {
-		if c.shut() || !c.Opened(2) {
+func TestNotClosedWhileAnswersAreDue(t *testing.T) {
+	withSetup, withOutput, idle := connOfAge(0), connOfAge(0), connOfAge(0)
+	withSetup.OpenSetup(1)
+	withOutput.pendingBytes.Store(1)
+	for name, c := range map[string]*Conn{"owes": withSetup, "answered": withOutput} {
+		if c.sealIfUnused() || !c.OpenSetup(2) {
 			t.Errorf("%s: shut", name)
 		}
-		c.Answered(2)
+		c.CloseSetup(2)
 	}
-	if !idle.shut() || idle.Opened(1) {
+	if !idle.sealIfUnused() || idle.OpenSetup(1) {
 		t.Error("a set-up opens on what is to be closed")
 	}
-	r := &room{Limits: Limits{Most: 2}, all: map[*Conn]bool{owes: true, answered: true}}
-	if r.enter(at(0)) || len(r.all) != 2 {
+	r := &registry{Limits: Limits{MaxConns: 2}, conns: map[*Conn]bool{withSetup: true, withOutput: true}}
+	if r.add(connOfAge(0)) || len(r.conns) != 2 {
 		t.Error("a place that is owed something is given away")
 	}
 }
 
 // A room that another process gets half of gives its part up when the next one comes.
-func TestHalfRoom(t *testing.T) {
-	shared := false
-	r := &room{Limits: Limits{Most: 6, Half: 3, Shared: func() bool { return shared }}, all: map[*Conn]bool{}}
+func TestLimitDuringUpgrade(t *testing.T) {
+	upgrading := false
+	r := &registry{Limits: Limits{MaxConns: 6, MaxConnsInUpgrade: 3, UpgradeInProgress: func() bool { return upgrading }}, conns: map[*Conn]bool{}}
 	for range 7 {
-		r.enter(at(wordTime))
+		r.add(connOfAge(messageTimeout))
 	}
-	if shared = true; len(r.all) != 6 || !r.enter(at(0)) || len(r.all) != 3 {
-		t.Errorf("%d places", len(r.all))
+	if upgrading = true; len(r.conns) != 6 || !r.add(connOfAge(0)) || len(r.conns) != 3 {
+		t.Errorf("%d places", len(r.conns))
 	}
 }
 
-// scripted is a listener that a test accepts for.
-type scripted struct {
-	came chan accepted
-	done chan struct{}
+// scriptedListener is a listener that a test accepts for.
+type scriptedListener struct {
+	accepts chan acceptResult
+	closed  chan struct{}
 }
 
-type accepted struct {
+type acceptResult struct {
 	net.Conn
 	err error
 }
 
-func script() *scripted { return &scripted{make(chan accepted), make(chan struct{})} }
+func newScriptedListener() *scriptedListener {
+	return &scriptedListener{make(chan acceptResult), make(chan struct{})}
+}
 
-func (s *scripted) Addr() net.Addr { return nil }
-func (s *scripted) Close() error   { close(s.done); return nil }
-func (s *scripted) Accept() (net.Conn, error) {
+func (s *scriptedListener) Addr() net.Addr { return nil }
+func (s *scriptedListener) Close() error   { close(s.closed); return nil }
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	select {
-	case a := <-s.came:
+	case a := <-s.accepts:
 		return a.Conn, a.err
-	case <-s.done:
+	case <-s.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (s *scripted) dial() net.Conn {
-	near, far := net.Pipe()
-	s.came <- accepted{Conn: near}
-	return far
+func (s *scriptedListener) dial() net.Conn {
+	server, client := net.Pipe()
+	s.accepts <- acceptResult{Conn: server}
+	return client
 }
 
-// played plays against Serve in a bubble's fake time, and has it end.
-func played(t *testing.T, most int, log *zap.Logger, handle func(*Conn), play func(*scripted)) {
+// runServe plays against Serve in a bubble's fake time, and has it end.
+func runServe(t *testing.T, maxConns int, log *zap.Logger, handle func(*Conn), run func(*scriptedListener)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		l, done := script(), make(chan error)
+		listener, done := newScriptedListener(), make(chan error)
 		go func() {
-			done <- Serve(ctx, l, Limits{Most: most}, log, func(_ context.Context, c *Conn) { handle(c) })
+			done <- Serve(ctx, listener, Limits{MaxConns: maxConns}, log, func(_ context.Context, c *Conn) { handle(c) })
 		}()
-		play(l)
+		run(listener)
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
@@ -136,34 +138,34 @@
 
 // An answer to what was read before the end is written, though it is given after; what
 // comes later is not taken. One that is never answered holds the end up for a moment only.
-func TestEndWaitsForAnswers(t *testing.T) {
+func TestShutdownWaitsForAnswers(t *testing.T) {
 	for _, answered := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			l, opened, done := script(), make(chan *Conn), make(chan error)
+			listener, opened, done := newScriptedListener(), make(chan *Conn), make(chan error)
 			go func() {
-				done <- Serve(ctx, l, Limits{Most: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
-					c.Opened(1)
+				done <- Serve(ctx, listener, Limits{MaxConns: 1}, zap.NewNop(), func(_ context.Context, c *Conn) {
+					c.OpenSetup(1)
 					opened <- c
 					c.Read(make([]byte, 1))
 				})
 			}()
-			far := l.dial()
+			client := listener.dial()
 			c := <-opened
 			cancel()
 			synctest.Wait()
-			if c.Opened(2) {
+			if c.OpenSetup(2) {
 				t.Error("a set-up opens at the end")
 			}
 			want := ""
 			if answered {
 				want = "last"
 				go func() {
-					c.Put([]byte(want))
-					c.Answered(1)
+					c.Send([]byte(want))
+					c.CloseSetup(1)
 				}()
 			}
-			if got, _ := io.ReadAll(far); string(got) != want {
+			if got, _ := io.ReadAll(client); string(got) != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
 			if err := <-done; err != nil {
@@ -175,51 +177,51 @@
 
 // Where the machine gives no more descriptors, the connection that is missed least gives
 // way, and the log tells of it once.
-func TestNoDescriptorLeft(t *testing.T) {
-	core, seen := observer.New(zap.WarnLevel)
-	played(t, 9, zap.New(core), func(c *Conn) {
+func TestEvictsWhenOutOfDescriptors(t *testing.T) {
+	core, logs := observer.New(zap.WarnLevel)
+	runServe(t, 9, zap.New(core), func(c *Conn) {
 		c.Read(make([]byte, 1))
-		c.Put([]byte("served"))
-	}, func(l *scripted) {
-		begun, idle := time.Now(), l.dial()
+		c.Send([]byte("served"))
+	}, func(listener *scriptedListener) {
+		start, idle := time.Now(), listener.dial()
 		synctest.Wait()
 		for range 100 {
-			l.came <- accepted{err: syscall.EMFILE}
+			listener.accepts <- acceptResult{err: syscall.EMFILE}
 		}
-		if _, err := idle.Read(make([]byte, 1)); err != io.EOF || time.Since(begun) >= wordTime { // by then it would be closed as silent
+		if _, err := idle.Read(make([]byte, 1)); err != io.EOF || time.Since(start) >= messageTimeout { // by then it would be closed as silent
 			t.Error("it is kept:", err)
 		}
-		next := l.dial()
+		next := listener.dial()
 		next.Write([]byte{1})
 		if got, _ := io.ReadAll(next); string(got) != "served" {
 			t.Errorf("%q", got)
 		}
-		if seen.Len() != 1 {
-			t.Errorf("%d lines", seen.Len())
+		if logs.Len() != 1 {
+			t.Errorf("%d lines", logs.Len())
 		}
 	})
 }
 
 // One that has just come keeps its place until its first request can be read, however
 // many come after it.
-func TestFirstRequestIsRead(t *testing.T) {
-	played(t, 1, zap.NewNop(), func(c *Conn) {
+func TestNewConnectionNotEvicted(t *testing.T) {
+	runServe(t, 1, zap.NewNop(), func(c *Conn) {
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			c.Opened(1)
-			c.Put([]byte("served"))
-			c.Answered(1)
+			c.OpenSetup(1)
+			c.Send([]byte("served"))
+			c.CloseSetup(1)
 		}
-	}, func(l *scripted) {
+	}, func(listener *scriptedListener) {
 		for range 3 {
-			one := l.dial()
-			rush := make(chan net.Conn, 1)
-			go func() { rush <- l.dial() }()
-			time.Sleep(freshTime / 2) // on its way
-			one.Write([]byte{1})
-			if got, _ := io.ReadAll(one); string(got) != "served" {
+			first := listener.dial()
+			second := make(chan net.Conn, 1)
+			go func() { second <- listener.dial() }()
+			time.Sleep(newConnGrace / 2) // on its way
+			first.Write([]byte{1})
+			if got, _ := io.ReadAll(first); string(got) != "served" {
 				t.Errorf("%q", got)
 			}
-			(<-rush).Close()
+			(<-second).Close()
 		}
 	})
 }
--- a/internal/front/websocket/frame.go
+++ b/internal/front/websocket/frame.go
@@ -10,23 +10,23 @@
 
 // Opcodes (RFC 6455, section 5.2).
 const (
-	opContinue = 0
-	opText     = 1
-	opBinary   = 2
-	opClose    = 8
-	opPing     = 9
-	opPong     = 10
+	opContinuation = 0
+	opText         = 1
+	opBinary       = 2
+	opClose        = 8
+	opPing         = 9
+	opPong         = 10
 )
 
 // Close codes (section 7.4.1).
 const (
-	closeNormal   = 1000
-	closeAway     = 1001
-	closeProtocol = 1002
-	closeKind     = 1003
-	closeNoCode   = 1005 // stands for a close frame without one; never sent
-	closeInvalid  = 1007
-	closeTooBig   = 1009
+	closeNormal          = 1000
+	closeGoingAway       = 1001
+	closeProtocol        = 1002
+	closeUnsupportedData = 1003
+	closeNoStatus        = 1005 // stands for a close frame without one; never sent
+	closeInvalidPayload  = 1007
+	closeTooBig          = 1009
 )
 
 // closeError ends a connection with a close code.
@@ -38,11 +38,11 @@
 // was parsed, unmasked in place.
 type frame struct {
 	fin     bool
-	op      byte
+	opcode  byte
 	payload []byte
 }
 
-const maxControl = 125
+const maxControlPayload = 125
 
 // parseFrame reads one masked frame from the start of b. It returns the frame's
 // length, or 0 if b ends before it does; only then is b left as it was.
@@ -50,16 +50,16 @@
 	if len(b) < 2 {
 		return 0, nil
 	}
-	f.fin, f.op = b[0]&0x80 != 0, b[0]&0x0f
+	f.fin, f.opcode = b[0]&0x80 != 0, b[0]&0x0f
 	if b[0]&0x70 != 0 || b[1]&0x80 == 0 { // no extensions; clients mask
 		return 0, closeError(closeProtocol)
 	}
-	size, at := uint64(b[1]&0x7f), 2
-	if f.op >= opClose {
-		if !f.fin || size > maxControl || f.op > opPong {
+	size, offset := uint64(b[1]&0x7f), 2
+	if f.opcode >= opClose {
+		if !f.fin || size > maxControlPayload || f.opcode > opPong {
 			return 0, closeError(closeProtocol)
 		}
-	} else if f.op > opBinary {
+	} else if f.opcode > opBinary {
 		return 0, closeError(closeProtocol)
 	}
 	switch size {
@@ -67,7 +67,7 @@
 		if len(b) < 4 {
 			return 0, nil
 		}
-		size, at = uint64(binary.BigEndian.Uint16(b[2:])), 4
+		size, offset = uint64(binary.BigEndian.Uint16(b[2:])), 4
 		if size < 126 {
 			return 0, closeError(closeProtocol)
 		}
@@ -75,20 +75,20 @@
 		if len(b) < 10 {
 			return 0, nil
 		}
-		size, at = binary.BigEndian.Uint64(b[2:]), 10
+		size, offset = binary.BigEndian.Uint64(b[2:]), 10
 		if size < 1<<16 || size>>63 != 0 {
 			return 0, closeError(closeProtocol)
 		}
 	}
-	if size > message.Max {
+	if size > message.MaxSize {
 		return 0, closeError(closeTooBig)
 	}
-	end := at + 4 + int(size)
+	end := offset + 4 + int(size)
 	if len(b) < end {
 		return 0, nil
 	}
-	mask := b[at : at+4]
-	f.payload = b[at+4 : end]
+	mask := b[offset : offset+4]
+	f.payload = b[offset+4 : end]
 	for i := range f.payload {
 		f.payload[i] ^= mask[i&3]
 	}
@@ -96,8 +96,8 @@
 }
 
 // appendFrame adds one unmasked frame of a server.
-func appendFrame(b []byte, op byte, payload []byte) []byte {
-	b = append(b, 0x80|op)
+func appendFrame(b []byte, opcode byte, payload []byte) []byte {
+	b = append(b, 0x80|opcode)
 	switch n := len(payload); {
 	case n < 126:
 		b = append(b, byte(n))
@@ -113,27 +113,27 @@
 
 // appendClose adds a close frame.
 func appendClose(b []byte, code int) []byte {
-	if code == closeNoCode {
+	if code == closeNoStatus {
 		return appendFrame(b, opClose, nil)
 	}
 	return appendFrame(b, opClose, binary.BigEndian.AppendUint16(nil, uint16(code)))
 }
 
-// closeCode reads a close frame's payload.
-func closeCode(p []byte) (int, error) {
-	if len(p) == 0 {
-		return closeNoCode, nil
+// parseCloseCode reads a close frame's payload.
+func parseCloseCode(payload []byte) (int, error) {
+	if len(payload) == 0 {
+		return closeNoStatus, nil
 	}
-	if len(p) == 1 {
+	if len(payload) == 1 {
 		return 0, closeError(closeProtocol)
 	}
-	if !utf8.Valid(p[2:]) {
-		return 0, closeError(closeInvalid)
+	if !utf8.Valid(payload[2:]) {
+		return 0, closeError(closeInvalidPayload)
 	}
-	code := int(binary.BigEndian.Uint16(p))
+	code := int(binary.BigEndian.Uint16(payload))
 	switch {
 	case code >= 3000 && code < 5000,
-		code >= closeNormal && code <= closeKind, code >= closeInvalid && code <= 1014:
+		code >= closeNormal && code <= closeUnsupportedData, code >= closeInvalidPayload && code <= 1014:
 		return code, nil
 	}
 	return 0, closeError(closeProtocol)
--- a/internal/front/websocket/frame_test.go
+++ b/internal/front/websocket/frame_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// hello is the masked text frame of RFC 6455, section 5.7.
-var hello = []byte{0x81, 0x85, 0x37, 0xfa, 0x21, 0x3d, 0x7f, 0x9f, 0x4d, 0x51, 0x58}
+// helloFrame is the masked text frame of RFC 6455, section 5.7.
+var helloFrame = []byte{0x81, 0x85, 0x37, 0xfa, 0x21, 0x3d, 0x7f, 0x9f, 0x4d, 0x51, 0x58}
 
-func TestFrame(t *testing.T) {
+func TestParseFrame(t *testing.T) {
 	var f frame
-	for cut := range hello {
-		in := bytes.Clone(hello[:cut])
-		if n, err := parseFrame(in, &f); n != 0 || err != nil || !bytes.Equal(in, hello[:cut]) {
+	for cut := range helloFrame {
+		in := bytes.Clone(helloFrame[:cut])
+		if n, err := parseFrame(in, &f); n != 0 || err != nil || !bytes.Equal(in, helloFrame[:cut]) {
 			t.Fatalf("%d bytes: %d, %v", cut, n, err)
 		}
 	}
-	n, err := parseFrame(append(bytes.Clone(hello), 0x81), &f)
-	if err != nil || n != len(hello) || !f.fin || f.op != opText || string(f.payload) != "Hello" {
+	n, err := parseFrame(append(bytes.Clone(helloFrame), 0x81), &f)
+	if err != nil || n != len(helloFrame) || !f.fin || f.opcode != opText || string(f.payload) != "Hello" {
 		t.Errorf("%d, %v, %+v", n, err, f)
 	}
 	if b := appendFrame(nil, opText, make([]byte, 256)); len(b) != 260 || b[1] != 126 || b[2] != 1 {
@@ -26,7 +26,7 @@
 	}
 }
 
-func TestFrameFaults(t *testing.T) {
+func TestInvalidFrames(t *testing.T) {
 	for name, e := range map[string]struct {
 		in   []byte
 		code closeError
@@ -46,14 +46,14 @@
 		}
 	}
 	for _, p := range [][]byte{{3}, {0x03, 0xed}, {0, 1}, {0xff, 0xff}, {0x03, 0xe8, 0xff}} {
-		if _, err := closeCode(p); err == nil {
+		if _, err := parseCloseCode(p); err == nil {
 			t.Errorf("no error for the close payload % x", p)
 		}
 	}
 }
 
 func FuzzFrame(f *testing.F) {
-	f.Add(hello)
+	f.Add(helloFrame)
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var fr frame
 		if n, err := parseFrame(in, &fr); n < 0 || n > len(in) || err != nil && n != 0 {
--- a/internal/front/websocket/handshake.go
+++ b/internal/front/websocket/handshake.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
-	maxHead    = 8 << 10 // bytes of an opening request
+	acceptGUID      = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
+	maxRequestBytes = 8 << 10 // bytes of an opening request
 )
 
 var (
-	headEnd = []byte("\r\n\r\n")
+	headerEnd = []byte("\r\n\r\n")
 
-	errRequest = errors.New("websocket: no opening request")
+	errBadRequest = errors.New("websocket: no opening request")
 )
 
 // parseRequest reads an opening request from the start of b and returns its length,
 // or 0 if b ends before it does. net/http reads what is whole and short, so that a
 // client can have no more kept of it than its bytes.
 func parseRequest(b []byte) (*http.Request, int, error) {
-	end := bytes.Index(b, headEnd) + len(headEnd)
-	if end < len(headEnd) {
-		if len(b) >= maxHead {
-			return nil, 0, errRequest
+	end := bytes.Index(b, headerEnd) + len(headerEnd)
+	if end < len(headerEnd) {
+		if len(b) >= maxRequestBytes {
+			return nil, 0, errBadRequest
 		}
 		return nil, 0, nil
 	}
-	if end > maxHead {
-		return nil, 0, errRequest
+	if end > maxRequestBytes {
+		return nil, 0, errBadRequest
 	}
 	req, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(b[:end]), end))
 	if err != nil || !req.ProtoAtLeast(1, 1) || req.ContentLength != 0 { // Guard: a body would be taken for frames
-		return nil, 0, errRequest
+		return nil, 0, errBadRequest
 	}
 	return req, end, nil
 }
 
-// handshake answers an opening request (RFC 6455, section 4.2). ok: the
+// handshakeResponse answers an opening request (RFC 6455, section 4.2). ok: the
 // connection is a WebSocket from here on.
-func handshake(req *http.Request, path string) (response []byte, ok bool) {
+func handshakeResponse(req *http.Request, path string) (response []byte, ok bool) {
 	switch {
 	case req.URL.Path != path:
-		return failure(http.StatusNotFound, ""), false
+		return errorResponse(http.StatusNotFound, ""), false
 	case req.Method != http.MethodGet:
-		return failure(http.StatusMethodNotAllowed, "Allow: GET\r\n"), false
+		return errorResponse(http.StatusMethodNotAllowed, "Allow: GET\r\n"), false
 	case !hasToken(req.Header, "Upgrade", "websocket") || !hasToken(req.Header, "Connection", "upgrade"),
 		req.Header.Get("Sec-WebSocket-Version") != "13":
-		return failure(http.StatusUpgradeRequired, "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n"), false
+		return errorResponse(http.StatusUpgradeRequired, "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n"), false
 	}
 	key := req.Header.Get("Sec-WebSocket-Key")
 	if raw, err := base64.StdEncoding.DecodeString(key); err != nil || len(raw) != 16 || req.Host == "" {
-		return failure(http.StatusBadRequest, ""), false
+		return errorResponse(http.StatusBadRequest, ""), false
 	}
 	return []byte("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 		"Sec-WebSocket-Accept: " + acceptKey(key) + "\r\n\r\n"), true
@@ -81,7 +81,7 @@
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
 
-func failure(code int, headers string) []byte {
+func errorResponse(code int, headers string) []byte {
 	return []byte("HTTP/1.1 " + strconv.Itoa(code) + " " + http.StatusText(code) + "\r\n" + headers +
 		"Connection: close\r\nContent-Length: 0\r\n\r\n")
 }
--- a/internal/front/websocket/websocket.go
+++ b/internal/front/websocket/websocket.go
@@ -24,41 +24,41 @@
 )
 
 const (
-	openTime = 2 * time.Second  // for the opening handshake
-	pingTime = 10 * time.Second // between pings
-	deadTime = 25 * time.Second // without a byte, after which a socket is lost
-	// readSize holds the longest frame with its header.
-	readSize = message.Max + 14
+	handshakeTimeout = 2 * time.Second  // for the opening handshake
+	pingInterval     = 10 * time.Second // between pings
+	readTimeout      = 25 * time.Second // without a byte, after which a socket is lost
+	// readBufferSize holds the longest frame with its header.
+	readBufferSize = message.MaxSize + 14
 )
 
 // Front serves players on one address.
 type Front struct {
-	Core    message.Core
-	Catalog message.Catalog
+	Broker  message.Broker
+	Decoder message.SetupDecoder
 	Path    string
 	Grace   time.Duration // for a player whose socket is lost to come back
 	Limits  peer.Limits
-	Counts  *broker.Counts // nil: nobody asks
+	Counts  *broker.Counters // nil: nobody asks
 	Log     *zap.Logger
 }
 
 // Serve accepts until ctx ends.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	return peer.Serve(ctx, l, f.Limits, f.Log, func(_ context.Context, p *peer.Conn) {
-		c := &conn{Conn: p, front: f, in: stream.NewReader(p, readSize)}
-		if !c.open() {
+		c := &conn{Conn: p, front: f, reader: stream.NewReader(p, readBufferSize)}
+		if !c.acceptHandshake() {
 			return
 		}
-		c.Farewell(appendClose(nil, closeAway))
-		alive := make(chan struct{})
-		defer close(alive)
-		go c.keepAlive(alive)
-		defer f.Core.Lost(c)
-		defer c.Leave()
-		err := c.serve()
-		var code closeError
-		if errors.As(err, &code) {
-			c.Put(appendClose(nil, int(code)))
+		c.SetFarewell(appendClose(nil, closeGoingAway))
+		done := make(chan struct{})
+		defer close(done)
+		go c.keepAlive(done)
+		defer f.Broker.Lost(c)
+		defer c.MarkReadEnded()
+		err := c.readLoop()
+		var closeErr closeError
+		if errors.As(err, &closeErr) {
+			c.Send(appendClose(nil, int(closeErr)))
 		}
 	})
 }
@@ -66,179 +66,179 @@
 // conn is one player's socket.
 type conn struct {
 	*peer.Conn
-	front *Front
-	in    *stream.Reader
-	parts []byte // of a message in several frames
-	kind  byte   // of that message; 0: none is open
+	front          *Front
+	reader         *stream.Reader
+	fragments      []byte // of a message in several frames
+	fragmentOpcode byte   // of that message; 0: none is open
 }
 
 // Deliver sends a reply on this socket. If it is lost, the broker keeps the
 // reply for the player to come back.
 func (c *conn) Deliver(r broker.Reply) bool {
 	switch r.Kind {
-	case broker.Closed: // its set-up was answered; one that is open under that id is another
-		c.Fell()
+	case broker.ReplyClosed: // its set-up was answered; one that is open under that id is another
+		c.SessionEnded()
 		return true
-	case broker.Over, broker.Moved: // likewise
-		c.Fell()
+	case broker.ReplyEnded, broker.ReplyMoved: // likewise
+		c.SessionEnded()
 	default:
-		defer c.Answered(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
+		defer c.CloseSetup(uint64(r.ID)) // not before it is queued: the connection may be closed once nothing is owed
 	}
 	switch r.Kind {
-	case broker.GivenUp:
+	case broker.ReplyAbandoned:
 		return true
-	case broker.Served:
-		c.Know()
-		c.Stands()
+	case broker.ReplyServed:
+		c.MarkHadSession()
+		c.SessionEstablished()
 	}
-	return c.Put(appendFrame(nil, opText, message.AppendReply(nil, r)))
+	return c.Send(appendFrame(nil, opText, message.AppendReply(nil, r)))
 }
 
 // Gone is part of broker.Client.
 func (c *conn) Gone(id control.SessionID) bool { return c.Conn.Gone(uint64(id)) }
 
-// open does the opening handshake.
-func (c *conn) open() bool {
-	if err := c.SetReadDeadline(time.Now().Add(openTime)); err != nil {
+// acceptHandshake does the opening handshake.
+func (c *conn) acceptHandshake() bool {
+	if err := c.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return false
 	}
 	var req *http.Request
-	err := c.in.Next(func(b []byte) (n int, err error) {
+	err := c.reader.Next(func(b []byte) (n int, err error) {
 		req, n, err = parseRequest(b)
 		return n, err
 	})
 	if err != nil {
-		if errors.Is(err, errRequest) {
-			c.Put(failure(http.StatusBadRequest, ""))
+		if errors.Is(err, errBadRequest) {
+			c.Send(errorResponse(http.StatusBadRequest, ""))
 		}
 		return false
 	}
-	c.Whole(c.in.Buffered() > 0)
-	response, ok := handshake(req, c.front.Path)
-	return c.Put(response) && ok
+	c.MessageRead(c.reader.Buffered() > 0)
+	response, ok := handshakeResponse(req, c.front.Path)
+	return c.Send(response) && ok
 }
 
 // keepAlive pings, so that a socket whose player vanished is found out.
 func (c *conn) keepAlive(done <-chan struct{}) {
-	tick := time.NewTicker(pingTime)
+	tick := time.NewTicker(pingInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-done:
 			return
 		case <-tick.C:
-			if !c.Put(appendFrame(nil, opPing, nil)) {
+			if !c.Send(appendFrame(nil, opPing, nil)) {
 				return
 			}
 		}
 	}
 }
 
-// serve handles frames until the socket ends. A closeError is still to be sent.
-func (c *conn) serve() error {
+// readLoop handles frames until the socket ends. A closeError is still to be sent.
+func (c *conn) readLoop() error {
 	var f frame
-	for c.Pace() {
-		if err := c.SetReadDeadline(time.Now().Add(deadTime)); err != nil {
+	for c.Throttle() {
+		if err := c.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return err
 		}
-		err := c.in.Next(func(b []byte) (int, error) { return parseFrame(b, &f) })
+		err := c.reader.Next(func(b []byte) (int, error) { return parseFrame(b, &f) })
 		if err != nil {
 			if errors.Is(err, stream.ErrTooLong) {
 				return closeError(closeTooBig)
 			}
 			return err
 		}
-		if c.kind == 0 || f.fin && f.op == opContinue { // a message in parts counts when it is whole
-			c.Whole(c.in.Buffered() > 0)
+		if c.fragmentOpcode == 0 || f.fin && f.opcode == opContinuation { // a message in parts counts when it is whole
+			c.MessageRead(c.reader.Buffered() > 0)
 		}
-		if err := c.frame(&f); err != nil {
+		if err := c.handleFrame(&f); err != nil {
 			return err
 		}
 	}
 	return net.ErrClosed
 }
 
-// frame takes one frame.
-func (c *conn) frame(f *frame) error {
-	switch f.op {
+// handleFrame takes one frame.
+func (c *conn) handleFrame(f *frame) error {
+	switch f.opcode {
 	case opPing:
-		c.Put(appendFrame(nil, opPong, f.payload))
+		c.Send(appendFrame(nil, opPong, f.payload))
 		return nil
 	case opPong:
 		return nil
 	case opClose:
-		code, err := closeCode(f.payload)
+		code, err := parseCloseCode(f.payload)
 		if err != nil {
 			return err
 		}
 		return closeError(code) // the closing handshake's answer
-	case opContinue:
-		if c.kind == 0 {
+	case opContinuation:
+		if c.fragmentOpcode == 0 {
 			return closeError(closeProtocol)
 		}
 	default:
-		if c.kind != 0 {
+		if c.fragmentOpcode != 0 {
 			return closeError(closeProtocol)
 		}
 		if f.fin {
-			return c.message(f.op, f.payload)
+			return c.handleMessage(f.opcode, f.payload)
 		}
-		c.kind, c.parts = f.op, c.parts[:0]
+		c.fragmentOpcode, c.fragments = f.opcode, c.fragments[:0]
 	}
-	if len(c.parts)+len(f.payload) > message.Max {
+	if len(c.fragments)+len(f.payload) > message.MaxSize {
 		return closeError(closeTooBig)
 	}
-	c.parts = append(c.parts, f.payload...)
+	c.fragments = append(c.fragments, f.payload...)
 	if !f.fin {
 		return nil
 	}
-	kind := c.kind
-	c.kind = 0
-	return c.message(kind, c.parts)
+	opcode := c.fragmentOpcode
+	c.fragmentOpcode = 0
+	return c.handleMessage(opcode, c.fragments)
 }
 
-// message takes one whole message.
-func (c *conn) message(kind byte, text []byte) error {
-	came := time.Now()
-	if kind != opText {
-		return closeError(closeKind)
+// handleMessage takes one whole message.
+func (c *conn) handleMessage(opcode byte, payload []byte) error {
+	received := time.Now()
+	if opcode != opText {
+		return closeError(closeUnsupportedData)
 	}
-	if !utf8.Valid(text) {
-		return closeError(closeInvalid)
+	if !utf8.Valid(payload) {
+		return closeError(closeInvalidPayload)
 	}
 	var m message.Message
-	if err := message.Parse(text, &m); err != nil {
+	if err := message.Parse(payload, &m); err != nil {
 		return closeError(closeProtocol)
 	}
 	switch string(m.Type) {
 	case "setup":
-		return c.setUp(&m, came)
+		return c.handleSetup(&m, received)
 	case "release":
 		id, err := message.ParseID(m.ID)
-		c.Answered(uint64(id)) // first: an attempt that is under way in the broker is not begun
-		if err != nil || !c.front.Core.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
+		c.CloseSetup(uint64(id)) // first: an attempt that is under way in the broker is not begun
+		if err != nil || !c.front.Broker.End(broker.ViewerEnd{ID: id, Cause: m.Cause, Client: c}) {
 			return closeError(closeProtocol)
 		}
 	case "ping":
-		c.Put(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.Takes())))
+		c.Send(appendFrame(nil, opText, message.AppendPong(nil, m.ID, c.AcceptsClients())))
 	}
 	return nil // progress and released mean nothing
 }
 
-func (c *conn) setUp(m *message.Message, came time.Time) error {
-	r, err := c.front.Catalog.Setup(m, message.Origin{Front: "websocket", Client: c.Addr, Came: came})
+func (c *conn) handleSetup(m *message.Message, received time.Time) error {
+	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "websocket", Client: c.Addr, Received: received})
 	r.Client, r.Grace = c, c.front.Grace
 	switch {
 	case err != nil && r.ID == 0:
 		return closeError(closeProtocol)
 	case err != nil:
-		c.Deliver(broker.Reply{Kind: broker.Failed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
-	case !c.Opened(uint64(r.ID)) || !c.front.Core.Submit(r):
+		c.Deliver(broker.Reply{Kind: broker.ReplyFailed, ID: r.ID, Cause: broker.CauseFailed, Reason: err.Error()})
+	case !c.OpenSetup(uint64(r.ID)) || !c.front.Broker.Submit(r):
 		// Guard: too many wait, on this socket or before the module, or clients are sent
 		// away. Nothing has been tried.
-		c.front.Counts.Answered(r.Class, broker.Refused)
-		c.Deliver(broker.Reply{Kind: broker.Refused, ID: r.ID, Cause: broker.CauseRefused,
-			Wait: time.Second, Reason: message.ReasonBusy})
+		c.front.Counts.CountAnswer(r.Class, broker.ReplyRefused)
+		c.Deliver(broker.Reply{Kind: broker.ReplyRefused, ID: r.ID, Cause: broker.CauseRefused,
+			RetryAfter: time.Second, Reason: message.ReasonBusy})
 	}
 	return nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -83,8 +83,8 @@
 func TestHandoverFile(t *testing.T) {
 	below := t.TempDir()
 	old, young := enter(t, below, 1), enter(t, below, 2)
-	want := broker.Handover{Last: true, Over: map[control.SessionID]int{3: 41},
-		Standing: []broker.Standing{{ID: 1, Class: 1, Team: -1, Key: "7f", Title: 0x7f, Home: 2, Span: 3, MaxRung: 4, Server: 9, Rung: 2, Since: 5, Host: "127.0.0.9"}}}
+	want := broker.Handover{Final: true, Ended: map[control.SessionID]int{3: 41},
+		Sessions: []broker.EstablishedSession{{ID: 1, Class: 1, Team: -1, Key: "7f", Title: 0x7f, Home: 2, Copies: 3, MaxRung: 4, Server: 9, Rung: 2, EstablishedAtNS: 5, ViewerHost: "127.0.0.9"}}}
 	if _, changed, err := young.Handover(); changed || err != nil {
 		t.Fatal("there is one before it was stored", err)
 	}
--- a/internal/header/header.go
+++ b/internal/header/header.go
@@ -4,20 +4,20 @@
 
 import "bytes"
 
-var lineEnd = []byte("\r\n")
+var crlf = []byte("\r\n")
 
 // Field is one header line. Its slices are those of the buffer parsed.
 type Field struct{ Name, Value []byte }
 
-// List is a message's header.
-type List []Field
+// Fields is a message's header.
+type Fields []Field
 
 // Parse adds the lines of b, each ending in CRLF, to l. It tells whether all
 // are well formed.
-func (l List) Parse(b []byte) (List, bool) {
+func (l Fields) Parse(b []byte) (Fields, bool) {
 	for len(b) > 0 {
 		var line []byte
-		line, b, _ = bytes.Cut(b, lineEnd)
+		line, b, _ = bytes.Cut(b, crlf)
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t") {
 			return l, false
@@ -28,7 +28,7 @@
 }
 
 // Get returns the value of the first field of that name, or nil.
-func (l List) Get(name string) []byte {
+func (l Fields) Get(name string) []byte {
 	for _, f := range l {
 		if len(f.Name) == len(name) && bytes.EqualFold(f.Name, []byte(name)) {
 			return f.Value
@@ -37,24 +37,24 @@
 	return nil
 }
 
-// Length reads Content-Length: 0 if there is none. Several must agree.
-func (l List) Length() (int, bool) {
-	length, seen := 0, false
+// ContentLength reads Content-ContentLength: 0 if there is none. Several must agree.
+func (l Fields) ContentLength() (int, bool) {
+	length, found := 0, false
 	for _, f := range l {
 		if !bytes.EqualFold(f.Name, []byte("Content-Length")) {
 			continue
 		}
-		n, ok := Uint(f.Value)
-		if !ok || seen && int(n) != length {
+		n, ok := ParseDecimal(f.Value)
+		if !ok || found && int(n) != length {
 			return 0, false
 		}
-		length, seen = int(n), true
+		length, found = int(n), true
 	}
 	return length, true
 }
 
-// Uint reads a decimal number of at most 9 digits.
-func Uint(b []byte) (uint64, bool) {
+// ParseDecimal reads a decimal number of at most 9 digits.
+func ParseDecimal(b []byte) (uint64, bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
--- a/internal/mailbox/mailbox.go
+++ b/internal/mailbox/mailbox.go
@@ -25,7 +25,7 @@
 		b.queue = append(b.queue, v)
 	}
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 	return ok
 }
 
@@ -35,10 +35,10 @@
 	b.mu.Lock()
 	b.queue = append(b.queue, v)
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 }
 
-func (b *Box[T]) wake() {
+func (b *Box[T]) signal() {
 	select {
 	case b.ready <- struct{}{}:
 	default:
--- a/internal/mailbox/mailbox_test.go
+++ b/internal/mailbox/mailbox_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestBox(t *testing.T) {
+func TestPutForceTake(t *testing.T) {
 	b := New[int](2)
 	if !b.Put(1) || !b.Put(2) || b.Put(3) {
 		t.Error("the limit does not bind")
--- a/internal/media/cases_test.go
+++ b/internal/media/cases_test.go
@@ -11,144 +11,144 @@
 	"millethinge/internal/broker"
 )
 
-// farNode is a scripted node. It says an end once on a connection of its choice, whatever
+// scriptedNode is a scripted node. It says an end once on a connection of its choice, whatever
 // has become of that, and once more on the next that opens.
-type farNode struct {
-	n                *node
-	own, other, busy *conn // the session's own; one that stands idle; one that carries notes
-	lost             map[*conn]bool
-	still            bool
-	unseen           []*conn // came up while it stood still
-	seenLast         bool    // what came up meanwhile is new to it only after what it has to say
-	pending          bool    // the end is said on the next connection that opens
-	spoil            func(c *conn)
-	reports          *[]broker.Report
-	dialling         bool
-	breaks, opened   int
+type scriptedNode struct {
+	n                               *node
+	sessionConn, idleConn, busyConn *conn // the session's own; one that stands idle; one that carries notes
+	lossy                           map[*conn]bool
+	stalled                         bool
+	unaccepted                      []*conn // came up while it stood still
+	acceptsLast                     bool    // what came up meanwhile is new to it only after what it has to say
+	endPending                      bool    // the end is said on the next connection that opens
+	failNextConn                    func(c *conn)
+	reports                         *[]broker.Report
+	dialling                        bool
+	lossesAtDial, openedConns       int
 }
 
-func newFarNode(t *testing.T) *farNode {
-	n, _, _, reports := bed(t)
+func newScriptedNode(t *testing.T) *scriptedNode {
+	n, _, _, reports := newTestNode(t)
 	n.pool.cfg.MaxConns = 0 // connect dials nothing: the script takes its part
-	f := &farNode{n: n, own: stub(), other: stub(), busy: stub(), lost: map[*conn]bool{}, reports: reports}
-	n.conns = []*conn{f.own, f.other, f.busy}
-	n.standing[1] = &stand{conn: f.own, at: time.Now()}
-	n.standing[2] = &stand{conn: f.busy, at: time.Now()}
+	f := &scriptedNode{n: n, sessionConn: newStubConn(), idleConn: newStubConn(), busyConn: newStubConn(), lossy: map[*conn]bool{}, reports: reports}
+	n.conns = []*conn{f.sessionConn, f.idleConn, f.busyConn}
+	n.established[1] = &establishedSession{conn: f.sessionConn, setUpSentAt: time.Now()}
+	n.established[2] = &establishedSession{conn: f.busyConn, setUpSentAt: time.Now()}
 	return f
 }
 
 // handle has the actor take messages, and sees whether it dials.
-func (f *farNode) handle(all ...any) {
+func (f *scriptedNode) handle(all ...any) {
 	for _, m := range all {
 		f.n.handle(m)
 	}
-	f.dials()
+	f.noteDial()
 }
 
-func (f *farNode) dials() {
+func (f *scriptedNode) noteDial() {
 	if f.n.dialling && !f.dialling {
-		f.dialling, f.breaks = true, f.n.breaks
+		f.dialling, f.lossesAtDial = true, f.n.possibleLosses
 	}
 }
 
 // tick lets a tick pass: a note on the busy connection, a look, and a connection that was
 // being dialled comes up.
-func (f *farNode) tick() {
-	time.Sleep(tickTime)
-	if !f.still {
-		f.handle(heard{f.busy, message{kind: noted, id: 2}})
+func (f *scriptedNode) tick() {
+	time.Sleep(tickInterval)
+	if !f.stalled {
+		f.handle(received{f.busyConn, message{kind: kindAnnounce, id: 2}})
 	}
 	up := f.dialling
-	f.n.look(time.Now())
-	f.dials()
+	f.n.maintain(time.Now())
+	f.noteDial()
 	if !up {
 		return
 	}
-	c := stub()
-	c.used, f.dialling = false, false
-	f.opened++
-	if f.spoil != nil && !f.still {
-		f.pending = true // the end is said on it, as on any, and not yet once more
-		f.spoil(c)
-		f.spoil = nil
+	c := newStubConn()
+	c.carriedMessage, f.dialling = false, false
+	f.openedConns++
+	if f.failNextConn != nil && !f.stalled {
+		f.endPending = true // the end is said on it, as on any, and not yet once more
+		f.failNextConn(c)
+		f.failNextConn = nil
 		return
 	}
-	if f.still {
-		f.unseen = append(f.unseen, c)
+	if f.stalled {
+		f.unaccepted = append(f.unaccepted, c)
 	}
-	again := f.pending && !f.still
-	f.pending = f.pending && !again
-	f.handle(dialled{conn: c, breaks: f.breaks})
+	again := f.endPending && !f.stalled
+	f.endPending = f.endPending && !again
+	f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial})
 	if again {
-		f.handle(heard{c, message{kind: ended, id: 1, cause: 16}})
+		f.handle(received{c, message{kind: kindTearDown, id: 1, cause: 16}})
 	}
 }
 
-// end says the end on c, or with none on no connection yet.
-func (f *farNode) end(c *conn) {
-	f.say(c)
-	f.pending = true
-	for _, u := range f.unseen {
-		if f.seenLast && (u.broke || u == f.unseen[len(f.unseen)-1]) { // the worst of them
-			f.pending = false
-			f.say(u)
+// sendEnd says the end on c, or with none on no connection yet.
+func (f *scriptedNode) sendEnd(c *conn) {
+	f.deliverEnd(c)
+	f.endPending = true
+	for _, u := range f.unaccepted {
+		if f.acceptsLast && (u.breakCounted || u == f.unaccepted[len(f.unaccepted)-1]) { // the worst of them
+			f.endPending = false
+			f.deliverEnd(u)
 			break
 		}
 	}
-	for _, u := range f.unseen {
-		if !u.broke {
-			f.handle(heard{u, message{status: 200, id: 9}}) // to a TEARDOWN
+	for _, u := range f.unaccepted {
+		if !u.breakCounted {
+			f.handle(received{u, message{status: 200, id: 9}}) // to a TEARDOWN
 		}
 	}
 }
 
-func (f *farNode) say(c *conn) {
-	if c != nil && !f.lost[c] && !c.broke {
-		f.handle(heard{c, message{kind: ended, id: 1, cause: 16}})
+func (f *scriptedNode) deliverEnd(c *conn) {
+	if c != nil && !f.lossy[c] && !c.breakCounted {
+		f.handle(received{c, message{kind: kindTearDown, id: 1, cause: 16}})
 	}
 }
 
-// stand has it stand still for 1.5 s. A set-up times out on a connection that comes up
+// stall has it stand still for 1.5 s. A set-up times out on a connection that comes up
 // meanwhile.
-func (f *farNode) stand() {
-	f.still = true
+func (f *scriptedNode) stall() {
+	f.stalled = true
 	for i := range 15 {
 		f.tick()
-		if last := len(f.unseen) - 1; last >= 0 && i == 5 {
-			f.try(f.unseen[last])
-			f.handle(giveUp{9, 1, true})
+		if last := len(f.unaccepted) - 1; last >= 0 && i == 5 {
+			f.sendSetUp(f.unaccepted[last])
+			f.handle(abandonRequest{9, 1, true})
 		}
 	}
-	f.still = false
+	f.stalled = false
 }
 
-func (f *farNode) told() bool {
+func (f *scriptedNode) viewerTold() bool {
 	for _, r := range *f.reports {
-		if r.Kind == broker.Ended && r.ID == 1 {
+		if r.Kind == broker.ReportEnded && r.ID == 1 {
 			return true
 		}
 	}
 	return false
 }
 
-// try has a set-up go on c.
-func (f *farNode) try(c *conn) {
+// sendSetUp has a set-up go on c.
+func (f *scriptedNode) sendSetUp(c *conn) {
 	for _, o := range f.n.conns {
-		o.open += 100 * len(f.n.conns) // full
+		o.openSetUps += 100 * len(f.n.conns) // full
 	}
-	c.open -= 100 * len(f.n.conns)
-	f.handle(try(9))
+	c.openSetUps -= 100 * len(f.n.conns)
+	f.handle(newSetUp(9))
 	for _, o := range f.n.conns {
-		o.open -= 100 * len(f.n.conns)
+		o.openSetUps -= 100 * len(f.n.conns)
 	}
-	c.open += 100 * len(f.n.conns)
+	c.openSetUps += 100 * len(f.n.conns)
 }
 
-// mute has a set-up go on c, which nothing comes from any more, and time out.
-func (f *farNode) mute(c *conn) {
-	f.lost[c] = true
-	f.try(c)
-	f.handle(giveUp{9, 1, true})
+// makeUnresponsive has a set-up go on c, which nothing comes from any more, and time out.
+func (f *scriptedNode) makeUnresponsive(c *conn) {
+	f.lossy[c] = true
+	f.sendSetUp(c)
+	f.handle(abandonRequest{9, 1, true})
 }
 
 // What may become of a session's own connection, and where its node then says its end.
@@ -158,44 +158,46 @@
 // set-up or a session needs (TestDescriptorsAreShort), and a node's half-close is its close in order;
 // an end said on an own connection that the node has closed in order, since it knows. A
 // connection that falls mute with no set-up on it is told by nothing (README).
-func TestEndsWhereverTheyAreSaid(t *testing.T) {
+func TestEndIsDeliveredAfterConnectionFailures(t *testing.T) {
 	const within = 8 * time.Second
-	fates := map[string]func(f *farNode){
-		"closed in order": func(f *farNode) { f.handle(closed{f.own, io.EOF}) },
-		"reset":           func(f *farNode) { f.handle(closed{f.own, syscall.ECONNRESET}) },
-		"mute":            func(f *farNode) { f.mute(f.own) },
-	}
-	places := map[string]func(f *farNode) *conn{
-		"own":  func(f *farNode) *conn { return f.own },
-		"busy": func(f *farNode) *conn { return f.busy },
-		"idle": func(f *farNode) *conn { return f.other },
-		"mute": func(f *farNode) *conn {
-			f.mute(f.other)
-			return f.other
+	fates := map[string]func(f *scriptedNode){
+		"closed in order": func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, io.EOF}) },
+		"reset":           func(f *scriptedNode) { f.handle(connClosed{f.sessionConn, syscall.ECONNRESET}) },
+		"mute":            func(f *scriptedNode) { f.makeUnresponsive(f.sessionConn) },
+	}
+	places := map[string]func(f *scriptedNode) *conn{
+		"own":  func(f *scriptedNode) *conn { return f.sessionConn },
+		"busy": func(f *scriptedNode) *conn { return f.busyConn },
+		"idle": func(f *scriptedNode) *conn { return f.idleConn },
+		"mute": func(f *scriptedNode) *conn {
+			f.makeUnresponsive(f.idleConn)
+			return f.idleConn
 		},
-		"mute after a word under way": func(f *farNode) *conn {
-			f.lost[f.other] = true
-			f.try(f.other)
-			f.handle(heard{f.other, message{status: 200, id: 77}}, giveUp{9, 1, true})
-			return f.other
+		"mute after a word under way": func(f *scriptedNode) *conn {
+			f.lossy[f.idleConn] = true
+			f.sendSetUp(f.idleConn)
+			f.handle(received{f.idleConn, message{status: 200, id: 77}}, abandonRequest{9, 1, true})
+			return f.idleConn
 		},
-		"mute, the set-up cancelled": func(f *farNode) *conn {
-			f.lost[f.other] = true
-			f.try(f.other)
-			f.handle(giveUp{9, 1, false})
-			return f.other
+		"mute, the set-up cancelled": func(f *scriptedNode) *conn {
+			f.lossy[f.idleConn] = true
+			f.sendSetUp(f.idleConn)
+			f.handle(abandonRequest{9, 1, false})
+			return f.idleConn
 		},
-		"just being retired": func(f *farNode) *conn {
-			f.other.retire(time.Hour) // before the session stood
-			f.lost[f.other] = true
-			return f.other
+		"just being retired": func(f *scriptedNode) *conn {
+			f.idleConn.retire(time.Hour) // before the session stood
+			f.lossy[f.idleConn] = true
+			return f.idleConn
 		},
-		"just opened, reset": func(f *farNode) *conn {
-			f.spoil = func(c *conn) { f.handle(dialled{conn: c, breaks: f.breaks}, closed{c, syscall.ECONNRESET}) }
+		"just opened, reset": func(f *scriptedNode) *conn {
+			f.failNextConn = func(c *conn) {
+				f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial}, connClosed{c, syscall.ECONNRESET})
+			}
 			return nil
 		},
-		"just opened, given up": func(f *farNode) *conn {
-			f.spoil = func(c *conn) { f.handle(dialled{err: syscall.ETIMEDOUT}) }
+		"just opened, given up": func(f *scriptedNode) *conn {
+			f.failNextConn = func(c *conn) { f.handle(dialResult{err: syscall.ETIMEDOUT}) }
 			return nil
 		},
 	}
@@ -207,36 +209,36 @@
 			for _, still := range []string{"", "/still, new ones seen first", "/still, new ones seen last"} {
 				t.Run(fate+"/"+place+still, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						f := newFarNode(t)
-						f.still, f.seenLast = still != "", strings.HasSuffix(still, "last")
+						f := newScriptedNode(t)
+						f.stalled, f.acceptsLast = still != "", strings.HasSuffix(still, "last")
 						befall(f)
-						if place != "own" && !f.still { // there the end and the close cross
+						if place != "own" && !f.stalled { // there the end and the close cross
 							for range 8 { // what the fate asks for is opened before the end is said
 								f.tick()
 							}
 						}
 						c := prepare(f)
-						if f.still {
-							f.stand()
+						if f.stalled {
+							f.stall()
 						}
 						if c != nil {
-							f.end(c)
+							f.sendEnd(c)
 						} else { // on the next that comes up
-							f.n.connect()
-							f.dials()
+							f.n.startDial()
+							f.noteDial()
 						}
 						if place == "just being retired" {
-							f.handle(closed{f.other, syscall.ECONNRESET})
+							f.handle(connClosed{f.idleConn, syscall.ECONNRESET})
 						}
 						said := time.Now()
-						for !f.told() && time.Since(said) < within {
+						for !f.viewerTold() && time.Since(said) < within {
 							f.tick()
 						}
-						if !f.told() {
+						if !f.viewerTold() {
 							t.Error("the viewer is not told")
 						}
-						if f.opened > 4 {
-							t.Errorf("%d connections are opened for it", f.opened)
+						if f.openedConns > 4 {
+							t.Errorf("%d connections are opened for it", f.openedConns)
 						}
 					})
 				})
