--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -25,129 +25,129 @@
 
 // CSeq values, as PROTOCOL gives them.
 const (
-	seqSetUp    = 1
-	seqTearDown = 2
-	seqTest     = 3
-	seqOther    = 4
+	cseqSetUp    = 1
+	cseqTearDown = 2
+	cseqProbe    = 3
+	cseqOther    = 4
 )
 
 const (
-	tickTime    = 100 * time.Millisecond
-	probeTime   = 300 * time.Millisecond // a report that is later says little
-	silentTime  = 2 * time.Second        // after which a node with sessions is looked at again
-	lostTime    = 3 * time.Second        // after which, with failed looks, it is lost
-	retryTime   = time.Second            // between looks at a lost node
-	quickTries  = 3                      // connections in a row that time out and are followed by the next at once
-	keepLost    = time.Minute            // how long its sessions' releases wait
-	keepRelease = 10 * time.Second       // how long a release waits for a connection
-	mostConns   = 12                     // to one node; more than open between two closes as idle
-	keptConns   = 2                      // that are kept though nothing is open on them
-	spareTime   = 2 * time.Second        // after which others are retired
-	usablePart  = 9                      // tenths of a node's idle time, after which a connection may be closing there
-	suspectTime = 200 * time.Millisecond // without a word since a set-up, after which others take another connection
-	keepEarly   = 5 * time.Second        // how long an end is known that came before its session did
-	keepGiven   = 10 * time.Second       // how long a set-up that was given up is known, for a late answer
+	tickInterval        = 100 * time.Millisecond
+	probeTimeout        = 300 * time.Millisecond // a report that is later says little
+	nodeSilenceTimeout  = 2 * time.Second        // after which a node with sessions is looked at again
+	nodeLostTimeout     = 3 * time.Second        // after which, with failed looks, it is lost
+	redialInterval      = time.Second            // between looks at a lost node
+	maxImmediateRedials = 3                      // connections in a row that time out and are followed by the next at once
+	lostNodeReleaseTTL  = time.Minute            // how long its sessions' releases wait
+	releaseTTL          = 10 * time.Second       // how long a release waits for a connection
+	maxConnsPerNode     = 12                     // to one node; more than open between two closes as idle
+	maxIdleConnsPerNode = 2                      // that are kept though nothing is open on them
+	idleConnTimeout     = 2 * time.Second        // after which others are retired
+	reusableTenths      = 9                      // tenths of a node's idle time, after which a connection may be closing there
+	connSuspectTimeout  = 200 * time.Millisecond // without a word since a set-up, after which others take another connection
+	earlyEndTTL         = 5 * time.Second        // how long an end is known that came before its session did
+	abandonedSetUpTTL   = 10 * time.Second       // how long a set-up that was given up is known, for a late answer
 )
 
-// errNoRoom reports that no connection may be opened: the program holds as many
+// errConnLimit reports that no connection may be opened: the program holds as many
 // as it may.
-var errNoRoom = errors.New("media: no descriptors left")
+var errConnLimit = errors.New("media: no descriptors left")
 
 // node is the actor of one media node.
 type node struct {
-	pool   *Pool
-	member directory.Member // as the list last said; the pool's, under its lock
-	server control.Server
-	id     string
-	up     time.Time
-	state  atomic.Int32 // control.State, as the list last said
-	box    *box
-
-	conns    []*conn
-	dialling bool
-	attempts map[control.SessionID]*attempt
-	doubted  []*attempt                  // set-ups on a connection that broke, till it is known whether the node did
-	given    map[control.SessionID]given // set-ups that were given up
-	standing map[control.SessionID]*stand
-	early    map[control.SessionID]early
-	owed     map[control.SessionID]owed // releases without a connection to go on
-	probes   map[uint64]test
-	asked    int       // probes that wait for a connection
-	held     bool      // set-ups wait for the list to be asked again
-	breaks   int       // connections that may have taken an end of a session along
-	covered  int       // how many of these the newest connection was begun after
-	worded   int       // how many lay behind at a first word after one
-	silent   bool      // the newest was begun after one, and no word has come since
-	heardAt  time.Time // when the node last showed a sign of life
-	wordAt   time.Time // when it last said anything; zero: never
-	retryAt  time.Time // when a lost node is looked at again
-	refused  bool      // the last connection was refused: no process is there
-	tries    int       // connections that failed since the last that came up
-	buf      []byte
+	pool    *Pool
+	member  directory.Member // as the list last said; the pool's, under its lock
+	server  control.ServerID
+	id      string
+	upSince time.Time
+	state   atomic.Int32 // control.State, as the list last said
+	inbox   *inbox
+
+	conns                []*conn
+	dialling             bool
+	attempts             map[control.SessionID]*attempt
+	interrupted          []*attempt                           // set-ups on a connection that broke, till it is known whether the node did
+	abandonedSetUps      map[control.SessionID]abandonedSetUp // set-ups that were given up
+	established          map[control.SessionID]*establishedSession
+	earlyEnds            map[control.SessionID]earlyEnd
+	pendingReleases      map[control.SessionID]pendingRelease // releases without a connection to go on
+	pendingProbes        map[uint64]pendingProbe
+	queuedProbes         int       // probes that wait for a connection
+	setUpsHeld           bool      // set-ups wait for the list to be asked again
+	possibleLosses       int       // connections that may have taken an end of a session along
+	coveredLosses        int       // how many of these the newest connection was begun after
+	lossesAtFirstMessage int       // how many lay behind at a first word after one
+	awaitingMessage      bool      // the newest was begun after one, and no word has come since
+	lastAliveAt          time.Time // when the node last showed a sign of life
+	lastMessageAt        time.Time // when it last said anything; zero: never
+	redialAt             time.Time // when a lost node is looked at again
+	connRefused          bool      // the last connection was refused: no process is there
+	failedDials          int       // connections that failed since the last that came up
+	writeBuf             []byte
 }
 
 // attempt is a set-up: queued while conn is nil, else out.
 type attempt struct {
 	broker.Attempt
-	conn *conn
-	sent time.Time // when its SETUP was written
+	conn   *conn
+	sentAt time.Time // when its SETUP was written
 }
 
-// stand is a session that plays.
-type stand struct {
-	conn *conn     // of its set-up; nil: closed
-	lone time.Time // since when it has none; the zero time: it has one
-	at   time.Time // when its set-up was written, by whose process it is told from a later one's
+// establishedSession is a session that plays.
+type establishedSession struct {
+	conn             *conn     // of its set-up; nil: closed
+	withoutConnSince time.Time // since when it has none; the zero time: it has one
+	setUpSentAt      time.Time // when its set-up was written, by whose process it is told from a later one's
 }
 
-// given is a set-up that was given up, known until a time for a late answer.
-type given struct {
-	conn  *conn
-	sent  time.Time
-	until time.Time
+// abandonedSetUp is a set-up that was given up, known until a time for a late answer.
+type abandonedSetUp struct {
+	conn      *conn
+	sentAt    time.Time
+	expiresAt time.Time
 }
 
-// test is a probe that is out.
-type test struct {
-	conn  *conn
-	sent  time.Time
-	until time.Time // when it is given up
-	own   bool      // it asks for the connection's sake: the broker hears nothing of it
+// pendingProbe is a probe that is out.
+type pendingProbe struct {
+	conn      *conn
+	sentAt    time.Time
+	expiresAt time.Time // when it is given up
+	connCheck bool      // it asks for the connection's sake: the broker hears nothing of it
 }
 
-// early is an end of a session that isn't known here.
-type early struct {
-	cause int
-	until time.Time
+// earlyEnd is an end of a session that isn't known here.
+type earlyEnd struct {
+	cause     int
+	expiresAt time.Time
 }
 
-type owed struct {
-	cause int
-	until time.Time
+type pendingRelease struct {
+	cause     int
+	expiresAt time.Time
 }
 
 func newNode(p *Pool, m directory.Member) *node {
 	return &node{
-		pool: p, member: m, server: m.Server, id: m.ID, up: m.Up,
-		box:      mailbox.New[any](boxLimit),
-		attempts: make(map[control.SessionID]*attempt),
-		given:    make(map[control.SessionID]given),
-		standing: make(map[control.SessionID]*stand),
-		early:    make(map[control.SessionID]early),
-		owed:     make(map[control.SessionID]owed),
-		probes:   make(map[uint64]test),
-		heardAt:  time.Now(),
+		pool: p, member: m, server: m.Server, id: m.ID, upSince: m.Up,
+		inbox:           mailbox.New[any](inboxLimit),
+		attempts:        make(map[control.SessionID]*attempt),
+		abandonedSetUps: make(map[control.SessionID]abandonedSetUp),
+		established:     make(map[control.SessionID]*establishedSession),
+		earlyEnds:       make(map[control.SessionID]earlyEnd),
+		pendingReleases: make(map[control.SessionID]pendingRelease),
+		pendingProbes:   make(map[uint64]pendingProbe),
+		lastAliveAt:     time.Now(),
 	}
 }
 
 // run is the actor's loop.
 func (n *node) run() error {
 	var batch []any
-	tick := time.NewTicker(tickTime)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	defer func() {
 		for _, c := range n.conns {
-			n.close(c)
+			n.closeConn(c)
 		}
 	}()
 	for {
@@ -155,392 +155,394 @@
 		case <-n.pool.ctx.Done():
 			return nil
 		case <-tick.C:
-			if now := time.Now(); !n.pool.beat(now) && n.held {
-				n.handle(goOn{}) // the list could not be asked
+			if now := time.Now(); !n.pool.checkPause(now) && n.setUpsHeld {
+				n.handle(resumeSetUps{}) // the list could not be asked
 			}
-			n.look(time.Now())
-			if n.idle() && n.pool.remove(n) {
+			n.maintain(time.Now())
+			if n.finished() && n.pool.remove(n) {
 				return nil
 			}
-		case <-n.box.Ready():
+		case <-n.inbox.Ready():
 		}
-		batch = n.box.Take(batch)
+		batch = n.inbox.Take(batch)
 		for _, m := range batch {
 			n.handle(m)
 		}
 	}
 }
 
-func (n *node) idle() bool {
-	return n.listed() == control.Gone && len(n.attempts)+len(n.doubted)+len(n.standing)+len(n.owed) == 0 && !n.dialling
+func (n *node) finished() bool {
+	return n.listedState() == control.Gone && len(n.attempts)+len(n.interrupted)+len(n.established)+len(n.pendingReleases) == 0 && !n.dialling
 }
 
-// addr is where the list says that it is: at once, as its state binds. One that is gone
+// listedAddr is where the list says that it is: at once, as its state binds. One that is gone
 // may have none.
-func (n *node) addr() string {
+func (n *node) listedAddr() string {
 	n.pool.mu.RLock()
 	defer n.pool.mu.RUnlock()
 	return n.member.Addr
 }
 
-func (n *node) listed() control.State { return control.State(n.state.Load()) }
+func (n *node) listedState() control.ServerState { return control.ServerState(n.state.Load()) }
 
 func (n *node) handle(m any) {
 	switch m := m.(type) {
-	case setUp:
+	case setUpRequest:
 		a := &attempt{Attempt: m.Attempt}
 		n.attempts[a.ID] = a
-		n.send(a)
-	case giveUp:
-		n.giveUp(m)
-	case stands:
-		n.stands(m)
-	case release:
+		n.sendSetUp(a)
+	case abandonRequest:
+		n.abandon(m)
+	case adoptRequest:
+		n.adopt(m)
+	case releaseRequest:
 		n.release(m)
-	case setRung:
+	case setRungRequest:
 		n.setRung(m)
-	case probe:
+	case probeRequest:
 		n.probe()
 	case listChange:
-		n.listChanged(m)
-	case goOn:
-		n.held = false
-		n.sendWaiting()
-	case dialled:
-		n.dialled(m)
-	case closed:
-		n.closed(m)
-	case heard:
-		n.heard(m)
+		n.handleListChange(m)
+	case resumeSetUps:
+		n.setUpsHeld = false
+		n.sendQueued()
+	case dialResult:
+		n.handleDialResult(m)
+	case connClosed:
+		n.handleClosed(m)
+	case received:
+		n.handleMessage(m)
 	}
 }
 
 func (n *node) report(r broker.Report) {
-	r.Server, r.Down = n.server, n.refused
+	r.Server, r.Down = n.server, n.connRefused
 	n.pool.cfg.Report(r)
 }
 
-func (n *node) end(a *attempt, status control.Status) {
-	n.drop(a)
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: status})
+func (n *node) endAttempt(a *attempt, status control.Status) {
+	n.removeAttempt(a)
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: status})
 }
 
-// broken ends a set-up that went down with its connection. confined: the node
+// reportReset ends a set-up that went down with its connection. confined: the node
 // was heard of or reached since, so the fault was the connection's alone.
-func (n *node) broken(a *attempt, confined bool) {
-	n.report(broker.Report{Kind: broker.Ended, ID: a.ID, Number: a.Number, Status: control.Reset, Confined: confined})
+func (n *node) reportReset(a *attempt, nodeReachable bool) {
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectionReset, ConnectionOnly: nodeReachable})
 }
 
-func (n *node) drop(a *attempt) {
+func (n *node) removeAttempt(a *attempt) {
 	delete(n.attempts, a.ID)
 	if a.conn != nil {
-		a.conn.open--
+		a.conn.openSetUps--
 	}
 }
 
 // Connections.
 
-// usable returns a connection for a new set-up. One that has long been idle
+// connForSetUp returns a connection for a new set-up. One that has long been idle
 // may be closing at the node: what is written there may or may not have run.
 // One that has carried something goes before one that was opened for a look:
 // the first use of each is a handshake's work to the node.
-func (n *node) usable() (best *conn) {
+func (n *node) connForSetUp() (best *conn) {
 	now := time.Now()
 	for i := len(n.conns) - 1; i >= 0; i-- {
 		c := n.conns[i]
-		if n.fresh(c) && c.open < n.pool.cfg.StreamsPerConn && (!c.suspect(now) || len(n.conns) >= mostConns) &&
-			(best == nil || c.used && !best.used) {
+		if n.canSendOn(c) && c.openSetUps < n.pool.cfg.StreamsPerConn && (!c.suspect(now) || len(n.conns) >= maxConnsPerNode) &&
+			(best == nil || c.carriedMessage && !best.carriedMessage) {
 			best = c
 		}
 	}
 	return best
 }
 
-func (n *node) fresh(c *conn) bool {
-	return !c.dead && (c.open > 0 || time.Since(c.touched) < n.pool.cfg.ConnIdle*usablePart/10)
+func (n *node) canSendOn(c *conn) bool {
+	return !c.unusable && (c.openSetUps > 0 || time.Since(c.lastUsedAt) < n.pool.cfg.ConnIdleTimeout*reusableTenths/10)
 }
 
-// live returns any connection that can carry a message on a session.
-func (n *node) live(first *conn) *conn {
-	if first != nil && n.fresh(first) {
-		return first
+// connForMessage returns any connection that can carry a message on a session.
+func (n *node) connForMessage(preferred *conn) *conn {
+	if preferred != nil && n.canSendOn(preferred) {
+		return preferred
 	}
 	for i := len(n.conns) - 1; i >= 0; i-- {
-		if n.fresh(n.conns[i]) {
+		if n.canSendOn(n.conns[i]) {
 			return n.conns[i]
 		}
 	}
 	return nil
 }
 
-// connect begins to open a connection, if none is being opened.
-func (n *node) connect() {
+// startDial begins to open a connection, if none is being opened.
+func (n *node) startDial() {
 	if n.dialling {
 		return
 	}
 	n.dialling = true
-	if n.pool.conns.Add(1) > n.pool.cfg.most() {
-		n.pool.conns.Add(-1)
-		n.box.Force(dialled{err: errNoRoom})
+	if n.pool.openConns.Add(1) > n.pool.cfg.connLimit() {
+		n.pool.openConns.Add(-1)
+		n.inbox.Force(dialResult{err: errConnLimit})
 		return
 	}
-	addr, timeout, breaks := n.addr(), n.pool.cfg.ConnectTimeout, n.breaks
+	addr, timeout, lossesAtDial := n.listedAddr(), n.pool.cfg.ConnectTimeout, n.possibleLosses
 	n.pool.group.Go(func() error {
 		nc, err := (&net.Dialer{Timeout: timeout}).DialContext(n.pool.ctx, "tcp", addr)
 		if err != nil {
-			n.pool.conns.Add(-1)
-			n.box.Force(dialled{err: err})
+			n.pool.openConns.Add(-1)
+			n.inbox.Force(dialResult{err: err})
 			return nil
 		}
-		c := &conn{Conn: nc, touched: time.Now()}
+		c := &conn{Conn: nc, lastUsedAt: time.Now()}
 		// The actor may have ended by now, and would not close it.
 		defer context.AfterFunc(n.pool.ctx, func() { nc.Close() })()
-		n.box.Force(dialled{conn: c, addr: addr, breaks: breaks})
+		n.inbox.Force(dialResult{conn: c, addr: addr, lossesAtDial: lossesAtDial})
 		// Reading waits for nothing: the actor has been told of c before.
-		err = c.read(n.pool.cfg.Fields, func(m message) bool { return n.box.Put(heard{c, m}) })
+		err = c.readMessages(n.pool.cfg.LoadFields, func(m message) bool { return n.inbox.Put(received{c, m}) })
 		c.Close()
-		n.pool.conns.Add(-1)
-		n.box.Force(closed{c, err})
+		n.pool.openConns.Add(-1)
+		n.inbox.Force(connClosed{c, err})
 		return nil
 	})
 }
 
-func (n *node) dialled(m dialled) {
+func (n *node) handleDialResult(m dialResult) {
 	n.dialling = false
 	if m.err != nil {
-		n.dialFailed(m.err)
+		n.handleDialFailure(m.err)
 		return
 	}
-	if m.addr != n.addr() {
+	if m.addr != n.listedAddr() {
 		// Guard: the list names another address by now, and this one may be another node's.
-		n.close(m.conn)
-		n.connect()
+		n.closeConn(m.conn)
+		n.startDial()
 		return
 	}
-	n.heardAt, n.tries, n.retryAt, n.refused = time.Now(), 0, time.Time{}, false
+	n.lastAliveAt, n.failedDials, n.redialAt, n.connRefused = time.Now(), 0, time.Time{}, false
 	n.conns = append(n.conns, m.conn)
-	if n.covered < m.breaks {
-		n.covered, n.silent = m.breaks, m.breaks > n.worded
+	if n.coveredLosses < m.lossesAtDial {
+		n.coveredLosses, n.awaitingMessage = m.lossesAtDial, m.lossesAtDial > n.lossesAtFirstMessage
 	}
-	n.trim()
-	n.judge(true)
-	n.sendWaiting()
-	for id, o := range n.owed {
-		if n.tearDown(m.conn, id, o.cause) {
-			delete(n.owed, id)
+	n.trimConns()
+	n.resolveInterrupted(true)
+	n.sendQueued()
+	for id, o := range n.pendingReleases {
+		if n.sendTearDown(m.conn, id, o.cause) {
+			delete(n.pendingReleases, id)
 		}
 	}
 	// Guard: where the set-ups that waited fill the connection at once, a probe goes
 	// on waiting. Counted down while they are counted up again, this never ended.
-	asked := n.asked
-	n.asked = 0
-	for range asked {
+	queued := n.queuedProbes
+	n.queuedProbes = 0
+	for range queued {
 		n.probe()
 	}
 }
 
-// sendWaiting sends the set-ups that waited.
-func (n *node) sendWaiting() {
+// sendQueued sends the set-ups that waited.
+func (n *node) sendQueued() {
 	for _, a := range n.attempts {
 		if a.conn == nil {
-			n.send(a)
+			n.sendSetUp(a)
 		}
 	}
 }
 
-// judge ends the set-ups whose connection broke, by whether the node can be
+// resolveInterrupted ends the set-ups whose connection broke, by whether the node can be
 // reached since.
-func (n *node) judge(reached bool) {
-	for _, a := range n.doubted {
-		n.broken(a, reached)
+func (n *node) resolveInterrupted(nodeReachable bool) {
+	for _, a := range n.interrupted {
+		n.reportReset(a, nodeReachable)
 	}
-	n.doubted = nil
+	n.interrupted = nil
 }
 
-// mayRetire tells whether connections may be given back at all.
+// canRetireConns tells whether connections may be given back at all.
 //
 // Guard: not while a session stands. A node resets what is half closed, within 0.2 ms,
 // and the end of a session whose own connection is gone goes down with it if the node has
 // just said it there. That is one retired connection in tens of thousands; a soak had six
 // thousand. What is left idle the node closes itself, after what it said.
-func (n *node) mayRetire() bool { return len(n.standing) == 0 }
+func (n *node) canRetireConns() bool { return len(n.established) == 0 }
 
-// trim retires the oldest connection that no set-up needs.
-func (n *node) trim() {
-	if !n.mayRetire() {
+// trimConns retires the oldest connection that no set-up needs.
+func (n *node) trimConns() {
+	if !n.canRetireConns() {
 		return
 	}
 	live := 0
 	for _, c := range n.conns {
-		if !c.dead {
+		if !c.unusable {
 			live++
 		}
 	}
 	for _, c := range n.conns {
-		if live > mostConns && !c.dead && c.open == 0 {
-			c.retire(n.pool.cfg.ConnIdle)
+		if live > maxConnsPerNode && !c.unusable && c.openSetUps == 0 {
+			c.retire(n.pool.cfg.ConnIdleTimeout)
 			return
 		}
 	}
 }
 
-// dialFailed ends what waited for the connection: nothing of it ran. Guard: the
+// handleDialFailure ends what waited for the connection: nothing of it ran. Guard: the
 // program's own want of descriptors is not held against the node.
-func (n *node) dialFailed(err error) {
-	own := errors.Is(err, errNoRoom)
-	n.refused = errors.Is(err, syscall.ECONNREFUSED)
+func (n *node) handleDialFailure(err error) {
+	atLimit := errors.Is(err, errConnLimit)
+	n.connRefused = errors.Is(err, syscall.ECONNREFUSED)
 	status := control.ConnectFailed
-	if own {
-		status = control.Moot
+	if atLimit {
+		status = control.NotSent
 	}
 	for _, a := range n.attempts {
 		if a.conn == nil {
-			n.end(a, status)
+			n.endAttempt(a, status)
 		}
 	}
-	for ; n.asked > 0; n.asked-- {
-		n.report(broker.Report{Kind: broker.Probed, Status: status})
+	for ; n.queuedProbes > 0; n.queuedProbes-- {
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: status})
 	}
-	n.judge(own)
-	if own {
+	n.resolveInterrupted(atLimit)
+	if atLimit {
 		return
 	}
 	// Guard: it may have been open at the node, which then has said ends on it.
-	if !n.refused {
-		n.mayMiss(nil)
+	if !n.connRefused {
+		n.countPossibleLoss(nil)
 	}
 	// Guard: the caller is owed an end within a second of when the node said it, and what
 	// was said may have gone down with a connection. So one that never came up is followed
 	// by the next at once; what fails in no time, or goes on failing, is not.
-	var late net.Error
-	again := errors.As(err, &late) && late.Timeout() && n.tries < quickTries
-	n.tries++
-	if n.missing() && !again {
-		n.retryAt = time.Now().Add(retryTime)
+	var netErr net.Error
+	redial := errors.As(err, &netErr) && netErr.Timeout() && n.failedDials < maxImmediateRedials
+	n.failedDials++
+	if n.endMayBeLost() && !redial {
+		n.redialAt = time.Now().Add(redialInterval)
 	}
 	why := fmt.Sprint("no connection: ", err)
 	switch {
-	case n.refused && len(n.conns) == 0:
-		n.lost(why, time.Now())
-		clear(n.owed)
-	case time.Since(n.heardAt) > lostTime:
-		n.retryAt = time.Now().Add(retryTime)
+	case n.connRefused && len(n.conns) == 0:
+		n.endProcess(why, time.Now())
+		clear(n.pendingReleases)
+	case time.Since(n.lastAliveAt) > nodeLostTimeout:
+		n.redialAt = time.Now().Add(redialInterval)
 		// The node may hold its sessions still: it is told when it can be.
-		until := time.Now().Add(keepLost)
-		for id := range n.standing {
-			n.owed[id] = owed{broker.CauseCut, until}
+		until := time.Now().Add(lostNodeReleaseTTL)
+		for id := range n.established {
+			n.pendingReleases[id] = pendingRelease{broker.CauseInterrupted, until}
 		}
-		n.cut(why, time.Now())
-		n.closeAll(time.Now())
+		n.cutSessions(why, time.Now())
+		n.closeUnusedSince(time.Now())
 	}
-	if again && n.missing() {
-		n.connect()
+	if redial && n.endMayBeLost() {
+		n.startDial()
 	}
 }
 
-// lost ends what stood at a process that is gone, by when the next one came. What is open
+// endProcess ends what stood at a process that is gone, by when the next one came. What is open
 // ends with its connection, behind what was said on it.
-func (n *node) lost(why string, next time.Time) {
-	n.cut(why, next)
-	n.closeAll(next)
+func (n *node) endProcess(why string, nextStart time.Time) {
+	n.cutSessions(why, nextStart)
+	n.closeUnusedSince(nextStart)
 }
 
-// closeAll closes what has carried nothing since a time.
-func (n *node) closeAll(since time.Time) {
+// closeUnusedSince closes what has carried nothing since a time.
+func (n *node) closeUnusedSince(since time.Time) {
 	for _, c := range n.conns {
-		if c.touched.Before(since) {
-			n.close(c)
+		if c.lastUsedAt.Before(since) {
+			n.closeConn(c)
 		}
 	}
 }
 
-// cut ends the sessions that stood before a time. Their node says nothing, and
+// cutSessions ends the sessions that stood before a time. Their node says nothing, and
 // their viewers must hear of it within seconds.
-func (n *node) cut(why string, before time.Time) {
-	if len(n.standing) > 0 {
-		alone := time.Duration(0) // for how long the first of them has had no connection
-		for _, s := range n.standing {
-			if !s.lone.IsZero() {
-				alone = max(alone, time.Since(s.lone))
+func (n *node) cutSessions(why string, before time.Time) {
+	if len(n.established) > 0 {
+		withoutConn := time.Duration(0) // for how long the first of them has had no connection
+		for _, s := range n.established {
+			if !s.withoutConnSince.IsZero() {
+				withoutConn = max(withoutConn, time.Since(s.withoutConnSince))
 			}
 		}
 		n.pool.cfg.Log.Info("node lost", zap.String("node", n.id), zap.String("why", why),
-			zap.Int("sessions", len(n.standing)), zap.Duration("alone", alone))
+			zap.Int("sessions", len(n.established)), zap.Duration("alone", withoutConn))
 	}
-	for id, s := range n.standing {
-		if s.at.Before(before) {
-			delete(n.standing, id)
-			n.report(broker.Report{Kind: broker.Ended, ID: id, Status: control.Reset, Cause: broker.CauseCut})
+	for id, s := range n.established {
+		if s.setUpSentAt.Before(before) {
+			delete(n.established, id)
+			n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 		}
 	}
 }
 
-// close gives a connection up; its reader tells when it is gone. What the node
+// closeConn gives a connection up; its reader tells when it is gone. What the node
 // had sent and nobody has read goes with it.
-func (n *node) close(c *conn) {
-	n.broke(c)
-	c.dead = true
+func (n *node) closeConn(c *conn) {
+	n.countBreak(c)
+	c.unusable = true
 	c.Close()
 }
 
-// unwritable takes a connection on which a write failed.
+// handleWriteError takes a connection on which a write failed.
 //
 // Guard: what the node has closed it closed behind its last words, such as a 453 or a 200.
 // They are read to the end. Only where it reads nothing the close has to tell it.
-func (n *node) unwritable(c *conn, err error) {
+func (n *node) handleWriteError(c *conn, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		n.close(c)
+		n.closeConn(c)
 		return
 	}
-	n.broke(c)
-	c.dead, c.closeAt = true, time.Now().Add(suspectTime)
+	n.countBreak(c)
+	c.unusable, c.closeAt = true, time.Now().Add(connSuspectTimeout)
 }
 
-// broke counts a connection that ends otherwise than by the node's own close, if
+// countBreak counts a connection that ends otherwise than by the node's own close, if
 // it may take along what the node said last.
 //
 // Guard: a node sends the end of a session on the connection of its set-up, or on
 // any where that is gone, and once more on the next connection that opens. One
 // that is lost with its connection is said again only if another is opened, also
 // where others are open and busy. An end on another connection that lives is safe.
-func (n *node) broke(c *conn) {
-	if c.broke {
+func (n *node) countBreak(c *conn) {
+	if c.breakCounted {
 		return
 	}
-	c.broke = true
-	n.mayMiss(c)
+	c.breakCounted = true
+	n.countPossibleLoss(c)
 }
 
-// mayMiss counts a break of c, or with none of any that has closed, if a session stands
+// countPossibleLoss counts a break of c, or with none of any that has closed, if a session stands
 // whose end may have gone with it.
-func (n *node) mayMiss(c *conn) {
-	if n.carriesEnds(c) {
-		n.breaks++
+func (n *node) countPossibleLoss(c *conn) {
+	if n.mayCarryEnds(c) {
+		n.possibleLosses++
 	}
 }
 
-// carriesEnds tells whether the node may say the end of a session on c, or with none on
+// mayCarryEnds tells whether the node may say the end of a session on c, or with none on
 // any connection: it is the session's own, or the session has none left.
-func (n *node) carriesEnds(c *conn) bool {
-	for _, s := range n.standing {
-		if s.conn == nil || s.conn == c || s.conn.dead {
+func (n *node) mayCarryEnds(c *conn) bool {
+	for _, s := range n.established {
+		if s.conn == nil || s.conn == c || s.conn.unusable {
 			return true
 		}
 	}
 	return false
 }
 
-// missing tells whether the end of a session may have been lost, and no
+// endMayBeLost tells whether the end of a session may have been lost, and no
 // connection has been opened since.
-func (n *node) missing() bool { return n.covered < n.breaks && len(n.standing) > 0 }
+func (n *node) endMayBeLost() bool {
+	return n.coveredLosses < n.possibleLosses && len(n.established) > 0
+}
 
-// closed ends what was open on a connection. A byte of each SETUP has left, so
+// handleClosed ends what was open on a connection. A byte of each SETUP has left, so
 // each may have run.
-func (n *node) closed(m closed) {
+func (n *node) handleClosed(m connClosed) {
 	if m.err != io.EOF {
-		n.broke(m.conn)
+		n.countBreak(m.conn)
 	}
-	m.conn.dead = true
+	m.conn.unusable = true
 	for i, c := range n.conns {
 		if c == m.conn {
 			n.conns = append(n.conns[:i], n.conns[i+1:]...)
@@ -549,186 +551,186 @@
 	}
 	// What a node spoilt, it sent. Else a new connection tells whether the node is
 	// there still: a dying process resets its connections too.
-	spoke := errors.Is(m.err, errSpoilt) || errors.Is(m.err, rtsp.ErrSyntax) || errors.Is(m.err, os.ErrDeadlineExceeded)
+	nodeReachable := errors.Is(m.err, errInvalidMessage) || errors.Is(m.err, rtsp.ErrSyntax) || errors.Is(m.err, os.ErrDeadlineExceeded)
 	for _, a := range n.attempts {
 		if a.conn != m.conn {
 			continue
 		}
-		n.drop(a)
-		n.giveAway(a)
-		if spoke || n.listed() == control.Gone {
-			n.broken(a, spoke)
+		n.removeAttempt(a)
+		n.rememberAbandoned(a)
+		if nodeReachable || n.listedState() == control.Gone {
+			n.reportReset(a, nodeReachable)
 		} else {
-			n.doubted = append(n.doubted, a)
-			n.connect()
+			n.interrupted = append(n.interrupted, a)
+			n.startDial()
 		}
 	}
 	orphans := 0
-	for _, s := range n.standing {
+	for _, s := range n.established {
 		if s.conn == m.conn {
-			s.conn, s.lone = nil, time.Now()
+			s.conn, s.withoutConnSince = nil, time.Now()
 			orphans++
 		}
 	}
 	if m.err != io.EOF && !errors.Is(m.err, net.ErrClosed) || orphans > 0 {
 		n.pool.cfg.Log.Info("connection broke", zap.String("node", n.id), zap.Error(m.err),
-			zap.Int("standing", orphans), zap.Int("conns", len(n.conns)), zap.Bool("live", n.live(nil) != nil))
+			zap.Int("standing", orphans), zap.Int("conns", len(n.conns)), zap.Bool("live", n.connForMessage(nil) != nil))
 	}
-	if len(n.standing) > 0 && (len(n.conns) == 0 || n.missing()) {
-		n.connect() // releases come on the next connection that opens
+	if len(n.established) > 0 && (len(n.conns) == 0 || n.endMayBeLost()) {
+		n.startDial() // releases come on the next connection that opens
 	}
 }
 
-// giveAway notes a set-up that nobody waits for any more.
-func (n *node) giveAway(a *attempt) {
-	n.given[a.ID] = given{a.conn, a.sent, time.Now().Add(keepGiven)}
+// rememberAbandoned notes a set-up that nobody waits for any more.
+func (n *node) rememberAbandoned(a *attempt) {
+	n.abandonedSetUps[a.ID] = abandonedSetUp{a.conn, a.sentAt, time.Now().Add(abandonedSetUpTTL)}
 }
 
-// look gives up late probes and looks after silent nodes.
-func (n *node) look(now time.Time) {
-	for id, p := range n.probes {
-		if now.After(p.until) {
-			delete(n.probes, id)
-			if p.own {
-				if p.conn.tested && !p.conn.dead {
-					p.conn.mute(now, n.pool.cfg.ConnIdle)
+// maintain gives up late probes and looks after silent nodes.
+func (n *node) maintain(now time.Time) {
+	for id, p := range n.pendingProbes {
+		if now.After(p.expiresAt) {
+			delete(n.pendingProbes, id)
+			if p.connCheck {
+				if p.conn.checkPending && !p.conn.unusable {
+					p.conn.markUnresponsive(now, n.pool.cfg.ConnIdleTimeout)
 				}
 				continue
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: control.TimedOut})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: control.TimedOut})
 		}
 	}
-	for id, o := range n.owed {
-		if now.After(o.until) {
-			delete(n.owed, id)
+	for id, o := range n.pendingReleases {
+		if now.After(o.expiresAt) {
+			delete(n.pendingReleases, id)
 		}
 	}
-	for id, e := range n.early {
+	for id, e := range n.earlyEnds {
 		// Guard: the process that hands the session over may live on for long.
-		if n.pool.cfg.shared() && len(n.early) <= boxLimit {
-			n.early[id] = early{e.cause, now.Add(keepEarly)}
-		} else if now.After(e.until) {
-			delete(n.early, id)
+		if n.pool.cfg.upgrading() && len(n.earlyEnds) <= inboxLimit {
+			n.earlyEnds[id] = earlyEnd{e.cause, now.Add(earlyEndTTL)}
+		} else if now.After(e.expiresAt) {
+			delete(n.earlyEnds, id)
 		}
 	}
-	for id, g := range n.given {
-		if now.After(g.until) {
-			delete(n.given, id)
+	for id, g := range n.abandonedSetUps {
+		if now.After(g.expiresAt) {
+			delete(n.abandonedSetUps, id)
 		}
 	}
-	spare := -keptConns
+	excess := -maxIdleConnsPerNode
 	for _, c := range n.conns {
-		if !c.dead && n.mayRetire() {
-			spare++
+		if !c.unusable && n.canRetireConns() {
+			excess++
 		}
 	}
 	for _, used := range []bool{false, true} { // what was opened for a look first, then the oldest
 		for _, c := range n.conns {
 			switch {
 			case !c.closeAt.IsZero() && now.After(c.closeAt):
-				n.close(c)
-			case !c.muteAt.IsZero() && c.open == 0 && c.closeAt.Sub(now) > suspectTime && n.wordAt.After(c.muteAt) && n.carriesEnds(c):
+				n.closeConn(c)
+			case !c.unresponsiveSince.IsZero() && c.openSetUps == 0 && c.closeAt.Sub(now) > connSuspectTimeout && n.lastMessageAt.After(c.unresponsiveSince) && n.mayCarryEnds(c):
 				// Guard: what a node says on a mute connection is lost for as long as
 				// the node takes it for open. No set-up waits on this one any more. But
 				// while the node stands still it is not closed: the node may take it for
 				// newly opened when it goes on, and say there what it says only once more.
 				// What it then has to say first on this one has time to come.
-				c.closeAt = now.Add(suspectTime)
-			case c.open == 0 && !c.dead && !c.tested && c.suspect(now) && n.carriesEnds(c):
+				c.closeAt = now.Add(connSuspectTimeout)
+			case c.openSetUps == 0 && !c.unusable && !c.checkPending && c.suspect(now) && n.mayCarryEnds(c):
 				// Guard: a set-up on it was cancelled before any word came. Nothing waits
 				// on it that could time out, so nothing else tells.
-				if !n.pool.cfg.NoProbes {
-					c.tested = n.test(c, true, silentTime)
-				} else if now.Sub(c.asked) > silentTime {
-					c.mute(now, n.pool.cfg.ConnIdle)
+				if !n.pool.cfg.DisableProbes {
+					c.checkPending = n.sendProbe(c, true, nodeSilenceTimeout)
+				} else if now.Sub(c.unconfirmedSince) > nodeSilenceTimeout {
+					c.markUnresponsive(now, n.pool.cfg.ConnIdleTimeout)
 				}
-			case spare > 0 && c.used == used && !c.dead && c.open == 0 && now.Sub(c.touched) > spareTime:
-				spare--
-				c.retire(n.pool.cfg.ConnIdle)
+			case excess > 0 && c.carriedMessage == used && !c.unusable && c.openSetUps == 0 && now.Sub(c.lastUsedAt) > idleConnTimeout:
+				excess--
+				c.retire(n.pool.cfg.ConnIdleTimeout)
 			}
 		}
 	}
 	// A machine that is cut off keeps its connections open and silent: only a
 	// new one tells. It also brings releases that found no connection.
-	quiet := now.Sub(n.heardAt) > silentTime
-	if now.After(n.retryAt) && (len(n.owed) > 0 || n.missing() || len(n.standing) > 0 && (quiet || len(n.conns) == 0)) {
-		n.connect()
+	nodeSilent := now.Sub(n.lastAliveAt) > nodeSilenceTimeout
+	if now.After(n.redialAt) && (len(n.pendingReleases) > 0 || n.endMayBeLost() || len(n.established) > 0 && (nodeSilent || len(n.conns) == 0)) {
+		n.startDial()
 	}
 }
 
-func (n *node) listChanged(m listChange) {
+func (n *node) handleListChange(m listChange) {
 	switch {
-	case n.listed() == control.Gone:
-		n.lost("off the list", time.Now())
-		n.judge(false)
-		clear(n.owed)
-	case m.member.Up.After(n.up):
-		n.up = m.member.Up
-		n.lost("restarted", n.up)
+	case n.listedState() == control.Gone:
+		n.endProcess("off the list", time.Now())
+		n.resolveInterrupted(false)
+		clear(n.pendingReleases)
+	case m.member.Up.After(n.upSince):
+		n.upSince = m.member.Up
+		n.endProcess("restarted", n.upSince)
 	}
-	n.sendWaiting() // or ends them, where the node takes nothing new
+	n.sendQueued() // or ends them, where the node takes nothing new
 }
 
 // Attempts and sessions.
 
-// send writes a SETUP, or has it wait for a connection.
-func (n *node) send(a *attempt) {
+// sendSetUp writes a SETUP, or has it wait for a connection.
+func (n *node) sendSetUp(a *attempt) {
 	for {
 		// Guard: the list binds up to the first byte. Nothing that was queued or
 		// waited for a connection goes to a node that drains or is gone.
 		now := time.Now()
 		// Nor does anything begin for a client that has gone meanwhile.
-		if n.listed() != control.Ready || now.After(a.Deadline) || a.Client.Gone(a.ID) {
-			n.end(a, control.Moot)
+		if n.listedState() != control.Ready || now.After(a.Deadline) || a.Client.Gone(a.ID) {
+			n.endAttempt(a, control.NotSent)
 			return
 		}
-		if n.pool.beat(now) {
-			n.held = true
+		if n.pool.checkPause(now) {
+			n.setUpsHeld = true
 			return
 		}
-		c := n.usable()
+		c := n.connForSetUp()
 		if c == nil {
-			n.connect()
+			n.startDial()
 			return
 		}
-		left := max(time.Until(a.Deadline), time.Millisecond)
-		id := sessionName(a.ID)
-		b := rtsp.AppendRequest(n.buf[:0], "SETUP", "rtsp://media/"+a.Key)
-		b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqSetUp))
-		b = rtsp.AppendHeader(b, "Session", id)
-		b = rtsp.AppendHeader(b, "Call-Kind", n.pool.cfg.Classes[a.Class])
-		b = rtsp.AppendHeader(b, "Answer-Within", strconv.FormatInt(left.Milliseconds(), 10))
+		remaining := max(time.Until(a.Deadline), time.Millisecond)
+		session := formatSessionID(a.ID)
+		b := rtsp.AppendRequest(n.writeBuf[:0], "SETUP", "rtsp://media/"+a.Key)
+		b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(cseqSetUp))
+		b = rtsp.AppendHeader(b, "Session", session)
+		b = rtsp.AppendHeader(b, "Call-Kind", n.pool.cfg.ClassNames[a.Class])
+		b = rtsp.AppendHeader(b, "Answer-Within", strconv.FormatInt(remaining.Milliseconds(), 10))
 		b = rtsp.AppendHeader(b, "X-Quality", strconv.Itoa(a.Rung))
-		b = rtsp.Finish(b, a.Description)
-		n.buf = b
-		sent, err := c.write(b)
+		b = rtsp.AppendBody(b, a.Description)
+		n.writeBuf = b
+		written, err := c.writeMessage(b)
 		if err == nil {
-			a.conn, a.sent = c, c.touched
-			c.open++
-			if n.pool.cfg.Tried != nil {
-				n.pool.cfg.Tried()
+			a.conn, a.sentAt = c, c.lastUsedAt
+			c.openSetUps++
+			if n.pool.cfg.OnSetUpSent != nil {
+				n.pool.cfg.OnSetUpSent()
 			}
-			if c.asked.IsZero() {
-				c.asked = a.sent
+			if c.unconfirmedSince.IsZero() {
+				c.unconfirmedSince = a.sentAt
 			}
 			return
 		}
-		n.unwritable(c, err)
-		if sent > 0 { // a part has left: it may have run
-			n.drop(a)
-			n.broken(a, false)
+		n.handleWriteError(c, err)
+		if written > 0 { // a part has left: it may have run
+			n.removeAttempt(a)
+			n.reportReset(a, false)
 			return
 		}
 	}
 }
 
-// giveUp ends an attempt. It is out until its TEARDOWN is written, or until its
+// abandon ends an attempt. It is out until its TEARDOWN is written, or until its
 // connection, whose end gives it up too, is closed.
-func (n *node) giveUp(m giveUp) {
-	for i, a := range n.doubted {
+func (n *node) abandon(m abandonRequest) {
+	for i, a := range n.interrupted {
 		if a.ID == m.id && a.Number == m.number {
-			n.doubted = slices.Delete(n.doubted, i, i+1)
-			n.broken(a, false)
+			n.interrupted = slices.Delete(n.interrupted, i, i+1)
+			n.reportReset(a, false)
 			return
 		}
 	}
@@ -745,211 +747,211 @@
 	}
 	c := a.conn
 	if c != nil {
-		n.giveAway(a)
-		n.tearDown(c, a.ID, 0)
+		n.rememberAbandoned(a)
+		n.sendTearDown(c, a.ID, 0)
 	}
-	n.end(a, status)
-	if status == control.TimedOut && !c.asked.IsZero() && !a.sent.Before(c.asked) && !c.dead {
+	n.endAttempt(a, status)
+	if status == control.TimedOut && !c.unconfirmedSince.IsZero() && !a.sentAt.Before(c.unconfirmedSince) && !c.unusable {
 		// Guard: nothing later has come since this set-up left, nor may anything more.
 		// The others on it keep their chance; no new one is put there.
-		c.mute(time.Now(), n.pool.cfg.ConnIdle)
+		c.markUnresponsive(time.Now(), n.pool.cfg.ConnIdleTimeout)
 	}
 }
 
-// tearDown writes a TEARDOWN on c, or closes c, which says as much.
-func (n *node) tearDown(c *conn, id control.SessionID, cause int) bool {
-	name := sessionName(id)
-	b := rtsp.AppendRequest(n.buf[:0], "TEARDOWN", "rtsp://media/"+name)
-	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqTearDown))
-	b = rtsp.AppendHeader(b, "Session", name)
+// sendTearDown writes a TEARDOWN on c, or closes c, which says as much.
+func (n *node) sendTearDown(c *conn, id control.SessionID, cause int) bool {
+	session := formatSessionID(id)
+	b := rtsp.AppendRequest(n.writeBuf[:0], "TEARDOWN", "rtsp://media/"+session)
+	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(cseqTearDown))
+	b = rtsp.AppendHeader(b, "Session", session)
 	if cause > 0 {
 		b = rtsp.AppendHeader(b, "Reason", "cause="+strconv.Itoa(cause))
 	}
-	return n.write(c, rtsp.Finish(b, nil))
+	return n.write(c, rtsp.AppendBody(b, nil))
 }
 
 func (n *node) write(c *conn, b []byte) bool {
-	n.buf = b
-	if _, err := c.write(b); err != nil {
-		n.unwritable(c, err)
+	n.writeBuf = b
+	if _, err := c.writeMessage(b); err != nil {
+		n.handleWriteError(c, err)
 		return false
 	}
 	return true
 }
 
 // release ends a session that stands, on any connection or the next that opens.
-func (n *node) release(m release) {
-	s := n.standing[m.id]
+func (n *node) release(m releaseRequest) {
+	s := n.established[m.id]
 	if s == nil {
 		return // the node has ended it
 	}
-	delete(n.standing, m.id)
-	for c := n.live(s.conn); c != nil; c = n.live(nil) {
-		if n.tearDown(c, m.id, m.cause) {
+	delete(n.established, m.id)
+	for c := n.connForMessage(s.conn); c != nil; c = n.connForMessage(nil) {
+		if n.sendTearDown(c, m.id, m.cause) {
 			return
 		}
 	}
-	if n.listed() != control.Gone {
-		n.owed[m.id] = owed{m.cause, time.Now().Add(keepRelease)}
-		n.connect()
+	if n.listedState() != control.Gone {
+		n.pendingReleases[m.id] = pendingRelease{m.cause, time.Now().Add(releaseTTL)}
+		n.startDial()
 	}
 }
 
-func (n *node) setRung(m setRung) {
-	var first *conn
+func (n *node) setRung(m setRungRequest) {
+	var preferred *conn
 	if a := n.attempts[m.id]; a != nil {
 		if a.Rung = m.rung; a.conn == nil {
 			return // its SETUP will say so
 		}
-		first = a.conn
-	} else if s := n.standing[m.id]; s != nil {
-		first = s.conn
+		preferred = a.conn
+	} else if s := n.established[m.id]; s != nil {
+		preferred = s.conn
 	} else {
 		return
 	}
-	c := n.live(first)
+	c := n.connForMessage(preferred)
 	if c == nil {
-		n.connect()
+		n.startDial()
 		return
 	}
-	name := sessionName(m.id)
-	b := rtsp.AppendRequest(n.buf[:0], "SET_PARAMETER", "rtsp://media/"+name)
-	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqOther))
-	b = rtsp.AppendHeader(b, "Session", name)
+	session := formatSessionID(m.id)
+	b := rtsp.AppendRequest(n.writeBuf[:0], "SET_PARAMETER", "rtsp://media/"+session)
+	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(cseqOther))
+	b = rtsp.AppendHeader(b, "Session", session)
 	b = rtsp.AppendHeader(b, "X-Quality", strconv.Itoa(m.rung))
-	n.write(c, rtsp.Finish(b, nil))
+	n.write(c, rtsp.AppendBody(b, nil))
 }
 
 func (n *node) probe() {
-	c := n.usable()
+	c := n.connForSetUp()
 	if c == nil {
-		n.asked++
-		n.connect()
+		n.queuedProbes++
+		n.startDial()
 		return
 	}
-	if !n.test(c, false, probeTime) {
-		n.report(broker.Report{Kind: broker.Probed, Status: control.Reset})
+	if !n.sendProbe(c, false, probeTimeout) {
+		n.report(broker.Report{Kind: broker.ReportProbed, Status: control.ConnectionReset})
 	}
 }
 
-// test writes a probe on c, or closes c.
-func (n *node) test(c *conn, own bool, within time.Duration) bool {
+// sendProbe writes a probe on c, or closes c.
+func (n *node) sendProbe(c *conn, connCheck bool, timeout time.Duration) bool {
 	id := rand.Uint64()
-	b := rtsp.AppendRequest(n.buf[:0], "OPTIONS", "rtsp://media/load")
-	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(seqTest))
-	b = rtsp.AppendHeader(b, "Session", sessionName(control.SessionID(id)))
-	if !n.write(c, rtsp.Finish(b, nil)) {
+	b := rtsp.AppendRequest(n.writeBuf[:0], "OPTIONS", "rtsp://media/load")
+	b = rtsp.AppendHeader(b, "CSeq", strconv.Itoa(cseqProbe))
+	b = rtsp.AppendHeader(b, "Session", formatSessionID(control.SessionID(id)))
+	if !n.write(c, rtsp.AppendBody(b, nil)) {
 		return false
 	}
-	n.probes[id] = test{c, c.touched, c.touched.Add(within), own}
+	n.pendingProbes[id] = pendingProbe{c, c.lastUsedAt, c.lastUsedAt.Add(timeout), connCheck}
 	return true
 }
 
-// heard takes one message of the node.
-func (n *node) heard(m heard) {
+// handleMessage takes one message of the node.
+func (n *node) handleMessage(m received) {
 	now := time.Now()
-	n.heardAt, n.wordAt, m.conn.touched = now, now, now
-	n.settle(m)
-	m.conn.heardAt = now
-	if n.silent {
+	n.lastAliveAt, n.lastMessageAt, m.conn.lastUsedAt = now, now, now
+	n.clearSuspicion(m)
+	m.conn.lastReceivedAt = now
+	if n.awaitingMessage {
 		// Guard: a connection opens also to a node that stands still. When it goes on it
 		// may say ends first on those that closed meanwhile, and know of the new one by
 		// then: only one that opens after its first word tells.
-		n.silent = false
-		n.mayMiss(nil)
-		n.worded = n.breaks
+		n.awaitingMessage = false
+		n.countPossibleLoss(nil)
+		n.lossesAtFirstMessage = n.possibleLosses
 	}
 	switch m.kind {
-	case answered:
-		n.answered(m)
-	case tested:
-		p, ok := n.probes[uint64(m.id)]
-		delete(n.probes, uint64(m.id))
-		if ok && !p.own {
+	case kindSetUpAnswer:
+		n.handleSetUpAnswer(m)
+	case kindProbeAnswer:
+		p, ok := n.pendingProbes[uint64(m.id)]
+		delete(n.pendingProbes, uint64(m.id))
+		if ok && !p.connCheck {
 			status := control.OK
 			if m.status != 200 {
 				status = control.Errored
 			}
-			n.report(broker.Report{Kind: broker.Probed, Status: status, Load: m.load})
+			n.report(broker.Report{Kind: broker.ReportProbed, Status: status, Load: m.load})
 		}
-	case ended:
-		n.released(m)
-	case noted:
-		n.report(broker.Report{Kind: broker.Noted, ID: m.id, Note: m.note, Value: m.value})
+	case kindTearDown:
+		n.handleTearDown(m)
+	case kindAnnounce:
+		n.report(broker.Report{Kind: broker.ReportNote, ID: m.id, Note: m.note, Value: m.value})
 	}
 	if n.dialling { // what waits may have a place by now
-		n.sendWaiting()
+		n.sendQueued()
 	}
 }
 
-// settle clears the suspicion of set-ups that a word is known to be later than.
+// clearSuspicion clears the suspicion of set-ups that a word is known to be later than.
 //
 // Guard: a word may have been under way when a SETUP was written, such as the 200 to an
 // earlier message. Taken for a sign of life, a connection that has fallen mute gets the
 // next set-ups, and keeps the ends that the node says on it. What answers a message is
 // later than that; a second word is taken for later than what was written before the
 // first came.
-func (n *node) settle(m heard) {
+func (n *node) clearSuspicion(m received) {
 	c := m.conn
-	if c.asked.IsZero() {
+	if c.unconfirmedSince.IsZero() {
 		return
 	}
-	last := c.heardAt.Add(-1) // what was written in the same instant may be later
-	if sent := n.answers(m); sent.After(last) {
-		last = sent
+	seenUntil := c.lastReceivedAt.Add(-1) // what was written in the same instant may be later
+	if requestSentAt := n.answeredRequestSentAt(m); requestSentAt.After(seenUntil) {
+		seenUntil = requestSentAt
 	}
-	if last.Before(c.asked) {
+	if seenUntil.Before(c.unconfirmedSince) {
 		return
 	}
-	c.asked, c.tested = time.Time{}, false
+	c.unconfirmedSince, c.checkPending = time.Time{}, false
 	for _, a := range n.attempts {
-		if a.conn == c && a.sent.After(last) && (c.asked.IsZero() || a.sent.Before(c.asked)) {
-			c.asked = a.sent
+		if a.conn == c && a.sentAt.After(seenUntil) && (c.unconfirmedSince.IsZero() || a.sentAt.Before(c.unconfirmedSince)) {
+			c.unconfirmedSince = a.sentAt
 		}
 	}
-	c.speak()
+	c.markResponsive()
 }
 
-// answers returns when that was written which a word answers, on its connection; zero: it
+// answeredRequestSentAt returns when that was written which a word answers, on its connection; zero: it
 // is not known.
-func (n *node) answers(m heard) time.Time {
+func (n *node) answeredRequestSentAt(m received) time.Time {
 	if m.status == 0 {
 		return time.Time{}
 	}
 	if a := n.attempts[m.id]; a != nil && a.conn == m.conn {
-		return a.sent
+		return a.sentAt
 	}
-	if g := n.given[m.id]; g.conn == m.conn {
-		return g.sent
+	if g := n.abandonedSetUps[m.id]; g.conn == m.conn {
+		return g.sentAt
 	}
-	if p := n.probes[uint64(m.id)]; p.conn == m.conn {
-		return p.sent
+	if p := n.pendingProbes[uint64(m.id)]; p.conn == m.conn {
+		return p.sentAt
 	}
 	return time.Time{}
 }
 
-// answered takes a final answer to a SETUP.
-func (n *node) answered(m heard) {
+// handleSetUpAnswer takes a final answer to a SETUP.
+func (n *node) handleSetUpAnswer(m received) {
 	a := n.attempts[m.id]
 	if a == nil || a.conn == nil {
-		if _, given := n.given[m.id]; given && m.status == 200 {
+		if _, wasAbandoned := n.abandonedSetUps[m.id]; wasAbandoned && m.status == 200 {
 			// Guard: a late 200 to a set-up that was given up is torn down. A second
 			// copy of an answer, or one to an id never asked for, does nothing.
-			n.standing[m.id] = &stand{conn: m.conn}
-			n.release(release{m.id, 0})
+			n.established[m.id] = &establishedSession{conn: m.conn}
+			n.release(releaseRequest{m.id, 0})
 		}
 		return
 	}
-	n.drop(a)
-	if there := n.listed() != control.Gone; m.status == 200 && (!there || a.sent.Before(n.up)) {
+	n.removeAttempt(a)
+	if listed := n.listedState() != control.Gone; m.status == 200 && (!listed || a.sentAt.Before(n.upSince)) {
 		// Guard: it lay behind the word that its process is gone. Nobody would say the
 		// session's end where another process answers by now.
-		n.broken(a, there)
+		n.reportReset(a, listed)
 		return
 	}
 	if m.status == 200 {
-		n.standing[m.id] = &stand{conn: m.conn, at: a.sent}
-		n.report(broker.Report{Kind: broker.Started, ID: m.id, Number: a.Number, Load: m.load, Description: m.description})
+		n.established[m.id] = &establishedSession{conn: m.conn, setUpSentAt: a.sentAt}
+		n.report(broker.Report{Kind: broker.ReportStarted, ID: m.id, AttemptNumber: a.Number, Load: m.load, Description: m.description})
 		return
 	}
 	status := control.Errored
@@ -957,58 +959,58 @@
 	case 453:
 		status = control.Full
 	case 454:
-		status = control.Moot
+		status = control.NotSent
 	case 504:
-		status = control.Reset
+		status = control.ConnectionReset
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: m.id, Number: a.Number, Status: status, Load: m.load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: m.id, AttemptNumber: a.Number, Status: status, Load: m.load})
 }
 
-// released takes a node's TEARDOWN of a session or of a set-up.
-func (n *node) released(m heard) {
+// handleTearDown takes a node's TEARDOWN of a session or of a set-up.
+func (n *node) handleTearDown(m received) {
 	if a := n.attempts[m.id]; a != nil {
-		n.drop(a)
-		n.broken(a, true)
+		n.removeAttempt(a)
+		n.reportReset(a, true)
 		return
 	}
-	if n.standing[m.id] == nil {
-		n.early[m.id] = early{m.cause, time.Now().Add(keepEarly)}
+	if n.established[m.id] == nil {
+		n.earlyEnds[m.id] = earlyEnd{m.cause, time.Now().Add(earlyEndTTL)}
 		return
 	}
-	n.over(m.id, m.cause, m.load)
+	n.endSession(m.id, m.cause, m.load)
 }
 
-// stands takes a session that played before this program started.
+// adopt takes a session that played before this program started.
 //
 // Guard: the node says what ended meanwhile on the first connection that opens, which may
 // be a set-up's, before the viewer names the session here. And a connection that is being
 // opened may have been open there before the end was said on one that closed since.
-func (n *node) stands(m stands) {
-	if e, ok := n.early[m.id]; ok {
-		n.over(m.id, e.cause, nil)
+func (n *node) adopt(m adoptRequest) {
+	if e, ok := n.earlyEnds[m.id]; ok {
+		n.endSession(m.id, e.cause, nil)
 		return
 	}
-	n.standing[m.id] = &stand{at: time.Now()}
+	n.established[m.id] = &establishedSession{setUpSentAt: time.Now()}
 	if n.dialling {
-		n.mayMiss(nil)
+		n.countPossibleLoss(nil)
 	}
-	n.connect() // notes on it need a connection
+	n.startDial() // notes on it need a connection
 }
 
-// over ends a session that stood.
-func (n *node) over(id control.SessionID, cause int, load []float64) {
-	delete(n.standing, id)
-	status := control.Reset
+// endSession ends a session that stood.
+func (n *node) endSession(id control.SessionID, cause int, load []float64) {
+	delete(n.established, id)
+	status := control.ConnectionReset
 	switch cause {
 	case broker.CauseEnded:
 		status = control.OK
 	case broker.CauseCancelled:
 		status = control.Cancelled
 	}
-	n.report(broker.Report{Kind: broker.Ended, ID: id, Status: status, Cause: cause, Load: load})
+	n.report(broker.Report{Kind: broker.ReportEnded, ID: id, Status: status, Cause: cause, Load: load})
 }
 
-func sessionName(id control.SessionID) string {
+func formatSessionID(id control.SessionID) string {
 	const digits = "0123456789abcdef"
 	var b [16]byte
 	for i := range b {
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -20,74 +20,74 @@
 	"millethinge/internal/stall"
 )
 
-// boxLimit bounds the attempts and probes that wait before one node. Ends,
+// inboxLimit bounds the attempts and probes that wait before one node. Ends,
 // releases and rungs are bounded by the sessions and always pass.
-const boxLimit = 1024
+const inboxLimit = 1024
 
 // Config is what a Pool needs.
 type Config struct {
-	Classes        []string // names by class
-	Fields         []string // of load reports
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // after which nodes close a connection
-	StreamsPerConn int           // set-ups open on one connection
-	MaxConns       int           // connections to all nodes
-	DrainGrace     time.Duration // after which nothing goes to a node that drains
-	NoProbes       bool          // nodes may not be tested
-	HalfConns      int           // of them while Shared says so
-	Shared         func() bool   // another process has its half of the descriptors; nil: none ever has
-	Tried          func()        // told of each SETUP that is written whole; nil: nobody
-	Report         func(broker.Report)
-	Stalled        func(time.Duration) // told when the program has stood still; Fresh is to follow; nil: nobody
-	Log            *zap.Logger
+	ClassNames        []string // names by class
+	LoadFields        []string // of load reports
+	ConnectTimeout    time.Duration
+	ConnIdleTimeout   time.Duration // after which nodes close a connection
+	StreamsPerConn    int           // set-ups open on one connection
+	MaxConns          int           // connections to all nodes
+	DrainGrace        time.Duration // after which nothing goes to a node that drains
+	DisableProbes     bool          // nodes may not be tested
+	MaxConnsInUpgrade int           // of them while Shared says so
+	UpgradeInProgress func() bool   // another process has its half of the descriptors; nil: none ever has
+	OnSetUpSent       func()        // told of each SETUP that is written whole; nil: nobody
+	Report            func(broker.Report)
+	OnPause           func(time.Duration) // told when the program has stood still; Fresh is to follow; nil: nobody
+	Log               *zap.Logger
 }
 
 // Pool is the nodes of the list.
 type Pool struct {
-	cfg   Config
-	group *errgroup.Group
-	ctx   context.Context
-	conns atomic.Int64
-	watch stall.Watch
+	cfg        Config
+	group      *errgroup.Group
+	ctx        context.Context
+	openConns  atomic.Int64
+	pauseWatch stall.Detector
 
 	mu    sync.RWMutex
-	nodes map[control.Server]*node
+	nodes map[control.ServerID]*node
 }
 
-func (c *Config) shared() bool { return c.Shared != nil && c.Shared() }
+func (c *Config) upgrading() bool { return c.UpgradeInProgress != nil && c.UpgradeInProgress() }
 
-// most is how many connections may be open now.
-func (c *Config) most() int64 {
-	if c.shared() {
-		return int64(c.HalfConns)
+// connLimit is how many connections may be open now.
+func (c *Config) connLimit() int64 {
+	if c.upgrading() {
+		return int64(c.MaxConnsInUpgrade)
 	}
 	return int64(c.MaxConns)
 }
 
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
-	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.Server]*node),
-		watch: stall.Watch{After: stall.Within(cfg.DrainGrace)}}
+	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.ServerID]*node),
+		pauseWatch: stall.Detector{Threshold: stall.ThresholdForGrace(cfg.DrainGrace)}}
 }
 
 // Apply takes a change to the list. A node's state binds its next SETUP as soon
 // as Apply returns, before the module hears of it.
-func (p *Pool) Apply(c directory.Change) {
+func (p *Pool) Apply(change directory.Change) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range c.Members {
+	for _, m := range change.Members {
 		if m.State == control.Ready && p.nodes[m.Server] == nil {
-			p.replace(m.Addr, c.Members)
+			p.markAddrOwnerGone(m.Addr, change.Members)
 		}
 	}
-	for _, m := range c.Members {
+	for _, m := range change.Members {
 		n := p.nodes[m.Server]
 		if n == nil {
 			if m.State == control.Gone {
 				continue
 			}
 			if len(p.nodes) == 0 {
-				p.watch.Start(time.Now()) // nodes' ticks are its beats
+				p.pauseWatch.Reset(time.Now()) // nodes' ticks are its beats
 			}
 			n = newNode(p, m)
 			p.nodes[m.Server] = n
@@ -97,48 +97,48 @@
 		}
 		n.member = m
 		n.state.Store(int32(m.State))
-		n.box.Force(listChange{m})
+		n.inbox.Force(listChange{m})
 	}
 }
 
-// beat notes that the program runs, and tells whether set-ups are held back.
+// checkPause notes that the program runs, and tells whether set-ups are held back.
 //
 // Guard: a program that was stopped and goes on believes a list that may be older
 // than a drain's grace: what drained meanwhile would get what had been queued, and what was
 // read first. Nothing is sent until the list has been asked again, or can't be.
-func (p *Pool) beat(now time.Time) (held bool) {
-	if stood := p.watch.Beat(now); stood > 0 {
-		p.cfg.Log.Warn("the program stood still; the list is asked again", zap.Duration("for", stood))
-		if p.cfg.Stalled != nil {
-			p.cfg.Stalled(stood)
+func (p *Pool) checkPause(now time.Time) (held bool) {
+	if pause := p.pauseWatch.Heartbeat(now); pause > 0 {
+		p.cfg.Log.Warn("the program stood still; the list is asked again", zap.Duration("for", pause))
+		if p.cfg.OnPause != nil {
+			p.cfg.OnPause(pause)
 		}
 	}
-	return p.watch.Held(now)
+	return p.pauseWatch.Stale(now)
 }
 
-// Fresh tells that the list has answered what was asked at a time, and that Apply
+// ListRefreshed tells that the list has answered what was asked at a time, and that Apply
 // has been told of it.
-func (p *Pool) Fresh(asked time.Time) {
-	if !p.watch.Held(time.Now()) {
+func (p *Pool) ListRefreshed(asked time.Time) {
+	if !p.pauseWatch.Stale(time.Now()) {
 		return
 	}
-	p.watch.Fresh(asked)
+	p.pauseWatch.Refreshed(asked)
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	for _, n := range p.nodes {
-		n.box.Force(goOn{})
+		n.inbox.Force(resumeSetUps{})
 	}
 }
 
-// replace takes a new node's address from whichever had it, but for those that
+// markAddrOwnerGone takes a new node's address from whichever had it, but for those that
 // the same change names. Guard: the old one's process is gone before the list
 // says so, and what is meant for it must not reach its successor.
-func (p *Pool) replace(addr string, named []directory.Member) {
+func (p *Pool) markAddrOwnerGone(addr string, changed []directory.Member) {
 	for _, n := range p.nodes {
 		same := func(m directory.Member) bool { return m.Server == n.server }
-		if n.member.Addr == addr && !slices.ContainsFunc(named, same) {
+		if n.member.Addr == addr && !slices.ContainsFunc(changed, same) {
 			n.state.Store(int32(control.Gone))
-			n.box.Force(listChange{n.member})
+			n.inbox.Force(listChange{n.member})
 		}
 	}
 }
@@ -147,7 +147,7 @@
 func (p *Pool) remove(n *node) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !n.box.Empty() || control.State(n.state.Load()) != control.Gone {
+	if !n.inbox.Empty() || control.ServerState(n.state.Load()) != control.Gone {
 		return false
 	}
 	delete(p.nodes, n.server)
@@ -155,7 +155,7 @@
 }
 
 // post hands a message to a node's actor.
-func (p *Pool) post(s control.Server, m any, bounded bool) bool {
+func (p *Pool) post(s control.ServerID, m any, bounded bool) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	n := p.nodes[s]
@@ -163,69 +163,71 @@
 	case n == nil:
 		return false
 	case bounded:
-		return n.box.Put(m)
+		return n.inbox.Put(m)
 	}
-	n.box.Force(m)
+	n.inbox.Force(m)
 	return true
 }
 
 // The calls of broker.Nodes.
 
-func (p *Pool) SetUp(s control.Server, a broker.Attempt) bool { return p.post(s, setUp{a}, true) }
+func (p *Pool) SetUp(s control.ServerID, a broker.Attempt) bool {
+	return p.post(s, setUpRequest{a}, true)
+}
 
-func (p *Pool) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
-	p.post(s, giveUp{id, number, timedOut}, false)
+func (p *Pool) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
+	p.post(s, abandonRequest{id, number, timedOut}, false)
 }
 
-func (p *Pool) Stands(s control.Server, id control.SessionID) bool {
-	return p.post(s, stands{id}, false)
+func (p *Pool) AddEstablished(s control.ServerID, id control.SessionID) bool {
+	return p.post(s, adoptRequest{id}, false)
 }
 
-func (p *Pool) Release(s control.Server, id control.SessionID, cause int) {
-	p.post(s, release{id, cause}, false)
+func (p *Pool) Release(s control.ServerID, id control.SessionID, cause int) {
+	p.post(s, releaseRequest{id, cause}, false)
 }
 
-func (p *Pool) SetRung(s control.Server, id control.SessionID, rung int) {
-	p.post(s, setRung{id, rung}, false)
+func (p *Pool) SetRung(s control.ServerID, id control.SessionID, rung int) {
+	p.post(s, setRungRequest{id, rung}, false)
 }
 
-func (p *Pool) Probe(s control.Server) {
-	if p.cfg.NoProbes || !p.post(s, probe{}, true) {
-		p.cfg.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.Moot})
+func (p *Pool) Probe(s control.ServerID) {
+	if p.cfg.DisableProbes || !p.post(s, probeRequest{}, true) {
+		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.NotSent})
 	}
 }
 
 // Messages to a node's actor.
 type (
-	setUp  struct{ broker.Attempt }
-	giveUp struct {
+	setUpRequest   struct{ broker.Attempt }
+	abandonRequest struct {
 		id       control.SessionID
 		number   int
 		timedOut bool
 	}
-	stands  struct{ id control.SessionID }
-	release struct {
+	adoptRequest   struct{ id control.SessionID }
+	releaseRequest struct {
 		id    control.SessionID
 		cause int
 	}
-	setRung struct {
+	setRungRequest struct {
 		id   control.SessionID
 		rung int
 	}
-	probe      struct{}
-	goOn       struct{} // what was held back may be sent
-	listChange struct{ member directory.Member }
-	dialled    struct {
-		conn   *conn
-		err    error
-		addr   string
-		breaks int // node.breaks when it was begun
+	probeRequest struct{}
+	resumeSetUps struct{} // what was held back may be sent
+	listChange   struct{ member directory.Member }
+	dialResult   struct {
+		conn         *conn
+		err          error
+		addr         string
+		lossesAtDial int // node.breaks when it was begun
 	}
-	closed struct {
+	connClosed struct {
 		conn *conn
 		err  error
 	}
-	heard struct {
+	received struct {
 		conn *conn
 		message
 	}
@@ -233,5 +235,5 @@
 
 var _ broker.Nodes = (*Pool)(nil)
 
-// box is a node's mailbox.
-type box = mailbox.Box[any]
+// inbox is a node's mailbox.
+type inbox = mailbox.Box[any]
--- a/internal/member/book.go
+++ b/internal/member/book.go
@@ -135,7 +135,7 @@
 	twins   map[[2]int64]bool // told already, by both lives
 	strange map[string]bool
 	refused time.Time // when an elder was met last; zero: none
-	watch   stall.Watch
+	watch   stall.Detector
 	events  []Event
 }
 
@@ -154,7 +154,7 @@
 		b.view.Members = append(b.view.Members, m)
 	}
 	slices.SortFunc(b.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	b.watch.Start(now)
+	b.watch.Reset(now)
 	b.count()
 	return b
 }
@@ -318,7 +318,7 @@
 // done draws what follows from a report, numbers the view if it has changed, and
 // returns what happened.
 func (b *Book) done(now time.Time) []Event {
-	if stood := b.watch.Beat(now); stood > 0 {
+	if stood := b.watch.Heartbeat(now); stood > 0 {
 		b.tell(Stood, b.self)
 		b.view.Stale = len(b.view.Members) > 1
 		if !b.refused.IsZero() {
--- a/internal/rtsp/rtsp.go
+++ b/internal/rtsp/rtsp.go
@@ -14,16 +14,16 @@
 	"millethinge/internal/header"
 )
 
-// MaxMessage is the longest message, head and body.
-const MaxMessage = 16 << 10
+// MaxMessageSize is the longest message, head and body.
+const MaxMessageSize = 16 << 10
 
 // ErrSyntax reports bytes that are no RTSP message.
 var ErrSyntax = errors.New("rtsp: malformed message")
 
 var (
-	version = []byte("RTSP/1.0")
-	lineEnd = []byte("\r\n")
-	headEnd = []byte("\r\n\r\n")
+	version   = []byte("RTSP/1.0")
+	crlf      = []byte("\r\n")
+	headerEnd = []byte("\r\n\r\n")
 )
 
 // Message is a request, which has a Method, or a response, which has a Status.
@@ -32,7 +32,7 @@
 	Method  []byte
 	URI     []byte
 	Status  int
-	Headers header.List
+	Headers header.Fields
 	Body    []byte
 }
 
@@ -44,55 +44,55 @@
 func Parse(b []byte, m *Message) (int, error) {
 	headers := m.Headers[:0]
 	*m = Message{}
-	head := bytes.Index(b, headEnd)
-	if head < 0 {
-		if len(b) >= MaxMessage {
+	headLen := bytes.Index(b, headerEnd)
+	if headLen < 0 {
+		if len(b) >= MaxMessageSize {
 			return 0, ErrSyntax
 		}
 		return 0, nil
 	}
-	line, rest, _ := bytes.Cut(b[:head+len(lineEnd)], lineEnd)
-	if err := m.startLine(line); err != nil {
+	line, rest, _ := bytes.Cut(b[:headLen+len(crlf)], crlf)
+	if err := m.parseStartLine(line); err != nil {
 		return 0, err
 	}
 	var ok bool
 	if m.Headers, ok = headers.Parse(rest); !ok {
 		return 0, ErrSyntax
 	}
-	length, ok := m.Headers.Length()
-	if !ok || length > MaxMessage {
+	length, ok := m.Headers.ContentLength()
+	if !ok || length > MaxMessageSize {
 		return 0, ErrSyntax
 	}
-	total := head + len(headEnd) + length
-	if total > MaxMessage {
+	total := headLen + len(headerEnd) + length
+	if total > MaxMessageSize {
 		return 0, ErrSyntax
 	}
 	if len(b) < total {
 		return 0, nil
 	}
-	m.Body = b[head+len(headEnd) : total]
+	m.Body = b[headLen+len(headerEnd) : total]
 	return total, nil
 }
 
-func (m *Message) startLine(line []byte) error {
-	a, rest, ok := bytes.Cut(line, []byte(" "))
-	if !ok || len(a) == 0 {
+func (m *Message) parseStartLine(line []byte) error {
+	first, rest, ok := bytes.Cut(line, []byte(" "))
+	if !ok || len(first) == 0 {
 		return ErrSyntax
 	}
-	if bytes.Equal(a, version) {
+	if bytes.Equal(first, version) {
 		code, _, _ := bytes.Cut(rest, []byte(" "))
-		n, ok := header.Uint(code)
+		n, ok := header.ParseDecimal(code)
 		if !ok || n < 100 || n > 599 {
 			return ErrSyntax
 		}
 		m.Status = int(n)
 		return nil
 	}
-	uri, v, ok := bytes.Cut(rest, []byte(" "))
-	if !ok || len(uri) == 0 || !bytes.Equal(v, version) {
+	uri, last, ok := bytes.Cut(rest, []byte(" "))
+	if !ok || len(uri) == 0 || !bytes.Equal(last, version) {
 		return ErrSyntax
 	}
-	m.Method, m.URI = a, uri
+	m.Method, m.URI = first, uri
 	return nil
 }
 
@@ -104,13 +104,13 @@
 	return append(b, " RTSP/1.0\r\n"...)
 }
 
-// AppendStatus starts a response.
-func AppendStatus(b []byte, code int, reason string) []byte {
+// AppendResponse starts a response.
+func AppendResponse(b []byte, code int, reason string) []byte {
 	b = append(b, "RTSP/1.0 "...)
 	b = strconv.AppendInt(b, int64(code), 10)
 	b = append(b, ' ')
 	b = append(b, reason...)
-	return append(b, lineEnd...)
+	return append(b, crlf...)
 }
 
 // AppendHeader adds a header line. It drops line ends, so that a value can't
@@ -123,13 +123,13 @@
 			b = append(b, c)
 		}
 	}
-	return append(b, lineEnd...)
+	return append(b, crlf...)
 }
 
-// Finish adds the body's length, the end of the head, and the body.
-func Finish(b, body []byte) []byte {
+// AppendBody adds the body's length, the end of the head, and the body.
+func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
-	b = append(b, headEnd...)
+	b = append(b, headerEnd...)
 	return append(b, body...)
 }
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -10,11 +10,11 @@
 	"millethinge/internal/standin"
 )
 
-// TestDiscoveredNodeServes has the program find its only node by DNS-SD.
-func TestDiscoveredNodeServes(t *testing.T) {
-	l := loopback(t)
+// TestSessionOnDiscoveredNode has the program find its only node by DNS-SD.
+func TestSessionOnDiscoveredNode(t *testing.T) {
+	listener := loopback(t)
 	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
-	go node.Serve(l)
+	go node.Serve(listener)
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -22,19 +22,19 @@
 	defer udp.Close()
 	var server standin.DNS
 	const service = "_rtsp._tcp.media.example"
-	server.Set(false, standin.Instance(service, "one", 60, netip.MustParseAddrPort(l.Addr().String()).Port(), "zone=east", "kind=std", "cell=0")...)
+	server.Set(false, standin.Instance(service, "one", 60, netip.MustParseAddrPort(listener.Addr().String()).Port(), "zone=east", "kind=std", "cell=0")...)
 	go server.Serve(udp, loopback(t))
-	p := start(t, "127.0.0.1:1", "", 2, fmt.Sprintf("dns-sd {\n server %s\n service %s\n}", udp.LocalAddr(), service))
-	s := speak(t, p, false)
-	for n, until := 1, time.Now().Add(patience); ; n++ {
-		if err := s.say(setUpLine(n)); err != nil {
+	prog := startManager(t, "127.0.0.1:1", "", 2, fmt.Sprintf("dns-sd {\n server %s\n service %s\n}", udp.LocalAddr(), service))
+	conn := connect(t, prog, false)
+	for n, deadline := 1, time.Now().Add(testTimeout); ; n++ {
+		if err := conn.send(setUpLine(n)); err != nil {
 			t.Fatal(err)
 		}
-		b, err := s.hear()
-		if err != nil || time.Now().After(until) {
-			t.Fatalf("not served: %q, %v", b, err)
+		line, err := conn.receive()
+		if err != nil || time.Now().After(deadline) {
+			t.Fatalf("not served: %q, %v", line, err)
 		}
-		if r, err := parseReply(b); err != nil || r.Type == "answer" {
+		if answer, err := parseReply(line); err != nil || answer.Type == "answer" {
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -23,76 +23,76 @@
 	"millethinge/internal/rtsp"
 )
 
-// patience bounds what a test waits for; nothing passes or fails by less.
-const patience = 20 * time.Second
+// testTimeout bounds what a test waits for; nothing passes or fails by less.
+const testTimeout = 20 * time.Second
 
-const classes = `"lanes": [{"name": "clip", "effect": "at_most_once", "goalTimeS": 30, "worth": 2},
+const classesJSON = `"lanes": [{"name": "clip", "effect": "at_most_once", "goalTimeS": 30, "worth": 2},
 	{"name": "feed", "effect": "idempotent", "goalTimeS": 30, "worth": 1}]`
 
-const platform = `{"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": "%s",
+const platformJSON = `{"name": "n0", "listen": "127.0.0.1:0", "seed": "1f", "coordinator": "%s",
 	"known": {"index": 1, "updates": [{"index": 1, "endpoints": {"revision": 1, "complete": true, "members": [%s]}}]},
-	"settings": {"balancers": 1, ` + classes + `, "localities": ["east"], "flavors": ["std"], "weights": "rough", "discovery": "automatic",
+	"settings": {"balancers": 1, ` + classesJSON + `, "localities": ["east"], "flavors": ["std"], "weights": "rough", "discovery": "automatic",
 	"familyInfo": {"classFloor": [1, 0], "topByClass": [3, 3], "scaleByClass": [1, 1], "licenceCap": [0, 0], "ratesKb": [1, 2, 3, 4],
 	"ladderWorth": [0.2, 0.5, 0.8, 1], "places": %d, "groups": 1, "kbPerWeight": 1e9, "rackLinkKb": 1e12, "kindStreams": [1000000]},
 	"feedback": {"fields": ["load_share", "x1"], "via": "none"}, "policyLimits": {"attemptsCap": 4, "probes": true}}}`
 
-// member is one line of the list.
-func member(id, addr string, cell int) string {
+// memberJSON is one line of the list.
+func memberJSON(id, addr string, cell int) string {
 	return fmt.Sprintf(`{"id": %q, "host_port": %q, "locality": "east", "flavor": "std", "cell": %d, "phase": "in_service", "size": 1}`, id, addr, cell)
 }
 
-// program is a running session manager.
-type program struct {
-	at      Listeners
-	signals chan os.Signal
-	reload  chan string // what the next reload reads
-	done    chan error
+// manager is a running session manager.
+type manager struct {
+	listeners Listeners
+	signals   chan os.Signal
+	reload    chan string // what the next reload reads
+	done      chan error
 }
 
-func start(t *testing.T, coordinator, members string, cells int, operator string) *program {
+func startManager(t *testing.T, coordinator, members string, cells int, operator string) *manager {
 	t.Helper()
-	return startWith(t, coordinator, members, cells, operator, func(*config.Config) {})
+	return startManagerWith(t, coordinator, members, cells, operator, func(*config.Config) {})
 }
 
-// startWith lets a test change the configuration that was read.
-func startWith(t *testing.T, coordinator, members string, cells int, operator string, change func(*config.Config)) *program {
+// startManagerWith lets a test change the configuration that was read.
+func startManagerWith(t *testing.T, coordinator, members string, cells int, operator string, modify func(*config.Config)) *manager {
 	t.Helper()
-	cfg, err := config.Parse(fmt.Appendf(nil, platform, coordinator, members, cells))
+	cfg, err := config.Parse(fmt.Appendf(nil, platformJSON, coordinator, members, cells))
 	if err == nil && operator != "" {
 		cfg.Operator, err = config.ParseOperator("operator", []byte(operator), nil, cfg.Deployment())
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	change(&cfg)
-	cfg.Drain = broker.Drain{Take: patience, Stay: 900 * time.Millisecond} // whatever the machine's pace
-	p := &program{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
-	if p.at, err = Listen(cfg); err != nil {
+	modify(&cfg)
+	cfg.Drain = broker.DrainTimes{AcceptFor: testTimeout, KeepFor: 900 * time.Millisecond} // whatever the machine's pace
+	prog := &manager{signals: make(chan os.Signal, 1), reload: make(chan string, 1), done: make(chan error, 1)}
+	if prog.listeners, err = Listen(cfg); err != nil {
 		t.Fatal(err)
 	}
 	reload := func(running *config.Config) (config.Config, error) {
-		text := <-p.reload
-		if rules, ok := strings.CutPrefix(text, "operator "); ok { // the operator's file has changed
+		input := <-prog.reload
+		if rules, ok := strings.CutPrefix(input, "operator "); ok { // the operator's file has changed
 			next := *running
 			var err error
 			next.Operator, err = config.ParseOperator("operator", []byte(rules), nil, running.InUse())
 			return next, err
 		}
-		return config.Parse(fmt.Appendf(nil, platform, text, members, cells))
+		return config.Parse(fmt.Appendf(nil, platformJSON, input, members, cells))
 	}
-	go func() { p.done <- Run(cfg, p.at, p.signals, reload, zap.NewNop()) }()
+	go func() { prog.done <- Run(cfg, prog.listeners, prog.signals, reload, zap.NewNop()) }()
 	t.Cleanup(func() {
-		p.signals <- syscall.SIGTERM
+		prog.signals <- syscall.SIGTERM
 		select {
-		case err := <-p.done:
+		case err := <-prog.done:
 			if err != nil {
 				t.Error(err)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Error("no end after SIGTERM")
 		}
 	})
-	return p
+	return prog
 }
 
 func loopback(t *testing.T) net.Listener {
@@ -105,10 +105,10 @@
 	return l
 }
 
-// actor plays one part of an exchange.
-type actor struct {
+// participant plays one part of an exchange.
+type participant struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // TestExchanges plays the files of testdata against the program. A line is
@@ -132,109 +132,109 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			play(t, string(text))
+			playExchange(t, string(text))
 		})
 	}
 }
 
-func play(t *testing.T, text string) {
-	actors := map[string]*actor{}
-	servers := map[string]net.Listener{"k": loopback(t)}
-	var members, operator, names []string
+func playExchange(t *testing.T, text string) {
+	participants := map[string]*participant{}
+	backends := map[string]net.Listener{"k": loopback(t)}
+	var members, operator, addressVars []string
 	for name := range strings.SplitSeq("a b c d e l", " ") {
-		servers[name] = loopback(t)
-		names = append(names, "{"+name+"}", servers[name].Addr().String())
+		backends[name] = loopback(t)
+		addressVars = append(addressVars, "{"+name+"}", backends[name].Addr().String())
 	}
-	var p *program
-	for i, l := range strings.Split(text, "\n") {
-		l = strings.NewReplacer(names...).Replace(l)
-		word, rest, _ := strings.Cut(l, " ")
+	var prog *manager
+	for i, line := range strings.Split(text, "\n") {
+		line = strings.NewReplacer(addressVars...).Replace(line)
+		keyword, rest, _ := strings.Cut(line, " ")
 		switch {
-		case l == "" || l[0] == '#':
+		case line == "" || line[0] == '#':
 			continue
-		case word == "node": // NAME CELL
+		case keyword == "node": // NAME CELL
 			name, cell, _ := strings.Cut(rest, " ")
 			n, _ := strconv.Atoi(cell)
-			members = append(members, member("s-"+name, servers[name].Addr().String(), n))
+			members = append(members, memberJSON("s-"+name, backends[name].Addr().String(), n))
 			continue
-		case word == "operator":
+		case keyword == "operator":
 			operator = append(operator, rest)
 			continue
-		case p == nil:
-			p = start(t, servers["k"].Addr().String(), strings.Join(members, ","), 4, strings.Join(operator, "\n"))
+		case prog == nil:
+			prog = startManager(t, backends["k"].Addr().String(), strings.Join(members, ","), 4, strings.Join(operator, "\n"))
 		}
 		switch {
-		case word == "sigterm":
-			p.signals <- syscall.SIGTERM
-		case word == "sighup": // with the coordinator that the file names by then
-			p.reload <- rest
-			p.signals <- syscall.SIGHUP
+		case keyword == "sigterm":
+			prog.signals <- syscall.SIGTERM
+		case keyword == "sighup": // with the coordinator that the file names by then
+			prog.reload <- rest
+			prog.signals <- syscall.SIGHUP
 		case rest == "close":
-			actors[word].Close()
-			delete(actors, word)
+			participants[keyword].Close()
+			delete(participants, keyword)
 		case rest == "eof": // the program has closed it
-			actors[word].SetDeadline(time.Now().Add(patience))
-			if b, err := actors[word].in.ReadByte(); err != io.EOF {
-				t.Fatalf("line %d: %s\ngot %q, %v", i+1, l, b, err)
+			participants[keyword].SetDeadline(time.Now().Add(testTimeout))
+			if b, err := participants[keyword].reader.ReadByte(); err != io.EOF {
+				t.Fatalf("line %d: %s\ngot %q, %v", i+1, line, b, err)
 			}
 		case rest == "open":
-			actors[word] = accept(t, servers[word])
+			participants[keyword] = accept(t, backends[keyword])
 		default:
-			name, way := word[:len(word)-1], word[len(word)-1]
-			name, any := strings.CutSuffix(name, "*")
-			a := actors[name]
-			if any {
-				a = a.any(t, servers[name])
-				defer a.Close()
+			name, direction := keyword[:len(keyword)-1], keyword[len(keyword)-1]
+			name, anyConn := strings.CutSuffix(name, "*")
+			part := participants[name]
+			if anyConn {
+				part = part.anyConn(t, backends[name])
+				defer part.Close()
 			}
-			if a == nil {
-				a = enter(t, name, p, servers)
-				actors[name] = a
+			if part == nil {
+				part = connectParticipant(t, name, prog, backends)
+				participants[name] = part
 			}
-			if err := a.step(name[0], way, rest); err != nil {
-				t.Fatalf("line %d: %s\n%v", i+1, l, err)
+			if err := part.exchange(name[0], direction, rest); err != nil {
+				t.Fatalf("line %d: %s\n%v", i+1, line, err)
 			}
 		}
 	}
-	for _, a := range actors {
-		a.Close()
+	for _, part := range participants {
+		part.Close()
 	}
 }
 
-func accept(t *testing.T, l net.Listener) *actor {
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
-	c, err := l.Accept()
+func accept(t *testing.T, listener net.Listener) *participant {
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &actor{c, bufio.NewReaderSize(c, rtsp.MaxMessage)}
+	return &participant{conn, bufio.NewReaderSize(conn, rtsp.MaxMessageSize)}
 }
 
-func enter(t *testing.T, name string, p *program, servers map[string]net.Listener) *actor {
-	if l := servers[name]; l != nil {
-		return accept(t, l)
+func connectParticipant(t *testing.T, name string, prog *manager, backends map[string]net.Listener) *participant {
+	if listener := backends[name]; listener != nil {
+		return accept(t, listener)
 	}
-	addr := p.at.Viewers.Addr()
+	addr := prog.listeners.Viewers.Addr()
 	if name[0] == 'w' {
-		addr = p.at.Players.Addr()
+		addr = prog.listeners.Players.Addr()
 	}
-	c, err := net.Dial("tcp", addr.String())
+	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &actor{c, bufio.NewReader(c)}
+	return &participant{conn, bufio.NewReader(conn)}
 }
 
-// any is a part that reads what comes on a, or on a connection that opens, by whichever
+// anyConn is a part that reads what comes on a, or on a connection that opens, by whichever
 // is first. The program may look at a node by a new connection at any time.
-func (a *actor) any(t *testing.T, l net.Listener) *actor {
+func (p *participant) anyConn(t *testing.T, l net.Listener) *participant {
 	r, w := io.Pipe()
-	pass := func(from io.Reader) {
-		if b, err := readHead(bufio.NewReader(from)); err == nil {
-			w.Write(b)
+	copyMessage := func(from io.Reader) {
+		if message, err := readMessage(bufio.NewReader(from)); err == nil {
+			w.Write(message)
 		}
 	}
-	go pass(a.in)
+	go copyMessage(p.reader)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -242,63 +242,63 @@
 				return // the test is over
 			}
 			t.Cleanup(func() { c.Close() })
-			go pass(c)
+			go copyMessage(c)
 		}
 	}()
-	time.AfterFunc(patience, func() { w.CloseWithError(os.ErrDeadlineExceeded) })
-	return &actor{a.Conn, bufio.NewReader(r)}
+	time.AfterFunc(testTimeout, func() { w.CloseWithError(os.ErrDeadlineExceeded) })
+	return &participant{p.Conn, bufio.NewReader(r)}
 }
 
-var escapes = regexp.MustCompile(`\\x[0-9a-f]{2}`)
+var escapePattern = regexp.MustCompile(`\\x[0-9a-f]{2}`)
 
 func unescape(s string) []byte {
-	return escapes.ReplaceAllFunc([]byte(s), func(b []byte) []byte {
+	return escapePattern.ReplaceAllFunc([]byte(s), func(b []byte) []byte {
 		n, _ := strconv.ParseUint(string(b[2:]), 16, 8)
 		return []byte{byte(n)}
 	})
 }
 
-func (a *actor) step(kind, way byte, text string) error {
-	if err := a.SetDeadline(time.Now().Add(patience)); err != nil {
+func (p *participant) exchange(role, direction byte, text string) error {
+	if err := p.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		return err
 	}
-	if kind == 'v' {
+	if role == 'v' {
 		text += "\n"
-	} else if way == '<' || way == '>' {
+	} else if direction == '<' || direction == '>' {
 		head, body, _ := strings.Cut(text, "||")
 		text = strings.ReplaceAll(strings.ReplaceAll(text, "{len}", strconv.Itoa(len(body))), "|", "\r\n")
-		if kind == 'k' || kind == 'l' { // JSON may hold no |, but the body must stay as it is
+		if role == 'k' || role == 'l' { // JSON may hold no |, but the body must stay as it is
 			text = strings.ReplaceAll(strings.ReplaceAll(head, "{len}", strconv.Itoa(len(body)))+"||", "|", "\r\n") + body
 		}
 	}
-	switch way {
+	switch direction {
 	case '>':
-		_, err := a.Write(unescape(text))
+		_, err := p.Write(unescape(text))
 		return err
 	case '+':
-		_, err := a.Write(masked([]byte(text)))
+		_, err := p.Write(maskedTextFrame([]byte(text)))
 		return err
 	case '-':
-		got, err := readText(a.in)
-		return compare(text, got, err)
+		got, err := readTextFrame(p.reader)
+		return matchPattern(text, got, err)
 	}
 	var got []byte
 	var err error
-	switch kind {
+	switch role {
 	case 'v':
-		got, err = a.in.ReadBytes('\n')
+		got, err = p.reader.ReadBytes('\n')
 	case 'w':
 		got = make([]byte, len(unescape(text)))
-		_, err = io.ReadFull(a.in, got)
+		_, err = io.ReadFull(p.reader, got)
 		text = string(unescape(text))
 	default:
-		got, err = readHead(a.in)
+		got, err = readMessage(p.reader)
 	}
-	return compare(text, got, err)
+	return matchPattern(text, got, err)
 }
 
-// compare holds what came against what is wanted, in which * stands for digits.
-func compare(want string, got []byte, err error) error {
+// matchPattern holds what came against what is wanted, in which * stands for digits.
+func matchPattern(want string, got []byte, err error) error {
 	pattern := strings.ReplaceAll(regexp.QuoteMeta(strconv.QuoteToASCII(want)), `\*`, `[0-9a-f.:]+`)
 	if err != nil || !regexp.MustCompile("^"+pattern+"$").MatchString(strconv.QuoteToASCII(string(got))) {
 		return fmt.Errorf("got %q, %v", got, err)
@@ -306,64 +306,64 @@
 	return nil
 }
 
-// readHead reads one RTSP or HTTP message.
-func readHead(in *bufio.Reader) ([]byte, error) {
-	var b []byte
-	for !bytes.HasSuffix(b, []byte("\r\n\r\n")) {
-		line, err := in.ReadBytes('\n')
+// readMessage reads one RTSP or HTTP message.
+func readMessage(reader *bufio.Reader) ([]byte, error) {
+	var message []byte
+	for !bytes.HasSuffix(message, []byte("\r\n\r\n")) {
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
-			return append(b, line...), err
+			return append(message, line...), err
 		}
-		b = append(b, line...)
+		message = append(message, line...)
 	}
-	if m := regexp.MustCompile(`Content-Length: (\d+)`).FindSubmatch(b); m != nil {
+	if m := regexp.MustCompile(`Content-Length: (\d+)`).FindSubmatch(message); m != nil {
 		n, _ := strconv.Atoi(string(m[1]))
 		body := make([]byte, n)
-		_, err := io.ReadFull(in, body)
-		return append(b, body...), err
+		_, err := io.ReadFull(reader, body)
+		return append(message, body...), err
 	}
-	return b, nil
+	return message, nil
 }
 
-// masked makes a client's text frame.
-func masked(text []byte) []byte {
+// maskedTextFrame makes a client's text frame.
+func maskedTextFrame(text []byte) []byte {
 	mask := []byte{0x37, 0xfa, 0x21, 0x3d}
-	b := []byte{0x81, 0x80 | 126, byte(len(text) >> 8), byte(len(text))}
+	frame := []byte{0x81, 0x80 | 126, byte(len(text) >> 8), byte(len(text))}
 	if len(text) < 126 {
-		b = []byte{0x81, 0x80 | byte(len(text))}
+		frame = []byte{0x81, 0x80 | byte(len(text))}
 	}
-	b = append(b, mask...)
+	frame = append(frame, mask...)
 	for i, c := range text {
-		b = append(b, c^mask[i&3])
+		frame = append(frame, c^mask[i&3])
 	}
-	return b
+	return frame
 }
 
-// readText reads a server's text frame, past pings.
-func readText(in *bufio.Reader) ([]byte, error) {
+// readTextFrame reads a server's text frame, past pings.
+func readTextFrame(reader *bufio.Reader) ([]byte, error) {
 	for {
-		var head [2]byte
-		if _, err := io.ReadFull(in, head[:]); err != nil {
+		var header [2]byte
+		if _, err := io.ReadFull(reader, header[:]); err != nil {
 			return nil, err
 		}
-		n := int(head[1])
+		n := int(header[1])
 		if n == 126 {
-			var long [2]byte
-			if _, err := io.ReadFull(in, long[:]); err != nil {
+			var extended [2]byte
+			if _, err := io.ReadFull(reader, extended[:]); err != nil {
 				return nil, err
 			}
-			n = int(long[0])<<8 | int(long[1])
+			n = int(extended[0])<<8 | int(extended[1])
 		}
-		b := make([]byte, n)
-		if _, err := io.ReadFull(in, b); err != nil {
+		payload := make([]byte, n)
+		if _, err := io.ReadFull(reader, payload); err != nil {
 			return nil, err
 		}
-		switch head[0] {
+		switch header[0] {
 		case 0x81:
-			return b, nil
+			return payload, nil
 		case 0x89:
 		default:
-			return b, fmt.Errorf("frame %#x", head[0])
+			return payload, fmt.Errorf("frame %#x", header[0])
 		}
 	}
 }
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -20,7 +20,7 @@
 		return func() {}, nil
 	}
 	log = log.Named("fleet")
-	c.Told = func(v members.View, events []members.Event) { tellFleet(log, v, events) }
+	c.Told = func(v members.View, events []members.Event) { logFleetEvents(log, v, events) }
 	c.Log = func(line string) { log.Debug("membership", zap.String("remark", line)) }
 	var fleet members.Fleet
 	if c.Listen == "" {
@@ -42,40 +42,40 @@
 	return fleet.Leave, nil
 }
 
-// tellFleet logs what happened, one line an event. What somebody is to look at is a
+// logFleetEvents logs what happened, one line an event. What somebody is to look at is a
 // warning.
-func tellFleet(log *zap.Logger, v members.View, events []members.Event) {
+func logFleetEvents(log *zap.Logger, v members.View, events []members.Event) {
 	for _, e := range events {
 		fields := []zap.Field{zap.String("what", string(e.What)), zap.String("member", e.Member.Name), zap.String("site", e.Member.Site), zap.String("address", e.Member.Address)}
-		say := log.Info
+		logEvent := log.Info
 		switch e.What {
 		case members.Twin:
 			fields = append(fields, zap.String("refused", e.Other.Address),
 				zap.String("do", "two managers have one name: give the one that started later, at the address that is refused, a name of its own"))
-			say = log.Warn
+			logEvent = log.Warn
 		case members.Stranger:
 			fields = append(fields, zap.String("do", "it is not let in: name it by fleet.members, or end it"))
-			say = log.Warn
+			logEvent = log.Warn
 		case members.IsAlone:
 			fields = append(fields, zap.String("do", "no majority of the fleet is in view: this may be the part that is cut off; look at the network and at the other managers"))
-			say = log.Warn
+			logEvent = log.Warn
 		case members.WasLost, members.WasRefused, members.Stood:
-			say = log.Warn
+			logEvent = log.Warn
 		}
-		say("fleet", append(fields, viewFields(v))...)
+		logEvent("fleet", append(fields, viewFields(v))...)
 	}
 }
 
 // viewFields are a view in a line of the log.
 func viewFields(v members.View) zap.Field {
-	return zap.Inline(viewObject(v))
+	return zap.Inline(viewMarshaler(v))
 }
 
-type viewObject members.View
+type viewMarshaler members.View
 
 // MarshalLogObject writes the view's fields.
-func (o viewObject) MarshalLogObject(e zapcore.ObjectEncoder) error {
-	v := members.View(o)
+func (m viewMarshaler) MarshalLogObject(e zapcore.ObjectEncoder) error {
+	v := members.View(m)
 	e.AddInt64("view", v.Number)
 	e.AddInt("named", len(v.Members))
 	e.AddString("in_view", strings.Join(v.Names(), " "))
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -15,24 +15,24 @@
 	members "millethinge/internal/member"
 )
 
-// asked is what this process has of a membership: goroutines, and sockets for datagrams.
-func asked(t *testing.T) (goroutines, datagrams int) {
+// membershipResources is what this process has of a membership: goroutines, and sockets for datagrams.
+func membershipResources(t *testing.T) (goroutines, datagrams int) {
 	t.Helper()
-	b := make([]byte, 4<<20)
-	for _, g := range strings.Split(string(b[:runtime.Stack(b, true)]), "\n\n") {
-		if strings.Contains(g, "hashicorp/") || strings.Contains(g, "internal/member.") {
+	stacks := make([]byte, 4<<20)
+	for _, stack := range strings.Split(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
+		if strings.Contains(stack, "hashicorp/") || strings.Contains(stack, "internal/member.") {
 			goroutines++
 		}
 	}
-	table, err := os.ReadFile("/proc/self/net/udp")
+	sockets, err := os.ReadFile("/proc/self/net/udp")
 	if err != nil {
 		t.Skip("no /proc")
 	}
-	open, _ := filepath.Glob("/proc/self/fd/*")
-	for _, l := range strings.Split(string(table), "\n")[1:] {
-		if f := strings.Fields(l); len(f) > 9 && slices.ContainsFunc(open, func(fd string) bool {
-			to, _ := os.Readlink(fd)
-			return to == "socket:["+f[9]+"]"
+	fds, _ := filepath.Glob("/proc/self/fd/*")
+	for _, line := range strings.Split(string(sockets), "\n")[1:] {
+		if fields := strings.Fields(line); len(fields) > 9 && slices.ContainsFunc(fds, func(fd string) bool {
+			target, _ := os.Readlink(fd)
+			return target == "socket:["+fields[9]+"]"
 		}) {
 			datagrams++
 		}
@@ -44,19 +44,19 @@
 // it and sends nothing; without one it has no goroutine either. With one it meets the
 // others, and its drain is a leave.
 func TestFleet(t *testing.T) {
-	ready := func(p *program) { // it serves: all is started by then
-		s := speak(t, p, false)
-		if err := s.say("{}\n"); err != nil {
+	waitUntilServing := func(prog *manager) { // it serves: all is started by then
+		s := connect(t, prog, false)
+		if err := s.send("{}\n"); err != nil {
 			t.Fatal(err)
 		}
-		s.hear()
+		s.receive()
 	}
-	ready(start(t, "127.0.0.1:1", "", 1, ""))
-	if g, d := asked(t); g != 0 || d != 0 {
+	waitUntilServing(startManager(t, "127.0.0.1:1", "", 1, ""))
+	if g, d := membershipResources(t); g != 0 || d != 0 {
 		t.Errorf("without a block: %d goroutines, %d sockets", g, d)
 	}
-	ready(start(t, "127.0.0.1:1", "", 1, "fleet {\n members n0 east n1 east\n}\n"))
-	if g, d := asked(t); g != 1 || d != 0 {
+	waitUntilServing(startManager(t, "127.0.0.1:1", "", 1, "fleet {\n members n0 east n1 east\n}\n"))
+	if g, d := membershipResources(t); g != 1 || d != 0 {
 		t.Errorf("without listen: %d goroutines, %d sockets", g, d)
 	}
 	other, err := members.NewSwim(members.Config{Self: members.Meta{Name: "n1"}, Named: []members.Named{{Name: "n0"}, {Name: "n1"}}, Listen: "127.0.0.1:0"})
@@ -72,19 +72,19 @@
 			t.Error(err)
 		}
 	}()
-	p := start(t, "127.0.0.1:1", "", 1, fmt.Sprintf("fleet {\n members n0 east n1 east\n listen 127.0.0.1:0\n join %s\n}\n", other.Addr()))
-	until := func(s members.Status) {
+	prog := startManager(t, "127.0.0.1:1", "", 1, fmt.Sprintf("fleet {\n members n0 east n1 east\n listen 127.0.0.1:0\n join %s\n}\n", other.Addr()))
+	waitForStatus := func(s members.Status) {
 		t.Helper()
-		for deadline := time.Now().Add(patience); other.View().Find("n0").Status != s; time.Sleep(10 * time.Millisecond) {
+		for deadline := time.Now().Add(testTimeout); other.View().Find("n0").Status != s; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(deadline) {
 				t.Fatalf("%v, not %v", other.View().Find("n0").Status, s)
 			}
 		}
 	}
-	until(members.Here)
-	if g, d := asked(t); g < 10 || d != 2 {
+	waitForStatus(members.Here)
+	if g, d := membershipResources(t); g < 10 || d != 2 {
 		t.Errorf("two members here: %d goroutines, %d sockets", g, d)
 	}
-	p.signals <- syscall.SIGTERM
-	until(members.Gone)
+	prog.signals <- syscall.SIGTERM
+	waitForStatus(members.Gone)
 }
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -17,62 +17,62 @@
 	"millethinge/internal/stream"
 )
 
-var leavers = flag.Bool("leavers", false, "measure when attempts begin whose clients have gone")
+var measureLeavers = flag.Bool("leavers", false, "measure when attempts begin whose clients have gone")
 
-// begun notes when the last SETUP of each session came to any of some nodes, each of which
+// setUpTimes notes when the last SETUP of each session came to any of some nodes, each of which
 // answers after a time drawn for it that it never ran there.
-type begun struct {
-	mu   sync.Mutex
-	last map[string]time.Time
+type setUpTimes struct {
+	mu        sync.Mutex
+	lastSetUp map[string]time.Time
 }
 
-func (b *begun) serve(l net.Listener) {
+func (times *setUpTimes) serve(l net.Listener) {
 	for {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer c.Close()
-			in := stream.NewReader(c, rtsp.MaxMessage)
+			defer conn.Close()
+			reader := stream.NewReader(conn, rtsp.MaxMessageSize)
 			var mu sync.Mutex
 			var m rtsp.Message
-			for in.Next(func(t []byte) (int, error) { return rtsp.Parse(t, &m) }) == nil {
-				id, came := string(m.Get("Session")), time.Now()
+			for reader.Next(func(text []byte) (int, error) { return rtsp.Parse(text, &m) }) == nil {
+				id, received := string(m.Get("Session")), time.Now()
 				if string(m.Method) != "SETUP" {
 					continue
 				}
-				b.mu.Lock()
-				b.last[id] = came
-				b.mu.Unlock()
+				times.mu.Lock()
+				times.lastSetUp[id] = received
+				times.mu.Unlock()
 				time.AfterFunc(rand.N(40*time.Millisecond), func() {
 					mu.Lock()
 					defer mu.Unlock()
-					fmt.Fprintf(c, "RTSP/1.0 454 Moot\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", id)
+					fmt.Fprintf(conn, "RTSP/1.0 454 Moot\r\nCSeq: 1\r\nSession: %s\r\nContent-Length: 0\r\n\r\n", id)
 				})
 			}
 		}()
 	}
 }
 
-// shy is a listener whose queue is full.
-func shy(t *testing.T) net.Listener {
-	l := loopback(t)
-	end, err := standin.Shy(l.(*net.TCPListener))
+// fullListener is a listener whose queue is full.
+func fullListener(t *testing.T) net.Listener {
+	listener := loopback(t)
+	closeFill, err := standin.Shy(listener.(*net.TCPListener))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(end)
-	return l
+	t.Cleanup(closeFill)
+	return listener
 }
 
-// TestLeavers measures the longest time from a client's leaving to the last attempt begun
+// TestAttemptsAfterClientLeft measures the longest time from a client's leaving to the last attempt begun
 // for it, as nodes saw it, where both fall together by chance. It is no part of CI.
-func TestLeavers(t *testing.T) {
-	if !*leavers {
+func TestAttemptsAfterClientLeft(t *testing.T) {
+	if !*measureLeavers {
 		t.Skip("a measurement: -leavers")
 	}
-	const each, few = 60, 12 // sessions a case
+	const sessionsPerCase, sessionsUnread = 60, 12 // sessions a case
 	ping := `{"type":"ping","id":"` + strings.Repeat("0", 15<<10) + `"}`
 	ways := []string{"close", "reset", "half close", "release", "release, unread"}
 	for _, stage := range []string{"attempt out or between two", "slow dial", "an old process that drains"} {
@@ -82,51 +82,51 @@
 					if !player && grace != "1ms" {
 						continue
 					}
-					b := &begun{last: map[string]time.Time{}}
+					times := &setUpTimes{lastSetUp: map[string]time.Time{}}
 					var members []string
-					var nodes []net.Listener
+					var listeners []net.Listener
 					for i := range 6 {
-						l := loopback(t)
+						listener := loopback(t)
 						if stage == "slow dial" {
-							l = shy(t)
+							listener = fullListener(t)
 						}
-						nodes = append(nodes, l)
-						members = append(members, member(fmt.Sprint("s-", i), l.Addr().String(), i))
+						listeners = append(listeners, listener)
+						members = append(members, memberJSON(fmt.Sprint("s-", i), listener.Addr().String(), i))
 					}
 					if stage != "slow dial" {
-						for _, l := range nodes {
-							go b.serve(l)
+						for _, listener := range listeners {
+							go times.serve(listener)
 						}
 					}
-					p := startWith(t, "127.0.0.1:1", strings.Join(members, ","), 6, "websocket {\n listen 127.0.0.1:0\n grace "+grace+"\n}\n",
+					prog := startManagerWith(t, "127.0.0.1:1", strings.Join(members, ","), 6, "websocket {\n listen 127.0.0.1:0\n grace "+grace+"\n}\n",
 						func(c *config.Config) { c.ConnectTimeout = 5 * time.Second })
 					left := map[string]time.Time{}
 					var mu sync.Mutex
-					var all sync.WaitGroup
-					flood := way == "release, unread" // it asks and does not listen, so it is not read from
-					sessions := each
-					if flood {
-						sessions = few
+					var clients sync.WaitGroup
+					unread := way == "release, unread" // it asks and does not listen, so it is not read from
+					sessions := sessionsPerCase
+					if unread {
+						sessions = sessionsUnread
 					}
 					for n := range sessions {
-						s := speak(t, p, player)
+						client := connect(t, prog, player)
 						id := fmt.Sprintf("%016x", n+1)
-						all.Go(func() {
-							s.say(fmt.Sprintf(`{"type":"setup","id":"%s","fields":{"class":"clip","left":9000,"key":"1","extras":"home:0;copies:6;top:3"},"sdp":"x"}`, id))
+						clients.Go(func() {
+							client.send(fmt.Sprintf(`{"type":"setup","id":"%s","fields":{"class":"clip","left":9000,"key":"1","extras":"home:0;copies:6;top:3"},"sdp":"x"}`, id))
 							time.Sleep(rand.N(60 * time.Millisecond))
 							var c *net.TCPConn
-							if a, ok := s.(lineSpeaker); ok {
-								c = a.Conn.(*net.TCPConn)
+							if lines, ok := client.(lineConn); ok {
+								c = lines.Conn.(*net.TCPConn)
 							} else {
-								c = s.(frameSpeaker).Conn.(*net.TCPConn)
+								c = client.(frameConn).Conn.(*net.TCPConn)
 							}
-							if flood {
+							if unread {
 								c.SetReadBuffer(1 << 12)
 								for range 400 {
-									s.say(ping)
+									client.send(ping)
 								}
 							}
-							at := time.Now()
+							when := time.Now()
 							switch way {
 							case "close":
 								c.Close()
@@ -136,42 +136,42 @@
 							case "half close":
 								c.CloseWrite()
 							case "release", "release, unread":
-								s.say(fmt.Sprintf(`{"type":"release","id":"%s","fields":{},"cause":16}`, id))
+								client.send(fmt.Sprintf(`{"type":"release","id":"%s","fields":{},"cause":16}`, id))
 							}
 							mu.Lock()
-							left[id] = at
+							left[id] = when
 							mu.Unlock()
 						})
 						if stage == "an old process that drains" && n == sessions/2 {
-							p.signals <- syscall.SIGTERM
+							prog.signals <- syscall.SIGTERM
 						}
 					}
-					all.Wait()
+					clients.Wait()
 					if stage == "slow dial" {
 						time.Sleep(200 * time.Millisecond)
-						for _, l := range nodes {
-							go b.serve(l)
+						for _, listener := range listeners {
+							go times.serve(listener)
 						}
 					}
 					time.Sleep(2 * time.Second)
-					b.mu.Lock()
-					var most time.Duration
-					after := 0
-					for id, at := range b.last {
-						if d := at.Sub(left[id]); d > 0 {
-							after++
-							most = max(most, d)
+					times.mu.Lock()
+					var longest time.Duration
+					lateAttempts := 0
+					for id, when := range times.lastSetUp {
+						if delay := when.Sub(left[id]); delay > 0 {
+							lateAttempts++
+							longest = max(longest, delay)
 						}
 					}
 					front := "lines"
 					if player {
 						front = "frames, grace " + grace
 					}
-					t.Logf("%s | %s | %s | begun at all %d of %d | after leaving %d, at most %v", stage, front, way, len(b.last), sessions, after, most)
-					if most > 100*time.Millisecond {
-						t.Errorf("%s, %s, %s: %v", stage, front, way, most)
+					t.Logf("%s | %s | %s | begun at all %d of %d | after leaving %d, at most %v", stage, front, way, len(times.lastSetUp), sessions, lateAttempts, longest)
+					if longest > 100*time.Millisecond {
+						t.Errorf("%s, %s, %s: %v", stage, front, way, longest)
 					}
-					b.mu.Unlock()
+					times.mu.Unlock()
 				}
 			}
 		}
--- a/internal/server/mixed_test.go
+++ b/internal/server/mixed_test.go
@@ -15,63 +15,63 @@
 )
 
 const (
-	mixed   = 10000 // sessions over each transport
-	lanes   = 16    // connections, each with one session at a time
-	special = 100   // one session in so many has nodes of its own
+	mixedSessions   = 10000 // sessions over each transport
+	mixedConns      = 16    // connections, each with one session at a time
+	specialInterval = 100   // one session in so many has nodes of its own
 )
 
-// fate is what becomes of a session, by its number alone. Fates that make the
+// behavior is what becomes of a session, by its number alone. Fates that make the
 // module rest a node have nodes of their own, so that no other session notices.
-type fate int
+type behavior int
 
 const (
-	served   fate = iota
-	cutShort      // served, then ended by the node
-	moved         // 454 first: it never left, and goes to another node
-	shunned       // 454 at every node: refused
-	full          // 453 first: a retry on the next node
-	broken        // 500: a clip fails; a feed is retried elsewhere
-	hung          // no answer, ever
-	absent        // its only node refuses connections: refused
-	fates
+	answered           behavior = iota
+	endedByNode                 // served, then ended by the node
+	notFoundOnce                // 454 first: it never left, and goes to another node
+	notFoundEverywhere          // 454 at every node: refused
+	capacityErrorOnce           // 453 first: a retry on the next node
+	serverErrorOnce             // 500: a clip fails; a feed is retried elsewhere
+	neverAnswered               // no answer, ever
+	unreachableNode             // its only node refuses connections: refused
+	behaviorCount
 )
 
-func fateOf(n int) fate {
-	if n%special == 0 {
-		f := full + fate(n/special)%(fates-full)
-		if f == hung && n%3 != 0 {
-			return served // how often a feed is tried again there is a matter of time
+func behaviorOf(n int) behavior {
+	if n%specialInterval == 0 {
+		b := capacityErrorOnce + behavior(n/specialInterval)%(behaviorCount-capacityErrorOnce)
+		if b == neverAnswered && n%3 != 0 {
+			return answered // how often a feed is tried again there is a matter of time
 		}
-		return f
+		return b
 	}
 	switch {
 	case n%10 == 1:
-		return cutShort
+		return endedByNode
 	case n%10 == 2:
-		return moved
+		return notFoundOnce
 	case n%10 == 3:
-		return shunned
+		return notFoundEverywhere
 	}
-	return served
+	return answered
 }
 
-func decide(session string, nth int) standin.Verdict {
+func nodeVerdict(session string, nth int) standin.Verdict {
 	var n int
 	fmt.Sscanf(session, "%x", &n)
-	good := standin.Verdict{Status: 200}
-	switch f := fateOf(n); {
-	case f == cutShort:
-		good.Length = time.Millisecond
-	case f == moved && nth == 1, f == shunned:
+	verdict := standin.Verdict{Status: 200}
+	switch b := behaviorOf(n); {
+	case b == endedByNode:
+		verdict.Length = time.Millisecond
+	case b == notFoundOnce && nth == 1, b == notFoundEverywhere:
 		return standin.Verdict{Status: 454}
-	case f == full && nth == 1:
+	case b == capacityErrorOnce && nth == 1:
 		return standin.Verdict{Status: 453}
-	case f == broken && nth == 1:
+	case b == serverErrorOnce && nth == 1:
 		return standin.Verdict{Status: 500}
-	case f == hung:
+	case b == neverAnswered:
 		return standin.Verdict{}
 	}
-	return good
+	return verdict
 }
 
 func setUpLine(n int) string {
@@ -79,12 +79,12 @@
 	if n%3 == 0 {
 		class = "clip"
 	}
-	if f := fateOf(n); n%special == 0 {
-		home = 2 + 2*(n/special)
-		if f == hung {
+	if b := behaviorOf(n); n%specialInterval == 0 {
+		home = 2 + 2*(n/specialInterval)
+		if b == neverAnswered {
 			left = 3000
 		}
-		if f == absent {
+		if b == unreachableNode {
 			home, copies = home+1, 1
 		}
 	}
@@ -94,76 +94,79 @@
 
 // run of the sessions over one transport: what each was told, and the bill.
 type outcome struct {
-	told  map[int]string
-	setUp map[string]int
-	ran   map[string]int
-	class map[string]int
+	responses       map[int]string
+	setUps          map[string]int
+	runs            map[string]int
+	sessionsByClass map[string]int
 }
 
-// speaker sends and receives session messages on one transport.
-type speaker interface {
-	say(string) error
-	hear() ([]byte, error)
+// messageConn sends and receives session messages on one transport.
+type messageConn interface {
+	send(string) error
+	receive() ([]byte, error)
 }
 
-type lineSpeaker struct{ *actor }
+type lineConn struct{ *participant }
 
-func (s lineSpeaker) say(m string) error    { _, err := s.Write([]byte(m + "\n")); return err }
-func (s lineSpeaker) hear() ([]byte, error) { return s.in.ReadBytes('\n') }
+func (c lineConn) send(message string) error { _, err := c.Write([]byte(message + "\n")); return err }
+func (c lineConn) receive() ([]byte, error)  { return c.reader.ReadBytes('\n') }
 
-type frameSpeaker struct{ *actor }
+type frameConn struct{ *participant }
 
-func (s frameSpeaker) say(m string) error    { _, err := s.Write(masked([]byte(m))); return err }
-func (s frameSpeaker) hear() ([]byte, error) { return readText(s.in) }
+func (c frameConn) send(message string) error {
+	_, err := c.Write(maskedTextFrame([]byte(message)))
+	return err
+}
+func (c frameConn) receive() ([]byte, error) { return readTextFrame(c.reader) }
 
-func speak(t *testing.T, p *program, player bool) speaker {
-	addr := p.at.Viewers.Addr()
+func connect(t *testing.T, prog *manager, player bool) messageConn {
+	addr := prog.listeners.Viewers.Addr()
 	if player {
-		addr = p.at.Players.Addr()
+		addr = prog.listeners.Players.Addr()
 	}
-	c, err := net.Dial("tcp", addr.String())
+	conn, err := net.Dial("tcp", addr.String())
 	if err != nil {
 		t.Error(err)
 		return nil
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * patience))
-	a := &actor{c, bufio.NewReader(c)}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * testTimeout))
+	part := &participant{conn, bufio.NewReader(conn)}
 	if !player {
-		return lineSpeaker{a}
+		return lineConn{part}
 	}
-	fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
+	fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
 		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n")
-	if head, err := readHead(a.in); err != nil || !strings.HasPrefix(string(head), "HTTP/1.1 101") {
-		t.Errorf("%q, %v", head, err)
+	if response, err := readMessage(part.reader); err != nil || !strings.HasPrefix(string(response), "HTTP/1.1 101") {
+		t.Errorf("%q, %v", response, err)
 		return nil
 	}
-	return frameSpeaker{a}
+	return frameConn{part}
 }
 
-// viewer has one session after another, and notes all that each was told.
-func viewer(s speaker, line func(int) string, numbers <-chan int, note func(int, string)) error {
+// runViewer has one session after another, and notes all that each was told.
+func runViewer(conn messageConn, setUp func(int) string, numbers <-chan int, record func(int, string)) error {
 	for n := range numbers {
-		if err := s.say(line(n)); err != nil {
+		if err := conn.send(setUp(n)); err != nil {
 			return err
 		}
-		for heard := ""; ; {
-			b, err := s.hear()
+		for received := ""; ; {
+			line, err := conn.receive()
 			if err != nil {
 				return fmt.Errorf("session %d: %w", n, err)
 			}
-			r, err := parseReply(b)
-			if err != nil || r.ID != fmt.Sprintf("%016x", n) {
-				return fmt.Errorf("session %d: got %q, %v", n, b, err)
+			answer, err := parseReply(line)
+			if err != nil || answer.ID != fmt.Sprintf("%016x", n) {
+				return fmt.Errorf("session %d: got %q, %v", n, line, err)
 			}
-			heard += fmt.Sprintf("%s %d %v %q;", r.Type, r.Cause, r.Fields, r.SDP)
-			if r.Type == "answer" && fateOf(n) == cutShort {
+			received += fmt.Sprintf("%s %d %v %q;", answer.Type, answer.Cause, answer.Fields, answer.SDP)
+			if answer.Type == "answer" && behaviorOf(n) == endedByNode {
 				continue // its end is still to come
 			}
-			if r.Type == "answer" {
-				err = s.say(fmt.Sprintf(`{"type":"release","id":"%016x","fields":{},"cause":16}`, n))
+			if answer.Type == "answer" {
+				err = conn.send(fmt.Sprintf(`{"type":"release","id":"%016x","fields":{},"cause":16}`, n))
 			}
-			note(n, heard)
+			record(n, received)
 			if err != nil {
 				return err
 			}
@@ -173,41 +176,41 @@
 	return nil
 }
 
-// runMixed runs them against a program of its own. meanwhile, if any, runs beside
+// runSessions runs them against a program of its own. meanwhile, if any, runs beside
 // them, until done is closed.
-func runMixed(t *testing.T, player bool, operator string, line func(int) string, meanwhile func(p *program, done <-chan struct{})) outcome {
+func runSessions(t *testing.T, player bool, operator string, setUp func(int) string, concurrently func(prog *manager, done <-chan struct{})) outcome {
 	bill := standin.NewBill()
-	node := &standin.Node{Decide: decide, Bill: bill}
-	l, dead := loopback(t), loopback(t)
-	go node.Serve(l)
-	addr, none := l.Addr().String(), dead.Addr().String()
-	dead.Close()
-	members := []string{member("s-0", addr, 0), member("s-1", addr, 1)}
+	node := &standin.Node{Decide: nodeVerdict, Bill: bill}
+	listener, closedListener := loopback(t), loopback(t)
+	go node.Serve(listener)
+	addr, closedAddr := listener.Addr().String(), closedListener.Addr().String()
+	closedListener.Close()
+	members := []string{memberJSON("s-0", addr, 0), memberJSON("s-1", addr, 1)}
 	cells := 2
-	for n := 0; n < mixed; n += special {
+	for n := 0; n < mixedSessions; n += specialInterval {
 		second := addr
-		if fateOf(n) == absent {
-			second = none
+		if behaviorOf(n) == unreachableNode {
+			second = closedAddr
 		}
-		members = append(members, member(fmt.Sprint("s-", cells), addr, cells), member(fmt.Sprint("s-", cells+1), second, cells+1))
+		members = append(members, memberJSON(fmt.Sprint("s-", cells), addr, cells), memberJSON(fmt.Sprint("s-", cells+1), second, cells+1))
 		cells += 2
 	}
-	p := start(t, "127.0.0.1:1", strings.Join(members, ","), cells, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
+	prog := startManager(t, "127.0.0.1:1", strings.Join(members, ","), cells, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
 
-	out := outcome{told: make(map[int]string)}
+	result := outcome{responses: make(map[int]string)}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var viewers sync.WaitGroup
 	numbers := make(chan int)
-	for range lanes {
-		s := speak(t, p, player)
-		if s == nil {
+	for range mixedConns {
+		conn := connect(t, prog, player)
+		if conn == nil {
 			t.FailNow()
 		}
-		all.Go(func() {
-			err := viewer(s, line, numbers, func(n int, heard string) {
+		viewers.Go(func() {
+			err := runViewer(conn, setUp, numbers, func(n int, received string) {
 				mu.Lock()
 				defer mu.Unlock()
-				out.told[n] = heard
+				result.responses[n] = received
 			})
 			if err != nil {
 				t.Error(err)
@@ -217,60 +220,60 @@
 		})
 	}
 	done := make(chan struct{})
-	var beside sync.WaitGroup
-	if meanwhile != nil {
-		beside.Go(func() { meanwhile(p, done) })
+	var background sync.WaitGroup
+	if concurrently != nil {
+		background.Go(func() { concurrently(prog, done) })
 	}
-	for n := range mixed {
+	for n := range mixedSessions {
 		numbers <- n
 	}
 	close(numbers)
-	all.Wait()
+	viewers.Wait()
 	close(done)
-	beside.Wait()
-	bill.Read(func(b *standin.Bill) {
-		out.setUp, out.ran, out.class = maps.Clone(b.SetUp), maps.Clone(b.Ran), maps.Clone(b.Class)
+	background.Wait()
+	bill.Read(func(counted *standin.Bill) {
+		result.setUps, result.runs, result.sessionsByClass = maps.Clone(counted.SetUp), maps.Clone(counted.Ran), maps.Clone(counted.Class)
 	})
-	return out
+	return result
 }
 
 // TestTransportsAgree runs the same sessions over JSON lines and WebSocket: the
 // answers and the bill must be the same, and no paid session set up twice.
 func TestTransportsAgree(t *testing.T) {
-	lines, frames := runMixed(t, false, "", setUpLine, nil), runMixed(t, true, "", setUpLine, nil)
-	agree(t, lines, frames)
+	lines, frames := runSessions(t, false, "", setUpLine, nil), runSessions(t, true, "", setUpLine, nil)
+	compareOutcomes(t, lines, frames)
 }
 
-// agree holds what two runs of the sessions were told and billed against each
+// compareOutcomes holds what two runs of the sessions were told and billed against each
 // other.
-func agree(t *testing.T, lines, frames outcome) {
+func compareOutcomes(t *testing.T, first, second outcome) {
 	t.Helper()
-	if len(lines.told) != mixed || !reflect.DeepEqual(lines.told, frames.told) {
-		differ := 0
-		for n, heard := range lines.told {
-			if frames.told[n] != heard {
-				if differ++; differ < 5 {
-					t.Errorf("session %d, fate %d: %q over lines, %q over frames", n, fateOf(n), heard, frames.told[n])
+	if len(first.responses) != mixedSessions || !reflect.DeepEqual(first.responses, second.responses) {
+		differences := 0
+		for n, received := range first.responses {
+			if second.responses[n] != received {
+				if differences++; differences < 5 {
+					t.Errorf("session %d, fate %d: %q over lines, %q over frames", n, behaviorOf(n), received, second.responses[n])
 				}
 			}
 		}
-		t.Errorf("%d and %d sessions, %d differ", len(lines.told), len(frames.told), differ)
+		t.Errorf("%d and %d sessions, %d differ", len(first.responses), len(second.responses), differences)
 	}
 	for name, pair := range map[string][2]map[string]int{
-		"set-ups": {lines.setUp, frames.setUp}, "sessions": {lines.ran, frames.ran}, "classes": {lines.class, frames.class},
+		"set-ups": {first.setUps, second.setUps}, "sessions": {first.runs, second.runs}, "classes": {first.sessionsByClass, second.sessionsByClass},
 	} {
 		if len(pair[0]) == 0 || !reflect.DeepEqual(pair[0], pair[1]) {
 			t.Errorf("%s differ on the bills", name)
 		}
 	}
 	kinds := map[string]int{}
-	for n, heard := range lines.told {
+	for n, received := range first.responses {
 		id := fmt.Sprintf("%016x", n)
-		if n%3 == 0 && lines.ran[id] > 1 {
-			t.Errorf("paid session %d was set up %d times", n, lines.ran[id])
+		if n%3 == 0 && first.runs[id] > 1 {
+			t.Errorf("paid session %d was set up %d times", n, first.runs[id])
 		}
-		kind, _, _ := strings.Cut(heard, " map")
-		if lines.setUp[id] > 1 {
+		kind, _, _ := strings.Cut(received, " map")
+		if first.setUps[id] > 1 {
 			kind += " retried"
 		}
 		kinds[kind]++
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -21,402 +21,402 @@
 	"millethinge/internal/remedy"
 )
 
-// watchTime is between two looks for another process of this manager and its orders. A
+// processCheckInterval is between two looks for another process of this manager and its orders. A
 // look costs some microseconds.
-const watchTime = 50 * time.Millisecond
+const processCheckInterval = 50 * time.Millisecond
 
-// freshTime is how long readiness waits for the coordinator's first answer.
-const freshTime = 2 * time.Second
+// coordinatorTimeout is how long readiness waits for the coordinator's first answer.
+const coordinatorTimeout = 2 * time.Second
 
-// operation is how the program is run by hand: calls, orders, and the process that
+// adminService is how the program is run by hand: calls, orders, and the process that
 // replaces this one. It exists only where the configuration gives an address for calls.
-type operation struct {
-	cfg    *config.Config
-	gate   *duty.Gate
-	counts *broker.Counts
-	nodes  *directory.List
-	sink   directory.Sink // of nodes, with the orders laid over
-	core   *broker.Broker
-	front  *jsonl.Front
-	log    *zap.Logger
-
-	folder *handover.Folder // nil: there is none
-	self   *handover.Process
-	shared atomic.Bool // another process is alive
-	ready  atomic.Bool
-	ended  atomic.Bool   // it is asked to end
-	fresh  chan struct{} // closed once the coordinator has answered since the start
-	orders *duty.Orders  // the list's actor owns it
-
-	mu        sync.Mutex
-	state     handover.State // what was ordered
-	left      bool           // a younger process takes over
-	successor int64          // which one: when it was born
-	final     bool           // it has handed over all, and takes over no more
+type adminService struct {
+	cfg           *config.Config
+	gate          *duty.Gate
+	counts        *broker.Counters
+	nodeList      *directory.List
+	listSink      directory.Sink // of nodes, with the orders laid over
+	sessionBroker *broker.Broker
+	linesFront    *jsonl.Front
+	log           *zap.Logger
+
+	folder              *handover.Folder // nil: there is none
+	process             *handover.Process
+	shared              atomic.Bool // another process is alive
+	ready               atomic.Bool
+	stopping            atomic.Bool   // it is asked to end
+	coordinatorAnswered chan struct{} // closed once the coordinator has answered since the start
+	overrides           *duty.Orders  // the list's actor owns it
+
+	mu            sync.Mutex
+	overrideState handover.State // what was ordered
+	handingOver   bool           // a younger process takes over
+	successorBorn int64          // which one: when it was born
+	finalHandover bool           // it has handed over all, and takes over no more
 }
 
-// newOperation returns nil where nothing is run by hand.
-func newOperation(cfg *config.Config, log *zap.Logger) *operation {
+// newAdminService returns nil where nothing is run by hand.
+func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
 	if cfg.Admin == "" {
 		return nil
 	}
-	o := &operation{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounts(len(cfg.Classes)), orders: duty.NewOrders(), log: log, fresh: make(chan struct{})}
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
 	if cfg.Temp == "" {
-		return o
+		return s
 	}
 	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
 	if err == nil {
-		o.self, err = folder.Enter(time.Now())
+		s.process, err = folder.Enter(time.Now())
 	}
 	if err != nil {
-		trouble(log, err)
-		return o
+		warnOperator(log, err)
+		return s
 	}
-	o.folder = folder
-	others := o.look()
+	s.folder = folder
+	others := s.checkProcesses()
 	if others.Alive == 0 {
 		folder.Forget()
 	}
-	o.take()
-	if others.Alive == 0 && o.state.Away.Out {
+	s.loadOverrides()
+	if others.Alive == 0 && s.overrideState.Away.Out {
 		// A manager that is started anew serves. Only an upgrade goes on sending clients away.
-		o.Drain(context.Background(), false)
+		s.Drain(context.Background(), false)
 	}
-	return o
+	return s
 }
 
-// trouble logs an error that an operator can do something about.
-func trouble(log *zap.Logger, err error) {
+// warnOperator logs an error that an operator can do something about.
+func warnOperator(log *zap.Logger, err error) {
 	log.Warn("operation", remedy.Fields(err)...)
 }
 
-// over lays the orders over the list, on its way to sink.
-func (o *operation) over(sink directory.Sink) directory.Sink {
-	if o == nil {
-		return sink
+// withOverrides lays the orders over the list, on its way to sink.
+func (s *adminService) withOverrides(listSink directory.Sink) directory.Sink {
+	if s == nil {
+		return listSink
 	}
-	o.sink = sink
-	return func(c directory.Change) { sink(o.orders.Listed(c)) }
+	s.listSink = listSink
+	return func(c directory.Change) { listSink(s.overrides.Listed(c)) }
 }
 
 // Gate is nil where nothing is run by hand.
-func (o *operation) Gate() *duty.Gate {
-	if o == nil {
+func (s *adminService) Gate() *duty.Gate {
+	if s == nil {
 		return nil
 	}
-	return o.gate
+	return s.gate
 }
 
-func (o *operation) Counts() *broker.Counts {
-	if o == nil {
+func (s *adminService) Counts() *broker.Counters {
+	if s == nil {
 		return nil
 	}
-	return o.counts
+	return s.counts
 }
 
 // Shared tells whether another process has half of the descriptors.
-func (o *operation) Shared() bool { return o != nil && o.shared.Load() }
+func (s *adminService) Shared() bool { return s != nil && s.shared.Load() }
 
-// callers is how many may be connected at once.
-func (o *operation) callers() int {
-	if o.Shared() {
-		return o.cfg.Half().CallerConns()
+// maxCallers is how many may be connected at once.
+func (s *adminService) maxCallers() int {
+	if s.Shared() {
+		return s.cfg.Half().CallerConns()
 	}
-	return o.cfg.CallerConns()
+	return s.cfg.CallerConns()
 }
 
 // run answers calls and looks after the other process, until ctx ends.
-func (o *operation) run(ctx context.Context, l net.Listener) error {
+func (s *adminService) run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		// Guard: the configuration's list may be hours old at an upgrade, and what stands
 		// at a node that is not listed can't be taken over. A coordinator that stands
 		// still keeps nobody from serving.
 		select {
-		case <-o.fresh:
-		case <-time.After(freshTime):
+		case <-s.coordinatorAnswered:
+		case <-time.After(coordinatorTimeout):
 		case <-ctx.Done():
 		}
-		o.serves()
+		s.markReady()
 		return nil
 	})
-	if o.folder != nil {
-		group.Go(func() error { return o.watch(ctx) })
+	if s.folder != nil {
+		group.Go(func() error { return s.watchProcesses(ctx) })
 	}
-	group.Go(func() error { return admin.Serve(ctx, l, o.callers, o, o.log) })
+	group.Go(func() error { return admin.Serve(ctx, listener, s.maxCallers, s, s.log) })
 	return group.Wait()
 }
 
-// listed notes that the coordinator has answered. The list's actor calls it.
-func (o *operation) listed() {
-	if o == nil {
+// noteCoordinatorAnswer notes that the coordinator has answered. The list's actor calls it.
+func (s *adminService) noteCoordinatorAnswer() {
+	if s == nil {
 		return
 	}
 	select {
-	case <-o.fresh:
+	case <-s.coordinatorAnswered:
 	default:
-		close(o.fresh)
+		close(s.coordinatorAnswered)
 	}
 }
 
-func (o *operation) serves() {
-	o.ready.Store(true)
-	o.mark()
+func (s *adminService) markReady() {
+	s.ready.Store(true)
+	s.publishReadiness()
 }
 
-// mark tells the other processes whether this one serves. Guard: an older one leaves what
+// publishReadiness tells the other processes whether this one serves. Guard: an older one leaves what
 // stands to it by that, so it is not to be told by one that has been asked to end.
-func (o *operation) mark() {
-	if o.self == nil {
+func (s *adminService) publishReadiness() {
+	if s.process == nil {
 		return
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if err := o.self.Serves(o.Ready()); err != nil {
-		trouble(o.log, err)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err := s.process.Serves(s.Ready()); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-func (o *operation) watch(ctx context.Context) error {
-	tick := time.NewTicker(watchTime)
+func (s *adminService) watchProcesses(ctx context.Context) error {
+	tick := time.NewTicker(processCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			before := o.shared.Load()
-			o.look()
-			if changed := o.take(); changed != nil {
-				o.nodes.After(func() { o.apply(changed) })
+			wasShared := s.shared.Load()
+			s.checkProcesses()
+			if overrides := s.loadOverrides(); overrides != nil {
+				s.nodeList.After(func() { s.applyOverrides(overrides) })
 			}
-			o.takeOver()
-			if before && !o.shared.Load() {
-				o.folder.Forget() // what a process that was killed left is for nobody else
+			s.adoptSessions()
+			if wasShared && !s.shared.Load() {
+				s.folder.Forget() // what a process that was killed left is for nobody else
 			}
 		}
 	}
 }
 
-// look shares the limits while another process is alive. Guard: the watch and a signal
+// checkProcesses shares the limits while another process is alive. Guard: the watch and a signal
 // may look at once; the limits are those of who looked last.
-func (o *operation) look() handover.Others {
-	if o.self == nil {
+func (s *adminService) checkProcesses() handover.Others {
+	if s.process == nil {
 		return handover.Others{}
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	others, err := o.self.Others()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	others, err := s.process.Others()
 	if err != nil {
 		return others
 	}
-	if shared := others.Alive > 0; o.shared.Swap(shared) != shared {
+	if shared := others.Alive > 0; s.shared.Swap(shared) != shared {
 		part := int64(1)
 		if shared {
 			part = 2
 		}
-		debug.SetMemoryLimit(int64(o.cfg.MemoryMB) << 20 * 3 / 4 / part)
-		o.log.Info("processes of this manager", zap.Int("others", others.Alive))
+		debug.SetMemoryLimit(int64(s.cfg.MemoryMB) << 20 * 3 / 4 / part)
+		s.log.Info("processes of this manager", zap.Int("others", others.Alive))
 	}
 	return others
 }
 
-// take takes what another process stored. It returns the orders for nodes, if any are new.
-func (o *operation) take() map[string]duty.Order {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.taken()
+// loadOverrides takes what another process stored. It returns the orders for nodes, if any are new.
+func (s *adminService) loadOverrides() map[string]duty.Order {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.loadOverridesLocked()
 }
 
-// taken is take, under o.mu.
-func (o *operation) taken() map[string]duty.Order {
-	stored, changed, err := o.folder.Orders()
+// loadOverridesLocked is take, under o.mu.
+func (s *adminService) loadOverridesLocked() map[string]duty.Order {
+	stored, changed, err := s.folder.Orders()
 	if err != nil {
-		trouble(o.log, err)
+		warnOperator(s.log, err)
 	}
 	if !changed {
 		return nil
 	}
-	away := o.state.Away
-	if !o.state.Merge(stored) {
+	previousDrain := s.overrideState.Away
+	if !s.overrideState.Merge(stored) {
 		return nil
 	}
-	if o.state.Away != away {
-		o.away(o.state.Away)
+	if s.overrideState.Away != previousDrain {
+		s.applyDrain(s.overrideState.Away)
 	}
 	return stored.Nodes
 }
 
-// takeOver takes what an older process hands over.
-func (o *operation) takeOver() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.final {
+// adoptSessions takes what an older process hands over.
+func (s *adminService) adoptSessions() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.finalHandover {
 		return
 	}
 	for {
-		e, changed, err := o.self.Handover()
+		h, changed, err := s.process.Handover()
 		if err != nil {
-			trouble(o.log, err)
+			warnOperator(s.log, err)
 		}
 		if !changed {
 			return
 		}
-		o.core.Adopt(e, o.front.Viewer)
+		s.sessionBroker.Adopt(h, s.linesFront.InheritedClient)
 	}
 }
 
-// Hand returns what takes what stands once a younger process takes over; nil where none
+// HandoverFunc returns what takes what stands once a younger process takes over; nil where none
 // ever does. It does not wait: the disk may.
-func (o *operation) Hand() func(broker.Handover) {
-	if o == nil || o.folder == nil {
+func (s *adminService) HandoverFunc() func(broker.Handover) {
+	if s == nil || s.folder == nil {
 		return nil
 	}
-	return func(e broker.Handover) { go o.handOver(e) }
+	return func(h broker.Handover) { go s.handOver(h) }
 }
 
-// last hands over what stands when the broker has ended, if it has handed over before.
-func (o *operation) last(core *broker.Broker) {
-	if o != nil && o.left {
-		o.handOver(core.Handover())
+// handOverRemaining hands over what stands when the broker has ended, if it has handed over before.
+func (s *adminService) handOverRemaining(sessionBroker *broker.Broker) {
+	if s != nil && s.handingOver {
+		s.handOver(sessionBroker.Handover())
 	}
 }
 
-func (o *operation) handOver(e broker.Handover) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.folder == nil || o.final {
+func (s *adminService) handOver(h broker.Handover) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.folder == nil || s.finalHandover {
 		return
 	}
-	o.final = e.Last
+	s.finalHandover = h.Final
 	// Guard: the successor may have ended, or may end itself, since it was chosen.
-	if others, err := o.self.Others(); err == nil {
-		o.successor = others.Successor(o.successor)
+	if others, err := s.process.Others(); err == nil {
+		s.successorBorn = others.Successor(s.successorBorn)
 	}
-	if err := o.self.StoreHandover(e, o.successor); err != nil {
-		trouble(o.log, err)
+	if err := s.process.StoreHandover(h, s.successorBorn); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-func (o *operation) away(order duty.Order) {
-	if order.Out {
-		o.gate.Shut(order.At)
+func (s *adminService) applyDrain(override duty.Order) {
+	if override.Out {
+		s.gate.Shut(override.At)
 	} else {
-		o.gate.Open()
+		s.gate.Open()
 	}
 }
 
-// apply has orders bind, on the list's actor.
-func (o *operation) apply(orders map[string]duty.Order) {
-	if c := o.orders.Take(orders); len(c.Members) > 0 {
-		o.sink(c)
+// applyOverrides has orders bind, on the list's actor.
+func (s *adminService) applyOverrides(overrides map[string]duty.Order) {
+	if c := s.overrides.Take(overrides); len(c.Members) > 0 {
+		s.listSink(c)
 	}
 }
 
-// settle lays the orders that stand over the list of the start.
-func (o *operation) settle() {
-	if o != nil {
-		o.orders.Take(o.state.Nodes)
+// restoreOverrides lays the orders that stand over the list of the start.
+func (s *adminService) restoreOverrides() {
+	if s != nil {
+		s.overrides.Take(s.overrideState.Nodes)
 	}
 }
 
-// store keeps what is ordered for the next process.
-func (o *operation) store(order handover.State) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.state.Merge(order)
-	if o.folder == nil {
+// storeOverrides keeps what is ordered for the next process.
+func (s *adminService) storeOverrides(newer handover.State) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.overrideState.Merge(newer)
+	if s.folder == nil {
 		return
 	}
-	if changed := o.taken(); changed != nil {
-		o.nodes.After(func() { o.apply(changed) })
+	if overrides := s.loadOverridesLocked(); overrides != nil {
+		s.nodeList.After(func() { s.applyOverrides(overrides) })
 	}
-	if err := o.folder.StoreOrders(o.state); err != nil {
-		trouble(o.log, err)
+	if err := s.folder.StoreOrders(s.overrideState); err != nil {
+		warnOperator(s.log, err)
 	}
 }
 
-// leave tells whether a younger process takes over, and leads clients there.
-func (o *operation) leave(listeners ...net.Listener) bool {
-	if o == nil {
+// leaveToSuccessor tells whether a younger process takes over, and leads clients there.
+func (s *adminService) leaveToSuccessor(listeners ...net.Listener) bool {
+	if s == nil {
 		return false
 	}
-	o.ended.Store(true)
-	o.mark()
-	others := o.look()
+	s.stopping.Store(true)
+	s.publishReadiness()
+	others := s.checkProcesses()
 	if len(others.Younger) == 0 {
 		return false
 	}
 	if n := len(others.Younger); n > 1 {
-		o.log.Info("several younger processes serve; the youngest takes over what stands", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
+		s.log.Info("several younger processes serve; the youngest takes over what stands", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
 	}
 	for _, l := range listeners {
 		if l == nil || !others.Alone {
 			continue
 		}
 		if err := handover.LeadAway(l); err != nil {
-			o.log.Warn("new connections are not led to the younger process", zap.Error(err))
+			s.log.Warn("new connections are not led to the younger process", zap.Error(err))
 		}
 	}
-	o.gate.Move(time.Now())
-	o.left = true
+	s.gate.Move(time.Now())
+	s.handingOver = true
 	return true
 }
 
-func (o *operation) close() {
-	if o != nil && o.self != nil {
-		o.self.Leave()
+func (s *adminService) close() {
+	if s != nil && s.process != nil {
+		s.process.Leave()
 	}
 }
 
 // The calls of admin.Program.
 
-func (o *operation) Ready() bool { return o.ready.Load() && !o.ended.Load() }
+func (s *adminService) Ready() bool { return s.ready.Load() && !s.stopping.Load() }
 
-func (o *operation) Figures(ctx context.Context) (admin.Figures, error) {
-	by := func(counts []atomic.Int64) map[string]int64 {
+func (s *adminService) Figures(ctx context.Context) (admin.Figures, error) {
+	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
 		for i := range counts {
-			m[o.cfg.Classes[i]] = counts[i].Load()
+			m[s.cfg.Classes[i]] = counts[i].Load()
 		}
 		return m
 	}
-	c, err := o.core.Census(ctx)
+	c, err := s.sessionBroker.Stats(ctx)
 	if err != nil {
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
 	type size struct{ listed, out int }
-	sizes := make(chan size, 1)
-	o.nodes.After(func() {
-		listed, out := o.orders.Size()
-		sizes <- size{listed, out}
+	memberCounts := make(chan size, 1)
+	s.nodeList.After(func() {
+		listed, out := s.overrides.Size()
+		memberCounts <- size{listed, out}
 	})
-	var n size
+	var members size
 	select {
-	case n = <-sizes:
+	case members = <-memberCounts:
 	case <-ctx.Done():
 		return admin.Figures{}, &admin.Late{What: "the figures"}
 	}
 	return admin.Figures{
-		OK: by(o.counts.Served), Shed: by(o.counts.Refused), Errors: by(o.counts.Failed), Tries: o.counts.Tries.Load(),
-		Active: c.Open + c.Playing, Size: n.listed, Ejected: n.out + c.Avoided,
+		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Attempts.Load(),
+		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.out + c.Avoided,
 	}, nil
 }
 
-func (o *operation) Out(ctx context.Context, member string, out bool) error {
-	order := duty.Order{Out: out, At: time.Now()}
+func (s *adminService) Out(ctx context.Context, member string, disable bool) error {
+	override := duty.Order{Out: disable, At: time.Now()}
 	done := make(chan error, 1)
-	o.nodes.After(func() {
-		c, known := o.orders.Give(member, order)
+	s.nodeList.After(func() {
+		c, known := s.overrides.Give(member, override)
 		if !known {
-			listed, _ := o.orders.Size()
+			listed, _ := s.overrides.Size()
 			done <- &admin.UnknownMember{Member: member, Listed: listed}
 			return
 		}
 		if len(c.Members) > 0 {
-			o.sink(c)
+			s.listSink(c)
 		}
-		o.store(handover.State{Nodes: map[string]duty.Order{member: order}})
+		s.storeOverrides(handover.State{Nodes: map[string]duty.Order{member: override}})
 		done <- nil
 	})
 	select {
@@ -427,14 +427,14 @@
 	}
 }
 
-func (o *operation) Drain(_ context.Context, on bool) error {
-	order := duty.Order{Out: on, At: time.Now()}
-	o.mu.Lock()
-	if was := o.state.Away; was.Out == on {
-		order = was // a call that is repeated moves no time
+func (s *adminService) Drain(_ context.Context, on bool) error {
+	override := duty.Order{Out: on, At: time.Now()}
+	s.mu.Lock()
+	if current := s.overrideState.Away; current.Out == on {
+		override = current // a call that is repeated moves no time
 	}
-	o.mu.Unlock()
-	o.away(order)
-	o.store(handover.State{Away: order})
+	s.mu.Unlock()
+	s.applyDrain(override)
+	s.storeOverrides(handover.State{Away: override})
 	return nil
 }
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -30,7 +30,7 @@
 		t.Skip("the filter is written for linux/amd64")
 	}
 	if os.Getenv(filteredEnv) == "1" {
-		filtered(t)
+		runFiltered(t)
 		return
 	}
 	cmd := exec.Command(os.Args[0], "-test.run=^TestUnderPlatformFilter$", "-test.v")
@@ -42,9 +42,9 @@
 	t.Logf("%s", out)
 }
 
-// filtered runs in the child, which is filtered for the rest of its life.
-func filtered(t *testing.T) {
-	if err := refuseAsThePlatform(); err != nil {
+// runFiltered runs in the child, which is filtered for the rest of its life.
+func runFiltered(t *testing.T) {
+	if err := installPlatformFilter(); err != nil {
 		t.Fatalf("no filter: %v", err)
 	}
 	// The filter stands: each refusal is seen before the manager is trusted to
@@ -67,30 +67,30 @@
 
 	// A node that answers, and a manager listening on every address of the
 	// machine, which has Go ask first whether IPv6 is there.
-	l := loopback(t)
+	listener := loopback(t)
 	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
-	go node.Serve(l)
-	p := startWith(t, "127.0.0.1:1", member("a", l.Addr().String(), 0), 2, "", func(cfg *config.Config) {
+	go node.Serve(listener)
+	prog := startManagerWith(t, "127.0.0.1:1", memberJSON("a", listener.Addr().String(), 0), 2, "", func(cfg *config.Config) {
 		cfg.Listen = "0.0.0.0:0"
 	})
-	s := speak(t, p, false)
+	conn := connect(t, prog, false)
 	for n := 1; ; n++ {
-		if err := s.say(setUpLine(3 * n)); err != nil { // clip, the paid class
+		if err := conn.send(setUpLine(3 * n)); err != nil { // clip, the paid class
 			t.Fatal(err)
 		}
-		b, err := s.hear()
+		line, err := conn.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := parseReply(b)
+		answer, err := parseReply(line)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Type == "answer" {
+		if answer.Type == "answer" {
 			return
 		}
 		if n == 100 {
-			t.Fatalf("not served under the filter: %s", b)
+			t.Fatalf("not served under the filter: %s", line)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -124,11 +124,11 @@
 	retAllow             uint32 = seccompRetAllow
 )
 
-// refuseAsThePlatform filters every thread of the process, now and later.
-func refuseAsThePlatform() error {
-	var p []syscall.SockFilter
-	op := func(code uint16, jt, jf uint8, k uint32) {
-		p = append(p, syscall.SockFilter{Code: code, Jt: jt, Jf: jf, K: k})
+// installPlatformFilter filters every thread of the process, now and later.
+func installPlatformFilter() error {
+	var instructions []syscall.SockFilter
+	emit := func(code uint16, jt, jf uint8, k uint32) {
+		instructions = append(instructions, syscall.SockFilter{Code: code, Jt: jt, Jf: jf, K: k})
 	}
 	refused := map[uint32]uint32{
 		syscall.SYS_EXECVE: retENOSYS, sysExecveat: retENOSYS, syscall.SYS_FORK: retENOSYS,
@@ -136,33 +136,33 @@
 		sysIOURingEnter: retENOSYS, sysIOURingRegister: retENOSYS,
 		syscall.SYS_SENDFILE: retENOSYS, syscall.SYS_SPLICE: retEINVAL,
 	}
-	op(bpfLdW, 0, 0, offsetArch)
-	op(bpfJeq, 1, 0, auditArchX86_64)
-	op(bpfRet, 0, 0, retAllow)
-	op(bpfLdW, 0, 0, offsetNr)
+	emit(bpfLdW, 0, 0, offsetArch)
+	emit(bpfJeq, 1, 0, auditArchX86_64)
+	emit(bpfRet, 0, 0, retAllow)
+	emit(bpfLdW, 0, 0, offsetNr)
 	for nr, ret := range refused {
-		op(bpfJeq, 0, 1, nr)
-		op(bpfRet, 0, 0, ret)
+		emit(bpfJeq, 0, 1, nr)
+		emit(bpfRet, 0, 0, ret)
 	}
 	// clone makes threads, which stay allowed (glibc falls back to it when
 	// clone3 is refused); a clone without CLONE_THREAD is a fork.
-	op(bpfJeq, 0, 4, syscall.SYS_CLONE)
-	op(bpfLdW, 0, 0, offsetArg0)
-	op(bpfJset, 1, 0, cloneThread)
-	op(bpfRet, 0, 0, retENOSYS)
-	op(bpfRet, 0, 0, retAllow)
-	op(bpfJeq, 0, 4, syscall.SYS_SOCKET)
-	op(bpfLdW, 0, 0, offsetArg0)
-	op(bpfJeq, 1, 0, afUnix)
-	op(bpfJeq, 0, 1, afInet6)
-	op(bpfRet, 0, 0, retEAFNOSUPPORT)
-	op(bpfRet, 0, 0, retAllow)
+	emit(bpfJeq, 0, 4, syscall.SYS_CLONE)
+	emit(bpfLdW, 0, 0, offsetArg0)
+	emit(bpfJset, 1, 0, cloneThread)
+	emit(bpfRet, 0, 0, retENOSYS)
+	emit(bpfRet, 0, 0, retAllow)
+	emit(bpfJeq, 0, 4, syscall.SYS_SOCKET)
+	emit(bpfLdW, 0, 0, offsetArg0)
+	emit(bpfJeq, 1, 0, afUnix)
+	emit(bpfJeq, 0, 1, afInet6)
+	emit(bpfRet, 0, 0, retEAFNOSUPPORT)
+	emit(bpfRet, 0, 0, retAllow)
 
 	if _, _, errno := syscall.RawSyscall6(syscall.SYS_PRCTL, prSetNoNewPrivs, 1, 0, 0, 0, 0); errno != 0 {
 		return errno
 	}
-	prog := syscall.SockFprog{Len: uint16(len(p)), Filter: &p[0]}
-	if _, _, errno := syscall.RawSyscall(sysSeccomp, seccompSetModeFilter, seccompFilterTSync, uintptr(unsafe.Pointer(&prog))); errno != 0 {
+	filterProgram := syscall.SockFprog{Len: uint16(len(instructions)), Filter: &instructions[0]}
+	if _, _, errno := syscall.RawSyscall(sysSeccomp, seccompSetModeFilter, seccompFilterTSync, uintptr(unsafe.Pointer(&filterProgram))); errno != 0 {
 		return errno
 	}
 	return nil
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -31,111 +31,111 @@
 
 // Listeners are the fronts' sockets.
 type Listeners struct {
-	Viewers net.Listener
-	Players net.Listener // nil: there is no second front
-	Calls   net.Listener // nil: operators don't call
+	Viewers   net.Listener
+	Players   net.Listener // nil: there is no second front
+	Operators net.Listener // nil: operators don't call
 }
 
 // Listen opens the sockets that a configuration names.
-func Listen(cfg config.Config) (at Listeners, err error) {
-	open := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
-	listen := func(to *net.Listener, whose, addr string) {
+func Listen(cfg config.Config) (listeners Listeners, err error) {
+	openListener := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+	listen := func(to *net.Listener, clients, addr string) {
 		if err != nil {
 			return
 		}
-		var e error
-		if *to, e = open(addr); e != nil {
-			err = &NoListener{whose, addr, e}
+		var listenErr error
+		if *to, listenErr = openListener(addr); listenErr != nil {
+			err = &ListenError{clients, addr, listenErr}
 		}
 	}
 	if cfg.Admin != "" {
-		listen(&at.Calls, "operators'", cfg.Admin)
-		open = handover.Listen // beside another process of this manager
+		listen(&listeners.Operators, "operators'", cfg.Admin)
+		openListener = handover.Listen // beside another process of this manager
 	}
-	listen(&at.Viewers, "viewers'", cfg.Listen)
+	listen(&listeners.Viewers, "viewers'", cfg.Listen)
 	if w := cfg.Operator.WebSocket; w != nil {
-		listen(&at.Players, "players'", w.Listen)
+		listen(&listeners.Players, "players'", w.Listen)
 	}
-	return at, err
+	return listeners, err
 }
 
-// NoListener tells that an address can't be listened at.
-type NoListener struct {
-	Whose string
-	Addr  string
-	Err   error
+// ListenError tells that an address can't be listened at.
+type ListenError struct {
+	Clients string
+	Addr    string
+	Err     error
 }
 
-func (e *NoListener) Error() string {
-	return fmt.Sprintf("%s address %s: %v", e.Whose, e.Addr, e.Err)
+func (e *ListenError) Error() string {
+	return fmt.Sprintf("%s address %s: %v", e.Clients, e.Addr, e.Err)
 }
-func (e *NoListener) Unwrap() error { return e.Err }
-func (e *NoListener) Code() string  { return "start-address" }
-func (e *NoListener) Remedy() string {
+func (e *ListenError) Unwrap() error { return e.Err }
+func (e *ListenError) Code() string  { return "start-address" }
+func (e *ListenError) Remedy() string {
 	return "is it this machine's, and does another program, or another manager without `admin`, listen there?"
 }
 
 // Run serves until a signal ends it and all that was taken is answered. SIGHUP
 // has it follow the coordinator that reload names.
-func Run(cfg config.Config, at Listeners, signals <-chan os.Signal,
+func Run(cfg config.Config, listeners Listeners, signals <-chan os.Signal,
 	reload func(running *config.Config) (config.Config, error), log *zap.Logger) error {
 	root, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group, ctx := errgroup.WithContext(root)
 
-	hand := newOperation(&cfg, log)
-	defer hand.close()
-	counts := hand.Counts()
+	service := newAdminService(&cfg, log)
+	defer service.close()
+	counts := service.Counts()
 
-	half := cfg.Half()
+	halfConfig := cfg.Half()
 	// The broker and the nodes know each other; the broker does nothing before
 	// it runs, so its nodes may be made first.
-	var core *broker.Broker
+	var sessionBroker *broker.Broker
 	var coordinator *directory.Coordinator
 	pool := media.NewPool(ctx, group, media.Config{
-		Classes: cfg.Classes, Fields: cfg.Settings.Fields,
-		ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle,
-		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), HalfConns: half.NodeConns(),
-		DrainGrace: cfg.DrainGrace,
-		NoProbes:   !cfg.Settings.Probes,
-		Shared:     hand.Shared, Tried: counts.Tried,
-		Report: func(r broker.Report) { core.Report(r) }, Log: log,
-		Stalled: func(d time.Duration) {
+		ClassNames: cfg.Classes, LoadFields: cfg.Settings.LoadFields,
+		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
+		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
+		DrainGrace:        cfg.DrainGrace,
+		DisableProbes:     !cfg.Settings.ProbesAllowed,
+		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
+		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
+		OnPause: func(d time.Duration) {
 			coordinator.Ask()
-			core.Stalled(d)
+			sessionBroker.ProcessPaused(d)
 		},
 	})
-	core, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counts: counts, Hand: hand.Hand(), Log: log,
+	sessionBroker, err := broker.New(broker.Config{
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counters: counts, HandOver: service.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
 	}
-	nodes := directory.NewList(hand.over(func(c directory.Change) {
+	nodeList := directory.NewList(service.withOverrides(func(c directory.Change) {
 		pool.Apply(c) // first: a drain binds what is queued at once
-		core.List(list(c))
+		sessionBroker.UpdateList(brokerList(c))
 	}))
-	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodes.Source("coordinator"), log)
-	coordinator.Heard = func(asked time.Time) {
-		nodes.After(func() {
-			pool.Fresh(asked)
-			hand.listed()
+	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
+	coordinator.Heard = func(requested time.Time) {
+		nodeList.After(func() {
+			pool.ListRefreshed(requested)
+			service.noteCoordinatorAnswer()
 		})
 	}
 	coordinator.Follow(cfg.Coordinator)
-	if hand != nil {
+	if service != nil {
 		coordinator.Ask() // readiness waits for its first answer, which is not to wait for news
 	}
-	hand.settle()
-	nodes.Settle()
+	service.restoreOverrides()
+	nodeList.Settle()
 	if d := cfg.Operator.DNSSD; d != nil {
 		discovery := &directory.DNSSD{
-			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodes.Source("dns-sd"),
+			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodeList.Source("dns-sd"),
 		}
 		group.Go(func() error { return discovery.Run(ctx) })
 	}
 
-	leave, err := joinFleet(ctx, group, &cfg, log)
+	leaveFleet, err := joinFleet(ctx, group, &cfg, log)
 	if err != nil {
 		return err
 	}
@@ -146,52 +146,52 @@
 	}
 	catalog := Catalog(&cfg)
 	catalog.Routes = routes
-	front := &jsonl.Front{
-		Core: core, Catalog: catalog, Counts: counts, Reasons: cfg.Operator.Viewers.Reasons, Log: log,
-		Limits: peer.Limits{Most: cfg.ViewerConns(), Half: half.ViewerConns(), Shared: hand.Shared, Open: cfg.Operator.Viewers.MostOpen, Gate: hand.Gate()},
+	linesFront := &jsonl.Front{
+		Broker: sessionBroker, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
+		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: halfConfig.ViewerConns(), UpgradeInProgress: service.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
 	}
 	// The fronts end before what answers them: a set-up that was read last is answered.
-	serving, endFronts := context.WithCancel(ctx)
-	defer endFronts()
+	frontsCtx, stopFronts := context.WithCancel(ctx)
+	defer stopFronts()
 	var fronts sync.WaitGroup
 	serve := func(run func(context.Context, net.Listener) error, l net.Listener) {
 		fronts.Add(1)
 		group.Go(func() error {
 			defer fronts.Done()
-			return run(serving, l)
+			return run(frontsCtx, l)
 		})
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
 		// Both fronts share what viewers may hold of the descriptors.
-		front.Limits.Most, front.Limits.Half = (cfg.ViewerConns()+1)/2, (half.ViewerConns()+1)/2
-		second := &websocket.Front{
-			Core: core, Catalog: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: front.Limits, Log: log,
+		linesFront.Limits.MaxConns, linesFront.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
+		webSocketFront := &websocket.Front{
+			Broker: sessionBroker, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
 		}
-		second.Limits.Most, second.Limits.Half = cfg.ViewerConns()/2, half.ViewerConns()/2
-		serve(second.Serve, at.Players)
+		webSocketFront.Limits.MaxConns, webSocketFront.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, halfConfig.ViewerConns()/2
+		serve(webSocketFront.Serve, listeners.Players)
 	}
-	group.Go(func() error { return core.Run(ctx) })
-	group.Go(func() error { return nodes.Run(ctx) })
+	group.Go(func() error { return sessionBroker.Run(ctx) })
+	group.Go(func() error { return nodeList.Run(ctx) })
 	group.Go(func() error { return coordinator.Run(ctx) })
-	serve(front.Serve, at.Viewers)
-	again := make(chan struct{}, 1)
+	serve(linesFront.Serve, listeners.Viewers)
+	reloadRequests := make(chan struct{}, 1)
 	// Guard: a file that can't be read for long holds up no signal, and not the end: this
 	// goroutine is not waited for.
 	go func() {
 		for {
 			select {
-			case <-again:
+			case <-reloadRequests:
 			case <-ctx.Done():
 				return
 			}
 			next, err := reload(&cfg)
 			if err != nil {
-				keep(err, log)
+				logReloadError(err, log)
 				continue
 			}
 			coordinator.Follow(next.Coordinator)
 			routes.Replace(next.Operator.Routes)
-			told(&next, log)
+			logReloaded(&next, log)
 		}
 	}()
 	group.Go(func() error {
@@ -201,24 +201,24 @@
 				switch {
 				case s == syscall.SIGHUP: // also while it drains
 					select {
-					case again <- struct{}{}:
+					case reloadRequests <- struct{}{}:
 					default: // the files are to be read already
 					}
 				case draining:
-				case hand.leave(at.Viewers, at.Players):
+				case service.leaveToSuccessor(listeners.Viewers, listeners.Players):
 					log.Info("leaving to a younger process", zap.Stringer("signal", s))
-					core.Leave()
+					sessionBroker.DrainForSuccessor()
 					draining = true
 				default:
 					log.Info("draining", zap.Stringer("signal", s))
-					core.Finish()
-					leave()
+					sessionBroker.Drain()
+					leaveFleet()
 					draining = true
 				}
-			case <-core.Drained():
-				hand.last(core)
-				time.Sleep(lastWrites)
-				endFronts()
+			case <-sessionBroker.Drained():
+				service.handOverRemaining(sessionBroker)
+				time.Sleep(finalWriteDelay)
+				stopFronts()
 				fronts.Wait()
 				cancel()
 				return nil
@@ -227,25 +227,25 @@
 			}
 		}
 	})
-	if hand != nil {
-		hand.nodes, hand.core, hand.front = nodes, core, front
-		group.Go(func() error { return hand.run(ctx, at.Calls) })
+	if service != nil {
+		service.nodeList, service.sessionBroker, service.linesFront = nodeList, sessionBroker, linesFront
+		group.Go(func() error { return service.run(ctx, listeners.Operators) })
 	}
-	log.Info("serving", zap.Stringer("listen", at.Viewers.Addr()))
+	log.Info("serving", zap.Stringer("listen", listeners.Viewers.Addr()))
 	return group.Wait()
 }
 
 // Catalog is what the names of a set-up mean by a configuration.
-func Catalog(cfg *config.Config) message.Catalog {
-	return message.Catalog{
+func Catalog(cfg *config.Config) message.SetupDecoder {
+	return message.SetupDecoder{
 		Classes: cfg.Classes, Teams: cfg.Teams(),
-		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MostLeft: cfg.MostLeft,
+		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MaxTimeLeft: cfg.MostLeft,
 	}
 }
 
-// keep tells why a configuration that was read anew changes nothing. Guard: one
+// logReloadError tells why a configuration that was read anew changes nothing. Guard: one
 // that can't be read or is faulty leaves all as it is.
-func keep(err error, log *zap.Logger) {
+func logReloadError(err error, log *zap.Logger) {
 	var faults *conf.Faults
 	if !errors.As(err, &faults) {
 		log.Error("configuration not reloaded; the old one stays", zap.Error(err))
@@ -256,8 +256,8 @@
 	}
 }
 
-// told says what has been taken of a configuration that was read anew.
-func told(cfg *config.Config, log *zap.Logger) {
+// logReloaded says what has been taken of a configuration that was read anew.
+func logReloaded(cfg *config.Config, log *zap.Logger) {
 	fields := []zap.Field{zap.String("coordinator", cfg.Coordinator)}
 	if r := cfg.Operator.Routes; r != nil {
 		fields = append(fields, zap.Int("rules", len(r.RuleNames())), zap.Int64("most_steps", r.MaxCost()))
@@ -268,12 +268,12 @@
 	log.Info("configuration reloaded", fields...)
 }
 
-// lastWrites is left for what is queued for nodes to be written before the end.
-const lastWrites = 50 * time.Millisecond
+// finalWriteDelay is left for what is queued for nodes to be written before the end.
+const finalWriteDelay = 50 * time.Millisecond
 
-// list is a change as the module takes it.
-func list(c directory.Change) broker.List {
-	var l broker.List
+// brokerList is a change as the module takes it.
+func brokerList(c directory.Change) broker.ListUpdate {
+	var l broker.ListUpdate
 	for _, m := range c.Members {
 		l.Entries = append(l.Entries, m.Entry)
 	}
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -15,72 +15,74 @@
 
 // Figures of a Watch.
 const (
-	// usualAfter is Watch.After where nothing else is said.
-	usualAfter = 800 * time.Millisecond
-	// beats is what passes between two at most, twice.
-	beats = 200 * time.Millisecond
-	// Most is how long anything is held back: where nobody can be asked, the old
+	// defaultThreshold is Watch.After where nothing else is said.
+	defaultThreshold = 800 * time.Millisecond
+	// heartbeatMargin is what passes between two at most, twice.
+	heartbeatMargin = 200 * time.Millisecond
+	// MaxStale is how long anything is held back: where nobody can be asked, the old
 	// word is all there is.
-	Most = time.Second
+	MaxStale = time.Second
 )
 
-// Watch is a program's pulse. It is safe for use by many goroutines.
-type Watch struct {
+// Detector is a program's pulse. It is safe for use by many goroutines.
+type Detector struct {
 	// After is the time without a beat after which the program is taken to have
 	// stood; not to be changed once it beats. 0: 800 ms.
-	After time.Duration
+	Threshold time.Duration
 
-	mu   sync.Mutex
-	beat time.Time
-	from time.Time // when the last stand was noticed; zero: nothing is held back
+	mu            sync.Mutex
+	lastHeartbeat time.Time
+	pauseEnd      time.Time // when the last stand was noticed; zero: nothing is held back
 }
 
-// Within returns the After of a Watch whose program must not act on what has been
+// ThresholdForGrace returns the After of a Watch whose program must not act on what has been
 // untrue for longer than grace: whatever stood for less still hears of it in time.
-func Within(grace time.Duration) time.Duration { return max(grace-beats, beats) }
+func ThresholdForGrace(grace time.Duration) time.Duration {
+	return max(grace-heartbeatMargin, heartbeatMargin)
+}
 
-// Start begins anew at a time, after which beats come.
-func (w *Watch) Start(now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.beat, w.from = now, time.Time{}
+// Reset begins anew at a time, after which beats come.
+func (d *Detector) Reset(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastHeartbeat, d.pauseEnd = now, time.Time{}
 }
 
-// Beat notes that the program runs. If it has stood still, it tells for how long,
+// Heartbeat notes that the program runs. If it has stood still, it tells for how long,
 // once: whoever hears that has the world asked again.
-func (w *Watch) Beat(now time.Time) (stood time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	gap := now.Sub(w.beat)
+func (d *Detector) Heartbeat(now time.Time) (paused time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	gap := now.Sub(d.lastHeartbeat)
 	if gap < 0 {
 		return 0 // another goroutine was ahead
 	}
-	first := w.beat.IsZero()
-	w.beat = now
-	if first || gap <= cmp.Or(w.After, usualAfter) {
+	first := d.lastHeartbeat.IsZero()
+	d.lastHeartbeat = now
+	if first || gap <= cmp.Or(d.Threshold, defaultThreshold) {
 		return 0
 	}
-	w.from = now
+	d.pauseEnd = now
 	return gap
 }
 
-// Held tells whether what depends on the world's state is to wait. It is to be asked
+// Stale tells whether what depends on the world's state is to wait. It is to be asked
 // after Beat, with the same time.
-func (w *Watch) Held(now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.from.IsZero() && now.Sub(w.from) > Most {
-		w.from = time.Time{}
+func (d *Detector) Stale(now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.pauseEnd.IsZero() && now.Sub(d.pauseEnd) > MaxStale {
+		d.pauseEnd = time.Time{}
 	}
-	return !w.from.IsZero()
+	return !d.pauseEnd.IsZero()
 }
 
-// Fresh tells that the world has answered a question that was asked at a time. An
+// Refreshed tells that the world has answered a question that was asked at a time. An
 // answer to one from before the end of the stand may be as old as that.
-func (w *Watch) Fresh(asked time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !asked.Before(w.from) {
-		w.from = time.Time{}
+func (d *Detector) Refreshed(requested time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !requested.Before(d.pauseEnd) {
+		d.pauseEnd = time.Time{}
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -53,7 +53,7 @@
 	factor  float64 // of its true rate
 	home    int     // zone of its manager
 	node    *fleetNode
-	server  control.Server
+	server  control.ServerID
 	to      *broker.Broker
 	began   time.Time
 	ends    time.Time
@@ -126,7 +126,7 @@
 		for _, p := range n.sessions {
 			f.end(p)
 			f.after(lostTime, func() {
-				p.to.Report(broker.Report{Kind: broker.Ended, Server: p.server, ID: p.id, Number: p.number, Status: control.Reset, Cause: broker.CauseCut})
+				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.number, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 			})
 		}
 	}
@@ -157,13 +157,13 @@
 
 // bears counts a set-up against the fall-over rule.
 func (f *Fleet) bears(n *fleetNode) {
-	if !time.Now().Before(n.cold) || len(f.Settings.KindStreams) == 0 {
+	if !time.Now().Before(n.cold) || len(f.Settings.MaxStreamsByKind) == 0 {
 		return
 	}
 	t, warm := time.Since(n.began).Seconds(), f.Settings.WarmAfterS
-	streams, start := float64(f.Settings.KindStreams[0]), f.Settings.StartCapacity
+	streams, start := float64(f.Settings.MaxStreamsByKind[0]), f.Settings.StartCapacityShare
 	// What it bore so far: the pace grows from the start's share to the whole.
-	bore := f.Settings.FallMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
+	bore := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
 	if n.sent++; float64(n.sent) > bore+2 {
 		n.falls++
 	}
@@ -196,7 +196,7 @@
 	return max(1-7*max(0.98-share, 0), 0)
 }
 
-func (m *Manager) node(s control.Server) *fleetNode {
+func (m *Manager) node(s control.ServerID) *fleetNode {
 	if s < 1 || int(s) > len(m.nodes) {
 		return nil
 	}
@@ -204,7 +204,7 @@
 }
 
 // SetUp sends an attempt.
-func (m *Manager) SetUp(s control.Server, a broker.Attempt) bool {
+func (m *Manager) SetUp(s control.ServerID, a broker.Attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
@@ -215,16 +215,16 @@
 		if n.down {
 			if time.Since(n.downAt) > openTime {
 				m.after(connectTime, func() {
-					m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.ConnectFailed})
+					m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectFailed})
 				})
 			}
 			return
 		}
 		m.bears(n)
-		if n.asked >= m.Settings.Guard*n.link {
+		if n.asked >= m.Settings.FullAtUtilization*n.link {
 			m.Full++
 			m.after(m.Way, func() {
-				m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.Full, Load: m.load(n)})
+				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.load(n)})
 			})
 			return
 		}
@@ -236,11 +236,11 @@
 		n.sessions[a.ID], m.sessions[a.ID] = p, p
 		m.recount(n)
 		m.after(m.Way, func() {
-			m.Broker.Report(broker.Report{Kind: broker.Started, Server: s, ID: a.ID, Number: a.Number, Description: []byte("d")})
+			m.Broker.Report(broker.Report{Kind: broker.ReportStarted, Server: s, ID: a.ID, AttemptNumber: a.Number, Description: []byte("d")})
 		})
 		m.after(length, func() {
 			if m.end(p) {
-				p.to.Report(broker.Report{Kind: broker.Ended, Server: s, ID: a.ID, Number: a.Number, Status: control.OK, Cause: broker.CauseEnded})
+				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
 			}
 		})
 	})
@@ -261,7 +261,7 @@
 func (f *Fleet) recount(n *fleetNode) {
 	n.asked = 0
 	for _, p := range n.sessions {
-		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].Scale * p.factor
+		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.factor
 	}
 }
 
@@ -281,23 +281,23 @@
 	return true
 }
 
-// GiveUp ends an attempt.
-func (m *Manager) GiveUp(s control.Server, id control.SessionID, number int, timedOut bool) {
+// Abandon ends an attempt.
+func (m *Manager) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
 		m.end(p)
 	}
 	m.after(m.Way, func() {
-		m.Broker.Report(broker.Report{Kind: broker.Ended, Server: s, ID: id, Number: number, Status: control.TimedOut})
+		m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: id, AttemptNumber: number, Status: control.TimedOut})
 	})
 }
 
-// Stands knows of no session from before the start.
-func (m *Manager) Stands(control.Server, control.SessionID) bool { return false }
+// AddEstablished knows of no session from before the start.
+func (m *Manager) AddEstablished(control.ServerID, control.SessionID) bool { return false }
 
 // Release ends a session that stands.
-func (m *Manager) Release(_ control.Server, id control.SessionID, _ int) {
+func (m *Manager) Release(_ control.ServerID, id control.SessionID, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
@@ -306,19 +306,19 @@
 }
 
 // SetRung changes a rung, which costs a part of the session's worth.
-func (m *Manager) SetRung(_ control.Server, id control.SessionID, rung int) {
+func (m *Manager) SetRung(_ control.ServerID, id control.SessionID, rung int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil && p.rung != rung {
 		m.settle(p.node)
-		p.earned -= m.Settings.SwitchS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
+		p.earned -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
 		p.rung = rung
 		m.recount(p.node)
 	}
 }
 
 // Probe reports a node's load.
-func (m *Manager) Probe(s control.Server) {
+func (m *Manager) Probe(s control.ServerID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
@@ -327,10 +327,10 @@
 			return
 		}
 		if n.down {
-			m.Broker.Report(broker.Report{Kind: broker.Probed, Server: s, Status: control.ConnectFailed})
+			m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.ConnectFailed})
 			return
 		}
-		m.Broker.Report(broker.Report{Kind: broker.Probed, Server: s, Load: m.load(n)})
+		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.load(n)})
 	})
 }
 
@@ -345,7 +345,7 @@
 	for _, n := range f.nodes {
 		if share := n.link / math.Max(n.asked, 1); share < 0.98 {
 			for _, p := range n.sessions {
-				p.to.Report(broker.Report{Kind: broker.Noted, Server: p.server, ID: p.id, Number: p.number, Note: control.NoteShare, Value: share})
+				p.to.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.number, Note: control.NoteDeliveredShare, Value: share})
 			}
 		}
 	}
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -48,8 +48,8 @@
 	links, zones := make([]float64, nodes), make([]int, nodes)
 	var entries []control.Entry
 	for i := range links {
-		links[i], zones[i] = set.LinkKB*(0.85+0.3*rng.Float64()), i%2
-		entries = append(entries, control.Entry{Server: control.Server(i + 1), State: control.Ready, Cell: i, Zone: i % 2, Weight: 1})
+		links[i], zones[i] = set.LinkKBPerWeight*(0.85+0.3*rng.Float64()), i%2
+		entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Cell: i, Zone: i % 2, Weight: 1})
 	}
 	lasts := [][2]float64{{26, 65}, {20, 50}} // s
 	fleet := NewFleet(&Fleet{Settings: set, LinksKB: links, Zones: zones, Way: 2 * time.Millisecond, Spread: 0.15,
@@ -59,11 +59,11 @@
 			return time.Duration((u[0] + part*(u[1]-u[0])) * float64(time.Second))
 		}}, e.Seed)
 	defer fleet.Close()
-	rate := e.Load * set.FleetKB / 640 / (0.35*45.5 + 0.65*35)
-	sites := broker.Sites{Names: []string{"a", "b"}, Of: []int{0, 1}, Expect: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
+	rate := e.Load * set.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
+	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
 		Rules: []site.Rule{{Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}, {Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}}}
 	for k, c := range set.Classes {
-		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.Floor, Top: c.Top, RatesKB: set.RatesKB}
+		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.FloorRung, Top: c.TopRung, RatesKB: set.RatesKB}
 		for _, w := range set.LadderWorth {
 			class.Worth = append(class.Worth, c.Worth*w)
 		}
@@ -90,7 +90,7 @@
 			return out, err
 		}
 		m.Broker = b
-		b.List(broker.List{Entries: entries})
+		b.UpdateList(broker.ListUpdate{Entries: entries})
 		c.brokers = append(c.brokers, b)
 		c.weights = append(c.weights, 0.5+rng.Float64()) // viewers are spread unevenly
 		running.Go(func() { b.Run(ctx) })
@@ -135,12 +135,12 @@
 		var back []control.Entry
 		for _, n := range entries {
 			if n.Zone == 1 {
-				n.SinceS = float64(time.Now().UnixNano()) / 1e9
+				n.StartedAtS = float64(time.Now().UnixNano()) / 1e9
 				back = append(back, n)
 			}
 		}
 		for _, b := range c.brokers {
-			b.List(broker.List{Entries: back})
+			b.UpdateList(broker.ListUpdate{Entries: back})
 		}
 		c.comeBack()
 	})
@@ -162,10 +162,10 @@
 
 // bestWithout is the optimum for the loss of the second site by the true links and
 // demand, as far as slots may fill.
-func bestWithout(s broker.Sites, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
+func bestWithout(s broker.SiteConfig, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
 	var nodes []site.Node
 	for i, kb := range links {
-		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUse, Places: float64(set.KindStreams[0])})
+		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(set.MaxStreamsByKind[0])})
 	}
 	f := &site.Fleet{Classes: s.Classes, Sites: site.Build(s.Names, nodes, 1e12)}
 	f.Demands = f.Spread([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
@@ -238,8 +238,8 @@
 	b, again := c.brokers[v.manager], v.tries > 0
 	v.tries++
 	c.mu.Unlock()
-	b.Submit(broker.Request{ID: v.id, Class: v.class, Team: -1, Title: title, Span: c.nodes, MaxRung: 3, Again: again,
-		Left: 3 * time.Second, Came: time.Now(), Client: v})
+	b.Submit(broker.Request{ID: v.id, Class: v.class, Team: -1, Title: title, Copies: c.nodes, MaxRung: 3, Repeated: again,
+		TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: v})
 }
 
 // Gone is part of broker.Client: its viewers wait for their answers.
@@ -252,18 +252,18 @@
 	defer c.mu.Unlock()
 	pause := 600*time.Millisecond + time.Duration(c.rng.Float64()*2.4*float64(time.Second))
 	again := c.rng.Float64() < 0.9 && v.tries < 9
-	if r.Kind == broker.Over {
+	if r.Kind == broker.ReplyEnded {
 		v.served = false
 	}
 	switch {
 	case c.gone && v.manager%2 == 1: // a process that is gone tells nothing
-	case r.Kind == broker.Served:
+	case r.Kind == broker.ReplyServed:
 		v.served = true
 		if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossFor {
 			c.out.Served[v.class]++
 		}
-	case r.Kind == broker.Over && r.Cause != broker.CauseEnded && again, r.Kind == broker.Refused && again:
-		time.AfterFunc(max(r.Wait, pause), v.ask)
+	case r.Kind == broker.ReplyEnded && r.Cause != broker.CauseEnded && again, r.Kind == broker.ReplyRefused && again:
+		time.AfterFunc(max(r.RetryAfter, pause), v.ask)
 	}
 	return true
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -73,7 +73,7 @@
 func (n *Node) talk(nc net.Conn) {
 	defer nc.Close()
 	c := &line{Conn: nc}
-	in := stream.NewReader(nc, rtsp.MaxMessage)
+	in := stream.NewReader(nc, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
 		if err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) }); err != nil {
@@ -87,10 +87,10 @@
 			n.Bill.Read(func(b *Bill) { b.Ended[session]++ })
 			c.send(reply(200, "2", session, ""))
 		case "OPTIONS":
-			b := rtsp.AppendStatus(nil, 200, "OK")
+			b := rtsp.AppendResponse(nil, 200, "OK")
 			b = rtsp.AppendHeader(b, "CSeq", string(m.Get("CSeq")))
 			b = rtsp.AppendHeader(b, "Session", session)
-			c.send(rtsp.Finish(rtsp.AppendHeader(b, "Link-State", "load_share:0.1;x1:0.1"), nil))
+			c.send(rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", "load_share:0.1;x1:0.1"), nil))
 		}
 	}
 }
@@ -126,15 +126,15 @@
 }
 
 func reply(code int, seq, session, body string) []byte {
-	b := rtsp.AppendStatus(nil, code, strconv.Itoa(code))
+	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", session)
-	return rtsp.Finish(b, []byte(body))
+	return rtsp.AppendBody(b, []byte(body))
 }
 
 func end(session string) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+session)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", session)
-	return rtsp.Finish(rtsp.AppendHeader(b, "Reason", "cause=16"), nil)
+	return rtsp.AppendBody(rtsp.AppendHeader(b, "Reason", "cause=16"), nil)
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -12,16 +12,16 @@
 
 // Reader cuts a stream into messages.
 type Reader struct {
-	r          io.Reader
+	src        io.Reader
 	buf        []byte
-	size       int
+	maxSize    int
 	start, end int
 }
 
 // NewReader returns a Reader for messages of at most size bytes. The buffer
 // starts small: most connections carry short messages only.
-func NewReader(r io.Reader, size int) *Reader {
-	return &Reader{r: r, buf: make([]byte, min(size, 2048)), size: size}
+func NewReader(src io.Reader, maxSize int) *Reader {
+	return &Reader{src: src, buf: make([]byte, min(maxSize, 2048)), maxSize: maxSize}
 }
 
 // Next calls parse on what has been read, reading on until parse consumes
@@ -53,13 +53,13 @@
 		r.start = 0
 	}
 	if r.end == len(r.buf) {
-		if len(r.buf) >= r.size {
+		if len(r.buf) >= r.maxSize {
 			return ErrTooLong
 		}
-		r.buf = append(make([]byte, 0, min(2*len(r.buf), r.size)), r.buf...)
+		r.buf = append(make([]byte, 0, min(2*len(r.buf), r.maxSize)), r.buf...)
 		r.buf = r.buf[:cap(r.buf)]
 	}
-	n, err := r.r.Read(r.buf[r.end:])
+	n, err := r.src.Read(r.buf[r.end:])
 	r.end += n
 	if n > 0 {
 		return nil
--- a/internal/stream/stream_test.go
+++ b/internal/stream/stream_test.go
@@ -9,7 +9,7 @@
 	"testing/iotest"
 )
 
-func lines(r *Reader) (out []string, err error) {
+func readLines(r *Reader) (out []string, err error) {
 	for {
 		var line string
 		err := r.Next(func(b []byte) (int, error) {
@@ -27,15 +27,15 @@
 func TestMessagesSplitAcrossReads(t *testing.T) {
 	long := strings.Repeat("x", 5000)
 	for _, wrap := range []func(io.Reader) io.Reader{iotest.OneByteReader, iotest.HalfReader, iotest.DataErrReader} {
-		got, err := lines(NewReader(wrap(strings.NewReader("a\n\n"+long+"\nb\n")), 8192))
+		got, err := readLines(NewReader(wrap(strings.NewReader("a\n\n"+long+"\nb\n")), 8192))
 		if err != io.EOF || len(got) != 4 || got[0] != "a" || got[2] != long || got[3] != "b" {
 			t.Errorf("%d lines, %v", len(got), err)
 		}
 	}
-	if _, err := lines(NewReader(strings.NewReader("half"), 100)); err != io.ErrUnexpectedEOF {
+	if _, err := readLines(NewReader(strings.NewReader("half"), 100)); err != io.ErrUnexpectedEOF {
 		t.Error(err)
 	}
-	if _, err := lines(NewReader(strings.NewReader(long), 4096)); !errors.Is(err, ErrTooLong) {
+	if _, err := readLines(NewReader(strings.NewReader(long), 4096)); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -175,10 +175,10 @@
 func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
 func (f *fields) f32() float64 { return float64(math.Float32frombits(f.u32())) }
 
-func (f *fields) server() control.Server {
+func (f *fields) server() control.ServerID {
 	addr := f.take(4)
 	a := binary.BigEndian.Uint32(addr)
-	return control.Server(uint64(a)<<16 | uint64(f.u16()))
+	return control.ServerID(uint64(a)<<16 | uint64(f.u16()))
 }
 
 // bytes returns n bytes, or nothing when fewer are left.
@@ -231,7 +231,7 @@
 	case codeDestroy:
 		rec.Kind = KindDestroy
 	case codeView:
-		e.Kind = control.EvList
+		e.Kind = control.EventList
 		list := f.u8()
 		f.u32()
 		switch f.u8() {
@@ -248,51 +248,51 @@
 			e.Entries = d.lists[list]
 		}
 	case codeArrival:
-		e.Kind = control.EvArrive
+		e.Kind = control.EventArrival
 		e.Session = control.SessionID(f.u64())
 		e.Class = int(f.u16())
 		e.Tenant = int(f.u16())
 		f.u64() // the viewer
 		e.Title = f.u64()
-		e.LeftS, e.HintS = f.f64(), f.f64()
-		e.Home, e.Span, e.MaxRung = whole(f.f32()), whole(f.f32()), f.f32()
+		e.TimeLeftS, e.ExpectedLengthS = f.f64(), f.f64()
+		e.HomeCell, e.Copies, e.MaxRung = whole(f.f32()), whole(f.f32()), f.f32()
 		marks(e, f.u16())
 	case codeOpen:
-		e.Kind = control.EvOpen
+		e.Kind = control.EventEstablished
 		e.Session = control.SessionID(f.u64())
-		e.Home = whole(f.f32())
+		e.HomeCell = whole(f.f32())
 		f.u16() // the tenant
 		e.Title = f.u64()
 		e.Server = f.server()
 		m := f.u16()
-		e.HintS, e.LeftS = f.f64(), f.f64()
-		e.Class, e.Span, e.MaxRung = int(f.u16()), whole(f.f32()), f.f32()
+		e.ExpectedLengthS, e.TimeLeftS = f.f64(), f.f64()
+		e.Class, e.Copies, e.MaxRung = int(f.u16()), whole(f.f32()), f.f32()
 		f.u64() // the viewer
 		marks(e, m)
 	case codeHead:
-		e.Kind = control.EvFirst
+		e.Kind = control.EventStarted
 		e.Session, e.Server = control.SessionID(f.u64()), f.server()
 		f.f64() // how long ago it was sent
 		e.Attempt = int(f.u8())
 	case codeEnd:
-		e.Kind = control.EvEnd
+		e.Kind = control.EventAttemptEnded
 		e.Session, e.Attempt = control.SessionID(f.u64()), int(f.u8())
 		e.Server, e.Status = f.server(), control.Status(f.u8())
 		f.f64() // how long ago it was sent
-		e.Finished, e.Load = f.u8() != 0, f.load()
+		e.RequestFinished, e.Load = f.u8() != 0, f.load()
 	case codeAborted:
-		e.Kind = control.EvAborted
+		e.Kind = control.EventAbandoned
 		e.Session = control.SessionID(f.u64())
 	case codeFired:
-		e.Kind = control.EvTimer
+		e.Kind = control.EventTimer
 		e.Token = f.u32()
 	case codePong:
-		e.Kind = control.EvProbed
+		e.Kind = control.EventProbeResult
 		e.Server, e.Status = f.server(), control.Status(f.u8())
 		f.f64() // how long ago it was asked
 		e.Load = f.load()
 	case codeNote:
-		e.Kind = control.EvNote
+		e.Kind = control.EventNote
 		e.Session, e.Note = control.SessionID(f.u64()), control.NoteKind(f.u8())
 		e.Value, e.Server, e.Attempt = f.f32(), f.server(), int(f.u8())
 	default: // a message of another front, say: nothing here reads it
@@ -306,7 +306,7 @@
 
 func marks(e *control.Event, m uint16) {
 	if m&markHint == 0 {
-		e.HintS = 0
+		e.ExpectedLengthS = 0
 	}
 }
 
@@ -327,8 +327,8 @@
 		default:
 			e.State = control.Gone
 		}
-		e.Cell, e.Zone, e.SinceS = int(f.u16()), int(f.u16()), f.f64()
-		e.Server, e.Kind, e.Weight = f.server(), int(f.u8()), f.f32()
+		e.Cell, e.Zone, e.StartedAtS = int(f.u16()), int(f.u16()), f.f64()
+		e.Server, e.MachineKind, e.Weight = f.server(), int(f.u8()), f.f32()
 	}
 	d.lists[list] = entries
 	return nil
@@ -377,7 +377,7 @@
 	e.buf = append(e.buf, b...)
 }
 
-func (e *Encoder) server(s control.Server) {
+func (e *Encoder) server(s control.ServerID) {
 	e.buf = binary.BigEndian.AppendUint32(e.buf, uint32(s>>16))
 	e.buf = binary.LittleEndian.AppendUint16(e.buf, uint16(s))
 }
@@ -397,13 +397,13 @@
 	case codeHandOff:
 		e.u64(uint64(a.Session))
 		e.server(a.Server)
-		e.f64(a.PatienceS)
+		e.f64(a.SetupTimeoutS)
 	case codePitch:
 		e.u64(uint64(a.Session))
 		e.u8(a.Rung)
 	case codeDeny:
 		e.u64(uint64(a.Session))
-		e.f64(a.WaitS)
+		e.f64(a.RetryAfterS)
 	case codeFail, codeMove:
 		e.u64(uint64(a.Session))
 	case codeWake:
@@ -420,13 +420,13 @@
 }
 
 var actionCodes = [...]byte{
-	control.ActHandOff: codeHandOff,
-	control.ActRung:    codePitch,
-	control.ActDeny:    codeDeny,
-	control.ActFail:    codeFail,
-	control.ActWake:    codeWake,
-	control.ActProbe:   codeAskLoad,
-	control.ActWatch:   codeWatch,
-	control.ActRemark:  codeRemark,
-	control.ActMove:    codeMove,
+	control.ActionSetUp:     codeHandOff,
+	control.ActionSetRung:   codePitch,
+	control.ActionRefuse:    codeDeny,
+	control.ActionFail:      codeFail,
+	control.ActionSetTimer:  codeWake,
+	control.ActionProbe:     codeAskLoad,
+	control.ActionSubscribe: codeWatch,
+	control.ActionRemark:    codeRemark,
+	control.ActionMove:      codeMove,
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,11 +38,11 @@
 	}
 	want := []Record{
 		{Instance: 3, Event: control.Event{
-			Kind: control.EvArrive, Session: 0x8385d3a91c4, Title: 0x2b8e6401d9f37c10,
-			LeftS: 0.24, HintS: 0.012, Span: 3, MaxRung: 2,
+			Kind: control.EventArrival, Session: 0x8385d3a91c4, Title: 0x2b8e6401d9f37c10,
+			TimeLeftS: 0.24, ExpectedLengthS: 0.012, Copies: 3, MaxRung: 2,
 		}},
-		{Instance: 3, Event: control.Event{Kind: control.EvTimer, Token: 77}},
-		{Instance: 5, Event: control.Event{Kind: control.EvAborted, Session: 0x9af4b0e6f2b19}},
+		{Instance: 3, Event: control.Event{Kind: control.EventTimer, Token: 77}},
+		{Instance: 5, Event: control.Event{Kind: control.EventAbandoned, Session: 0x9af4b0e6f2b19}},
 	}
 	want[0].Event.Session = control.SessionID(binary.LittleEndian.Uint64(unhex(t, "c4913a5d59380800")))
 	if b.Seq != 12 || math.Abs(b.Now-8.41225) > 0.001 {
@@ -61,10 +61,10 @@
 	e := NewEncoder(&out)
 	e.Begin(12)
 	session := control.SessionID(binary.LittleEndian.Uint64(unhex(t, "c4913a5d59380800")))
-	e.Action(3, control.Action{Kind: control.ActHandOff, Session: session, Server: 0x0a124a071f93,
-		PatienceS: math.Float64frombits(0x3fb47ae147ae147b)})
-	e.Action(3, control.Action{Kind: control.ActWake, DelayS: 0.5, Token: 77})
-	e.Action(5, control.Action{Kind: control.ActRemark, Text: "two servers known"})
+	e.Action(3, control.Action{Kind: control.ActionSetUp, Session: session, Server: 0x0a124a071f93,
+		SetupTimeoutS: math.Float64frombits(0x3fb47ae147ae147b)})
+	e.Action(3, control.Action{Kind: control.ActionSetTimer, DelayS: 0.5, Token: 77})
+	e.Action(5, control.Action{Kind: control.ActionRemark, Text: "two servers known"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +82,8 @@
 	e := NewEncoder(&out)
 	e.Begin(1)
 	session := control.SessionID(binary.LittleEndian.Uint64(unhex(t, "192b6f0e4baf0900")))
-	e.Action(3, control.Action{Kind: control.ActDeny, Session: session, WaitS: 0.25})
-	e.Action(3, control.Action{Kind: control.ActMove, Session: session})
+	e.Action(3, control.Action{Kind: control.ActionRefuse, Session: session, RetryAfterS: 0.25})
+	e.Action(3, control.Action{Kind: control.ActionMove, Session: session})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -113,7 +113,7 @@
 	}
 	want := []control.Entry{
 		{Server: 0x0a124a071f93, State: control.Ready, Cell: 1, Weight: 1},
-		{Server: 0x0a9011f21fbc, State: control.Draining, Cell: 2, Zone: 1, Kind: 1, SinceS: 6.1, Weight: 1.5},
+		{Server: 0x0a9011f21fbc, State: control.Draining, Cell: 2, Zone: 1, MachineKind: 1, StartedAtS: 6.1, Weight: 1.5},
 	}
 	if e := b.Records[0].Event; e.List != control.ListCached || !reflect.DeepEqual(e.Entries, want) {
 		t.Errorf("list %+v, want %+v", e, want)
