--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// realistic is a set as a till screen platform would have it: rules by class,
-// team, title, hour, address and viewer, with three tables.
-func realistic(t testing.TB, n int) *Set {
-	_, s, told := read(testEnv(), func(t *told) []Table {
+// realisticSet returns a set as a point-of-sale platform might have it: rules by class, team, title, hour,
+// address and viewer, with three tables.
+func realisticSet(t testing.TB, n int) *Set {
+	_, s, diags := compileRules(testEnv(), func(t *diagnostics) []Table {
 		var owners, shops, ranks []string
 		for i := range 5_000 {
 			owners = append(owners, fmt.Sprintf("%x=%s", i, []string{"north", "south"}[i%2]))
@@ -23,7 +23,7 @@
 		`evening = between(clock, 18:00, 22:00)`, `payday = quincena(today) and evening`, `home = shop[client ?? 0.0.0.0]`, `who = if team == none then owner[key] else team`,
 	}, realisticRules(n)...)
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(diags.errors)
 	}
 	return s
 }
@@ -45,40 +45,40 @@
 	return append(rules, `set team = who, budget = text(who) + "/" + text(class), label.shop = home`)
 }
 
-// BenchmarkEvaluate evaluates 200 rules of which the last matches: the dearest
-// case of a set.
+// BenchmarkEvaluate evaluates 200 rules of which the last matches, the most expensive case.
 func BenchmarkEvaluate(b *testing.B) {
-	s := realistic(b, 200)
+	s := realisticSet(b, 200)
 	f := request(s)
 	if rule := s.Evaluate(f); rule != 200 {
 		b.Fatal(rule)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Begin(quincena)
+		f.Reset(requestTime)
 		for i := range f.vars {
 			f.vars[i] = benchVars[i]
 		}
 		s.Evaluate(f)
 	}
 	b.ReportMetric(float64(f.Cost()), "steps")
-	b.ReportMetric(float64(s.Bound()), "bound")
+	b.ReportMetric(float64(s.MaxCost()), "bound")
 }
 
-var benchVars = func() []Cell {
-	_, s, _ := read(testEnv(), nil, nil, "when true")
+var benchVars = func() []RawValue {
+	_, s, _ := compileRules(testEnv(), nil, nil, "when true")
 	f := request(s)
 	return f.vars
 }()
 
+// BenchmarkCompile compiles the set of BenchmarkEvaluate, tables included.
 func BenchmarkCompile(b *testing.B) {
 	for b.Loop() {
-		realistic(b, 200)
+		realisticSet(b, 200)
 	}
 }
 
-// A set of 1,000 rules and three tables stays under 4 MB.
-func TestMemory(t *testing.T) {
+// TestSetMemory guards against a set of 1,000 rules and three tables that takes more than 4 MiB.
+func TestSetMemory(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		for range 3 {
@@ -87,25 +87,25 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	realistic(t, 1) // what is built once
+	realisticSet(t, 1) // allocates what is built on first use
 	before := heap()
-	s := realistic(t, 1000)
+	s := realisticSet(t, 1000)
 	used := heap() - before
 	if runtime.KeepAlive(s); used > 4<<20 {
-		t.Errorf("%d bytes", used)
+		t.Errorf("%d bytes, want at most 4 MiB", used)
 	}
-	t.Logf("%d bytes, bound %d steps", used, s.Bound())
+	t.Logf("%d bytes, bound %d steps", used, s.MaxCost())
 }
 
-// Evaluation allocates nothing.
-func TestNoAllocations(t *testing.T) {
-	s := realistic(t, 200)
+// TestEvaluateDoesNotAllocate guards against allocations on the path of each request.
+func TestEvaluateDoesNotAllocate(t *testing.T) {
+	s := realisticSet(t, 200)
 	f := request(s)
 	if n := testing.AllocsPerRun(100, func() {
-		f.Begin(quincena)
+		f.Reset(requestTime)
 		copy(f.vars, benchVars)
 		s.Evaluate(f)
 	}); n != 0 {
-		t.Errorf("%v allocations", n)
+		t.Errorf("%v allocations per evaluation, want 0", n)
 	}
 }
--- a/internal/rules/frame.go
+++ b/internal/rules/frame.go
@@ -7,138 +7,138 @@
 	"unsafe"
 )
 
-// Frame is the room that one evaluation needs. It serves one request at a time.
+// Frame holds the state of one evaluation. It serves one request at a time.
 type Frame struct {
-	set   *Set
-	now   time.Time
-	cost  int64
-	turn  uint32 // of the request: what has another turn is of an earlier one
-	vars  []Cell
-	texts []Cell
-	slots []Cell
-	turns []uint32 // by slot, of definitions
-	zones []zoneTime
-	buf   []byte // the strings made for the request
-	out   []Setting
+	set             *Set
+	now             time.Time
+	cost            int64
+	generation      uint32 // number of the request; slots and zones with another number are stale
+	vars            []RawValue
+	texts           []RawValue
+	slots           []RawValue
+	slotGenerations []uint32 // by slot, for definitions
+	zones           []zoneTime
+	buf             []byte // strings built during the evaluation
+	assignments     []Assignment
 }
 
+// zoneTime is the time in one zone, computed at most once per request.
 type zoneTime struct {
-	turn        uint32
+	generation  uint32
 	clock, date int64
-	// The offset from UTC, and from when until when it holds: asked for once, and
-	// not for each request.
-	offset, from, until int64
+	// The offset from UTC in seconds, and the Unix times between which it holds. It is looked up when the
+	// time leaves that interval, not for each request.
+	offset, validFrom, validUntil int64
 }
 
-// Setting is one thing that the matching rule sets.
-type Setting struct {
-	Target int // index into Env.Targets
-	Sub    string
+// Assignment is a value that the matching rule assigns to a target.
+type Assignment struct {
+	Target  int // index into Env.Targets
+	Subname string
 	Value
-	// Fixed tells that a string is the set's own, not part of the request's or the
-	// frame's bytes, which are used again.
-	Fixed bool
+	// Persistent is set if the bytes of a string belong to the Set. Otherwise they belong to the request or
+	// the frame, and are reused.
+	Persistent bool
 }
 
-// NewFrame returns room to evaluate s in.
+// NewFrame returns a frame for evaluations of s.
 func (s *Set) NewFrame() *Frame {
 	return &Frame{
-		set: s, vars: make([]Cell, len(s.env.Vars)), texts: make([]Cell, len(s.texts)),
-		slots: make([]Cell, s.slots), turns: make([]uint32, s.slots), zones: make([]zoneTime, len(s.zones)),
-		buf: make([]byte, 0, s.arena), out: make([]Setting, 0, s.mostOut),
+		set: s, vars: make([]RawValue, len(s.env.Vars)), texts: make([]RawValue, len(s.texts)),
+		slots: make([]RawValue, s.slots), slotGenerations: make([]uint32, s.slots), zones: make([]zoneTime, len(s.zones)),
+		buf: make([]byte, 0, s.bufferSize), assignments: make([]Assignment, 0, s.maxAssignments),
 	}
 }
 
-// Begin makes the frame ready for a request that came at a time. All that may be
-// absent is.
-func (f *Frame) Begin(now time.Time) {
-	f.now, f.cost, f.buf, f.out = now, 0, f.buf[:0], f.out[:0]
-	f.forget()
+// Reset prepares the frame for a request received at now. Afterwards, what is optional is absent and the
+// other variables are zero.
+func (f *Frame) Reset(now time.Time) {
+	f.now, f.cost, f.buf, f.assignments = now, 0, f.buf[:0], f.assignments[:0]
+	f.nextGeneration()
 	clear(f.vars)
 	clear(f.texts)
 }
 
-// forget has all definitions worked out anew.
-func (f *Frame) forget() {
-	if f.turn++; f.turn == 0 { // it has gone round
-		clear(f.turns)
+// nextGeneration invalidates the values of all definitions.
+func (f *Frame) nextGeneration() {
+	if f.generation++; f.generation == 0 { // the counter wrapped around
+		clear(f.slotGenerations)
 		for i := range f.zones {
-			f.zones[i].turn = 0
+			f.zones[i].generation = 0
 		}
-		f.turn = 1
+		f.generation = 1
 	}
 }
 
-// SetNum sets a variable that is held as a whole number.
-func (f *Frame) SetNum(v int, n int64) { f.vars[v].N, f.vars[v].OK = n, true }
+// SetInt sets a variable that is represented as an integer.
+func (f *Frame) SetInt(v int, n int64) { f.vars[v].Integer, f.vars[v].Present = n, true }
 
-// SetFloat sets a number. What is none is absent.
-func (f *Frame) SetFloat(v int, x float64) { f.vars[v].F, f.vars[v].OK = x, x-x == 0 }
+// SetFloat sets a float variable. NaN and the infinities make it absent.
+func (f *Frame) SetFloat(v int, x float64) { f.vars[v].Float64, f.vars[v].Present = x, x-x == 0 }
 
-// SetBool sets a truth value.
-func (f *Frame) SetBool(v int, b bool) { f.vars[v].B, f.vars[v].OK = b, true }
+// SetBool sets a bool variable.
+func (f *Frame) SetBool(v int, b bool) { f.vars[v].IsTrue, f.vars[v].Present = b, true }
 
-// SetAddr sets an address. An invalid one is absent.
-func (f *Frame) SetAddr(v int, a addr) { f.vars[v].A, f.vars[v].OK = a.Unmap(), a.IsValid() }
+// SetAddr sets an address variable. An invalid address makes it absent.
+func (f *Frame) SetAddr(v int, a addr) { f.vars[v].IP, f.vars[v].Present = a.Unmap(), a.IsValid() }
 
-// SetString sets a string, of which nothing may change until the evaluation and
-// the reading of its result are over.
-func (f *Frame) SetString(v int, s string) { setText(&f.vars[v], s, f.set.env.Vars[v].Most) }
+// SetString sets a string variable. The bytes of s must not change until the evaluation is over and its
+// result has been read.
+func (f *Frame) SetString(v int, s string) { setString(&f.vars[v], s, f.set.env.Vars[v].MaxBytes) }
 
-// SetText sets one of Set.Texts, likewise.
+// SetText sets text i of Set.TextRefs. Like the string of SetString, b must not change.
 func (f *Frame) SetText(i int, b []byte) {
-	setText(&f.texts[i], unsafe.String(unsafe.SliceData(b), len(b)), f.set.env.Texts[f.set.texts[i].Family].Most)
+	setString(&f.texts[i], unsafe.String(unsafe.SliceData(b), len(b)), f.set.env.TextFamilies[f.set.texts[i].Family].MaxBytes)
 }
 
-// setText takes a string of up to most bytes. Guard: the cost of a set is bounded
-// by the lengths that its texts may have, so a longer one, or one that is no
-// UTF-8, is not there.
-func setText(c *Cell, s string, most int) {
-	if len(s) <= most && utf8.ValidString(s) {
-		c.S, c.OK = s, true
+// setString stores a string of up to maxBytes bytes. Guard: the cost bound of a set relies on the maximum
+// lengths of its texts, so a longer string, or one that is not valid UTF-8, is absent.
+func setString(c *RawValue, s string, maxBytes int) {
+	if len(s) <= maxBytes && utf8.ValidString(s) {
+		c.Str, c.Present = s, true
 	}
 }
 
-// Cost is what the evaluation has cost, in steps.
+// Cost returns the cost of the evaluation so far, in steps.
 func (f *Frame) Cost() int64 { return f.cost }
 
-// since is what was appended to buf from at on, as a string.
-func (f *Frame) since(at int) string {
-	if at == len(f.buf) {
+// builtString returns what was appended to buf from start on, as a string.
+func (f *Frame) builtString(start int) string {
+	if start == len(f.buf) {
 		return ""
 	}
-	return unsafe.String(&f.buf[at], len(f.buf)-at)
+	return unsafe.String(&f.buf[start], len(f.buf)-start)
 }
 
-// zone works the time of day and the date at a place out, once for a request.
-func (f *Frame) zone(i int) *zoneTime {
+// localTime returns the time of day and the date in zone i, computed once per request.
+func (f *Frame) localTime(i int) *zoneTime {
 	z := &f.zones[i]
-	if z.turn != f.turn {
+	if z.generation != f.generation {
 		now := f.now.Unix()
-		if now < z.from || now >= z.until {
-			z.ask(f.now.In(f.set.zones[i].loc))
+		if now < z.validFrom || now >= z.validUntil {
+			z.loadOffset(f.now.In(f.set.zones[i].loc))
 		}
 		local := now + z.offset
 		days := local / 86400
 		if local%86400 < 0 {
 			days--
 		}
-		z.turn = f.turn
-		z.date = onDate(days)
+		z.generation = f.generation
+		z.date = clampDate(days)
 		z.clock = (local-days*86400)*int64(time.Second) + int64(f.now.Nanosecond())
 	}
 	return z
 }
 
-// ask learns the offset that holds at t.
-func (z *zoneTime) ask(t time.Time) {
+// loadOffset looks up the offset that holds at t.
+func (z *zoneTime) loadOffset(t time.Time) {
 	_, offset := t.Zone()
-	z.offset, z.from, z.until = int64(offset), math.MinInt64, math.MaxInt64
-	from, until := t.ZoneBounds()
-	if !from.IsZero() {
-		z.from = from.Unix()
+	z.offset, z.validFrom, z.validUntil = int64(offset), math.MinInt64, math.MaxInt64
+	validFrom, validUntil := t.ZoneBounds()
+	if !validFrom.IsZero() {
+		z.validFrom = validFrom.Unix()
 	}
-	if !until.IsZero() {
-		z.until = until.Unix()
+	if !validUntil.IsZero() {
+		z.validUntil = validUntil.Unix()
 	}
 }
