--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -53,20 +53,20 @@
 	defer func() {
 		if p := recover(); p != nil {
 			delete(instances, r.Instance)
-			enc.BailOut(r.Instance, fmt.Sprint("panic: ", p))
+			enc.InstanceFailed(r.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch r.Kind {
-	case wire.KindUp:
-		settings, err := config.ParseSettings(r.Params)
+	case wire.KindStart:
+		settings, err := config.ParseSettings(r.SettingsJSON)
 		if err == nil {
 			instances[r.Instance], err = control.New(settings, r.Seed)
 		}
 		if err != nil {
 			delete(instances, r.Instance)
-			enc.BailOut(r.Instance, err.Error())
+			enc.InstanceFailed(r.Instance, err.Error())
 		}
-	case wire.KindDestroy:
+	case wire.KindKill:
 		delete(instances, r.Instance)
 	case wire.KindEvent:
 		c := instances[r.Instance]
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -291,7 +291,7 @@
 	if err := p.check(); err != nil {
 		fault("settings", err)
 	}
-	c.Names = directory.Names{Zones: p.Zones, Kinds: p.Kinds}
+	c.Names = directory.Names{Zones: p.Zones, MachineKinds: p.Kinds}
 	for i, l := range p.Lanes {
 		if err := className(l.Name, c.Classes); err != nil {
 			fault(fmt.Sprintf("settings.lanes[%d].name", i), err)
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -206,7 +206,7 @@
 func (c *Config) eachNode(do func(control.Entry)) {
 	var order []control.ServerID
 	nodes := map[control.ServerID]control.Entry{}
-	directory.Apply(c.Known, c.Names, func(ch directory.Change) {
+	directory.Replay(c.Known, c.Names, func(ch directory.Change) {
 		if ch.Full {
 			clear(nodes)
 		}
--- a/internal/directory/answers.go
+++ b/internal/directory/answers.go
@@ -73,9 +73,9 @@
 	var op *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Silent{addr, wait}
+		return &TimeoutError{addr, wait}
 	case errors.As(err, &op), err == io.EOF:
-		return &Closed{addr, err}
+		return &ConnClosedError{addr, err}
 	}
-	return &Spoilt{addr, maxPoll, err}
+	return &ResponseError{addr, maxPoll, err}
 }
--- a/internal/directory/coordinator.go
+++ b/internal/directory/coordinator.go
@@ -42,14 +42,14 @@
 type endpoints struct {
 	Complete bool `json:"complete"`
 	Members  []struct {
-		ID       string  `json:"id"`
-		HostPort string  `json:"host_port"`
-		Locality string  `json:"locality"`
-		Flavor   string  `json:"flavor"`
-		Cell     int     `json:"cell"`
-		Phase    string  `json:"phase"`
-		Size     float64 `json:"size"`
-		UpSince  int64   `json:"up_since_ms"`
+		ID        string  `json:"id"`
+		HostPort  string  `json:"host_port"`
+		Locality  string  `json:"locality"`
+		Flavor    string  `json:"flavor"`
+		Cell      int     `json:"cell"`
+		Phase     string  `json:"phase"`
+		Size      float64 `json:"size"`
+		UpSinceMS int64   `json:"up_since_ms"`
 	} `json:"members"`
 }
 
@@ -57,7 +57,7 @@
 func ParseUpdates(text []byte) (Updates, error) {
 	var u Updates
 	if err := json.Unmarshal(text, &u); err != nil {
-		return u, &Faulty{Err: err}
+		return u, &UpdateError{Err: err}
 	}
 	for _, e := range u.Updates {
 		if err := e.Endpoints.check(e.Index); err != nil {
@@ -77,11 +77,11 @@
 		_, _, err := net.SplitHostPort(m.HostPort)
 		switch {
 		case m.ID == "":
-			return &Faulty{number, i, "id", errors.New("missing")}
+			return &UpdateError{number, i, "id", errors.New("missing")}
 		case m.Phase != inService && m.Phase != terminating && m.Phase != terminated:
-			return &Faulty{number, i, "phase", fmt.Errorf("%q", m.Phase)}
+			return &UpdateError{number, i, "phase", fmt.Errorf("%q", m.Phase)}
 		case m.Phase != terminated && err != nil:
-			return &Faulty{number, i, "host_port", err}
+			return &UpdateError{number, i, "host_port", err}
 		}
 	}
 	return nil
@@ -91,8 +91,8 @@
 	c := Change{Full: e.Complete}
 	for _, m := range e.Members {
 		entry := control.Entry{
-			Server: ServerOf(m.ID), Cell: m.Cell, Weight: m.Size,
-			Zone: index(names.Zones, m.Locality), MachineKind: index(names.Kinds, m.Flavor),
+			Server: ServerIDOf(m.ID), Cell: m.Cell, Weight: m.Size,
+			Zone: index(names.Zones, m.Locality), MachineKind: index(names.MachineKinds, m.Flavor),
 		}
 		switch m.Phase {
 		case inService:
@@ -103,37 +103,37 @@
 			entry.State = control.Gone
 		}
 		member := Member{Entry: entry, ID: m.ID, Addr: m.HostPort}
-		if m.UpSince > 0 {
-			member.Up = time.UnixMilli(m.UpSince)
-			member.StartedAtS = float64(m.UpSince) / 1000
+		if m.UpSinceMS > 0 {
+			member.StartedAt = time.UnixMilli(m.UpSinceMS)
+			member.StartedAtS = float64(m.UpSinceMS) / 1000
 		}
 		c.Members = append(c.Members, member)
 	}
 	return c
 }
 
-// Coordinator follows the coordinator's events, one after the other. It is the
+// CoordinatorClient follows the coordinator's events, one after the other. It is the
 // only one to tell the sink.
-type Coordinator struct {
-	Names Names
-	Sink  Sink
-	Log   *zap.Logger
-	Heard func(asked time.Time) // told of each answer, after the sink, with when it was asked for; nil: nobody
-	moved chan string           // the address to follow from now on
-	again chan struct{}         // a poll is to be made at once
-	last  uint64                // number of the last event that was told
-	told  int                   // answers that were applied
+type CoordinatorClient struct {
+	Names      Names
+	Sink       Sink
+	Log        *zap.Logger
+	OnResponse func(asked time.Time) // told of each answer, after the sink, with when it was asked for; nil: nobody
+	moved      chan string           // the address to follow from now on
+	again      chan struct{}         // a poll is to be made at once
+	last       uint64                // number of the last event that was told
+	told       int                   // answers that were applied
 }
 
-// NewCoordinator returns a Coordinator that has told what is known at the start.
-func NewCoordinator(known Updates, names Names, sink Sink, log *zap.Logger) *Coordinator {
-	c := &Coordinator{Names: names, Sink: sink, Log: log, moved: make(chan string, 1), again: make(chan struct{}, 1)}
+// NewCoordinatorClient returns a Coordinator that has told what is known at the start.
+func NewCoordinatorClient(known Updates, names Names, sink Sink, log *zap.Logger) *CoordinatorClient {
+	c := &CoordinatorClient{Names: names, Sink: sink, Log: log, moved: make(chan string, 1), again: make(chan struct{}, 1)}
 	c.apply(known)
 	return c
 }
 
-// Follow has Run go on at another address. The numbers continue there.
-func (c *Coordinator) Follow(addr string) {
+// SetAddr has Run go on at another address. The numbers continue there.
+func (c *CoordinatorClient) SetAddr(addr string) {
 	for {
 		select {
 		case c.moved <- addr:
@@ -143,19 +143,19 @@
 	}
 }
 
-// Ask has Run ask at once, on a new connection, and not wait for news there: what the
+// PollNow has Run ask at once, on a new connection, and not wait for news there: what the
 // one that is held open would bring may be old.
-func (c *Coordinator) Ask() {
+func (c *CoordinatorClient) PollNow() {
 	select {
 	case c.again <- struct{}{}:
 	default: // one is to be made already
 	}
 }
 
-func (c *Coordinator) apply(u Updates) { c.last = u.tell(c.last, c.Names, c.Sink) }
+func (c *CoordinatorClient) apply(u Updates) { c.last = u.tell(c.last, c.Names, c.Sink) }
 
-// Apply tells sink of all events, as one who follows from the start hears them.
-func Apply(u Updates, names Names, sink Sink) { u.tell(0, names, sink) }
+// Replay tells sink of all events, as one who follows from the start hears them.
+func Replay(u Updates, names Names, sink Sink) { u.tell(0, names, sink) }
 
 // tell tells sink of the events after last, and returns the number of the last one.
 //
@@ -180,7 +180,7 @@
 // Run polls at the address that Follow last named until ctx ends. A connection
 // that breaks or falls silent is replaced at once: what the coordinator holds
 // counts as told either way.
-func (c *Coordinator) Run(ctx context.Context) error {
+func (c *CoordinatorClient) Run(ctx context.Context) error {
 	addr, wait := "", pollWait
 	select {
 	case <-c.again: // asked for before the first poll
@@ -219,14 +219,14 @@
 // poll asks at one address until ctx ends. At first the coordinator may hold the poll
 // for as long as wait: what is asked at once is not forgotten over a connection that
 // breaks.
-func (c *Coordinator) poll(ctx context.Context, addr string, wait time.Duration) {
+func (c *CoordinatorClient) poll(ctx context.Context, addr string, wait time.Duration) {
 	for ctx.Err() == nil {
 		before, told := c.last, c.told
 		err := c.follow(ctx, addr, wait)
 		if err != nil && ctx.Err() == nil {
 			c.Log.Warn("coordinator", remedy.Fields(err)...)
 		}
-		if c.told > told || errors.As(err, new(*Silent)) { // it may be too slow to answer at once
+		if c.told > told || errors.As(err, new(*TimeoutError)) { // it may be too slow to answer at once
 			wait = pollWait
 		}
 		if c.last > before {
@@ -245,10 +245,10 @@
 // net/http reads the answers and no more: its client would bring goroutines of its
 // own, and would repeat a poll on a broken connection within the deadline of the
 // first one.
-func (c *Coordinator) follow(ctx context.Context, addr string, wait time.Duration) error {
+func (c *CoordinatorClient) follow(ctx context.Context, addr string, wait time.Duration) error {
 	conn, err := (&net.Dialer{Timeout: dialTime}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return &Unreachable{addr, err}
+		return &UnreachableError{addr, err}
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -259,7 +259,7 @@
 			c.last, wait.Milliseconds(), addr)
 		asked := time.Now()
 		if err := conn.SetDeadline(asked.Add(wait + pollSlack)); err != nil {
-			return &Closed{addr, err}
+			return &ConnClosedError{addr, err}
 		}
 		if _, err := conn.Write(req); err != nil {
 			return broken(addr, wait, err)
@@ -269,7 +269,7 @@
 			return broken(addr, wait, err)
 		}
 		if status != http.StatusOK {
-			return &Status{addr, status}
+			return &StatusError{addr, status}
 		}
 		u, err := ParseUpdates(text)
 		if err != nil {
@@ -278,8 +278,8 @@
 		before := c.last
 		c.apply(u)
 		c.told++
-		if c.Heard != nil {
-			c.Heard(asked)
+		if c.OnResponse != nil {
+			c.OnResponse(asked)
 		}
 		// Guard: one that does not hold polls is not asked without a pause.
 		if last || c.last == before && time.Since(asked) < wait/2 {
--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -68,10 +68,12 @@
 	return fmt.Sprintf(`{"index":%d,"updates":[{"index":%d,"endpoints":{"members":[{"id":"a","host_port":"h:%d","phase":"in_service"}]}}]}`, number, number, port)
 }
 
-func quiet(sink Sink) *Coordinator { return NewCoordinator(Updates{}, names, sink, zap.NewNop()) }
+func quiet(sink Sink) *CoordinatorClient {
+	return NewCoordinatorClient(Updates{}, names, sink, zap.NewNop())
+}
 
 // What ends a poll is told as what it is.
-func TestPollFaults(t *testing.T) {
+func TestPollErrors(t *testing.T) {
 	long := strings.Repeat("x", maxPoll+1)
 	for code, answers := range map[string][]string{
 		"list-closed": {"", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{|", "HTTP/1.1 2|"},
@@ -104,7 +106,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	var gone *Unreachable
+	var gone *UnreachableError
 	if err := quiet(nil).follow(t.Context(), l.Addr().String(), 0); !errors.As(err, &gone) || gone.Addr != l.Addr().String() {
 		t.Error(err)
 	}
@@ -135,7 +137,7 @@
 }
 
 // All forms of an answer are read, at whatever places it is cut.
-func TestAnswers(t *testing.T) {
+func TestResponseReader(t *testing.T) {
 	whole := ok("abc") + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\ncontent-length: " + fmt.Sprint(maxPoll) + "\r\n\r\n" + strings.Repeat("x", maxPoll) +
 		"HTTP/1.0 404 Not Found\r\n\r\nno"
@@ -151,7 +153,7 @@
 }
 
 // A poll that is held ends with its context, however long it may be held.
-func TestHeldPollEnds(t *testing.T) {
+func TestPollEndsWithContext(t *testing.T) {
 	asked, release := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	addr := scripted(t, func(int, int, string) string {
@@ -173,7 +175,7 @@
 
 // Run asks on after each break, with the number of the last event, on a new
 // connection; so it does when told to, and at another address.
-func TestRunGoesOn(t *testing.T) {
+func TestRunReconnects(t *testing.T) {
 	type poll struct {
 		place  string
 		conn   int
@@ -199,7 +201,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	c := quiet(func(Change) {})
 	heard := make(chan time.Time, 10)
-	c.Heard = func(asked time.Time) { heard <- asked }
+	c.OnResponse = func(asked time.Time) { heard <- asked }
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
 	expect := func(place string, conn int, target string) {
@@ -213,20 +215,20 @@
 			t.Fatal("no poll")
 		}
 	}
-	c.Follow(place("one"))
+	c.SetAddr(place("one"))
 	expect("one", 1, "follow=0&wait_ms=2000")
 	expect("one", 1, "follow=1&wait_ms=2000")
 	expect("one", 2, "follow=1&wait_ms=2000") // after the break
 	if len(heard) != 1 {
 		t.Error("heard of", len(heard), "answers")
 	}
-	c.Ask()
+	c.PollNow()
 	expect("one", 3, "follow=1&wait_ms=0")
 	held <- struct{}{} // the one before, and
 	held <- struct{}{} // it break unanswered: what was asked at once still is
 	expect("one", 4, "follow=1&wait_ms=0")
-	c.Ask()
-	c.Follow(place("two"))
+	c.PollNow()
+	c.SetAddr(place("two"))
 	// Ask may be heard first, or anew. One who does not answer at once may just be slow.
 	first, held2s := poll{"two", 1, "/v2/stream?follow=1&wait_ms=0"}, false
 	for two := 0; !held2s; {
@@ -250,7 +252,7 @@
 }
 
 // Each event is told once, however the answers that bring them are numbered or cut.
-func TestEachEventIsTold(t *testing.T) {
+func TestEachUpdateDeliveredOnce(t *testing.T) {
 	at := func(number, port int) string {
 		return fmt.Sprintf(`{"index":%d,"endpoints":{"members":[{"id":"a","host_port":"h:%d","phase":"in_service"}]}}`, number, port)
 	}
@@ -290,7 +292,7 @@
 
 // An answer that is cut off at any byte tells nothing, whoever cuts it: the coordinator,
 // or an Ask or a move that comes when so much of it is here. The next one tells all of it.
-func TestAnswerCutAnywhere(t *testing.T) {
+func TestTruncatedResponse(t *testing.T) {
 	whole := ok(event(1, 1))
 	for n := range len(whole) {
 		told := 0
@@ -320,7 +322,7 @@
 
 // A coordinator that answers without waiting and without news is asked anew after a
 // pause: follow gives it up.
-func TestNoNewsAtOnce(t *testing.T) {
+func TestImmediateEmptyResponse(t *testing.T) {
 	var polls atomic.Int32
 	addr := scripted(t, func(int, int, string) string {
 		if polls.Add(1) > 2 {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -18,7 +18,7 @@
 
 const patience = 20 * time.Second
 
-var names = Names{Zones: []string{"east", "west"}, Kinds: []string{"std"}}
+var names = Names{Zones: []string{"east", "west"}, MachineKinds: []string{"std"}}
 
 func show(c Change) string {
 	var out []string
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	changes := make(chan Change, 10)
-	d := &DNSSD{Server: udp.LocalAddr().String(), Service: "_rtsp._tcp.Media.example.", Names: names,
+	d := &DNSSDClient{ServerAddr: udp.LocalAddr().String(), Service: "_rtsp._tcp.Media.example.", Names: names,
 		Sink: func(c Change) { changes <- c }, Log: zap.NewNop()}
 	expect := func(want string) {
 		t.Helper()
@@ -91,7 +91,7 @@
 // While the server says nothing, what it said stands until its TTL.
 func TestRecordsExpire(t *testing.T) {
 	var last Change
-	d := &DNSSD{known: map[string]instance{}, Sink: func(c Change) { last = c }}
+	d := &DNSSDClient{known: map[string]instance{}, Sink: func(c Change) { last = c }}
 	now := time.Now()
 	m := Member{ID: "a", Entry: control.Entry{State: control.Ready}}
 	d.apply(now, map[string]instance{"a": {m, now.Add(time.Minute)}}, true)
@@ -104,14 +104,14 @@
 	}
 }
 
-func TestBadTextNamesTheKey(t *testing.T) {
-	if _, err := (&DNSSD{}).member("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
+func TestTXTErrorNamesKey(t *testing.T) {
+	if _, err := (&DNSSDClient{}).member("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
 		t.Error(err)
 	}
 }
 
 // An answer with a fault in any of its events is no answer.
-func TestFaultyEvents(t *testing.T) {
+func TestParseUpdatesErrors(t *testing.T) {
 	const good = `{"index":2,"updates":[{"index":1,"endpoints":{"members":[{"id":"a","host_port":"h:1","phase":"in_service"}]}},` +
 		`{"index":2,"endpoints":{"members":[{"id":"b","phase":"terminated"}]}}]}`
 	if _, err := ParseUpdates([]byte(good)); err != nil {
@@ -125,16 +125,16 @@
 }
 
 // A whole list of one source removes nothing that another named.
-func TestSourcesShareTheList(t *testing.T) {
+func TestFullChangeKeepsOtherSources(t *testing.T) {
 	var got []string
 	l := NewList(func(c Change) { got = append(got, show(c)) })
 	member := func(id string) Member {
-		return Member{ID: id, Entry: control.Entry{Server: ServerOf(id), State: control.Ready}}
+		return Member{ID: id, Entry: control.Entry{Server: ServerIDOf(id), State: control.Ready}}
 	}
-	l.Source("one")(Change{Full: true, Members: []Member{member("a"), member("b")}})
-	l.Source("two")(Change{Full: true, Members: []Member{member("c")}})
-	l.Source("one")(Change{Full: true, Members: []Member{member("b")}})
-	l.Settle()
+	l.SinkFor("one")(Change{Full: true, Members: []Member{member("a"), member("b")}})
+	l.SinkFor("two")(Change{Full: true, Members: []Member{member("c")}})
+	l.SinkFor("one")(Change{Full: true, Members: []Member{member("b")}})
+	l.ProcessPending()
 	want := []string{"a  1 0 0 0 0; b  1 0 0 0 0", "c  1 0 0 0 0", "a  2 0 0 0 0; b  1 0 0 0 0"}
 	if !slices.Equal(got, want) {
 		t.Errorf("%q", got)
--- a/internal/directory/dns.go
+++ b/internal/directory/dns.go
@@ -43,10 +43,10 @@
 
 // ask sends one question over UDP, and over TCP if the answer is cut. It returns the
 // records of the answer and the additional section.
-func (d *DNSSD) ask(ctx context.Context, name string, kind dnsmessage.Type) ([]dnsmessage.Resource, error) {
+func (d *DNSSDClient) ask(ctx context.Context, name string, kind dnsmessage.Type) ([]dnsmessage.Resource, error) {
 	asked, err := dnsmessage.NewName(name + ".")
 	if err != nil {
-		return nil, &Instance{name, typeName(kind), err}
+		return nil, &InstanceError{name, typeName(kind), err}
 	}
 	q := dnsmessage.Message{
 		Header:    dnsmessage.Header{ID: uint16(rand.Uint32()), RecursionDesired: true},
@@ -54,13 +54,13 @@
 	}
 	b, err := q.AppendPack(make([]byte, 2, 512))
 	if err != nil {
-		return nil, &Instance{name, typeName(kind), err}
+		return nil, &InstanceError{name, typeName(kind), err}
 	}
 	binary.BigEndian.PutUint16(b, uint16(len(b)-2))
 	for _, network := range []string{"udp", "tcp"} {
 		m, err := d.exchange(ctx, network, b, &q)
 		if err != nil {
-			return nil, &NoAnswer{d.Server, network, name, 0, err}
+			return nil, &DNSQueryError{d.ServerAddr, network, name, 0, err}
 		}
 		switch {
 		case m.Truncated:
@@ -68,19 +68,19 @@
 		case m.RCode == dnsmessage.RCodeNameError: // there are no records
 			return nil, nil
 		case m.RCode != dnsmessage.RCodeSuccess:
-			return nil, &NoAnswer{d.Server, network, name, int(m.RCode), nil}
+			return nil, &DNSQueryError{d.ServerAddr, network, name, int(m.RCode), nil}
 		}
 		for _, err := range m.left {
-			d.Log.Warn("dns-sd", remedy.Fields(&Unreadable{name, typeName(kind), err})...)
+			d.Log.Warn("dns-sd", remedy.Fields(&RecordError{name, typeName(kind), err})...)
 		}
 		return m.records, nil
 	}
-	return nil, &NoAnswer{d.Server, "tcp", name, 0, errCut}
+	return nil, &DNSQueryError{d.ServerAddr, "tcp", name, 0, errCut}
 }
 
 // exchange sends a question, with its length before it, and waits for the answer.
-func (d *DNSSD) exchange(ctx context.Context, network string, b []byte, q *dnsmessage.Message) (reply, error) {
-	conn, err := (&net.Dialer{Timeout: queryTime}).DialContext(ctx, network, d.Server)
+func (d *DNSSDClient) exchange(ctx context.Context, network string, b []byte, q *dnsmessage.Message) (reply, error) {
+	conn, err := (&net.Dialer{Timeout: queryTime}).DialContext(ctx, network, d.ServerAddr)
 	if err != nil {
 		return reply{}, err
 	}
--- a/internal/directory/dns_test.go
+++ b/internal/directory/dns_test.go
@@ -24,7 +24,7 @@
 
 // What can be read of an answer is used: names that point back, in any case, without
 // the authorities. A name with a dot within a label is left out alone.
-func TestReply(t *testing.T) {
+func TestParseDNSResponse(t *testing.T) {
 	dotted := "\xc0\x0c\x00\x0c" + in + "\x00\x06\x03b.c\xc0\x0e"
 	owner := "\x03b.c\xc0\x0e\x00\x0c" + in + "\x00\x02\xc0\x0c"
 	text := head("\x80\x00", "\x02", "\x01", "\x02") + dotted + ptr + ptr + owner + ptr
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestNoReply(t *testing.T) {
+func TestParseDNSResponseErrors(t *testing.T) {
 	whole := head("\x80\x00", "\x01", "\x00", "\x00") + ptr
 	for cut := range len(whole) {
 		if m, err := parseReply([]byte(whole[:cut]), &asked); err == nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func FuzzReply(f *testing.F) {
+func FuzzParseDNSResponse(f *testing.F) {
 	f.Add([]byte(head("\x80\x00", "\x01", "\x00", "\x00") + ptr))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		keep := bytes.Clone(in)
--- a/internal/directory/dnssd.go
+++ b/internal/directory/dnssd.go
@@ -21,16 +21,16 @@
 	mostTTL  = 60 * time.Second // so that a removal is not missed for long
 )
 
-// DNSSD finds media nodes by DNS service discovery (RFC 6763): PTR records
+// DNSSDClient finds media nodes by DNS service discovery (RFC 6763): PTR records
 // name the instances of a service, SRV their addresses, and TXT, in the keys
 // zone, kind, cell, size, state and up, what the list says of them. It is the
 // list's actor where there is no coordinator.
-type DNSSD struct {
-	Server  string // address of the DNS server
-	Service string
-	Names   Names
-	Sink    Sink
-	Log     *zap.Logger
+type DNSSDClient struct {
+	ServerAddr string // address of the DNS server
+	Service    string
+	Names      Names
+	Sink       Sink
+	Log        *zap.Logger
 
 	known map[string]instance
 }
@@ -42,7 +42,7 @@
 }
 
 // Run looks until ctx ends, again each time the shortest TTL runs out.
-func (d *DNSSD) Run(ctx context.Context) error {
+func (d *DNSSDClient) Run(ctx context.Context) error {
 	d.known = make(map[string]instance)
 	for {
 		now := time.Now()
@@ -67,7 +67,7 @@
 }
 
 // apply tells the sink what has changed. Whole: what was not found is removed.
-func (d *DNSSD) apply(now time.Time, found map[string]instance, whole bool) {
+func (d *DNSSDClient) apply(now time.Time, found map[string]instance, whole bool) {
 	var c Change
 	for name, i := range d.known {
 		if _, ok := found[name]; !ok && (whole || now.After(i.expires)) {
@@ -88,7 +88,7 @@
 }
 
 // browse asks for the service's instances and for each one's records.
-func (d *DNSSD) browse(ctx context.Context) (map[string]instance, time.Duration, error) {
+func (d *DNSSDClient) browse(ctx context.Context) (map[string]instance, time.Duration, error) {
 	service := lower(strings.TrimSuffix(d.Service, "."))
 	records, err := d.ask(ctx, service, dnsmessage.TypePTR)
 	if err != nil {
@@ -103,7 +103,7 @@
 		name := key(ptr.PTR)
 		i, ttl, err := d.resolve(ctx, name, records)
 		if err != nil {
-			if silent := (*NoAnswer)(nil); ctx.Err() != nil || errors.As(err, &silent) {
+			if silent := (*DNSQueryError)(nil); ctx.Err() != nil || errors.As(err, &silent) {
 				return nil, 0, err
 			}
 			d.Log.Warn("dns-sd", remedy.Fields(err)...)
@@ -123,7 +123,7 @@
 
 // resolve finds an instance's records, among those that came along or by
 // asking for them.
-func (d *DNSSD) resolve(ctx context.Context, name string, came []dnsmessage.Resource) (i instance, ttl time.Duration, err error) {
+func (d *DNSSDClient) resolve(ctx context.Context, name string, came []dnsmessage.Resource) (i instance, ttl time.Duration, err error) {
 	place, err := d.find(ctx, name, dnsmessage.TypeSRV, came)
 	if err != nil {
 		return i, 0, err
@@ -157,7 +157,7 @@
 
 // find returns a name's record of a type, whose body is that type's. Of SRV records
 // it is the one that goes first.
-func (d *DNSSD) find(ctx context.Context, name string, kind dnsmessage.Type, came []dnsmessage.Resource) (dnsmessage.Resource, error) {
+func (d *DNSSDClient) find(ctx context.Context, name string, kind dnsmessage.Type, came []dnsmessage.Resource) (dnsmessage.Resource, error) {
 	rank := func(r dnsmessage.Resource) uint16 {
 		if srv, ok := r.Body.(*dnsmessage.SRVResource); ok {
 			return srv.Priority
@@ -182,12 +182,12 @@
 	if r, ok := pick(list); ok {
 		return r, nil
 	}
-	return dnsmessage.Resource{}, &Instance{name, typeName(kind), errNoRecord}
+	return dnsmessage.Resource{}, &InstanceError{name, typeName(kind), errNoRecord}
 }
 
 // member reads the TXT keys. Keys are taken whatever their case; the first of
 // a name counts (RFC 6763, section 6.4).
-func (d *DNSSD) member(name string, text []string) (Member, error) {
+func (d *DNSSDClient) member(name string, text []string) (Member, error) {
 	keys := make(map[string]string)
 	for _, t := range text {
 		k, v, _ := strings.Cut(t, "=")
@@ -198,8 +198,8 @@
 		}
 	}
 	m := Member{ID: name, Entry: control.Entry{
-		Server: ServerOf(name), State: control.Ready, Weight: 1,
-		Zone: index(d.Names.Zones, keys["zone"]), MachineKind: index(d.Names.Kinds, keys["kind"]),
+		Server: ServerIDOf(name), State: control.Ready, Weight: 1,
+		Zone: index(d.Names.Zones, keys["zone"]), MachineKind: index(d.Names.MachineKinds, keys["kind"]),
 	}}
 	if keys["state"] == "draining" {
 		m.State = control.Draining
@@ -209,7 +209,7 @@
 		if v, ok := keys[key]; ok {
 			f, bad := strconv.ParseFloat(v, 64)
 			if bad != nil || !(f >= 0 && f < 1e15) {
-				err = &Instance{name, "TXT key " + key, fmt.Errorf("%q is no number", v)}
+				err = &InstanceError{name, "TXT key " + key, fmt.Errorf("%q is no number", v)}
 				return
 			}
 			set(f)
@@ -218,7 +218,7 @@
 	number("cell", func(v float64) { m.Cell = int(v) })
 	number("size", func(v float64) { m.Weight = v })
 	number("up", func(v float64) {
-		m.Up, m.StartedAtS = time.UnixMilli(int64(v)), v/1000
+		m.StartedAt, m.StartedAtS = time.UnixMilli(int64(v)), v/1000
 	})
 	return m, err
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -36,16 +36,16 @@
 	return &List{sink: sink, box: mailbox.New[news](listBox), owner: make(map[control.ServerID]owned)}
 }
 
-// Source returns where a source of that name posts its changes.
-func (l *List) Source(name string) Sink {
+// SinkFor returns where a source of that name posts its changes.
+func (l *List) SinkFor(name string) Sink {
 	return func(c Change) { l.box.Force(news{source: name, change: c}) }
 }
 
-// After runs do once all that has been posted so far is told.
-func (l *List) After(do func()) { l.box.Force(news{then: do}) }
+// AfterPending runs do once all that has been posted so far is told.
+func (l *List) AfterPending(do func()) { l.box.Force(news{then: do}) }
 
-// Settle tells what has been posted so far. It is for the start, before Run.
-func (l *List) Settle() {
+// ProcessPending tells what has been posted so far. It is for the start, before Run.
+func (l *List) ProcessPending() {
 	for _, n := range l.box.Take(nil) {
 		l.apply(n)
 	}
@@ -58,7 +58,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-l.box.Ready():
-			l.Settle()
+			l.ProcessPending()
 		}
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -99,7 +99,7 @@
 	// The broker and the pool refer to each other. The broker processes nothing
 	// before its Run is called, so the pool can be created first.
 	var sessionBroker *broker.Broker
-	var coordinator *directory.Coordinator
+	var coordinator *directory.CoordinatorClient
 	pool := media.NewPool(ctx, group, media.Config{
 		ClassNames: cfg.Classes, LoadFields: cfg.Settings.LoadFields,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
@@ -109,7 +109,7 @@
 		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
-			coordinator.Ask()
+			coordinator.PollNow()
 			sessionBroker.ProcessPaused(d)
 		},
 	})
@@ -123,22 +123,22 @@
 		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
 		sessionBroker.UpdateList(brokerList(c))
 	}))
-	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
-	coordinator.Heard = func(requested time.Time) {
-		nodeList.After(func() {
+	coordinator = directory.NewCoordinatorClient(cfg.Known, cfg.Names, nodeList.SinkFor("coordinator"), log)
+	coordinator.OnResponse = func(requested time.Time) {
+		nodeList.AfterPending(func() {
 			pool.ListRefreshed(requested)
 			service.noteCoordinatorAnswer()
 		})
 	}
-	coordinator.Follow(cfg.Coordinator)
+	coordinator.SetAddr(cfg.Coordinator)
 	if service != nil {
-		coordinator.Ask() // readiness waits for the first answer, which must not wait for a change of the list
+		coordinator.PollNow() // readiness waits for the first answer, which must not wait for a change of the list
 	}
 	service.restoreOverrides()
-	nodeList.Settle()
+	nodeList.ProcessPending()
 	if d := cfg.Operator.DNSSD; d != nil {
-		discovery := &directory.DNSSD{
-			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodeList.Source("dns-sd"),
+		discovery := &directory.DNSSDClient{
+			ServerAddr: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodeList.SinkFor("dns-sd"),
 		}
 		group.Go(func() error { return discovery.Run(ctx) })
 	}
@@ -197,7 +197,7 @@
 				logReloadError(err, log)
 				continue
 			}
-			coordinator.Follow(next.Coordinator)
+			coordinator.SetAddr(next.Coordinator)
 			routes.Swap(next.Operator.Routes)
 			logReloaded(&next, log)
 		}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -52,18 +52,18 @@
 type Kind int
 
 const (
-	KindEvent   Kind = iota // Event is for the instance's Controller
-	KindUp                  // the instance starts: Seed, Params
-	KindDestroy             // the instance is killed
+	KindEvent Kind = iota // Event is for the instance's Controller
+	KindStart             // the instance starts: Seed, Params
+	KindKill              // the instance is killed
 )
 
 // Record is one decoded record of a batch.
 type Record struct {
-	Kind     Kind
-	Instance uint16
-	Seed     uint64
-	Params   []byte
-	Event    control.Event
+	Kind         Kind
+	Instance     uint16
+	Seed         uint64
+	SettingsJSON []byte
+	Event        control.Event
 }
 
 // Batch is one decoded frame.
@@ -225,11 +225,11 @@
 	e := &rec.Event
 	switch code {
 	case codeUp:
-		rec.Kind = KindUp
+		rec.Kind = KindStart
 		rec.Seed = f.u64()
-		rec.Params = f.bytes(int(f.u32()))
+		rec.SettingsJSON = f.bytes(int(f.u32()))
 	case codeDestroy:
-		rec.Kind = KindDestroy
+		rec.Kind = KindKill
 	case codeView:
 		e.Kind = control.EventList
 		list := f.u8()
@@ -382,8 +382,8 @@
 	e.buf = binary.LittleEndian.AppendUint16(e.buf, uint16(s))
 }
 
-// BailOut adds the word that an instance's decision code has failed.
-func (e *Encoder) BailOut(instance uint16, text string) {
+// InstanceFailed adds the word that an instance's decision code has failed.
+func (e *Encoder) InstanceFailed(instance uint16, text string) {
 	at := e.open(codeBailOut, instance)
 	e.text([]byte(text))
 	e.close(at)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -102,7 +102,7 @@
 	return append(b, body...)
 }
 
-func TestServersRoundTrip(t *testing.T) {
+func TestServerListRoundTrip(t *testing.T) {
 	census := unhex(t, `0d 35000000 00 02000000
 		01 0100 0000 0000000000000000 0a124a07 931f 00 0000803f
 		00 0200 0100 6666666666661840 0a9011f2 bc1f 01 0000c03f`)
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	good := unhex(t, goldenBatch)
 	long := append([]byte(nil), good...)
 	binary.LittleEndian.PutUint32(long[12:], 1<<29)
@@ -146,7 +146,7 @@
 		}
 	}
 	b, err := NewDecoder(bytes.NewReader(frame([]byte{99, 1, 0, 0, 0, 7}, []byte{9, 2, 0, 0, 0, 4, 0}, []byte{10, 2, 0, 0, 0, 4, 0}))).Next()
-	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindDestroy {
+	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindKill {
 		t.Errorf("an unknown code is not skipped: %+v, %v", b, err)
 	}
 }
