--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -14,14 +14,14 @@
 )
 
 func main() {
-	if err := host(os.Stdin, os.Stdout); err != nil {
+	if err := serveBatches(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// host answers batches until the input ends. Instances share nothing.
-func host(in io.Reader, out io.Writer) error {
+// serveBatches answers batches until the input ends. Instances share nothing.
+func serveBatches(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	buffered := bufio.NewWriterSize(out, 1<<16)
 	enc := wire.NewEncoder(buffered)
@@ -36,7 +36,7 @@
 		}
 		enc.Begin(batch.Seq)
 		for i := range batch.Records {
-			serve(instances, enc, batch.Now, &batch.Records[i])
+			handleRecord(instances, enc, batch.Now, &batch.Records[i])
 		}
 		if err := enc.Flush(); err != nil {
 			return err
@@ -47,9 +47,9 @@
 	}
 }
 
-// serve passes one record to its instance. A panic there is that instance's
+// handleRecord passes one record to its instance. A panic there is that instance's
 // fault alone, and is told in its name.
-func serve(instances map[uint16]*control.Controller, enc *wire.Encoder, now float64, r *wire.Record) {
+func handleRecord(instances map[uint16]*control.Controller, enc *wire.Encoder, now float64, r *wire.Record) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(instances, r.Instance)
--- a/internal/directory/fault.go
+++ b/internal/directory/fault.go
@@ -48,7 +48,7 @@
 }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("coordinator %s: no answer within %v to a poll held for up to %v", e.Addr, e.MaxWait+pollSlack, e.MaxWait)
+	return fmt.Sprintf("coordinator %s: no answer within %v to a poll held for up to %v", e.Addr, e.MaxWait+responseMargin, e.MaxWait)
 }
 
 // Code is the page's name for it.
