--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts instances of the decision module on the bench's wire:
-// batches of events on standard input, one reply for each on standard output.
+// Command wirehost hosts instances of the decision module for the simulator: it reads batches
+// of events from standard input and writes one reply for each to standard output.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	}
 }
 
-// serveBatches answers batches until the input ends. Instances share nothing.
+// serveBatches replies to batches until the input ends. Instances share no state.
 func serveBatches(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	buffered := bufio.NewWriterSize(out, 1<<16)
@@ -47,8 +47,8 @@
 	}
 }
 
-// handleRecord passes one record to its instance. A panic there is that instance's
-// fault alone, and is told in its name.
+// handleRecord passes one record to its instance. A panic there ends that instance only, and
+// is reported as its failure.
 func handleRecord(instances map[uint16]*control.Controller, enc *wire.Encoder, now float64, r *wire.Record) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// batch returns a frame with these records.
 func batch(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := make([]byte, 20, 20+len(body))
@@ -15,26 +16,28 @@
 	return append(b, body...)
 }
 
-func up(params string) []byte {
+// startRecord returns a record that starts an instance.
+func startRecord(settings string) []byte {
 	fields := make([]byte, 14)
-	binary.LittleEndian.PutUint32(fields[10:], uint32(len(params)))
-	fields = append(fields, params...)
+	binary.LittleEndian.PutUint32(fields[10:], uint32(len(settings)))
+	fields = append(fields, settings...)
 	return append(binary.LittleEndian.AppendUint32([]byte{1}, uint32(len(fields))), fields...)
 }
 
-func TestHost(t *testing.T) {
+// Invalid settings are reported in the reply and don't end the program; a truncated frame does.
+func TestServeBatches(t *testing.T) {
 	for _, e := range []struct {
-		name, params, want string
+		name, settings, want string
 	}{
 		{"no classes", `{"balancers": 1}`, "Classes"},
-		{"no JSON", `{`, "settings"},
+		{"invalid JSON", `{`, "settings"},
 	} {
 		var out bytes.Buffer
-		if err := serveBatches(bytes.NewReader(batch(up(e.params))), &out); err != nil {
+		if err := serveBatches(bytes.NewReader(batch(startRecord(e.settings))), &out); err != nil {
 			t.Errorf("%s: %v", e.name, err)
 		}
 		if !strings.Contains(out.String(), e.want) || out.Bytes()[8] != 3 {
-			t.Errorf("%s: reply %q is no BailOut on %s", e.name, out.String(), e.want)
+			t.Errorf("%s: reply %q does not report that the instance failed over %s", e.name, out.String(), e.want)
 		}
 	}
 	var out bytes.Buffer
