--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,6 @@
-// Package wire is the codec of the bench's frames and of the settings that
-// come with an instance's start.
+// Package wire encodes and decodes the frames by which the simulator talks to instances of the
+// decision module: batches of records come in, and one reply goes out for each. Numbers are
+// little-endian, except a server's IPv4 address, which is big-endian.
 package wire
 
 import (
@@ -13,18 +14,20 @@
 	"millethinge/control"
 )
 
+// Lengths in bytes.
 const (
-	batchHeaderLen  = 20
-	replyHeaderLen  = 8
-	maxFrame        = 1 << 30 // larger frames are taken as a fault of the stream
-	listEntryLen    = 24
-	recordHeaderLen = 5
+	batchHeaderLen  = 20      // sequence number, time, size of the frame, number of records
+	replyHeaderLen  = 8       // sequence number, size of the frame
+	maxFrame        = 1 << 30 // a larger size means that the stream is corrupt
+	listEntryLen    = 24      // an entry of a server list
+	recordHeaderLen = 5       // code, length of the rest
 )
 
-// Codes of the records that are read.
+// Codes of records. Those from codeStart to codeListContents are received, those from
+// codeSubscribe to codeSetUp sent. maxLists is the number of server lists that can be defined.
 const (
 	codeStart          = 1
-	codeList           = 2
+	codeList           = 2 // an event that refers to a list defined by codeListContents
 	codeArrival        = 3
 	codeStarted        = 4
 	codeAttemptEnded   = 5
@@ -48,35 +51,37 @@
 	codeSetUp          = 14
 )
 
-// Kind tells the records that concern the adapter from those it passes on.
+// Kind says what a Record tells, and which of its fields are set.
 type Kind int
 
+// Kinds of records, with the fields that are set. Instance is always set.
 const (
-	KindEvent Kind = iota // Event is for the instance's Controller
-	KindStart             // the instance starts: Seed, Params
+	KindEvent Kind = iota // an event for the instance's Controller: Event
+	KindStart             // the instance starts: Seed, SettingsJSON
 	KindKill              // the instance is killed
 )
 
 // Record is one decoded record of a batch.
 type Record struct {
 	Kind         Kind
-	Instance     uint16
-	Seed         uint64
+	Instance     uint16 // number of the instance
+	Seed         uint64 // of the instance's random numbers
 	SettingsJSON []byte
 	Event        control.Event
 }
 
 // Batch is one decoded frame.
 type Batch struct {
-	Seq     uint32
-	Now     float64
-	Records []Record
+	Seq     uint32   // sequence number, repeated in the reply
+	Now     float64  // clock time, in s
+	Records []Record // without those that the decision module does not use
 }
 
-// ErrTruncated reports input that ends inside a frame.
+// ErrTruncated reports input that ends inside a frame, or a record that ends before its last
+// field.
 var ErrTruncated = errors.New("wire: truncated frame")
 
-// Decoder reads batches. It keeps the numbered server lists between them.
+// Decoder reads batches. It keeps the numbered server lists from one batch to the next.
 type Decoder struct {
 	r     *bufio.Reader
 	buf   []byte
@@ -101,7 +106,7 @@
 	frameSize := binary.LittleEndian.Uint32(head[12:])
 	count := binary.LittleEndian.Uint32(head[16:])
 	if frameSize < batchHeaderLen || frameSize > maxFrame {
-		return Batch{}, fmt.Errorf("wire: frame size %d", frameSize)
+		return Batch{}, fmt.Errorf("wire: invalid frame size %d", frameSize)
 	}
 	body, err := d.read(int(frameSize) - batchHeaderLen)
 	if err != nil {
@@ -117,7 +122,7 @@
 		}
 		size := binary.LittleEndian.Uint32(body[1:])
 		if uint64(size) > uint64(len(body)-recordHeaderLen) {
-			return Batch{}, fmt.Errorf("wire: record %d overruns its frame", i)
+			return Batch{}, fmt.Errorf("wire: record %d extends past the end of its frame", i)
 		}
 		rec, ok, err := d.decodeRecord(body[0], body[recordHeaderLen:recordHeaderLen+size])
 		if err != nil {
@@ -134,8 +139,8 @@
 	return b, nil
 }
 
-// read returns the next n bytes. It grows the buffer as bytes come in, so that
-// a false length can't make it allocate much more than was sent.
+// read returns the next n bytes. The buffer grows as bytes arrive, so that a false
+// length can't cause an allocation of much more than was sent.
 func (d *Decoder) read(n int) ([]byte, error) {
 	const maxStep = 1 << 20
 	d.buf = d.buf[:0]
@@ -150,13 +155,14 @@
 	return d.buf, nil
 }
 
-// fieldReader reads the fields of one record; past the end it notes an error and
-// yields zeros.
+// fieldReader reads the fields of one record. Past the end it returns zeros and sets
+// truncated.
 type fieldReader struct {
 	rest      []byte
 	truncated bool
 }
 
+// take returns n bytes. If fewer are left it returns up to 8 zeros, enough for any number.
 func (f *fieldReader) take(n int) []byte {
 	if n > len(f.rest) {
 		f.truncated = true
@@ -175,13 +181,14 @@
 func (f *fieldReader) f64() float64 { return math.Float64frombits(f.u64()) }
 func (f *fieldReader) f32() float64 { return float64(math.Float32frombits(f.u32())) }
 
+// server reads a server's address and port, which together are its ID.
 func (f *fieldReader) server() control.ServerID {
 	addr := f.take(4)
 	a := binary.BigEndian.Uint32(addr)
 	return control.ServerID(uint64(a)<<16 | uint64(f.u16()))
 }
 
-// bytes returns n bytes, or nothing when fewer are left.
+// bytes returns n bytes, or nil if fewer are left.
 func (f *fieldReader) bytes(n int) []byte {
 	if n > len(f.rest) {
 		f.truncated = true
@@ -190,6 +197,7 @@
 	return f.take(n)
 }
 
+// loadReport reads the values of a load report, nil if there are none.
 func (f *fieldReader) loadReport() []float64 {
 	count := int(f.u8())
 	if count == 0 || count*4 > len(f.rest) {
@@ -203,7 +211,8 @@
 	return values
 }
 
-// countOrInvalid turns a wire number into a count; what is no small number becomes -1.
+// countOrInvalid converts a number of the wire to a count. It returns -1 unless the number is
+// at least 0 and below 1<<30.
 func countOrInvalid(v float64) int {
 	if v >= 0 && v < 1<<30 {
 		return int(v)
@@ -211,8 +220,11 @@
 	return -1
 }
 
+// flagLengthKnown is set in a record whose expected length of the session is known.
 const flagLengthKnown = 1
 
+// decodeRecord decodes one record without its header. It reports false for a record that is
+// not passed on.
 func (d *Decoder) decodeRecord(code byte, b []byte) (Record, bool, error) {
 	f := &fieldReader{rest: b}
 	if code == codeListContents {
@@ -252,7 +264,7 @@
 		e.Session = control.SessionID(f.u64())
 		e.Class = int(f.u16())
 		e.Tenant = int(f.u16())
-		f.u64() // the viewer
+		f.u64() // viewer, not used
 		e.Title = f.u64()
 		e.TimeLeftS, e.ExpectedLengthS = f.f64(), f.f64()
 		e.HomeCell, e.Copies, e.MaxRung = countOrInvalid(f.f32()), countOrInvalid(f.f32()), f.f32()
@@ -261,24 +273,24 @@
 		e.Kind = control.EventEstablished
 		e.Session = control.SessionID(f.u64())
 		e.HomeCell = countOrInvalid(f.f32())
-		f.u16() // the tenant
+		f.u16() // tenant, not used
 		e.Title = f.u64()
 		e.Server = f.server()
 		flags := f.u16()
 		e.ExpectedLengthS, e.TimeLeftS = f.f64(), f.f64()
 		e.Class, e.Copies, e.MaxRung = int(f.u16()), countOrInvalid(f.f32()), f.f32()
-		f.u64() // the viewer
+		f.u64() // viewer, not used
 		applyFlags(e, flags)
 	case codeStarted:
 		e.Kind = control.EventStarted
 		e.Session, e.Server = control.SessionID(f.u64()), f.server()
-		f.f64() // how long ago it was sent
+		f.f64() // time since the set-up was sent, not used
 		e.Attempt = int(f.u8())
 	case codeAttemptEnded:
 		e.Kind = control.EventAttemptEnded
 		e.Session, e.Attempt = control.SessionID(f.u64()), int(f.u8())
 		e.Server, e.Status = f.server(), control.Status(f.u8())
-		f.f64() // how long ago it was sent
+		f.f64() // time since the attempt was sent, not used
 		e.RequestFinished, e.Load = f.u8() != 0, f.loadReport()
 	case codeAbandoned:
 		e.Kind = control.EventAbandoned
@@ -289,13 +301,13 @@
 	case codeProbeResult:
 		e.Kind = control.EventProbeResult
 		e.Server, e.Status = f.server(), control.Status(f.u8())
-		f.f64() // how long ago it was asked
+		f.f64() // time since the probe was sent, not used
 		e.Load = f.loadReport()
 	case codeNote:
 		e.Kind = control.EventNote
 		e.Session, e.Note = control.SessionID(f.u64()), control.NoteKind(f.u8())
 		e.Value, e.Server, e.Attempt = f.f32(), f.server(), int(f.u8())
-	default: // a message of another front, say: nothing here reads it
+	default: // not used here, such as a message from another manager
 		return Record{}, false, nil
 	}
 	if f.truncated {
@@ -304,12 +316,14 @@
 	return rec, true, nil
 }
 
+// applyFlags drops the expected length of a session if the flags say that it is unknown.
 func applyFlags(e *control.Event, flags uint16) {
 	if flags&flagLengthKnown == 0 {
 		e.ExpectedLengthS = 0
 	}
 }
 
+// decodeList reads the contents of a numbered server list.
 func (d *Decoder) decodeList(f *fieldReader) error {
 	list := f.u8()
 	n := int(f.u32())
@@ -349,13 +363,15 @@
 	e.buf = binary.LittleEndian.AppendUint32(e.buf, 0)
 }
 
-// Flush sends the reply in one write.
+// Flush completes the reply and writes it in one call.
 func (e *Encoder) Flush() error {
 	binary.LittleEndian.PutUint32(e.buf[4:], uint32(len(e.buf)))
 	_, err := e.w.Write(e.buf)
 	return err
 }
 
+// beginRecord adds the header of a record and the number of its instance. It returns where
+// the rest begins, for endRecord.
 func (e *Encoder) beginRecord(code byte, instance uint16) int {
 	e.buf = append(e.buf, code, 0, 0, 0, 0)
 	start := len(e.buf)
@@ -363,6 +379,7 @@
 	return start
 }
 
+// endRecord sets the length of the record whose rest begins at start.
 func (e *Encoder) endRecord(start int) {
 	binary.LittleEndian.PutUint32(e.buf[start-4:], uint32(len(e.buf)-start))
 }
@@ -377,12 +394,13 @@
 	e.buf = append(e.buf, b...)
 }
 
+// server adds a server's address and port.
 func (e *Encoder) server(s control.ServerID) {
 	e.buf = binary.BigEndian.AppendUint32(e.buf, uint32(s>>16))
 	e.buf = binary.LittleEndian.AppendUint16(e.buf, uint16(s))
 }
 
-// InstanceFailed adds the word that an instance's decision code has failed.
+// InstanceFailed adds a record that an instance's decision module has failed, with the reason.
 func (e *Encoder) InstanceFailed(instance uint16, text string) {
 	start := e.beginRecord(codeInstanceFailed, instance)
 	e.text([]byte(text))
@@ -419,6 +437,7 @@
 	e.endRecord(start)
 }
 
+// actionCodes holds the code of the record for each kind of action.
 var actionCodes = [...]byte{
 	control.ActionSetUp:     codeSetUp,
 	control.ActionSetRung:   codeSetRung,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,6 +14,7 @@
 	"millethinge/control"
 )
 
+// unhex decodes hexadecimal digits and ignores white space.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -23,6 +24,7 @@
 	return b
 }
 
+// goldenBatch holds an arrival, a timer and an abandoned set-up, as the simulator encodes them.
 const goldenBatch = `
 	0c000000 508d976e12d32040 6f000000 03000000
 	03 3c000000 0300 c4913a5d59380800 0000 0000 640ad2557c3bf091 107cf3d901648e2b
@@ -94,6 +96,7 @@
 	}
 }
 
+// frame returns a batch of encoded records.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	b := make([]byte, batchHeaderLen, batchHeaderLen+len(body))
@@ -116,13 +119,13 @@
 		{Server: 0x0a9011f21fbc, State: control.Draining, Cell: 2, Zone: 1, MachineKind: 1, StartedAtS: 6.1, Weight: 1.5},
 	}
 	if e := b.Records[0].Event; e.List != control.ListCached || !reflect.DeepEqual(e.Entries, want) {
-		t.Errorf("list %+v, want %+v", e, want)
+		t.Errorf("list event %+v, want entries %+v", e, want)
 	}
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.server(want[0].Server)
 	if !bytes.Equal(e.buf, unhex(t, "0a124a07 931f")) {
-		t.Errorf("server goes back as %x", e.buf)
+		t.Errorf("server encoded as %x", e.buf)
 	}
 }
 
@@ -132,14 +135,14 @@
 	binary.LittleEndian.PutUint32(falseLength[12:], 1<<29)
 	overrun := frame([]byte{6, 200, 0, 0, 0, 1, 0})
 	for name, in := range map[string][]byte{
-		"header cut":    good[:7],
-		"body cut":      good[:len(good)-3],
-		"false length":  falseLength,
-		"record long":   overrun,
-		"record short":  frame([]byte{6, 2, 0, 0, 0, 1, 0}),
-		"census count":  frame([]byte{13, 5, 0, 0, 0, 0, 255, 255, 255, 255}),
-		"size too low":  make([]byte, batchHeaderLen),
-		"trailing byte": append(frame()[:0], func() []byte { b := frame(nil); b[16] = 0; b[12]++; return append(b, 9) }()...),
+		"truncated header":       good[:7],
+		"truncated body":         good[:len(good)-3],
+		"size past end":          falseLength,
+		"record length past end": overrun,
+		"record too short":       frame([]byte{6, 2, 0, 0, 0, 1, 0}),
+		"list count past end":    frame([]byte{13, 5, 0, 0, 0, 0, 255, 255, 255, 255}),
+		"size too low":           make([]byte, batchHeaderLen),
+		"trailing byte":          append(frame()[:0], func() []byte { b := frame(nil); b[16] = 0; b[12]++; return append(b, 9) }()...),
 	} {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", name, err)
@@ -147,7 +150,7 @@
 	}
 	b, err := NewDecoder(bytes.NewReader(frame([]byte{99, 1, 0, 0, 0, 7}, []byte{9, 2, 0, 0, 0, 4, 0}, []byte{10, 2, 0, 0, 0, 4, 0}))).Next()
 	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindKill {
-		t.Errorf("an unknown code is not skipped: %+v, %v", b, err)
+		t.Errorf("a record with an unknown code was not skipped: %+v, %v", b, err)
 	}
 }
 
