--- a/internal/directory/answers.go
+++ b/internal/directory/answers.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	maxBodyBytes   = 4 << 20  // bytes of an answer's text
-	maxHeaderBytes = 16 << 10 // bytes of its head
+	maxBodyBytes   = 4 << 20  // of a response's body
+	maxHeaderBytes = 16 << 10 // of a response's status line and header
 )
 
-// responseReader reads HTTP answers off a connection.
+// responseReader reads HTTP responses from a connection.
 type responseReader struct {
 	conn     io.Reader
-	connErr  error            // of conn
-	limited  io.LimitedReader // for an answer's head; it reads from answers
-	buffered *bufio.Reader
+	connErr  error            // of the last read of conn
+	limited  io.LimitedReader // limits a response's header; reads from the responseReader itself
+	buffered *bufio.Reader    // reads from limited
 	body     bytes.Buffer
 }
 
+// newResponseReader returns a responseReader that reads from conn.
 func newResponseReader(conn io.Reader) *responseReader {
 	r := &responseReader{conn: conn}
 	r.limited.R = r
@@ -34,16 +35,17 @@
 	return r
 }
 
-// Read reads conn. It keeps its error, which net/http loses in a status line.
+// Read reads from conn and keeps the error, which net/http drops while it reads a status line.
 func (r *responseReader) Read(b []byte) (n int, err error) {
 	n, r.connErr = r.conn.Read(b)
 	return n, r.connErr
 }
 
-var errTooLarge = errors.New("too long")
+// errTooLarge reports a response over maxHeaderBytes or maxBodyBytes.
+var errTooLarge = errors.New("too large")
 
-// next returns an answer's status and its text, which is valid until the next call.
-// Last: nothing more comes on the connection.
+// next returns a response's status and its body, which is valid until the next call. connEnds
+// reports whether this is the connection's last response.
 func (r *responseReader) next() (status int, body []byte, connEnds bool, err error) {
 	r.limited.N = maxHeaderBytes
 	response, err := http.ReadResponse(r.buffered, nil)
@@ -57,7 +59,7 @@
 	}
 	r.limited.N = math.MaxInt64
 	r.body.Reset()
-	// Guard: the body is not closed, as that would read on. It holds nothing.
+	// Guard: the body is not closed, since Close would read on. It holds no resources.
 	_, err = r.body.ReadFrom(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
 	case r.body.Len() > maxBodyBytes:
@@ -68,7 +70,8 @@
 	return response.StatusCode, r.body.Bytes(), response.Close, nil
 }
 
-// pollError is what ended a poll that the coordinator was to hold for wait.
+// pollError returns the error for a poll that failed with err. maxWait is the longest time
+// that the coordinator could hold the poll.
 func pollError(addr string, maxWait time.Duration, err error) error {
 	var opErr *net.OpError
 	switch {
--- a/internal/directory/coordinator.go
+++ b/internal/directory/coordinator.go
@@ -16,29 +16,30 @@
 )
 
 const (
-	pollWait       = 2 * time.Second        // how long the coordinator may hold a poll
-	responseMargin = 500 * time.Millisecond // beyond it; then the connection is taken as dead
-	redialDelay    = 200 * time.Millisecond // after a poll that brought nothing
+	pollWait       = 2 * time.Second        // longest time that the coordinator may hold a poll
+	responseMargin = 500 * time.Millisecond // beyond that time, after which the connection counts as dead
+	redialDelay    = 200 * time.Millisecond // after a connection that brought no update
 	dialTimeout    = time.Second
 )
 
-// Phases of a media node.
+// Phases of a media node, as the coordinator writes them.
 const (
 	phaseInService   = "in_service"
 	phaseTerminating = "terminating"
 	phaseTerminated  = "terminated"
 )
 
-// Updates is the coordinator's numbered events, as in its answers and in the
-// configuration.
+// Updates is a series of updates with their indexes, as in the coordinator's responses and in
+// the configuration.
 type Updates struct {
-	Index   uint64 `json:"index"` // is read for its form alone: only events' own numbers count
+	Index   uint64 `json:"index"` // decoded so that a malformed one is an error; otherwise unused: only the updates' own indexes count
 	Updates []struct {
 		Index     uint64     `json:"index"`
 		Endpoints *endpoints `json:"endpoints"`
 	} `json:"updates"`
 }
 
+// endpoints is an update's change to the list.
 type endpoints struct {
 	Complete bool `json:"complete"`
 	Members  []struct {
@@ -53,10 +54,10 @@
 	} `json:"members"`
 }
 
-// ParseUpdates reads the coordinator's form.
-func ParseUpdates(text []byte) (Updates, error) {
+// ParseUpdates decodes updates from the coordinator's JSON. The error is an *UpdateError.
+func ParseUpdates(data []byte) (Updates, error) {
 	var u Updates
-	if err := json.Unmarshal(text, &u); err != nil {
+	if err := json.Unmarshal(data, &u); err != nil {
 		return u, &UpdateError{Err: err}
 	}
 	for _, update := range u.Updates {
@@ -67,8 +68,8 @@
 	return u, nil
 }
 
-// validate tells what is wrong with an event of that number. Guard: one fault voids
-// the answer that it came in, so that none is applied by half.
+// validate returns the first fault of the update with this index, as an *UpdateError, or nil.
+// Guard: one fault makes the whole response invalid, so that none is applied in part.
 func (e *endpoints) validate(updateIndex uint64) error {
 	if e == nil {
 		return nil
@@ -87,6 +88,7 @@
 	return nil
 }
 
+// toChange converts an update that is valid.
 func (e *endpoints) toChange(names Names) Change {
 	c := Change{Full: e.Complete}
 	for _, m := range e.Members {
@@ -112,57 +114,59 @@
 	return c
 }
 
-// CoordinatorClient follows the coordinator's events, one after the other. It is the
-// only one to tell the sink.
+// CoordinatorClient polls the coordinator and passes its updates on to Sink, one after the
+// other. Nothing else calls Sink.
 type CoordinatorClient struct {
-	Names         Names
-	Sink          Sink
-	Log           *zap.Logger
-	OnResponse    func(asked time.Time) // told of each answer, after the sink, with when it was asked for; nil: nobody
-	newAddr       chan string           // the address to follow from now on
-	pollRequested chan struct{}         // a poll is to be made at once
-	lastIndex     uint64                // number of the last event that was told
-	applied       int                   // answers that were applied
+	Names         Names                     // of zones and machine kinds
+	Sink          Sink                      // receives the changes
+	Log           *zap.Logger               // reports failed polls
+	OnResponse    func(requested time.Time) // called after each valid response has been passed to Sink, with the time of its request; may be nil
+	newAddr       chan string               // the address to poll from now on
+	pollRequested chan struct{}             // a poll has to be made at once
+	lastIndex     uint64                    // highest index of the updates passed on
+	applied       int                       // number of responses applied
 }
 
-// NewCoordinatorClient returns a Coordinator that has told what is known at the start.
+// NewCoordinatorClient returns a CoordinatorClient that has already passed known on to sink.
 func NewCoordinatorClient(known Updates, names Names, sink Sink, log *zap.Logger) *CoordinatorClient {
 	c := &CoordinatorClient{Names: names, Sink: sink, Log: log, newAddr: make(chan string, 1), pollRequested: make(chan struct{}, 1)}
 	c.apply(known)
 	return c
 }
 
-// SetAddr has Run go on at another address. The numbers continue there.
+// SetAddr makes Run poll at another address. The indexes of updates continue there.
 func (c *CoordinatorClient) SetAddr(addr string) {
 	for {
 		select {
 		case c.newAddr <- addr:
 			return
-		case <-c.newAddr: // an address that nobody has begun to follow
+		case <-c.newAddr: // an earlier address that Run has not taken yet
 		}
 	}
 }
 
-// PollNow has Run ask at once, on a new connection, and not wait for news there: what the
-// one that is held open would bring may be old.
+// PollNow makes Run poll at once, on a new connection, with a poll that the coordinator does
+// not hold. The response to the poll that is held open may be out of date.
 func (c *CoordinatorClient) PollNow() {
 	select {
 	case c.pollRequested <- struct{}{}:
-	default: // one is to be made already
+	default: // already requested
 	}
 }
 
+// apply passes on those of the updates that are new.
 func (c *CoordinatorClient) apply(u Updates) { c.lastIndex = u.deliver(c.lastIndex, c.Names, c.Sink) }
 
-// Replay tells sink of all events, as one who follows from the start hears them.
+// Replay passes all updates on to sink, like a client that has polled from the start.
 func Replay(u Updates, names Names, sink Sink) { u.deliver(0, names, sink) }
 
-// deliver tells sink of the events after last, and returns the number of the last one.
+// deliver passes the updates with an index above lastIndex on to sink, and those without an
+// index. It returns the highest index passed on so far.
 //
-// Guard: only numbers of events that came count. The answer's own may be ahead, where
-// an event came up while it was written: that event would never be asked for. What one
-// answer brings is held against what was told before it, so that none of two events
-// with one number, or out of order, is passed over.
+// Guard: only indexes of updates received count. The response's own index may be ahead, if an
+// update occurred while the response was written: that update would then never be requested.
+// All updates of a response are compared with the index before the response, so that none is
+// skipped where two have the same index or their order is wrong.
 func (u *Updates) deliver(lastIndex uint64, names Names, sink Sink) uint64 {
 	indexBefore := lastIndex
 	for _, update := range u.Updates {
@@ -177,13 +181,12 @@
 	return lastIndex
 }
 
-// Run polls at the address that Follow last named until ctx ends. A connection
-// that breaks or falls silent is replaced at once: what the coordinator holds
-// counts as told either way.
+// Run polls at the address last given to SetAddr until ctx ends. After a connection that breaks
+// or times out it opens another one, and continues after the last update received.
 func (c *CoordinatorClient) Run(ctx context.Context) error {
 	addr, maxWait := "", pollWait
 	select {
-	case <-c.pollRequested: // asked for before the first poll
+	case <-c.pollRequested: // PollNow was called before the first poll
 		maxWait = 0
 	default:
 	}
@@ -196,13 +199,14 @@
 			continue
 		}
 		pollCtx, cancel := context.WithCancel(ctx)
-		done, pollAddr, firstWait := make(chan struct{}), addr, maxWait // addr may name the next one before the goroutine begins
+		done, pollAddr, firstWait := make(chan struct{}), addr, maxWait // addr may change before the goroutine starts
 		go func() {
 			defer close(done)
 			c.pollAddress(pollCtx, pollAddr, firstWait)
 		}()
-		// Whoever breaks in on a poll is to be answered at once: at another address what is
-		// heard first tells that somebody is there, and an Ask that the move overtook counts.
+		// The poll after an interruption must not be held: at another address its response
+		// shows that the coordinator is there, and a PollNow may have been overtaken by the
+		// change of address.
 		maxWait = 0
 		select {
 		case <-ctx.Done():
@@ -216,9 +220,9 @@
 	return nil
 }
 
-// pollAddress asks at one address until ctx ends. At first the coordinator may hold the poll
-// for as long as wait: what is asked at once is not forgotten over a connection that
-// breaks.
+// pollAddress polls at one address until ctx ends. The coordinator may hold the polls for
+// maxWait until it has responded once or timed out, and for pollWait from then on: a poll that
+// must not be held is thus repeated with the same maxWait if its connection breaks.
 func (c *CoordinatorClient) pollAddress(ctx context.Context, addr string, maxWait time.Duration) {
 	for ctx.Err() == nil {
 		indexBefore, appliedBefore := c.lastIndex, c.applied
@@ -226,7 +230,7 @@
 		if err != nil && ctx.Err() == nil {
 			c.Log.Warn("coordinator", remedy.Fields(err)...)
 		}
-		if c.applied > appliedBefore || errors.As(err, new(*TimeoutError)) { // it may be too slow to answer at once
+		if c.applied > appliedBefore || errors.As(err, new(*TimeoutError)) { // after a time-out: the coordinator may be too slow for an immediate response
 			maxWait = pollWait
 		}
 		if c.lastIndex > indexBefore {
@@ -239,12 +243,12 @@
 	}
 }
 
-// pollConn polls on one connection until it is of no further use; the error is nil if
-// the coordinator said that it closes it, or answers without news or waiting for any.
+// pollConn polls on one connection until that can't be used any more. The error is nil if the
+// coordinator announced that it closes the connection, or if it responded without an update
+// in less than half of maxWait.
 //
-// net/http reads the answers and no more: its client would bring goroutines of its
-// own, and would repeat a poll on a broken connection within the deadline of the
-// first one.
+// Of net/http only the parser of responses is used: its client would start goroutines of its
+// own, and would repeat a poll on a broken connection within the deadline of the first one.
 func (c *CoordinatorClient) pollConn(ctx context.Context, addr string, maxWait time.Duration) error {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -281,7 +285,7 @@
 		if c.OnResponse != nil {
 			c.OnResponse(requested)
 		}
-		// Guard: one that does not hold polls is not asked without a pause.
+		// Guard: a coordinator that does not hold polls must not be polled without a pause.
 		if connEnds || c.lastIndex == indexBefore && time.Since(requested) < maxWait/2 {
 			return nil
 		}
--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -22,8 +22,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// startCoordinator is a coordinator that has each connection's polls answered by say; "" ends
-// the connection.
+// startCoordinator starts a coordinator that responds to each poll with what respond returns,
+// or ends the connection if that is empty. It returns the coordinator's address.
 func startCoordinator(t *testing.T, respond func(conn, poll int, target string) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,20 +59,22 @@
 	return l.Addr().String()
 }
 
+// okResponse returns an HTTP response with this body.
 func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// updatesJSON is one that names node a at a port.
+// updatesJSON returns the body of a response with one update, which lists node a at a port.
 func updatesJSON(index, port int) string {
 	return fmt.Sprintf(`{"index":%d,"updates":[{"index":%d,"endpoints":{"members":[{"id":"a","host_port":"h:%d","phase":"in_service"}]}}]}`, index, index, port)
 }
 
+// newTestClient returns a client that has received no update yet.
 func newTestClient(sink Sink) *CoordinatorClient {
 	return NewCoordinatorClient(Updates{}, names, sink, zap.NewNop())
 }
 
-// What ends a poll is told as what it is.
+// Each way in which a poll can fail is reported with its own code, and no change is passed on.
 func TestPollErrors(t *testing.T) {
 	longBody := strings.Repeat("x", maxBodyBytes+1)
 	for code, responses := range map[string][]string{
@@ -90,13 +92,13 @@
 			t.Run(code, func(t *testing.T) {
 				t.Parallel()
 				addr := startCoordinator(t, func(int, int, string) string { return response })
-				if response, ends := strings.CutSuffix(response, "|"); ends { // the connection ends after it
+				if response, ends := strings.CutSuffix(response, "|"); ends { // the connection is closed after the response
 					addr = startClosingCoordinator(t, response)
 				}
 				var changes int
 				err := newTestClient(func(Change) { changes++ }).pollConn(t.Context(), addr, 0)
 				if e, ok := remedy.Of(err); !ok || e.Code() != code || changes != 0 {
-					t.Errorf("%.60q: %v, told %d times", response, err, changes)
+					t.Errorf("%.60q: error %v, %d changes", response, err, changes)
 				}
 			})
 		}
@@ -108,11 +110,12 @@
 	l.Close()
 	var unreachable *UnreachableError
 	if err := newTestClient(nil).pollConn(t.Context(), l.Addr().String(), 0); !errors.As(err, &unreachable) || unreachable.Addr != l.Addr().String() {
-		t.Error(err)
+		t.Errorf("poll at a closed port: error %v", err)
 	}
 }
 
-// startClosingCoordinator is a coordinator whose connections end in order after this text.
+// startClosingCoordinator starts a coordinator that writes response to the first poll on each
+// connection and closes the connection. It returns the coordinator's address.
 func startClosingCoordinator(t *testing.T, response string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,7 +131,7 @@
 			go func() {
 				defer c.Close()
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					io.WriteString(c, response) // a client that has had enough needs no more
+					io.WriteString(c, response) // fails if the client has closed the connection already
 				}
 			}()
 		}
@@ -136,7 +139,8 @@
 	return l.Addr().String()
 }
 
-// All forms of an answer are read, at whatever places it is cut.
+// Responses with a length, with chunks and up to the end of the connection are read, although
+// each read returns only a part of what is there.
 func TestResponseReader(t *testing.T) {
 	stream := okResponse("abc") + "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n" +
 		"HTTP/1.1 200 OK\r\ncontent-length: " + fmt.Sprint(maxBodyBytes) + "\r\n\r\n" + strings.Repeat("x", maxBodyBytes) +
@@ -147,12 +151,12 @@
 		connEnds       bool
 	}{{200, 3, false}, {200, 5, false}, {200, maxBodyBytes, false}, {404, 2, true}} {
 		if status, body, connEnds, err := reader.next(); err != nil || status != want.status || len(body) != want.length || connEnds != want.connEnds {
-			t.Errorf("%d, %d bytes, %t, %v; want %v", status, len(body), connEnds, err, want)
+			t.Errorf("status %d, %d bytes, connection ends %t, error %v; want %v", status, len(body), connEnds, err, want)
 		}
 	}
 }
 
-// A poll that is held ends with its context, however long it may be held.
+// A poll that the coordinator holds ends with its context, however long it may be held.
 func TestPollEndsWithContext(t *testing.T) {
 	polled, release := make(chan struct{}), make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -169,12 +173,12 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Fatal("it goes on")
+		t.Fatal("the poll did not end with its context")
 	}
 }
 
-// Run asks on after each break, with the number of the last event, on a new
-// connection; so it does when told to, and at another address.
+// After a connection breaks, Run polls on a new one, with the index of the last update. So it
+// does after PollNow, and after SetAddr at the new address.
 func TestRunReconnects(t *testing.T) {
 	type poll struct {
 		coordinator string
@@ -184,7 +188,7 @@
 	polls := make(chan poll, 100)
 	held := make(chan struct{})
 	t.Cleanup(func() { close(held) })
-	// What breaks in on a poll is answered at once, also where the move overtakes it.
+	// The poll after an interruption must not be held, also if a PollNow is overtaken by a SetAddr.
 	coordinator := func(name string) string {
 		return startCoordinator(t, func(conn, pollNumber int, target string) string {
 			polls <- poll{name, conn, target}
@@ -194,7 +198,7 @@
 			case name == "one" && conn == 1:
 				return ""
 			}
-			<-held // no news
+			<-held // no update
 			return ""
 		})
 	}
@@ -209,7 +213,7 @@
 		select {
 		case got := <-polls:
 			if want := (poll{coordinator, conn, "/v2/stream?" + target}); got != want {
-				t.Fatalf("%v, want %v", got, want)
+				t.Fatalf("poll %v, want %v", got, want)
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("no poll")
@@ -220,16 +224,17 @@
 	expect("one", 1, "follow=1&wait_ms=2000")
 	expect("one", 2, "follow=1&wait_ms=2000") // after the break
 	if len(responseTimes) != 1 {
-		t.Error("heard of", len(responseTimes), "answers")
+		t.Error("OnResponse was called", len(responseTimes), "times, want 1")
 	}
 	c.PollNow()
 	expect("one", 3, "follow=1&wait_ms=0")
-	held <- struct{}{} // the one before, and
-	held <- struct{}{} // it break unanswered: what was asked at once still is
+	held <- struct{}{} // ends the connection of the poll that PollNow interrupted and, without a
+	held <- struct{}{} // response, that of the poll it made: the next poll must not be held either
 	expect("one", 4, "follow=1&wait_ms=0")
 	c.PollNow()
 	c.SetAddr(coordinator("two"))
-	// Ask may be heard first, or anew. One who does not answer at once may just be slow.
+	// PollNow may take effect before SetAddr or after it. If the coordinator does not respond at
+	// once, it may be slow, so that later polls may be held again.
 	first, longPollSeen := poll{"two", 1, "/v2/stream?follow=1&wait_ms=0"}, false
 	for pollsAtTwo := 0; !longPollSeen; {
 		select {
@@ -238,7 +243,7 @@
 				continue
 			}
 			if pollsAtTwo++; pollsAtTwo == 1 && got != first || pollsAtTwo > 4 {
-				t.Fatal(got)
+				t.Fatalf("poll %d at the second address: %v", pollsAtTwo, got)
 			}
 			longPollSeen = got.target == "/v2/stream?follow=1&wait_ms=2000"
 		case <-time.After(testTimeout):
@@ -247,11 +252,11 @@
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Run: %v", err)
 	}
 }
 
-// Each event is told once, however the answers that bring them are numbered or cut.
+// Each update is passed on once, however the responses number the updates or divide them.
 func TestEachUpdateDeliveredOnce(t *testing.T) {
 	update := func(updateIndex, port int) string {
 		return fmt.Sprintf(`{"index":%d,"endpoints":{"members":[{"id":"a","host_port":"h:%d","phase":"in_service"}]}}`, updateIndex, port)
@@ -260,38 +265,39 @@
 		return okResponse(fmt.Sprintf(`{"index":%d,"updates":[%s]}`, index, strings.Join(updates, ",")))
 	}
 	for name, e := range map[string]struct {
-		answers []string
-		want    string // ports in order
-		last    uint64
+		responses []string
+		want      string // ports of the changes, in order
+		lastIndex uint64
 	}{
-		"in order":              {[]string{response(2, update(1, 1), update(2, 2)), response(3, update(3, 3))}, "1 2 3", 3},
-		"told before":           {[]string{response(2, update(1, 1), update(2, 2)), response(3, update(2, 2), update(3, 3))}, "1 2 3", 3},
-		"number ahead":          {[]string{response(2, update(1, 1)), response(2, update(2, 2))}, "1 2", 2},
-		"number ahead, no news": {[]string{response(1, update(1, 1)), response(2), response(2, update(2, 2))}, "1 2", 2},
-		"number behind":         {[]string{response(0, update(1, 1)), response(1, update(2, 2))}, "1 2", 2},
-		"twice one number":      {[]string{response(2, update(1, 1), update(2, 2), update(2, 3)), response(3, update(3, 4))}, "1 2 3 4", 3},
-		"out of order":          {[]string{response(2, update(2, 1), update(1, 2)), response(3, update(3, 3))}, "1 2 3", 3},
-		"without a number":      {[]string{response(1, update(1, 1), update(0, 2)), response(2, update(2, 3))}, "1 2 3", 2},
-		"a fault after it":      {[]string{okResponse(`{"index":2,"updates":[` + update(1, 1) + `,{"index":2,"endpoints":{"members":[{}]}}]}`), response(2, update(1, 1), update(2, 2))}, "1 2", 2},
-		"spoilt after it":       {[]string{okResponse(`{"index":2,"updates":[` + update(1, 1) + `}`), response(2, update(1, 1), update(2, 2))}, "1 2", 2},
+		"in order":                {[]string{response(2, update(1, 1), update(2, 2)), response(3, update(3, 3))}, "1 2 3", 3},
+		"repeated":                {[]string{response(2, update(1, 1), update(2, 2)), response(3, update(2, 2), update(3, 3))}, "1 2 3", 3},
+		"index ahead":             {[]string{response(2, update(1, 1)), response(2, update(2, 2))}, "1 2", 2},
+		"index ahead, no update":  {[]string{response(1, update(1, 1)), response(2), response(2, update(2, 2))}, "1 2", 2},
+		"index behind":            {[]string{response(0, update(1, 1)), response(1, update(2, 2))}, "1 2", 2},
+		"same index twice":        {[]string{response(2, update(1, 1), update(2, 2), update(2, 3)), response(3, update(3, 4))}, "1 2 3 4", 3},
+		"out of order":            {[]string{response(2, update(2, 1), update(1, 2)), response(3, update(3, 3))}, "1 2 3", 3},
+		"without an index":        {[]string{response(1, update(1, 1), update(0, 2)), response(2, update(2, 3))}, "1 2 3", 2},
+		"invalid update after it": {[]string{okResponse(`{"index":2,"updates":[` + update(1, 1) + `,{"index":2,"endpoints":{"members":[{}]}}]}`), response(2, update(1, 1), update(2, 2))}, "1 2", 2},
+		"malformed after it":      {[]string{okResponse(`{"index":2,"updates":[` + update(1, 1) + `}`), response(2, update(1, 1), update(2, 2))}, "1 2", 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var ports []string
 			c := newTestClient(func(change Change) { ports = append(ports, strings.TrimPrefix(change.Members[0].Addr, "h:")) })
-			for _, response := range e.answers {
-				addr := startClosingCoordinator(t, response)
+			for _, raw := range e.responses {
+				addr := startClosingCoordinator(t, raw)
 				c.pollConn(t.Context(), addr, time.Minute)
 			}
-			if got := strings.Join(ports, " "); got != e.want || c.lastIndex != e.last {
-				t.Errorf("told %s, last %d; want %s, %d", got, c.lastIndex, e.want, e.last)
+			if got := strings.Join(ports, " "); got != e.want || c.lastIndex != e.lastIndex {
+				t.Errorf("changes %s, last index %d; want %s, %d", got, c.lastIndex, e.want, e.lastIndex)
 			}
 		})
 	}
 }
 
-// An answer that is cut off at any byte tells nothing, whoever cuts it: the coordinator,
-// or an Ask or a move that comes when so much of it is here. The next one tells all of it.
+// A response that is cut off after any byte changes nothing, whether the coordinator closes the
+// connection there or the client does, as PollNow and SetAddr make it do. The next complete
+// response is applied.
 func TestTruncatedResponse(t *testing.T) {
 	complete := okResponse(updatesJSON(1, 1))
 	for length := range len(complete) {
@@ -306,22 +312,22 @@
 			ended <- err
 		}()
 		stop := context.AfterFunc(ctx, func() { near.Close() })
-		far.Write([]byte(complete[:length])) // a pipe's write returns when all of it is read
+		far.Write([]byte(complete[:length])) // returns once all of it has been read
 		cancel()
 		if err := <-ended; err == nil || changes != 0 || c.lastIndex != 0 {
-			t.Fatalf("at byte %d: %v, told %d, last %d", length, err, changes, c.lastIndex)
+			t.Fatalf("cut at byte %d: error %v, %d changes, last index %d", length, err, changes, c.lastIndex)
 		}
 		stop()
 		far.Close()
 		c.pollConn(t.Context(), startClosingCoordinator(t, complete), time.Minute)
 		if changes != 1 || c.lastIndex != 1 {
-			t.Fatalf("after byte %d: told %d, last %d", length, changes, c.lastIndex)
+			t.Fatalf("after a cut at byte %d: %d changes, last index %d", length, changes, c.lastIndex)
 		}
 	}
 }
 
-// A coordinator that answers without waiting and without news is asked anew after a
-// pause: follow gives it up.
+// pollConn ends if the coordinator responds without holding the poll and without an update, so
+// that it is polled again only after a pause.
 func TestImmediateEmptyResponse(t *testing.T) {
 	var polls atomic.Int32
 	addr := startCoordinator(t, func(int, int, string) string {
@@ -331,6 +337,6 @@
 		return okResponse(`{"index":0,"updates":[]}`)
 	})
 	if err := newTestClient(nil).pollConn(t.Context(), addr, 0); err != nil || polls.Load() != 2 {
-		t.Errorf("%v after %d polls", err, polls.Load()) // the first was not to be held
+		t.Errorf("error %v after %d polls, want none after 2", err, polls.Load()) // the first must not be held
 	}
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -16,10 +16,12 @@
 	"millethinge/internal/standin"
 )
 
+// testTimeout is the time to wait for what must happen.
 const testTimeout = 20 * time.Second
 
 var names = Names{Zones: []string{"east", "west"}, MachineKinds: []string{"std"}}
 
+// describe returns the members of c as sorted text.
 func describe(c Change) string {
 	var out []string
 	for _, m := range c.Members {
@@ -31,12 +33,12 @@
 
 const service = "_rtsp._tcp.media.example"
 
-// instanceRecords is the records of one instance.
+// instanceRecords returns the records of one instance.
 func instanceRecords(name, state string, port uint16) []dnsmessage.Resource {
 	return standin.Instance(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
 }
 
-// listenUDPAndTCP finds a port that is free for both transports.
+// listenUDPAndTCP listens on one port over both transports.
 func listenUDPAndTCP(t *testing.T) (net.PacketConn, net.Listener) {
 	for range 50 {
 		udp, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -78,7 +80,7 @@
 	server.Set(false, instanceRecords("a", "ready", 1001)...)
 	go d.Run(ctx)
 	expect(a + "1 1 3 1.5 2")
-	server.Set(true, append(instanceRecords("a", "ready", 1001), instanceRecords("b", "ready", 1002)...)...) // by TCP
+	server.Set(true, append(instanceRecords("a", "ready", 1001), instanceRecords("b", "ready", 1002)...)...) // over TCP
 	expect(b + "1 1 3 1.5 2")
 	server.Set(false, append(instanceRecords("a", "draining", 1001), instanceRecords("b", "ready", 1002)...)...)
 	expect(a + "0 1 3 1.5 2")
@@ -88,7 +90,7 @@
 	expect(b + "2 1 3 1.5 2")
 }
 
-// While the server says nothing, what it said stands until its TTL.
+// While the DNS server does not respond, earlier records are used until their TTL expires.
 func TestRecordsExpire(t *testing.T) {
 	var last Change
 	d := &DNSSDClient{instances: map[string]instance{}, Sink: func(c Change) { last = c }}
@@ -97,34 +99,34 @@
 	d.apply(now, map[string]instance{"a": {m, now.Add(time.Minute)}}, true)
 	last = Change{}
 	if d.apply(now.Add(59*time.Second), nil, false); len(last.Members) != 0 {
-		t.Errorf("changed early: %s", describe(last))
+		t.Errorf("changed before the TTL expired: %s", describe(last))
 	}
 	if d.apply(now.Add(61*time.Second), nil, false); len(last.Members) != 1 || last.Members[0].State != control.Gone {
-		t.Errorf("not expired: %s", describe(last))
+		t.Errorf("not removed after the TTL expired: %s", describe(last))
 	}
 }
 
 func TestTXTErrorNamesKey(t *testing.T) {
 	if _, err := (&DNSSDClient{}).parseTXT("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
-		t.Error(err)
+		t.Errorf("error %v does not name the TXT key", err)
 	}
 }
 
-// An answer with a fault in any of its events is no answer.
+// A response with a fault in any of its updates is invalid.
 func TestParseUpdatesErrors(t *testing.T) {
 	const valid = `{"index":2,"updates":[{"index":1,"endpoints":{"members":[{"id":"a","host_port":"h:1","phase":"in_service"}]}},` +
 		`{"index":2,"endpoints":{"members":[{"id":"b","phase":"terminated"}]}}]}`
 	if _, err := ParseUpdates([]byte(valid)); err != nil {
-		t.Error(err)
+		t.Errorf("valid response: %v", err)
 	}
 	for _, replacement := range [][2]string{{`"a"`, `""`}, {"h:1", "h"}, {"in_service", "in"}, {`"terminated"`, `""`}, {"]}}]}", ""}} {
 		if _, err := ParseUpdates([]byte(strings.Replace(valid, replacement[0], replacement[1], 1))); err == nil {
-			t.Errorf("%s for %s: no error", replacement[1], replacement[0])
+			t.Errorf("%q in place of %q: no error", replacement[1], replacement[0])
 		}
 	}
 }
 
-// A whole list of one source removes nothing that another named.
+// A full change from one source removes no node that another source has listed.
 func TestFullChangeKeepsOtherSources(t *testing.T) {
 	var got []string
 	l := NewList(func(c Change) { got = append(got, describe(c)) })
@@ -137,6 +139,6 @@
 	l.ProcessPending()
 	want := []string{"a  1 0 0 0 0; b  1 0 0 0 0", "c  1 0 0 0 0", "a  2 0 0 0 0; b  1 0 0 0 0"}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("changes %q, want %q", got, want)
 	}
 }
--- a/internal/directory/dns.go
+++ b/internal/directory/dns.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	queryTimeout = time.Second // for an answer by one transport
-	maxUDPBytes  = 4096
+	queryTimeout = time.Second // for the response over one transport
+	maxUDPBytes  = 4096        // of a response over UDP
 )
 
 var (
-	errNoRecord  = errors.New("there is no record")
-	errTruncated = errors.New("cut short")
-	errMismatch  = errors.New("no answer to what was asked")
+	errNoRecord  = errors.New("no such record")
+	errTruncated = errors.New("response truncated")
+	errMismatch  = errors.New("response does not match the query")
 )
 
-// canonicalName is a name as it is compared: in lower case (ASCII only), without the last dot.
+// canonicalName returns n in the form in which names are compared: with ASCII letters in lower
+// case and without the final dot.
 func canonicalName(n dnsmessage.Name) string { return lowerASCII(strings.TrimSuffix(n.String(), ".")) }
 
+// lowerASCII returns s with its ASCII letters in lower case.
 func lowerASCII(s string) string {
 	b := []byte(s)
 	for i, c := range b {
@@ -39,12 +41,13 @@
 	return string(b)
 }
 
+// recordTypeName returns the usual name of a record type, such as SRV.
 func recordTypeName(recordType dnsmessage.Type) string {
 	return strings.TrimPrefix(recordType.String(), "Type")
 }
 
-// query sends one question over UDP, and over TCP if the answer is cut. It returns the
-// records of the answer and the additional section.
+// query sends one question over UDP, and again over TCP if the response is truncated. It
+// returns the records of the answer section and of the additional section.
 func (d *DNSSDClient) query(ctx context.Context, name string, recordType dnsmessage.Type) ([]dnsmessage.Resource, error) {
 	questionName, err := dnsmessage.NewName(name + ".")
 	if err != nil {
@@ -67,7 +70,7 @@
 		switch {
 		case resp.Truncated:
 			continue
-		case resp.RCode == dnsmessage.RCodeNameError: // there are no records
+		case resp.RCode == dnsmessage.RCodeNameError: // the name does not exist
 			return nil, nil
 		case resp.RCode != dnsmessage.RCodeSuccess:
 			return nil, &DNSQueryError{d.ServerAddr, network, name, int(resp.RCode), nil}
@@ -80,7 +83,8 @@
 	return nil, &DNSQueryError{d.ServerAddr, "tcp", name, 0, errTruncated}
 }
 
-// exchange sends a question, with its length before it, and waits for the answer.
+// exchange sends a packed query and returns its response. The query is preceded by its length
+// in 2 bytes.
 func (d *DNSSDClient) exchange(ctx context.Context, network string, packed []byte, query *dnsmessage.Message) (dnsResponse, error) {
 	conn, err := (&net.Dialer{Timeout: queryTimeout}).DialContext(ctx, network, d.ServerAddr)
 	if err != nil {
@@ -92,7 +96,7 @@
 		return dnsResponse{}, err
 	}
 	if network == "udp" {
-		packed = packed[2:] // only TCP has the length before a message
+		packed = packed[2:] // the length precedes a message only over TCP
 	}
 	if _, err := conn.Write(packed); err != nil {
 		return dnsResponse{}, err
@@ -105,10 +109,11 @@
 		resp, err := parseDNSResponse(received, query)
 		if err == nil || network == "tcp" {
 			return resp, err
-		} // a stray datagram is passed over
+		} // a datagram that is not the response is ignored
 	}
 }
 
+// receive reads one message.
 func receive(conn net.Conn, network string) ([]byte, error) {
 	if network == "udp" {
 		b := make([]byte, maxUDPBytes)
@@ -124,14 +129,14 @@
 	return b, err
 }
 
-// dnsResponse is an answer. A truncated one has no records.
+// dnsResponse is the response to a query. A truncated one has no records.
 type dnsResponse struct {
 	dnsmessage.Header
 	records []dnsmessage.Resource
-	skipped []error // why records were left out
+	skipped []error // one for each record that was left out
 }
 
-// parseDNSResponse reads the answer to q.
+// parseDNSResponse decodes the response to query.
 func parseDNSResponse(packed []byte, query *dnsmessage.Message) (resp dnsResponse, err error) {
 	var p dnsmessage.Parser
 	if resp.Header, err = p.Start(packed); err != nil {
@@ -157,8 +162,9 @@
 	return resp, resp.readSection(&p, p.Additional, p.SkipAdditional)
 }
 
-// readSection reads the records of a section of p. One that the library can't read, such as
-// a name with a dot within a label, is left out; it fails if it can't be skipped.
+// readSection adds the records of the section of p that next and skip read. A record that the
+// library can't decode, such as one whose name has a dot within a label, is skipped; the error
+// is that of a failed skip.
 func (resp *dnsResponse) readSection(p *dnsmessage.Parser, next func() (dnsmessage.Resource, error), skip func() error) error {
 	for {
 		start := *p
@@ -178,5 +184,6 @@
 	}
 }
 
-// cacheFlushBit is what multicast DNS marks a whole set with.
+// cacheFlushBit is the bit of a record's class by which multicast DNS marks a complete set of
+// records (RFC 6762, section 10.2).
 const cacheFlushBit = 1 << 15
--- a/internal/directory/dnssd.go
+++ b/internal/directory/dnssd.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	minRefreshInterval = time.Second      // between looks at the same records
-	maxRefreshInterval = 60 * time.Second // so that a removal is not missed for long
+	minRefreshInterval = time.Second      // shortest time between two queries for the same records
+	maxRefreshInterval = 60 * time.Second // longest such time, so that a removal is noticed soon enough
 )
 
 // DNSSDClient finds media nodes by DNS service discovery (RFC 6763): PTR records
-// name the instances of a service, SRV their addresses, and TXT, in the keys
-// zone, kind, cell, size, state and up, what the list says of them. It is the
-// list's actor where there is no coordinator.
+// name the instances of a service, SRV records their addresses, and TXT records,
+// in the keys zone, kind, cell, size, state and up, their entries in the list. It
+// is a source of the list beside the coordinator or instead of it.
 type DNSSDClient struct {
-	ServerAddr string // address of the DNS server
-	Service    string
-	Names      Names
-	Sink       Sink
+	ServerAddr string // host:port of the DNS server
+	Service    string // domain name, such as _rtsp._tcp.media.example
+	Names      Names  // of zones and machine kinds
+	Sink       Sink   // receives the changes
 	Log        *zap.Logger
 
-	instances map[string]instance
+	instances map[string]instance // found so far, by domain name
 }
 
-// instance is a node as its records said, until they expire.
+// instance is a media node as its records describe it until they expire.
 type instance struct {
 	member  Member
 	expires time.Time
 }
 
-// Run looks until ctx ends, again each time the shortest TTL runs out.
+// Run queries the DNS server until ctx ends, again each time the shortest TTL expires.
 func (d *DNSSDClient) Run(ctx context.Context) error {
 	d.instances = make(map[string]instance)
 	for {
@@ -51,7 +51,7 @@
 			return nil
 		}
 		if err != nil {
-			// The server says nothing: what it said before stands until its TTL.
+			// The server does not respond: earlier records are used until their TTL expires.
 			d.Log.Warn("dns-sd", remedy.Fields(err)...)
 			d.apply(now, nil, false)
 			ttl = minRefreshInterval
@@ -66,7 +66,8 @@
 	}
 }
 
-// apply tells the sink what has changed. Whole: what was not found is removed.
+// apply passes on to the sink what has changed. If complete is set, instances that were not
+// found are removed; otherwise only those that have expired.
 func (d *DNSSDClient) apply(now time.Time, found map[string]instance, complete bool) {
 	var c Change
 	for name, inst := range d.instances {
@@ -87,7 +88,8 @@
 	}
 }
 
-// browse asks for the service's instances and for each one's records.
+// browse queries the instances of the service and the records of each. It also returns the
+// shortest TTL of these records.
 func (d *DNSSDClient) browse(ctx context.Context) (map[string]instance, time.Duration, error) {
 	service := lowerASCII(strings.TrimSuffix(d.Service, "."))
 	records, err := d.query(ctx, service, dnsmessage.TypePTR)
@@ -117,12 +119,13 @@
 	return found, minTTL, nil
 }
 
+// recordTTL returns a record's time to live.
 func recordTTL(r dnsmessage.Resource) time.Duration {
 	return time.Duration(r.Header.TTL) * time.Second
 }
 
-// resolve finds an instance's records, among those that came along or by
-// asking for them.
+// resolve builds an instance from its records, which it takes from received or queries. It also
+// returns their shortest TTL.
 func (d *DNSSDClient) resolve(ctx context.Context, name string, received []dnsmessage.Resource) (inst instance, ttl time.Duration, err error) {
 	srvRecord, err := d.find(ctx, name, dnsmessage.TypeSRV, received)
 	if err != nil {
@@ -155,8 +158,9 @@
 	return instance{member: member}, ttl, err
 }
 
-// find returns a name's record of a type, whose body is that type's. Of SRV records
-// it is the one that goes first.
+// find returns a record of the given name and type, from received or by a query. Its body is
+// that type's. Of several records it returns the first, of SRV records the first of the lowest
+// priority value.
 func (d *DNSSDClient) find(ctx context.Context, name string, recordType dnsmessage.Type, received []dnsmessage.Resource) (dnsmessage.Resource, error) {
 	priority := func(r dnsmessage.Resource) uint16 {
 		if srv, ok := r.Body.(*dnsmessage.SRVResource); ok {
@@ -185,8 +189,8 @@
 	return dnsmessage.Resource{}, &InstanceError{name, recordTypeName(recordType), errNoRecord}
 }
 
-// parseTXT reads the TXT keys. Keys are taken whatever their case; the first of
-// a name counts (RFC 6763, section 6.4).
+// parseTXT builds a node's entry from the keys of its TXT record. The case of keys is ignored,
+// and the first of several equal keys counts (RFC 6763, section 6.4).
 func (d *DNSSDClient) parseTXT(name string, txt []string) (Member, error) {
 	values := make(map[string]string)
 	for _, t := range txt {
@@ -209,7 +213,7 @@
 		if v, ok := values[txtKey]; ok {
 			f, parseErr := strconv.ParseFloat(v, 64)
 			if parseErr != nil || !(f >= 0 && f < 1e15) {
-				err = &InstanceError{name, "TXT key " + txtKey, fmt.Errorf("%q is no number", v)}
+				err = &InstanceError{name, "TXT key " + txtKey, fmt.Errorf("%q is not a number of at least 0 and below 1e15", v)}
 				return
 			}
 			set(f)
--- a/internal/directory/fault.go
+++ b/internal/directory/fault.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// UnreachableError: no connection to the coordinator can be opened.
+// UnreachableError reports that no connection to the coordinator could be opened.
 type UnreachableError struct {
 	Addr string
 	Err  error
@@ -14,94 +14,98 @@
 func (e *UnreachableError) Error() string { return fmt.Sprintf("coordinator %s: %v", e.Addr, e.Err) }
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *UnreachableError) Code() string { return "list-unreachable" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *UnreachableError) Remedy() string {
-	return "Start the coordinator, or name its present address in the configuration and send SIGHUP. The list stays as it was told last."
+	return "Start the coordinator, or set its current address in the configuration and send SIGHUP. Until then the list of media nodes stays as last received."
 }
 
-// ConnClosedError: the coordinator ended a connection without an answer to the poll on it.
+// ConnClosedError reports that a connection to the coordinator ended before the response to a
+// poll was complete.
 type ConnClosedError struct {
 	Addr string
-	Err  error // io.EOF: in order
+	Err  error // io.EOF if the connection was closed normally
 }
 
 func (e *ConnClosedError) Error() string {
-	return fmt.Sprintf("coordinator %s: connection ended without an answer: %v", e.Addr, e.Err)
+	return fmt.Sprintf("coordinator %s: connection ended before a complete response: %v", e.Addr, e.Err)
 }
 func (e *ConnClosedError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *ConnClosedError) Code() string { return "list-closed" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *ConnClosedError) Remedy() string {
-	return "None once: it is asked again at once. If it goes on, look whether the coordinator or a relay before it restarts or cuts connections."
+	return "Nothing if it happens once: the coordinator is polled again on a new connection. If it recurs, check whether the coordinator or a proxy in front of it restarts or closes connections."
 }
 
-// TimeoutError: the coordinator did not answer in time. Its connection is taken as dead.
+// TimeoutError reports that the coordinator did not respond in time. The connection counts as
+// dead.
 type TimeoutError struct {
 	Addr    string
-	MaxWait time.Duration // that it was asked to hold the poll
+	MaxWait time.Duration // longest time that it could hold the poll
 }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("coordinator %s: no answer within %v to a poll held for up to %v", e.Addr, e.MaxWait+responseMargin, e.MaxWait)
+	return fmt.Sprintf("coordinator %s: no response within %v to a poll that may be held for up to %v", e.Addr, e.MaxWait+responseMargin, e.MaxWait)
 }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *TimeoutError) Code() string { return "list-silent" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *TimeoutError) Remedy() string {
-	return "Look whether the coordinator stands still or the network to it drops packets. It is asked again on a new connection."
+	return "Check whether the coordinator hangs or the network to it drops packets. The coordinator is polled again on a new connection."
 }
 
-// StatusError: the coordinator answered with something else than 200.
+// StatusError reports an HTTP status of the coordinator other than 200.
 type StatusError struct {
 	Addr   string
 	Status int
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("coordinator %s: status %d", e.Addr, e.Status)
+	return fmt.Sprintf("coordinator %s: HTTP status %d", e.Addr, e.Status)
 }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *StatusError) Code() string { return "list-status" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *StatusError) Remedy() string {
-	return "Look in the coordinator's log why it says no, and whether the address is that of a coordinator."
+	return "Check in the coordinator's log why it rejects the request, and whether the configured address is that of a coordinator."
 }
 
-// ResponseError: what the coordinator sent is no answer, or one over Most bytes.
+// ResponseError reports that the coordinator sent something other than an HTTP response, or a
+// response that is too large.
 type ResponseError struct {
 	Addr     string
-	MaxBytes int
+	MaxBytes int // most bytes that a body may have
 	Err      error
 }
 
 func (e *ResponseError) Error() string {
-	return fmt.Sprintf("coordinator %s: no HTTP answer of up to %d bytes: %v", e.Addr, e.MaxBytes, e.Err)
+	return fmt.Sprintf("coordinator %s: not an HTTP response with at most %d bytes of body: %v", e.Addr, e.MaxBytes, e.Err)
 }
 func (e *ResponseError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *ResponseError) Code() string { return "list-spoilt" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *ResponseError) Remedy() string {
-	return "Look whether the address is that of a coordinator, and how much it sends at once."
+	return "Check whether the configured address is that of a coordinator, and how large its responses are."
 }
 
-// UpdateError: an answer can't be read or one of its events is wrong. None of it counts.
+// UpdateError reports that a response can't be decoded or that one of its updates is invalid.
+// Nothing of the response is applied.
 type UpdateError struct {
-	UpdateIndex uint64 // its number; 0: the answer as a whole
-	MemberIndex int    // its place in the event, from 0
-	Key         string // at fault
+	UpdateIndex uint64 // index of the invalid update; 0, with an empty Key: the response as a whole
+	MemberIndex int    // index of the member in the update
+	Key         string // JSON key of the invalid value
 	Err         error
 }
 
@@ -113,43 +117,45 @@
 }
 func (e *UpdateError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *UpdateError) Code() string { return "list-faulty" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *UpdateError) Remedy() string {
-	return "Correct the node's entry at the coordinator. Until then nothing of the answer counts, and the list stays as it was."
+	return "Correct the node's entry at the coordinator. Until then its whole response is ignored, and the list of media nodes stays as it was."
 }
 
-// DNSQueryError: the DNS server did not answer a question, or said that it can't.
+// DNSQueryError reports that the DNS server did not respond to a query, or responded with an
+// error.
 type DNSQueryError struct {
-	Server    string
+	Server    string // host:port of the DNS server
 	Network   string // "udp" or "tcp"
-	QueryName string // that was asked for
-	RCode     int    // the RCODE that it said no with; 0: there was no answer
-	Err       error  // nil where there is a Status
+	QueryName string // domain name in the query
+	RCode     int    // the response's RCODE; 0: there was no response
+	Err       error  // nil if RCode is set
 }
 
 func (e *DNSQueryError) Error() string {
 	if e.RCode != 0 {
-		return fmt.Sprintf("DNS server %s: %s: code %d", e.Server, e.QueryName, e.RCode)
+		return fmt.Sprintf("DNS server %s: %s: RCODE %d", e.Server, e.QueryName, e.RCode)
 	}
 	return fmt.Sprintf("DNS server %s: %s over %s: %v", e.Server, e.QueryName, e.Network, e.Err)
 }
 func (e *DNSQueryError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *DNSQueryError) Code() string { return "dns-no-answer" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *DNSQueryError) Remedy() string {
-	return "Look whether the server at dns-sd.server runs and answers for the zone, over UDP and TCP. What it said before stands until its TTL."
+	return "Check whether the server at dns-sd.server runs and serves the zone, over UDP and TCP. Records received earlier are used until their TTL expires."
 }
 
-// InstanceError: the records of one instance of the service can't be used. The others count.
+// InstanceError reports that the records of one instance of the service can't be used. The
+// other instances are used.
 type InstanceError struct {
-	InstanceName string // of the instance
-	Record       string // of the record at fault
+	InstanceName string // domain name of the instance, or of its host
+	Record       string // type of the missing or invalid record, or its TXT key
 	Err          error
 }
 
@@ -158,30 +164,31 @@
 }
 func (e *InstanceError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *InstanceError) Code() string { return "dns-instance" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *InstanceError) Remedy() string {
-	return "Correct the instance's records in the zone. Until then the node is left out; the others are used."
+	return "Correct the instance's records in the zone. Until then this media node is left out; the others are used."
 }
 
-// RecordError: a record in an answer can't be read. It is left out; the others count.
+// RecordError reports that a record in a response can't be decoded. It is left out; the other
+// records are used.
 type RecordError struct {
-	QueryName string // that was asked for
-	QueryType string // that was asked for
+	QueryName string // domain name in the query
+	QueryType string // record type in the query
 	Err       error
 }
 
 func (e *RecordError) Error() string {
-	return fmt.Sprintf("DNS-SD: answer for %s %s: %v", e.QueryName, e.QueryType, e.Err)
+	return fmt.Sprintf("DNS-SD: response for %s %s: %v", e.QueryName, e.QueryType, e.Err)
 }
 func (e *RecordError) Unwrap() error { return e.Err }
 
-// Code is the page's name for it.
+// Code returns the code by which docs/errors.md lists the error.
 func (e *RecordError) Code() string { return "dns-unreadable" }
 
-// Remedy says what to do.
+// Remedy returns what the operator can do.
 func (e *RecordError) Remedy() string {
-	return "Name instances and hosts without a dot within a label. Until then the record is left out."
+	return "Rename instances and hosts that have a dot within a label. Until then the record is left out."
 }
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -7,51 +7,55 @@
 	"millethinge/internal/mailbox"
 )
 
-// inboxLimit is not a limit that matters: sources tell of changes a few times a
-// second, and what they tell must not be dropped.
+// inboxLimit has no effect: messages are added whether or not the inbox is full, since
+// changes must not be dropped and sources post only a few a second.
 const inboxLimit = 1024
 
-// List is the list's actor. Its sources post what they hear; it alone tells the
-// sink, in changes only, so that a whole list of one source removes nothing that
-// another named.
+// List is the actor that merges the changes of several sources into one list. Only it calls
+// the sink, and never with a full change: a full change from one source thus removes no node
+// that another source has listed.
 type List struct {
 	sink   Sink
 	inbox  *mailbox.Box[message]
 	listed map[control.ServerID]sourcedMember
 }
 
+// message is a change from a source, or a function to run.
 type message struct {
 	source string
 	change Change
-	run    func() // instead, where it is set
+	run    func() // if set, it is run and change is ignored
 }
 
+// sourcedMember is a listed node and the source that described it last.
 type sourcedMember struct {
 	source string
 	member Member
 }
 
-// NewList returns a List that tells sink.
+// NewList returns a List that passes its changes on to sink.
 func NewList(sink Sink) *List {
 	return &List{sink: sink, inbox: mailbox.New[message](inboxLimit), listed: make(map[control.ServerID]sourcedMember)}
 }
 
-// SinkFor returns where a source of that name posts its changes.
+// SinkFor returns the Sink to which the named source posts its changes.
 func (l *List) SinkFor(name string) Sink {
 	return func(c Change) { l.inbox.Force(message{source: name, change: c}) }
 }
 
-// AfterPending runs do once all that has been posted so far is told.
+// AfterPending runs do on the goroutine of Run once the sink has received all changes posted
+// so far.
 func (l *List) AfterPending(do func()) { l.inbox.Force(message{run: do}) }
 
-// ProcessPending tells what has been posted so far. It is for the start, before Run.
+// ProcessPending processes what has been posted so far. It must not be called once Run has
+// been called.
 func (l *List) ProcessPending() {
 	for _, msg := range l.inbox.Take(nil) {
 		l.apply(msg)
 	}
 }
 
-// Run is the actor's loop.
+// Run processes messages until ctx ends.
 func (l *List) Run(ctx context.Context) error {
 	for {
 		select {
@@ -63,6 +67,8 @@
 	}
 }
 
+// apply processes one message. From a full change it derives the removals of those nodes of
+// the same source that the change lacks.
 func (l *List) apply(msg message) {
 	if msg.run != nil {
 		msg.run()
