--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -110,7 +110,7 @@
 	l.Close()
 	var unreachable *UnreachableError
 	if err := newTestClient(nil).pollConn(t.Context(), l.Addr().String(), 0); !errors.As(err, &unreachable) || unreachable.Addr != l.Addr().String() {
-		t.Errorf("poll at a closed port: error %v", err)
+		t.Error(err)
 	}
 }
 
@@ -243,7 +243,7 @@
 				continue
 			}
 			if pollsAtTwo++; pollsAtTwo == 1 && got != first || pollsAtTwo > 4 {
-				t.Fatalf("poll %d at the second address: %v", pollsAtTwo, got)
+				t.Fatal(got)
 			}
 			longPollSeen = got.target == "/v2/stream?follow=1&wait_ms=2000"
 		case <-time.After(testTimeout):
@@ -252,7 +252,7 @@
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Errorf("Run: %v", err)
+		t.Error(err)
 	}
 }
 
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -108,7 +108,7 @@
 
 func TestTXTErrorNamesKey(t *testing.T) {
 	if _, err := (&DNSSDClient{}).parseTXT("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
-		t.Errorf("error %v does not name the TXT key", err)
+		t.Error(err)
 	}
 }
 
@@ -117,7 +117,7 @@
 	const valid = `{"index":2,"updates":[{"index":1,"endpoints":{"members":[{"id":"a","host_port":"h:1","phase":"in_service"}]}},` +
 		`{"index":2,"endpoints":{"members":[{"id":"b","phase":"terminated"}]}}]}`
 	if _, err := ParseUpdates([]byte(valid)); err != nil {
-		t.Errorf("valid response: %v", err)
+		t.Error(err)
 	}
 	for _, replacement := range [][2]string{{`"a"`, `""`}, {"h:1", "h"}, {"in_service", "in"}, {`"terminated"`, `""`}, {"]}}]}", ""}} {
 		if _, err := ParseUpdates([]byte(strings.Replace(valid, replacement[0], replacement[1], 1))); err == nil {
@@ -139,6 +139,6 @@
 	l.ProcessPending()
 	want := []string{"a  1 0 0 0 0; b  1 0 0 0 0", "c  1 0 0 0 0", "a  2 0 0 0 0; b  1 0 0 0 0"}
 	if !slices.Equal(got, want) {
-		t.Errorf("changes %q, want %q", got, want)
+		t.Errorf("changes %q", got)
 	}
 }
--- a/internal/directory/dns.go
+++ b/internal/directory/dns.go
@@ -53,17 +53,17 @@
 	if err != nil {
 		return nil, &InstanceError{name, recordTypeName(recordType), err}
 	}
-	query := dnsmessage.Message{
+	msg := dnsmessage.Message{
 		Header:    dnsmessage.Header{ID: uint16(rand.Uint32()), RecursionDesired: true},
 		Questions: []dnsmessage.Question{{Name: questionName, Type: recordType, Class: dnsmessage.ClassINET}},
 	}
-	packed, err := query.AppendPack(make([]byte, 2, 512))
+	packed, err := msg.AppendPack(make([]byte, 2, 512))
 	if err != nil {
 		return nil, &InstanceError{name, recordTypeName(recordType), err}
 	}
 	binary.BigEndian.PutUint16(packed, uint16(len(packed)-2))
 	for _, network := range []string{"udp", "tcp"} {
-		resp, err := d.exchange(ctx, network, packed, &query)
+		resp, err := d.exchange(ctx, network, packed, &msg)
 		if err != nil {
 			return nil, &DNSQueryError{d.ServerAddr, network, name, 0, err}
 		}
--- a/internal/directory/dnssd.go
+++ b/internal/directory/dnssd.go
@@ -153,9 +153,9 @@
 		}
 		ttl = min(ttl, recordTTL(addrRecord))
 	}
-	member, err := d.parseTXT(name, txtRecord.Body.(*dnsmessage.TXTResource).TXT)
-	member.Addr = netip.AddrPortFrom(addr, srv.Port).String()
-	return instance{member: member}, ttl, err
+	m, err := d.parseTXT(name, txtRecord.Body.(*dnsmessage.TXTResource).TXT)
+	m.Addr = netip.AddrPortFrom(addr, srv.Port).String()
+	return instance{member: m}, ttl, err
 }
 
 // find returns a record of the given name and type, from received or by a query. Its body is
