--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -207,7 +207,7 @@
 	on := Deployment{Name: c.Name, Teams: c.Tenants, Zones: c.Names.Zones}
 	on.Room, on.Planned = planned(&c.Settings)
 	for i, k := range c.Settings.Classes {
-		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], Paid: k.RepeatEffect != control.Idempotent, Floor: k.FloorRung})
+		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], BilledSetup: k.RepeatEffect != control.Idempotent, FloorRung: k.FloorRung})
 	}
 	return on
 }
@@ -335,7 +335,7 @@
 		fmt.Fprintf(&b, "\n%d teams", len(o.Teams))
 	}
 	if r := o.Routes; r != nil {
-		fmt.Fprintf(&b, "\n%d rules, at most %d steps a request", len(r.Rules()), r.Bound())
+		fmt.Fprintf(&b, "\n%d rules, at most %d steps a request", len(r.RuleNames()), r.MaxCost())
 	}
 	if len(o.Peaks) > 0 {
 		fmt.Fprintf(&b, "\n%d announced peaks", len(o.Peaks))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-var deployment = Deployment{Classes: []route.Class{{Name: "clip", Paid: true, Floor: 1}, {Name: "feed"}}}
+var deployment = Deployment{Classes: []route.Class{{Name: "clip", BilledSetup: true, FloorRung: 1}, {Name: "feed"}}}
 
 func operatorExample(t *testing.T) string {
 	t.Helper()
@@ -119,7 +119,7 @@
 	text := operatorExample(t)
 	o, err := ParseOperator("op", []byte(text), nil, deployment)
 	if err != nil || o.WebSocket.Grace != 3*time.Second || len(o.Teams) != 2 || o.Teams[0].Classes[0] || !o.Teams[0].Classes[1] ||
-		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MostOpen != 512 || !o.Viewers.Reasons || len(o.Routes.Rules()) != 2 {
+		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MostOpen != 512 || !o.Viewers.Reasons || len(o.Routes.RuleNames()) != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, e := range [][3]string{
@@ -172,7 +172,7 @@
 	}
 	good := "team x {\n}\nrules {\n budget 300\n define who if team == none then x else team\n route a when retry set team = who\n route b when retry and copies > 1 set team = none\n}\n"
 	o, err := ParseOperator("op", []byte(good), nil, on)
-	if err != nil || len(o.Routes.Rules()) != 2 || len(o.Warnings) != 1 || !strings.Contains(o.Warnings[0], "op:7:10: rules.route: never reached: rule a takes all its requests") {
+	if err != nil || len(o.Routes.RuleNames()) != 2 || len(o.Warnings) != 1 || !strings.Contains(o.Warnings[0], "op:7:10: rules.route: never reached: rule a takes all its requests") {
 		t.Errorf("%v, %q", err, o.Warnings)
 	}
 	if _, err := ParseOperator("op", []byte(strings.Replace(good, "300", "5", 1)), nil, on); err == nil || !strings.Contains(err.Error(), "its budget is 5") {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -13,17 +13,17 @@
 // teams.
 func rulesBlock(l *loader) conf.Key {
 	return conf.Key{Name: "rules", Usage: "{ … }", Doc: "classes, teams, budget keys and labels by rules", Read: func(d *conf.Directive) {
-		src := route.Source{Zone: time.LoadLocation, Trace: l.on.Trace}
+		src := route.Source{LoadZone: time.LoadLocation, Trace: l.on.Trace}
 		var otherwise []rules.Rule
 		d.Block(
 			conf.Key{Name: "zone", Usage: "NAME", Doc: "the time zone of clock and today; UTC if absent", Read: func(d *conf.Directive) {
-				src.Local = d.Word("a time zone, as in America/Mexico_City")
-				if _, err := time.LoadLocation(src.Local); err != nil && !d.Bad() {
+				src.LocalZone = d.Word("a time zone, as in America/Mexico_City")
+				if _, err := time.LoadLocation(src.LocalZone); err != nil && !d.Bad() {
 					d.Fault(1, "%v", err)
 				}
 			}},
 			conf.Key{Name: "budget", Usage: "STEPS", Doc: "the most that a request may cost; 50000 if absent", Read: func(d *conf.Directive) {
-				src.Budget = int64(d.Int("a number of steps", 1, rules.MostBudget))
+				src.StepBudget = int64(d.Int("a number of steps", 1, rules.MaxStepBudget))
 			}},
 			conf.Key{Name: "define", Usage: "NAME EXPRESSION", Doc: "an expression's name", Many: true, Read: func(d *conf.Directive) {
 				src.Definitions = append(src.Definitions, rules.Definition{Name: d.Word("a name"), Source: l.source(d, "an expression")})
@@ -71,9 +71,9 @@
 	}
 	text, at := d.Rest()
 	return rules.Source{
-		Text:   text,
-		Fault:  func(i int, msg string) { d.FaultAt(at+i, "%s", msg) },
-		Remark: func(i int, msg string) { l.Warnings = append(l.Warnings, d.Remark(at+i, "%s", msg)) },
+		Text:          text,
+		ReportError:   func(i int, msg string) { d.FaultAt(at+i, "%s", msg) },
+		ReportWarning: func(i int, msg string) { l.Warnings = append(l.Warnings, d.Remark(at+i, "%s", msg)) },
 	}
 }
 
@@ -82,22 +82,22 @@
 	t := rules.Table{Name: d.Word("a name")}
 	kind := func(what string) rules.Kind {
 		word := d.Word(what)
-		k := rules.KindOf(word)
+		k := rules.KindByName(word)
 		if k == 0 && !d.Bad() {
 			d.Fault(d.At(), "%q is no kind; there are int, string, duration, date, prefix, class, team and title", word)
 		}
 		return k
 	}
-	t.Key = kind("the kind of its keys")
+	t.KeyKind = kind("the kind of its keys")
 	if values {
 		d.OneOf("->", "->")
-		t.Value = kind("the kind of its values")
+		t.ValueKind = kind("the kind of its values")
 		d.OneOf("default", "default")
 		t.Default = d.Word("what a key has that there is no line for")
 	}
-	t.Fault = func(msg string) { d.Fault(1, "%s", msg) }
+	t.ReportError = func(msg string) { d.Fault(1, "%s", msg) }
 	for _, line := range d.Lines() {
-		one := rules.Line{Key: line.Name(), Fault: func(argument int, msg string) { line.Fault(argument, "%s", msg) }}
+		one := rules.TableLine{Key: line.Name(), ReportError: func(argument int, msg string) { line.Fault(argument, "%s", msg) }}
 		if values {
 			one.Value = line.Word("a value")
 		}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -147,8 +147,8 @@
 	if err != nil {
 		return err
 	}
-	routes := new(route.Live)
-	routes.Swap(cfg.Operator.Routes)
+	routes := new(route.ActiveSet)
+	routes.Replace(cfg.Operator.Routes)
 	for _, w := range cfg.Operator.Warnings {
 		log.Warn("configuration", zap.String("remark", w))
 	}
@@ -198,7 +198,7 @@
 				continue
 			}
 			coordinator.SetAddr(next.Coordinator)
-			routes.Swap(next.Operator.Routes)
+			routes.Replace(next.Operator.Routes)
 			logReloaded(&next, log)
 		}
 	}()
@@ -269,7 +269,7 @@
 func logReloaded(cfg *config.Config, log *zap.Logger) {
 	fields := []zap.Field{zap.String("coordinator", cfg.Coordinator)}
 	if r := cfg.Operator.Routes; r != nil {
-		fields = append(fields, zap.Int("rules", len(r.Rules())), zap.Int64("most_steps", r.Bound()))
+		fields = append(fields, zap.Int("rules", len(r.RuleNames())), zap.Int64("most_steps", r.MaxCost()))
 	}
 	for _, w := range cfg.Operator.Warnings {
 		log.Warn("configuration", zap.String("remark", w))
