--- a/internal/directory/answers.go
+++ b/internal/directory/answers.go
@@ -14,68 +14,71 @@
 )
 
 const (
-	maxPoll     = 4 << 20  // bytes of an answer's text
-	maxPollHead = 16 << 10 // bytes of its head
+	maxBodyBytes   = 4 << 20  // of a response's body
+	maxHeaderBytes = 16 << 10 // of a response's status line and header
 )
 
-// answers reads HTTP answers off a connection.
-type answers struct {
-	conn  io.Reader
-	ended error            // of conn
-	limit io.LimitedReader // for an answer's head; it reads from answers
-	in    *bufio.Reader
-	text  bytes.Buffer
+// responseReader reads HTTP responses from a connection.
+type responseReader struct {
+	conn     io.Reader
+	connErr  error            // of the last read of conn
+	limited  io.LimitedReader // limits a response's header; reads from the responseReader itself
+	buffered *bufio.Reader    // reads from limited
+	body     bytes.Buffer
 }
 
-func newAnswers(conn io.Reader) *answers {
-	a := &answers{conn: conn}
-	a.limit.R = a
-	a.in = bufio.NewReader(&a.limit)
-	return a
+// newResponseReader returns a responseReader that reads from conn.
+func newResponseReader(conn io.Reader) *responseReader {
+	r := &responseReader{conn: conn}
+	r.limited.R = r
+	r.buffered = bufio.NewReader(&r.limited)
+	return r
 }
 
-// Read reads conn. It keeps its error, which net/http loses in a status line.
-func (a *answers) Read(b []byte) (n int, err error) {
-	n, a.ended = a.conn.Read(b)
-	return n, a.ended
+// Read reads from conn and keeps the error, which net/http drops while it reads a status line.
+func (r *responseReader) Read(b []byte) (n int, err error) {
+	n, r.connErr = r.conn.Read(b)
+	return n, r.connErr
 }
 
-var errTooLong = errors.New("too long")
+// errTooLarge reports a response over maxHeaderBytes or maxBodyBytes.
+var errTooLarge = errors.New("too large")
 
-// next returns an answer's status and its text, which is valid until the next call.
-// Last: nothing more comes on the connection.
-func (a *answers) next() (status int, text []byte, last bool, err error) {
-	a.limit.N = maxPollHead
-	res, err := http.ReadResponse(a.in, nil)
+// next returns a response's status and its body, which is valid until the next call. connEnds
+// reports whether this is the connection's last response.
+func (r *responseReader) next() (status int, body []byte, connEnds bool, err error) {
+	r.limited.N = maxHeaderBytes
+	response, err := http.ReadResponse(r.buffered, nil)
 	switch {
-	case err != nil && a.limit.N <= 0:
-		return 0, nil, false, errTooLong
+	case err != nil && r.limited.N <= 0:
+		return 0, nil, false, errTooLarge
 	case err != nil:
-		return 0, nil, false, cmp.Or(a.ended, err)
-	case res.ContentLength > maxPoll:
-		return 0, nil, false, errTooLong
+		return 0, nil, false, cmp.Or(r.connErr, err)
+	case response.ContentLength > maxBodyBytes:
+		return 0, nil, false, errTooLarge
 	}
-	a.limit.N = math.MaxInt64
-	a.text.Reset()
-	// Guard: the body is not closed, as that would read on. It holds nothing.
-	_, err = a.text.ReadFrom(io.LimitReader(res.Body, maxPoll+1))
+	r.limited.N = math.MaxInt64
+	r.body.Reset()
+	// Guard: the body is not closed, since Close would read on. It holds no resources.
+	_, err = r.body.ReadFrom(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
-	case a.text.Len() > maxPoll:
-		return 0, nil, false, errTooLong
+	case r.body.Len() > maxBodyBytes:
+		return 0, nil, false, errTooLarge
 	case err != nil:
-		return 0, nil, false, cmp.Or(a.ended, err)
+		return 0, nil, false, cmp.Or(r.connErr, err)
 	}
-	return res.StatusCode, a.text.Bytes(), res.Close, nil
+	return response.StatusCode, r.body.Bytes(), response.Close, nil
 }
 
-// broken is what ended a poll that the coordinator was to hold for wait.
-func broken(addr string, wait time.Duration, err error) error {
-	var op *net.OpError
+// pollError returns the error for a poll that failed with err. maxWait is the longest time
+// that the coordinator could hold the poll.
+func pollError(addr string, maxWait time.Duration, err error) error {
+	var opErr *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Silent{addr, wait}
-	case errors.As(err, &op), err == io.EOF:
-		return &Closed{addr, err}
+		return &TimeoutError{addr, maxWait}
+	case errors.As(err, &opErr), err == io.EOF:
+		return &ConnClosedError{addr, err}
 	}
-	return &Spoilt{addr, maxPoll, err}
+	return &ResponseError{addr, maxBodyBytes, err}
 }
--- a/internal/directory/coordinator.go
+++ b/internal/directory/coordinator.go
@@ -16,60 +16,61 @@
 )
 
 const (
-	pollWait    = 2 * time.Second        // how long the coordinator may hold a poll
-	pollSlack   = 500 * time.Millisecond // beyond it; then the connection is taken as dead
-	redialAfter = 200 * time.Millisecond // after a poll that brought nothing
-	dialTime    = time.Second
+	pollWait       = 2 * time.Second        // longest time that the coordinator may hold a poll
+	responseMargin = 500 * time.Millisecond // beyond that time, after which the connection counts as dead
+	redialDelay    = 200 * time.Millisecond // after a connection that brought no update
+	dialTimeout    = time.Second
 )
 
-// Phases of a media node.
+// Phases of a media node, as the coordinator writes them.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated"
+	phaseInService   = "in_service"
+	phaseTerminating = "terminating"
+	phaseTerminated  = "terminated"
 )
 
-// Updates is the coordinator's numbered events, as in its answers and in the
-// configuration.
+// Updates is a series of updates with their indexes, as in the coordinator's responses and in
+// the configuration.
 type Updates struct {
-	Index   uint64 `json:"index"` // is read for its form alone: only events' own numbers count
+	Index   uint64 `json:"index"` // decoded so that a malformed one is an error; otherwise unused: only the updates' own indexes count
 	Updates []struct {
 		Index     uint64     `json:"index"`
 		Endpoints *endpoints `json:"endpoints"`
 	} `json:"updates"`
 }
 
+// endpoints is an update's change to the list.
 type endpoints struct {
 	Complete bool `json:"complete"`
 	Members  []struct {
-		ID       string  `json:"id"`
-		HostPort string  `json:"host_port"`
-		Locality string  `json:"locality"`
-		Flavor   string  `json:"flavor"`
-		Cell     int     `json:"cell"`
-		Phase    string  `json:"phase"`
-		Size     float64 `json:"size"`
-		UpSince  int64   `json:"up_since_ms"`
+		ID        string  `json:"id"`
+		HostPort  string  `json:"host_port"`
+		Locality  string  `json:"locality"`
+		Flavor    string  `json:"flavor"`
+		Cell      int     `json:"cell"`
+		Phase     string  `json:"phase"`
+		Size      float64 `json:"size"`
+		UpSinceMS int64   `json:"up_since_ms"`
 	} `json:"members"`
 }
 
-// ParseUpdates reads the coordinator's form.
-func ParseUpdates(text []byte) (Updates, error) {
+// ParseUpdates decodes updates from the coordinator's JSON. The error is an *UpdateError.
+func ParseUpdates(data []byte) (Updates, error) {
 	var u Updates
-	if err := json.Unmarshal(text, &u); err != nil {
-		return u, &Faulty{Err: err}
+	if err := json.Unmarshal(data, &u); err != nil {
+		return u, &UpdateError{Err: err}
 	}
-	for _, e := range u.Updates {
-		if err := e.Endpoints.check(e.Index); err != nil {
+	for _, update := range u.Updates {
+		if err := update.Endpoints.validate(update.Index); err != nil {
 			return u, err
 		}
 	}
 	return u, nil
 }
 
-// check tells what is wrong with an event of that number. Guard: one fault voids
-// the answer that it came in, so that none is applied by half.
-func (e *endpoints) check(number uint64) error {
+// validate returns the first fault of the update with this index, as an *UpdateError, or nil.
+// Guard: one fault makes the whole response invalid, so that none is applied in part.
+func (e *endpoints) validate(updateIndex uint64) error {
 	if e == nil {
 		return nil
 	}
@@ -77,138 +78,141 @@
 		_, _, err := net.SplitHostPort(m.HostPort)
 		switch {
 		case m.ID == "":
-			return &Faulty{number, i, "id", errors.New("missing")}
-		case m.Phase != inService && m.Phase != terminating && m.Phase != terminated:
-			return &Faulty{number, i, "phase", fmt.Errorf("%q", m.Phase)}
-		case m.Phase != terminated && err != nil:
-			return &Faulty{number, i, "host_port", err}
+			return &UpdateError{updateIndex, i, "id", errors.New("missing")}
+		case m.Phase != phaseInService && m.Phase != phaseTerminating && m.Phase != phaseTerminated:
+			return &UpdateError{updateIndex, i, "phase", fmt.Errorf("%q", m.Phase)}
+		case m.Phase != phaseTerminated && err != nil:
+			return &UpdateError{updateIndex, i, "host_port", err}
 		}
 	}
 	return nil
 }
 
-func (e *endpoints) change(names Names) Change {
+// toChange converts an update that is valid.
+func (e *endpoints) toChange(names Names) Change {
 	c := Change{Full: e.Complete}
 	for _, m := range e.Members {
 		entry := control.Entry{
-			Server: ServerOf(m.ID), Cell: m.Cell, Weight: m.Size,
-			Zone: index(names.Zones, m.Locality), MachineKind: index(names.Kinds, m.Flavor),
+			Server: ServerIDOf(m.ID), Cell: m.Cell, Weight: m.Size,
+			Zone: index(names.Zones, m.Locality), MachineKind: index(names.MachineKinds, m.Flavor),
 		}
 		switch m.Phase {
-		case inService:
+		case phaseInService:
 			entry.State = control.Ready
-		case terminating:
+		case phaseTerminating:
 			entry.State = control.Draining
 		default:
 			entry.State = control.Gone
 		}
 		member := Member{Entry: entry, ID: m.ID, Addr: m.HostPort}
-		if m.UpSince > 0 {
-			member.Up = time.UnixMilli(m.UpSince)
-			member.StartedAtS = float64(m.UpSince) / 1000
+		if m.UpSinceMS > 0 {
+			member.StartedAt = time.UnixMilli(m.UpSinceMS)
+			member.StartedAtS = float64(m.UpSinceMS) / 1000
 		}
 		c.Members = append(c.Members, member)
 	}
 	return c
 }
 
-// Coordinator follows the coordinator's events, one after the other. It is the
-// only one to tell the sink.
-type Coordinator struct {
-	Names Names
-	Sink  Sink
-	Log   *zap.Logger
-	Heard func(asked time.Time) // told of each answer, after the sink, with when it was asked for; nil: nobody
-	moved chan string           // the address to follow from now on
-	again chan struct{}         // a poll is to be made at once
-	last  uint64                // number of the last event that was told
-	told  int                   // answers that were applied
+// CoordinatorClient polls the coordinator and passes its updates on to Sink, one after the
+// other. Nothing else calls Sink.
+type CoordinatorClient struct {
+	Names         Names                     // of zones and machine kinds
+	Sink          Sink                      // receives the changes
+	Log           *zap.Logger               // reports failed polls
+	OnResponse    func(requested time.Time) // called after each valid response has been passed to Sink, with the time of its request; may be nil
+	newAddr       chan string               // the address to poll from now on
+	pollRequested chan struct{}             // a poll has to be made at once
+	lastIndex     uint64                    // highest index of the updates passed on
+	applied       int                       // number of responses applied
 }
 
-// NewCoordinator returns a Coordinator that has told what is known at the start.
-func NewCoordinator(known Updates, names Names, sink Sink, log *zap.Logger) *Coordinator {
-	c := &Coordinator{Names: names, Sink: sink, Log: log, moved: make(chan string, 1), again: make(chan struct{}, 1)}
+// NewCoordinatorClient returns a CoordinatorClient that has already passed known on to sink.
+func NewCoordinatorClient(known Updates, names Names, sink Sink, log *zap.Logger) *CoordinatorClient {
+	c := &CoordinatorClient{Names: names, Sink: sink, Log: log, newAddr: make(chan string, 1), pollRequested: make(chan struct{}, 1)}
 	c.apply(known)
 	return c
 }
 
-// Follow has Run go on at another address. The numbers continue there.
-func (c *Coordinator) Follow(addr string) {
+// SetAddr makes Run poll at another address. The indexes of updates continue there.
+func (c *CoordinatorClient) SetAddr(addr string) {
 	for {
 		select {
-		case c.moved <- addr:
+		case c.newAddr <- addr:
 			return
-		case <-c.moved: // an address that nobody has begun to follow
+		case <-c.newAddr: // an earlier address that Run has not taken yet
 		}
 	}
 }
 
-// Ask has Run ask at once, on a new connection, and not wait for news there: what the
-// one that is held open would bring may be old.
-func (c *Coordinator) Ask() {
+// PollNow makes Run poll at once, on a new connection, with a poll that the coordinator does
+// not hold. The response to the poll that is held open may be out of date.
+func (c *CoordinatorClient) PollNow() {
 	select {
-	case c.again <- struct{}{}:
-	default: // one is to be made already
+	case c.pollRequested <- struct{}{}:
+	default: // already requested
 	}
 }
 
-func (c *Coordinator) apply(u Updates) { c.last = u.tell(c.last, c.Names, c.Sink) }
+// apply passes on those of the updates that are new.
+func (c *CoordinatorClient) apply(u Updates) { c.lastIndex = u.deliver(c.lastIndex, c.Names, c.Sink) }
 
-// Apply tells sink of all events, as one who follows from the start hears them.
-func Apply(u Updates, names Names, sink Sink) { u.tell(0, names, sink) }
+// Replay passes all updates on to sink, like a client that has polled from the start.
+func Replay(u Updates, names Names, sink Sink) { u.deliver(0, names, sink) }
 
-// tell tells sink of the events after last, and returns the number of the last one.
+// deliver passes the updates with an index above lastIndex on to sink, and those without an
+// index. It returns the highest index passed on so far.
 //
-// Guard: only numbers of events that came count. The answer's own may be ahead, where
-// an event came up while it was written: that event would never be asked for. What one
-// answer brings is held against what was told before it, so that none of two events
-// with one number, or out of order, is passed over.
-func (u *Updates) tell(last uint64, names Names, sink Sink) uint64 {
-	before := last
-	for _, e := range u.Updates {
-		if e.Index != 0 && e.Index <= before {
+// Guard: only indexes of updates received count. The response's own index may be ahead, if an
+// update occurred while the response was written: that update would then never be requested.
+// All updates of a response are compared with the index before the response, so that none is
+// skipped where two have the same index or their order is wrong.
+func (u *Updates) deliver(lastIndex uint64, names Names, sink Sink) uint64 {
+	indexBefore := lastIndex
+	for _, update := range u.Updates {
+		if update.Index != 0 && update.Index <= indexBefore {
 			continue
 		}
-		last = max(last, e.Index)
-		if e.Endpoints != nil {
-			sink(e.Endpoints.change(names))
+		lastIndex = max(lastIndex, update.Index)
+		if update.Endpoints != nil {
+			sink(update.Endpoints.toChange(names))
 		}
 	}
-	return last
+	return lastIndex
 }
 
-// Run polls at the address that Follow last named until ctx ends. A connection
-// that breaks or falls silent is replaced at once: what the coordinator holds
-// counts as told either way.
-func (c *Coordinator) Run(ctx context.Context) error {
-	addr, wait := "", pollWait
+// Run polls at the address last given to SetAddr until ctx ends. After a connection that breaks
+// or times out it opens another one, and continues after the last update received.
+func (c *CoordinatorClient) Run(ctx context.Context) error {
+	addr, maxWait := "", pollWait
 	select {
-	case <-c.again: // asked for before the first poll
-		wait = 0
+	case <-c.pollRequested: // PollNow was called before the first poll
+		maxWait = 0
 	default:
 	}
 	for ctx.Err() == nil {
 		if addr == "" {
 			select {
 			case <-ctx.Done():
-			case addr = <-c.moved:
+			case addr = <-c.newAddr:
 			}
 			continue
 		}
-		poll, cancel := context.WithCancel(ctx)
-		done, at, first := make(chan struct{}), addr, wait // addr may name the next one before the goroutine begins
+		pollCtx, cancel := context.WithCancel(ctx)
+		done, pollAddr, firstWait := make(chan struct{}), addr, maxWait // addr may change before the goroutine starts
 		go func() {
 			defer close(done)
-			c.poll(poll, at, first)
+			c.pollAddress(pollCtx, pollAddr, firstWait)
 		}()
-		// Whoever breaks in on a poll is to be answered at once: at another address what is
-		// heard first tells that somebody is there, and an Ask that the move overtook counts.
-		wait = 0
+		// The poll after an interruption must not be held: at another address its response
+		// shows that the coordinator is there, and a PollNow may have been overtaken by the
+		// change of address.
+		maxWait = 0
 		select {
 		case <-ctx.Done():
-		case addr = <-c.moved:
+		case addr = <-c.newAddr:
 			c.Log.Info("following another coordinator", zap.String("address", addr))
-		case <-c.again:
+		case <-c.pollRequested:
 		}
 		cancel()
 		<-done
@@ -216,75 +220,75 @@
 	return nil
 }
 
-// poll asks at one address until ctx ends. At first the coordinator may hold the poll
-// for as long as wait: what is asked at once is not forgotten over a connection that
-// breaks.
-func (c *Coordinator) poll(ctx context.Context, addr string, wait time.Duration) {
+// pollAddress polls at one address until ctx ends. The coordinator may hold the polls for
+// maxWait until it has responded once or timed out, and for pollWait from then on: a poll that
+// must not be held is thus repeated with the same maxWait if its connection breaks.
+func (c *CoordinatorClient) pollAddress(ctx context.Context, addr string, maxWait time.Duration) {
 	for ctx.Err() == nil {
-		before, told := c.last, c.told
-		err := c.follow(ctx, addr, wait)
+		indexBefore, appliedBefore := c.lastIndex, c.applied
+		err := c.pollConn(ctx, addr, maxWait)
 		if err != nil && ctx.Err() == nil {
 			c.Log.Warn("coordinator", remedy.Fields(err)...)
 		}
-		if c.told > told || errors.As(err, new(*Silent)) { // it may be too slow to answer at once
-			wait = pollWait
+		if c.applied > appliedBefore || errors.As(err, new(*TimeoutError)) { // after a time-out: the coordinator may be too slow for an immediate response
+			maxWait = pollWait
 		}
-		if c.last > before {
+		if c.lastIndex > indexBefore {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialAfter):
+		case <-time.After(redialDelay):
 		}
 	}
 }
 
-// follow polls on one connection until it is of no further use; the error is nil if
-// the coordinator said that it closes it, or answers without news or waiting for any.
+// pollConn polls on one connection until that can't be used any more. The error is nil if the
+// coordinator announced that it closes the connection, or if it responded without an update
+// in less than half of maxWait.
 //
-// net/http reads the answers and no more: its client would bring goroutines of its
-// own, and would repeat a poll on a broken connection within the deadline of the
-// first one.
-func (c *Coordinator) follow(ctx context.Context, addr string, wait time.Duration) error {
-	conn, err := (&net.Dialer{Timeout: dialTime}).DialContext(ctx, "tcp", addr)
+// Of net/http only the parser of responses is used: its client would start goroutines of its
+// own, and would repeat a poll on a broken connection within the deadline of the first one.
+func (c *CoordinatorClient) pollConn(ctx context.Context, addr string, maxWait time.Duration) error {
+	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return &Unreachable{addr, err}
+		return &UnreachableError{addr, err}
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
-	in := newAnswers(conn)
+	responses := newResponseReader(conn)
 	for {
-		req := fmt.Appendf(nil, "GET /v2/stream?follow=%d&wait_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-			c.last, wait.Milliseconds(), addr)
-		asked := time.Now()
-		if err := conn.SetDeadline(asked.Add(wait + pollSlack)); err != nil {
-			return &Closed{addr, err}
+		request := fmt.Appendf(nil, "GET /v2/stream?follow=%d&wait_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
+			c.lastIndex, maxWait.Milliseconds(), addr)
+		requested := time.Now()
+		if err := conn.SetDeadline(requested.Add(maxWait + responseMargin)); err != nil {
+			return &ConnClosedError{addr, err}
 		}
-		if _, err := conn.Write(req); err != nil {
-			return broken(addr, wait, err)
+		if _, err := conn.Write(request); err != nil {
+			return pollError(addr, maxWait, err)
 		}
-		status, text, last, err := in.next()
+		status, body, connEnds, err := responses.next()
 		if err != nil {
-			return broken(addr, wait, err)
+			return pollError(addr, maxWait, err)
 		}
 		if status != http.StatusOK {
-			return &Status{addr, status}
+			return &StatusError{addr, status}
 		}
-		u, err := ParseUpdates(text)
+		updates, err := ParseUpdates(body)
 		if err != nil {
 			return err
 		}
-		before := c.last
-		c.apply(u)
-		c.told++
-		if c.Heard != nil {
-			c.Heard(asked)
+		indexBefore := c.lastIndex
+		c.apply(updates)
+		c.applied++
+		if c.OnResponse != nil {
+			c.OnResponse(requested)
 		}
-		// Guard: one that does not hold polls is not asked without a pause.
-		if last || c.last == before && time.Since(asked) < wait/2 {
+		// Guard: a coordinator that does not hold polls must not be polled without a pause.
+		if connEnds || c.lastIndex == indexBefore && time.Since(requested) < maxWait/2 {
 			return nil
 		}
-		wait = pollWait
+		maxWait = pollWait
 	}
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,6 +14,7 @@
 	"millethinge/control"
 )
 
+// unhex decodes hexadecimal digits and ignores white space.
 func unhex(t testing.TB, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(s), ""))
@@ -23,6 +24,7 @@
 	return b
 }
 
+// goldenBatch holds an arrival, a timer and an abandoned set-up, as the simulator encodes them.
 const goldenBatch = `
 	0c000000 508d976e12d32040 6f000000 03000000
 	03 3c000000 0300 c4913a5d59380800 0000 0000 640ad2557c3bf091 107cf3d901648e2b
@@ -94,20 +96,21 @@
 	}
 }
 
+// frame returns a batch of encoded records.
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	b := make([]byte, headerLen, headerLen+len(body))
-	binary.LittleEndian.PutUint32(b[12:], uint32(headerLen+len(body)))
+	b := make([]byte, batchHeaderLen, batchHeaderLen+len(body))
+	binary.LittleEndian.PutUint32(b[12:], uint32(batchHeaderLen+len(body)))
 	binary.LittleEndian.PutUint32(b[16:], uint32(len(records)))
 	return append(b, body...)
 }
 
-func TestServersRoundTrip(t *testing.T) {
-	census := unhex(t, `0d 35000000 00 02000000
+func TestServerListRoundTrip(t *testing.T) {
+	contents := unhex(t, `0d 35000000 00 02000000
 		01 0100 0000 0000000000000000 0a124a07 931f 00 0000803f
 		00 0200 0100 6666666666661840 0a9011f2 bc1f 01 0000c03f`)
-	view := unhex(t, `02 08000000 0300 00 29000000 01`)
-	b, err := NewDecoder(bytes.NewReader(frame(census, view))).Next()
+	list := unhex(t, `02 08000000 0300 00 29000000 01`)
+	b, err := NewDecoder(bytes.NewReader(frame(contents, list))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,38 +119,38 @@
 		{Server: 0x0a9011f21fbc, State: control.Draining, Cell: 2, Zone: 1, MachineKind: 1, StartedAtS: 6.1, Weight: 1.5},
 	}
 	if e := b.Records[0].Event; e.List != control.ListCached || !reflect.DeepEqual(e.Entries, want) {
-		t.Errorf("list %+v, want %+v", e, want)
+		t.Errorf("list event %+v, want entries %+v", e, want)
 	}
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	e.server(want[0].Server)
 	if !bytes.Equal(e.buf, unhex(t, "0a124a07 931f")) {
-		t.Errorf("server goes back as %x", e.buf)
+		t.Errorf("server encoded as %x", e.buf)
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	good := unhex(t, goldenBatch)
-	long := append([]byte(nil), good...)
-	binary.LittleEndian.PutUint32(long[12:], 1<<29)
+	falseLength := append([]byte(nil), good...)
+	binary.LittleEndian.PutUint32(falseLength[12:], 1<<29)
 	overrun := frame([]byte{6, 200, 0, 0, 0, 1, 0})
 	for name, in := range map[string][]byte{
-		"header cut":    good[:7],
-		"body cut":      good[:len(good)-3],
-		"false length":  long,
-		"record long":   overrun,
-		"record short":  frame([]byte{6, 2, 0, 0, 0, 1, 0}),
-		"census count":  frame([]byte{13, 5, 0, 0, 0, 0, 255, 255, 255, 255}),
-		"size too low":  make([]byte, headerLen),
-		"trailing byte": append(frame()[:0], func() []byte { b := frame(nil); b[16] = 0; b[12]++; return append(b, 9) }()...),
+		"truncated header":       good[:7],
+		"truncated body":         good[:len(good)-3],
+		"size past end":          falseLength,
+		"record length past end": overrun,
+		"record too short":       frame([]byte{6, 2, 0, 0, 0, 1, 0}),
+		"list count past end":    frame([]byte{13, 5, 0, 0, 0, 0, 255, 255, 255, 255}),
+		"size too low":           make([]byte, batchHeaderLen),
+		"trailing byte":          append(frame()[:0], func() []byte { b := frame(nil); b[16] = 0; b[12]++; return append(b, 9) }()...),
 	} {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); err == nil || errors.Is(err, io.EOF) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
 	b, err := NewDecoder(bytes.NewReader(frame([]byte{99, 1, 0, 0, 0, 7}, []byte{9, 2, 0, 0, 0, 4, 0}, []byte{10, 2, 0, 0, 0, 4, 0}))).Next()
-	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindDestroy {
-		t.Errorf("an unknown code is not skipped: %+v, %v", b, err)
+	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindKill {
+		t.Errorf("a record with an unknown code was not skipped: %+v, %v", b, err)
 	}
 }
 
