--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -88,19 +88,19 @@
 func TestAllFaultsAtOnce(t *testing.T) {
 	faults := new(Faults)
 	list := Parse("f", []byte("nme a\nsize many\nsize\n\"x\n"), nil, faults)
-	Read(list, nil, faults, []Key{
-		{Name: "name", Read: func(d *Directive) { d.Word("a name") }},
-		{Name: "size", Many: true, Read: func(d *Directive) { d.Int("a size", 1, 9) }},
+	Apply(list, nil, faults, []Keyword{
+		{Name: "name", Apply: func(d *Directive) { d.Word("a name") }},
+		{Name: "size", Repeatable: true, Apply: func(d *Directive) { d.Int("a size", 1, 9) }},
 	})
 	var places []string
 	for _, f := range faults.List() {
-		places = append(places, fmt.Sprintf("%d:%d", f.Line, f.Col))
+		places = append(places, fmt.Sprintf("%d:%d", f.Line, f.Column))
 	}
 	if got := strings.Join(places, " "); got != "1:1 2:6 3:5 4:1" {
 		t.Errorf("%s\n%v", got, faults)
 	}
 	faults = new(Faults)
-	Read(Parse("f", []byte(strings.Repeat("x\n", 1000)), nil, faults), nil, faults, nil)
+	Apply(Parse("f", []byte(strings.Repeat("x\n", 1000)), nil, faults), nil, faults, nil)
 	if n := strings.Count(faults.Error(), "unknown keyword"); n != mostFaults || !strings.HasSuffix(faults.Error(), "900 more faults") {
 		t.Errorf("%d faults told", n)
 	}
@@ -116,7 +116,7 @@
 		"\tsize äö x": "\tsize äö x\n    \t        ^",
 		strings.Repeat("ä", 500) + " x" + "yyyyy": strings.Repeat("ä", 79) + " xyyyyy\n    " + strings.Repeat(" ", 80) + "^",
 	} {
-		f := Fault{File: "f", Line: 1, Col: len([]rune(text[:strings.IndexByte(text, 'x')])) + 1, Text: text, Msg: "m"}
+		f := Fault{File: "f", Line: 1, Column: len([]rune(text[:strings.IndexByte(text, 'x')])) + 1, LineText: text, Message: "m"}
 		if got := f.Error(); !strings.HasSuffix(got, "\n    "+want) {
 			t.Errorf("got\n%s\nwant\n%s", got, want)
 		}
@@ -131,12 +131,12 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		faults := new(Faults)
 		list := Parse("f", []byte(text), func(string) ([]byte, error) { return []byte(text), nil }, faults)
-		Read(list, nil, faults, []Key{{Name: "a", Many: true, Read: func(d *Directive) {
-			d.Block(Key{Name: "b", Read: func(d *Directive) { d.Rest() }})
+		Apply(list, nil, faults, []Keyword{{Name: "a", Repeatable: true, Apply: func(d *Directive) {
+			d.Block(Keyword{Name: "b", Apply: func(d *Directive) { d.Rest() }})
 		}}})
 		for _, one := range faults.List() {
-			if one.Line < 1 || one.Line > strings.Count(text, "\n")+1 || one.Col < 1 || one.Col > len(one.Text)+1 {
-				t.Errorf("%q: fault at %d:%d of %q", text, one.Line, one.Col, one.Text)
+			if one.Line < 1 || one.Line > strings.Count(text, "\n")+1 || one.Column < 1 || one.Column > len(one.LineText)+1 {
+				t.Errorf("%q: fault at %d:%d of %q", text, one.Line, one.Column, one.LineText)
 			}
 			_ = one.Error()
 		}
--- a/internal/conf/directive.go
+++ b/internal/conf/directive.go
@@ -12,20 +12,20 @@
 	"millethinge/internal/spell"
 )
 
-// Key is one keyword that a block may hold.
-type Key struct {
-	Name  string
-	Usage string // its arguments, as in "ADDRESS"
-	Doc   string // what it is for, in one line
-	Many  bool   // it may stand more than once
-	Must  bool   // it may not be left out
-	Read  func(*Directive)
+// Keyword is one keyword that a block may hold.
+type Keyword struct {
+	Name       string
+	Usage      string // its arguments, as in "ADDRESS"
+	Doc        string // what it is for, in one line
+	Repeatable bool   // it may stand more than once
+	Required   bool   // it may not be left out
+	Apply      func(*Directive)
 }
 
-// Read hands each directive of a list to the key of its name. Unknown keywords,
+// Apply hands each directive of a list to the key of its name. Unknown keywords,
 // such as stand too often, and missing ones are faults; around, which may be nil,
 // is the directive whose block this is.
-func Read(list []*Directive, around *Directive, faults *Faults, keys []Key) {
+func Apply(list []*Directive, around *Directive, faults *Faults, keys []Keyword) {
 	names := make([]string, len(keys))
 	for i, k := range keys {
 		names[i] = k.Name
@@ -34,42 +34,42 @@
 	for _, d := range list {
 		i := slices.Index(names, d.Name())
 		if i < 0 {
-			d.Fault(0, "unknown keyword %q%s", d.Name(), spell.Suggest(d.Name(), names))
+			d.ReportFault(0, "unknown keyword %q%s", d.Name(), spell.Suggest(d.Name(), names))
 			continue
 		}
-		if first[i] != nil && !keys[i].Many {
+		if first[i] != nil && !keys[i].Repeatable {
 			line, _, _ := first[i].src.place(first[i].words[0].from)
-			d.Fault(0, "stands twice; it was first on line %d of %s", line, first[i].src.name)
+			d.ReportFault(0, "stands twice; it was first on line %d of %s", line, first[i].src.name)
 			continue
 		}
 		if first[i] == nil {
 			first[i] = d
 		}
-		keys[i].Read(d)
+		keys[i].Apply(d)
 		d.end()
 	}
 	for i, k := range keys {
-		if k.Must && first[i] == nil && around != nil {
-			around.Fault(0, "%s is missing: %s %s", k.Name, k.Name, k.Usage)
+		if k.Required && first[i] == nil && around != nil {
+			around.ReportFault(0, "%s is missing: %s %s", k.Name, k.Name, k.Usage)
 		}
 	}
 }
 
 // Block hands the directives of d's block to keys.
-func (d *Directive) Block(keys ...Key) {
+func (d *Directive) Block(keys ...Keyword) {
 	if !d.opened {
-		d.Fault(0, "wants a block: %s {", d.Name())
+		d.ReportFault(0, "wants a block: %s {", d.Name())
 		return
 	}
 	d.opened = false // it has been read
-	Read(d.block, d, d.faults, keys)
+	Apply(d.block, d, d.faults, keys)
 }
 
-// Lines returns the directives of d's block, for one whose keywords are names
+// Directives returns the directives of d's block, for one whose keywords are names
 // of its own. Each is to be read to its End.
-func (d *Directive) Lines() []*Directive {
+func (d *Directive) Directives() []*Directive {
 	if !d.opened {
-		d.Fault(0, "wants a block: %s {", d.Name())
+		d.ReportFault(0, "wants a block: %s {", d.Name())
 	}
 	d.opened = false
 	return d.block
@@ -78,8 +78,8 @@
 // Name is the keyword.
 func (d *Directive) Name() string { return d.words[0].value }
 
-// Opened tells whether a block follows that has not been read.
-func (d *Directive) Opened() bool { return d.opened }
+// HasUnreadBlock tells whether a block follows that has not been read.
+func (d *Directive) HasUnreadBlock() bool { return d.opened }
 
 // path is the keys that lead to what is in d's block.
 func (d *Directive) path() string {
@@ -93,18 +93,18 @@
 	return key
 }
 
-// Fault tells what is wrong with an argument; 0 is the keyword itself, and one
+// ReportFault tells what is wrong with an argument; 0 is the keyword itself, and one
 // beyond the last is the end of the line.
-func (d *Directive) Fault(argument int, format string, args ...any) {
+func (d *Directive) ReportFault(argument int, format string, args ...any) {
 	at := d.where
 	if argument < len(d.words) {
 		at = d.words[argument].from
 	}
-	d.FaultAt(at, format, args...)
+	d.ReportFaultAt(at, format, args...)
 }
 
-// FaultAt is Fault at a byte of the file, as Rest gives it.
-func (d *Directive) FaultAt(at int, format string, args ...any) {
+// ReportFaultAt is Fault at a byte of the file, as Rest gives it.
+func (d *Directive) ReportFaultAt(at int, format string, args ...any) {
 	d.bad = true
 	d.faults.add(d.place(at, fmt.Sprintf(format, args...)))
 }
@@ -115,36 +115,36 @@
 	if d.key != "" {
 		key = d.key + "." + key
 	}
-	return &Fault{File: d.src.name, Line: line, Col: col, Key: key, Text: text, Msg: msg}
+	return &Fault{File: d.src.name, Line: line, Column: col, KeywordPath: key, LineText: text, Message: msg}
 }
 
-// Remark words something about a byte of the file that is no fault.
-func (d *Directive) Remark(at int, format string, args ...any) string {
+// FormatWarning words something about a byte of the file that is no fault.
+func (d *Directive) FormatWarning(at int, format string, args ...any) string {
 	f := d.place(at, fmt.Sprintf(format, args...))
-	f.Text = ""
+	f.LineText = ""
 	return f.Error()
 }
 
-// At is the position of the argument that was read last, for Fault.
-func (d *Directive) At() int { return d.next }
+// ArgumentIndex is the position of the argument that was read last, for Fault.
+func (d *Directive) ArgumentIndex() int { return d.next }
 
-// Bad tells whether a fault of d's has been told.
-func (d *Directive) Bad() bool { return d.bad }
+// HasFault tells whether a fault of d's has been told.
+func (d *Directive) HasFault() bool { return d.bad }
 
 // More tells whether arguments are left.
 func (d *Directive) More() bool { return d.next+1 < len(d.words) }
 
-// End tells what is left over of a directive that Lines returned.
-func (d *Directive) End() { d.end() }
+// ExpectEnd tells what is left over of a directive that Lines returned.
+func (d *Directive) ExpectEnd() { d.end() }
 
 func (d *Directive) end() {
 	if d.bad {
 		return
 	}
 	if d.More() {
-		d.Fault(d.next+1, "too many arguments")
+		d.ReportFault(d.next+1, "too many arguments")
 	} else if d.opened {
-		d.Fault(len(d.words), "takes no block")
+		d.ReportFault(len(d.words), "takes no block")
 	}
 }
 
@@ -152,7 +152,7 @@
 func (d *Directive) Word(what string) string {
 	if !d.More() {
 		if !d.bad { // one such fault a line says it all
-			d.Fault(len(d.words), "wants %s", what)
+			d.ReportFault(len(d.words), "wants %s", what)
 		}
 		return ""
 	}
@@ -174,7 +174,7 @@
 // wrong tells that the argument just read is not what was wanted.
 func (d *Directive) wrong(format string, args ...any) {
 	if d.next > 0 && d.next < len(d.words) && !d.bad {
-		d.Fault(d.next, "%q is "+format, append([]any{d.words[d.next].value}, args...)...)
+		d.ReportFault(d.next, "%q is "+format, append([]any{d.words[d.next].value}, args...)...)
 	}
 }
 
@@ -234,8 +234,8 @@
 	return w
 }
 
-// Switch returns the next argument as on or off.
-func (d *Directive) Switch() bool {
+// OnOff returns the next argument as on or off.
+func (d *Directive) OnOff() bool {
 	return d.OneOf("on or off", "on", "off") == 0
 }
 
@@ -244,7 +244,7 @@
 	w := d.Word(what)
 	i := slices.Index(words, w)
 	if i < 0 && !d.bad {
-		d.Fault(d.next, "%q is not %s%s", w, what, spell.Suggest(w, words))
+		d.ReportFault(d.next, "%q is not %s%s", w, what, spell.Suggest(w, words))
 	}
 	return i
 }
--- a/internal/conf/fault.go
+++ b/internal/conf/fault.go
@@ -9,25 +9,25 @@
 
 // Fault is one thing that is wrong with a file, and where.
 type Fault struct {
-	File      string
-	Line, Col int    // from 1; columns count characters
-	Key       string // the keys that lead there, as in "team.north.rate"
-	Text      string // the line
-	Msg       string
+	File         string
+	Line, Column int    // from 1; columns count characters
+	KeywordPath  string // the keys that lead there, as in "team.north.rate"
+	LineText     string // the line
+	Message      string
 }
 
 // Error gives the place, the key, what is wrong, and the line with a caret.
 func (f *Fault) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Col)
-	if f.Key != "" {
-		b.WriteString(f.Key + ": ")
+	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
+	if f.KeywordPath != "" {
+		b.WriteString(f.KeywordPath + ": ")
 	}
-	b.WriteString(f.Msg)
-	if f.Text != "" {
+	b.WriteString(f.Message)
+	if f.LineText != "" {
 		// Guard: a line is shown in part, so that one fault in a very long one
 		// doesn't fill a screen.
-		text, col := []rune(f.Text), f.Col-1
+		text, col := []rune(f.LineText), f.Column-1
 		if from := max(0, col-mostShown/2); from > 0 {
 			text, col = text[min(from, len(text)):], col-from
 		}
@@ -78,7 +78,7 @@
 
 func (f *Faults) sort() {
 	slices.SortStableFunc(f.list, func(a, b *Fault) int {
-		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Col-b.Col)
+		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Column-b.Column)
 	})
 }
 
--- a/internal/conf/scan.go
+++ b/internal/conf/scan.go
@@ -90,18 +90,18 @@
 	bad    bool
 }
 
-// Open returns the text of an included file.
-type Open func(path string) ([]byte, error)
+// ReadFileFunc returns the text of an included file.
+type ReadFileFunc func(path string) ([]byte, error)
 
 // Parse cuts a file into directives and takes in what it includes, by paths
 // that are relative to the including file.
-func Parse(name string, text []byte, open Open, faults *Faults) []*Directive {
+func Parse(name string, text []byte, open ReadFileFunc, faults *Faults) []*Directive {
 	p := &parser{open: open, faults: faults}
 	return p.file(name, text, nil, "")
 }
 
 type parser struct {
-	open   Open
+	open   ReadFileFunc
 	faults *Faults
 	bytes  int
 	files  int
@@ -111,9 +111,9 @@
 func (p *parser) file(name string, text []byte, from *Directive, key string) []*Directive {
 	fail := func(format string, args ...any) []*Directive {
 		if from != nil {
-			from.Fault(0, format, args...)
+			from.ReportFault(0, format, args...)
 		} else {
-			p.faults.add(&Fault{File: name, Line: 1, Col: 1, Msg: fmt.Sprintf(format, args...)})
+			p.faults.add(&Fault{File: name, Line: 1, Column: 1, Message: fmt.Sprintf(format, args...)})
 		}
 		return nil
 	}
@@ -145,21 +145,21 @@
 	}
 	for _, s := range p.seen {
 		if s == filepath.Clean(path) {
-			d.Fault(1, "%q includes itself: %s", name, strings.Join(append(p.seen, path), " > "))
+			d.ReportFault(1, "%q includes itself: %s", name, strings.Join(append(p.seen, path), " > "))
 			return nil
 		}
 	}
 	if len(p.seen) > maxIncludes {
-		d.Fault(1, "files are included more than %d deep", maxIncludes)
+		d.ReportFault(1, "files are included more than %d deep", maxIncludes)
 		return nil
 	}
 	if p.open == nil {
-		d.Fault(1, "no file can be included here")
+		d.ReportFault(1, "no file can be included here")
 		return nil
 	}
 	text, err := p.open(path)
 	if err != nil {
-		d.Fault(1, "%v", err)
+		d.ReportFault(1, "%v", err)
 		return nil
 	}
 	return p.file(path, text, d, key)
@@ -174,7 +174,7 @@
 
 func (s *scanner) fault(at int, key, format string, args ...any) {
 	line, col, text := s.src.place(at)
-	s.faults.add(&Fault{File: s.src.name, Line: line, Col: col, Key: key, Text: text, Msg: fmt.Sprintf(format, args...)})
+	s.faults.add(&Fault{File: s.src.name, Line: line, Column: col, KeywordPath: key, LineText: text, Message: fmt.Sprintf(format, args...)})
 }
 
 // block reads directives until the block that opener began ends, or the file.
@@ -184,7 +184,7 @@
 		d, closing, ok := s.line(key)
 		switch {
 		case !ok && opener != nil:
-			opener.Fault(0, "the block that begins here has no end")
+			opener.ReportFault(0, "the block that begins here has no end")
 			return list
 		case !ok:
 			return list
@@ -202,7 +202,7 @@
 			inner := d.path()
 			if depth >= maxDepth {
 				// Guard: what is deeper is passed over by counting, not by recursion.
-				d.Fault(0, "blocks are nested more than %d deep", maxDepth)
+				d.ReportFault(0, "blocks are nested more than %d deep", maxDepth)
 				s.pass()
 				continue
 			}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,12 +24,12 @@
 
 // Environment variables.
 const (
-	EnvConfig   = "BALANCER_CONFIG"      // path of the platform's JSON
-	EnvOperator = "MILLETHINGE_OPERATOR" // the operator's file; absent: operatorFile
-	envName     = "BALANCER_NAME"
-	envListen   = "BALANCER_LISTEN"
-	envAdmin    = "BALANCER_ADMIN"
-	envTemp     = "TMPDIR"
+	EnvPlatformFile = "BALANCER_CONFIG"      // path of the platform's JSON
+	EnvOperatorFile = "MILLETHINGE_OPERATOR" // the operator's file; absent: operatorFile
+	envName         = "BALANCER_NAME"
+	envListen       = "BALANCER_LISTEN"
+	envAdmin        = "BALANCER_ADMIN"
+	envTemp         = "TMPDIR"
 )
 
 // Defaults of what the platform may leave out.
@@ -72,57 +72,57 @@
 
 // Config is all that the program is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Admin    string // where operators call; empty: nowhere
-	Temp     string // a folder for what processes of this manager share; empty: there is none
-	Seed     uint64
-	Cores    float64
-	MemoryMB int
-	Sockets  int
+	Name        string
+	Listen      string
+	AdminListen string // where operators call; empty: nowhere
+	SharedDir   string // a folder for what processes of this manager share; empty: there is none
+	Seed        uint64
+	Cores       float64
+	MemoryMB    int
+	Sockets     int
 
-	Coordinator string
-	Known       directory.Updates
-	Names       directory.Names
-	Settings    control.Settings
-	Classes     []string      // names by class
-	Tenants     []string      // of the platform, by number
-	MostLeft    time.Duration // the longest that a viewer may say it waits
-	Drain       broker.DrainTimes
+	Coordinator    string
+	KnownNodes     directory.Updates
+	DirectoryNames directory.Names
+	Settings       control.Settings
+	ClassNames     []string      // names by class
+	TenantNames    []string      // of the platform, by number
+	TimeLeftLimit  time.Duration // the longest that a viewer may say it waits
+	Drain          broker.DrainTimes
 
-	DrainGrace     time.Duration // after which nothing goes to a node that drains
-	ConnIdle       time.Duration
-	ConnectTimeout time.Duration
-	StreamsPerConn int
+	DrainGrace      time.Duration // after which nothing goes to a node that drains
+	IdleConnTimeout time.Duration
+	ConnectTimeout  time.Duration
+	StreamsPerConn  int
 
 	Operator Operator
 }
 
-// ViewerConns is how many viewers' connections are accepted at once.
+// MaxViewerConns is how many viewers' connections are accepted at once.
 // Guard: where descriptors are few, nodes have two fifths of what is left for both.
 // Without a connection to a node nothing is ever served.
-func (c *Config) ViewerConns() int {
+func (c *Config) MaxViewerConns() int {
 	return min(c.Sockets/viewersPart+descriptorsForSelf, (c.Sockets-c.rest())*3/5)
 }
 
-// NodeConns is how many connections to media nodes may be open at once.
-func (c *Config) NodeConns() int { return c.Sockets - c.rest() - c.ViewerConns() }
+// MaxNodeConns is how many connections to media nodes may be open at once.
+func (c *Config) MaxNodeConns() int { return c.Sockets - c.rest() - c.MaxViewerConns() }
 
-// CallerConns is how many operators' calls are accepted at once.
-func (c *Config) CallerConns() int { return min(mostCallers, c.Sockets/callersPart) }
+// MaxOperatorConns is how many operators' calls are accepted at once.
+func (c *Config) MaxOperatorConns() int { return min(mostCallers, c.Sockets/callersPart) }
 
 // rest is what is kept beside viewers and nodes.
 func (c *Config) rest() int {
-	n := ownDescriptors + min(max(c.Sockets-leastSockets, 0)/momentsPart, mostMoments) + c.CallerConns()
+	n := ownDescriptors + min(max(c.Sockets-leastSockets, 0)/momentsPart, mostMoments) + c.MaxOperatorConns()
 	if c.Operator.Fleet != nil {
 		n += fleetDescriptors
 	}
 	return n
 }
 
-// Half is the configuration of each of two processes that share the descriptors. Guard:
+// WithHalfSockets is the configuration of each of two processes that share the descriptors. Guard:
 // half of the connections is too much, since each holds all that the program itself needs.
-func (c *Config) Half() *Config {
+func (c *Config) WithHalfSockets() *Config {
 	half := *c
 	half.Sockets /= 2
 	return &half
@@ -146,27 +146,27 @@
 // team or a class that the files have got since waits for the next start, and a
 // rule that refers to it is a fault.
 func Reload(getenv func(string) string, running *Config) (Config, error) {
-	return load(getenv, func(*Config) Deployment { return running.InUse() })
+	return load(getenv, func(*Config) Deployment { return running.RunningDeployment() })
 }
 
-// InUse is what a file that is read while the program runs may refer to.
-func (c *Config) InUse() Deployment {
+// RunningDeployment is what a file that is read while the program runs may refer to.
+func (c *Config) RunningDeployment() Deployment {
 	on := c.Deployment()
-	on.Teams, on.Running = c.Teams(), true
+	on.Teams, on.Running = c.TeamNames(), true
 	return on
 }
 
 func load(getenv func(string) string, deployment func(*Config) Deployment) (Config, error) {
 	var c Config
-	path := getenv(EnvConfig)
+	path := getenv(EnvPlatformFile)
 	if path == "" {
-		return c, &KeyFault{Key: EnvConfig, Err: errors.New("not set")}
+		return c, &KeyFault{Key: EnvPlatformFile, Err: errors.New("not set")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, &KeyFault{Key: EnvConfig, Err: err}
+		return c, &KeyFault{Key: EnvPlatformFile, Err: err}
 	}
-	if c, err = Parse(text); err != nil {
+	if c, err = ParsePlatform(text); err != nil {
 		return c, err
 	}
 	if name := getenv(envName); name != "" {
@@ -179,15 +179,15 @@
 		return c, &KeyFault{Key: "listen (or " + envListen + ")", Err: err}
 	}
 	if admin := getenv(envAdmin); admin != "" {
-		c.Admin = admin
+		c.AdminListen = admin
 	}
-	if c.Admin != "" {
-		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
+	if c.AdminListen != "" {
+		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
 			return c, &KeyFault{Key: "admin (or " + envAdmin + ")", Err: err}
 		}
 	}
-	c.Temp = getenv(envTemp)
-	path, given := getenv(EnvOperator), true
+	c.SharedDir = getenv(envTemp)
+	path, given := getenv(EnvOperatorFile), true
 	if path == "" {
 		path, given = operatorFile, false
 	}
@@ -196,7 +196,7 @@
 		return c, nil
 	}
 	if err != nil {
-		return c, &KeyFault{Key: EnvOperator, Err: err}
+		return c, &KeyFault{Key: EnvOperatorFile, Err: err}
 	}
 	c.Operator, err = ParseOperator(path, text, readBounded, deployment(&c))
 	return c, err
@@ -204,25 +204,25 @@
 
 // Deployment is what the operator's file may refer to.
 func (c *Config) Deployment() Deployment {
-	on := Deployment{Name: c.Name, Teams: c.Tenants, Zones: c.Names.Zones}
-	on.Room, on.Planned = planned(&c.Settings)
+	on := Deployment{Name: c.Name, Teams: c.TenantNames, Zones: c.DirectoryNames.Zones}
+	on.FleetSlots, on.PeakClasses = planned(&c.Settings)
 	for i, k := range c.Settings.Classes {
-		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], Paid: k.RepeatEffect != control.Idempotent, Floor: k.FloorRung})
+		on.Classes = append(on.Classes, route.Class{Name: c.ClassNames[i], Paid: k.RepeatEffect != control.Idempotent, Floor: k.FloorRung})
 	}
 	return on
 }
 
-// Teams are the names of all teams, by number: the platform's and the operator's.
-func (c *Config) Teams() []string {
-	names := slices.Clone(c.Tenants)
+// TeamNames are the names of all teams, by number: the platform's and the operator's.
+func (c *Config) TeamNames() []string {
+	names := slices.Clone(c.TenantNames)
 	for i := range c.Operator.Teams {
 		names = append(names, c.Operator.Teams[i].Name)
 	}
 	return names
 }
 
-// Parse reads the platform's JSON.
-func Parse(text []byte) (Config, error) {
+// ParsePlatform reads the platform's JSON.
+func ParsePlatform(text []byte) (Config, error) {
 	var raw struct {
 		Name   string `json:"name"`
 		Listen string `json:"listen"`
@@ -245,7 +245,7 @@
 		return Config{}, fmt.Errorf("%s: %w", platformFile, err)
 	}
 	c := Config{
-		Name: raw.Name, Listen: raw.Listen, Admin: raw.Admin, Coordinator: raw.Coordinator,
+		Name: raw.Name, Listen: raw.Listen, AdminListen: raw.Admin, Coordinator: raw.Coordinator,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
 	}
 	if c.Cores <= 0 {
@@ -267,7 +267,7 @@
 		}
 	}
 	if len(raw.Known) > 0 {
-		if c.Known, err = directory.ParseUpdates(raw.Known); err != nil {
+		if c.KnownNodes, err = directory.ParseUpdates(raw.Known); err != nil {
 			fault("known", err)
 		}
 	}
@@ -291,22 +291,22 @@
 	if err := p.check(); err != nil {
 		fault("settings", err)
 	}
-	c.Names = directory.Names{Zones: p.Zones, Kinds: p.Kinds}
+	c.DirectoryNames = directory.Names{Zones: p.Zones, Kinds: p.Kinds}
 	for i, l := range p.Lanes {
-		if err := className(l.Name, c.Classes); err != nil {
+		if err := className(l.Name, c.ClassNames); err != nil {
 			fault(fmt.Sprintf("settings.lanes[%d].name", i), err)
 		}
-		c.Classes = append(c.Classes, l.Name)
+		c.ClassNames = append(c.ClassNames, l.Name)
 		giveUp := orDefault(l.GiveUp, defaultGiveUp)
-		c.MostLeft = max(c.MostLeft, leftTimes*giveUp)
+		c.TimeLeftLimit = max(c.TimeLeftLimit, leftTimes*giveUp)
 		c.Drain.KeepFor = max(c.Drain.KeepFor, min(giveUp, drainMostGiveUp)+drainStay)
 	}
 	c.Drain.AcceptFor = min(drainTake, c.Drain.KeepFor)
 	for _, t := range p.Projects {
-		c.Tenants = append(c.Tenants, t.Name)
+		c.TenantNames = append(c.TenantNames, t.Name)
 	}
 	c.DrainGrace = orDefault(p.Rules.DrainGraceS, defaultDrainGrace)
-	c.ConnIdle = orDefault(p.Limits.ConnIdleS, defaultConnIdle)
+	c.IdleConnTimeout = orDefault(p.Limits.ConnIdleS, defaultConnIdle)
 	c.ConnectTimeout = orDefault(p.Limits.ConnectS, defaultConnect)
 	c.StreamsPerConn = p.Limits.PerConn
 	if c.StreamsPerConn <= 0 {
@@ -322,9 +322,9 @@
 func (c *Config) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s on %s: classes %s; %d viewers' and %d nodes' connections; %d MB",
-		c.Name, c.Listen, strings.Join(c.Classes, ", "), c.ViewerConns(), c.NodeConns(), c.MemoryMB)
+		c.Name, c.Listen, strings.Join(c.ClassNames, ", "), c.MaxViewerConns(), c.MaxNodeConns(), c.MemoryMB)
 	o := &c.Operator
-	if !o.Set {
+	if !o.Present {
 		b.WriteString("\nno operator's file")
 		return b.String()
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -23,16 +23,16 @@
 }
 
 func TestExampleConfiguration(t *testing.T) {
-	c, err := Parse([]byte(example(t)))
-	if err != nil || c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || len(c.Known.Updates) != 1 || c.ConnIdle != 15*time.Second || c.DrainGrace != time.Second ||
-		c.ConnectTimeout != 250*time.Millisecond || strings.Join(c.Classes, " ") != "clip feed" {
+	c, err := ParsePlatform([]byte(example(t)))
+	if err != nil || c.Name != "n0" || c.Seed != 0x8c1f30d27a5be964 || len(c.KnownNodes.Updates) != 1 || c.IdleConnTimeout != 15*time.Second || c.DrainGrace != time.Second ||
+		c.ConnectTimeout != 250*time.Millisecond || strings.Join(c.ClassNames, " ") != "clip feed" {
 		t.Errorf("%+v, %v", c, err)
 	}
 	// The drain ends before SIGKILL can come, 0.7 s after the longest deadline.
-	if want := (broker.DrainTimes{AcceptFor: 700 * time.Millisecond, KeepFor: 3600 * time.Millisecond}); c.Drain != want || c.MostLeft != 12*time.Second {
-		t.Errorf("drain %v, most left %v", c.Drain, c.MostLeft)
+	if want := (broker.DrainTimes{AcceptFor: 700 * time.Millisecond, KeepFor: 3600 * time.Millisecond}); c.Drain != want || c.TimeLeftLimit != 12*time.Second {
+		t.Errorf("drain %v, most left %v", c.Drain, c.TimeLeftLimit)
 	}
-	if v, n := c.ViewerConns(), c.NodeConns(); v < c.Sockets/3 || n < 400 || v+n > c.Sockets-descriptorsForSelf {
+	if v, n := c.MaxViewerConns(), c.MaxNodeConns(); v < c.Sockets/3 || n < 400 || v+n > c.Sockets-descriptorsForSelf {
 		t.Errorf("%d viewers' and %d nodes' connections", v, n)
 	}
 }
@@ -48,7 +48,7 @@
 		{`"at_most_once"`, `"odd"`, "lanes[0].effect"},
 		{`"classFloor": [1, 0]`, `"classFloor": [1]`, "classFloor"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(example(t), e[0], e[1], 1))); err == nil || !strings.Contains(err.Error(), e[2]) {
+		if _, err := ParsePlatform([]byte(strings.Replace(example(t), e[0], e[1], 1))); err == nil || !strings.Contains(err.Error(), e[2]) {
 			t.Errorf("%s: %v", e[2], err)
 		}
 	}
@@ -69,13 +69,13 @@
 		{`"places": 2`, `"places": 0`, "places"}, {`"attemptsCap": 4`, `"attemptsCap": 0`, "attemptsCap"}, {`"switchS": 0.5`, `"switchS": -1`, "switchS"},
 		{`"guard": 1.2`, `"guard": 1e999`, "guard"}, {`"balancers": 1`, `"balancers": "two"`, "balancers"},
 	} {
-		_, err := Parse([]byte(strings.Replace(text, e[0], e[1], 1)))
+		_, err := ParsePlatform([]byte(strings.Replace(text, e[0], e[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), e[2]) || !strings.Contains(text, e[0]) {
 			t.Errorf("%s: %v", e[2], err)
 		}
 	}
 	both := strings.NewReplacer(`"at_most_once"`, `"odd"`, `"places": 2`, `"places": -2`).Replace(text)
-	if _, err := Parse([]byte(both)); err == nil || !strings.Contains(err.Error(), `lanes[0].effect "odd"`) || !strings.Contains(err.Error(), "places = -2") {
+	if _, err := ParsePlatform([]byte(both)); err == nil || !strings.Contains(err.Error(), `lanes[0].effect "odd"`) || !strings.Contains(err.Error(), "places = -2") {
 		t.Error(err)
 	}
 }
@@ -85,11 +85,11 @@
 func TestDescriptors(t *testing.T) {
 	for sockets := leastSockets; sockets < 3000; sockets++ {
 		c := Config{Sockets: sockets}
-		if v, n := c.ViewerConns(), c.NodeConns(); v < sockets/3 || n < sockets/4 || sockets-v-n < max(2*min(sockets/8, descriptorsForSelf), ownDescriptors+c.CallerConns()) {
+		if v, n := c.MaxViewerConns(), c.MaxNodeConns(); v < sockets/3 || n < sockets/4 || sockets-v-n < max(2*min(sockets/8, descriptorsForSelf), ownDescriptors+c.MaxOperatorConns()) {
 			t.Fatalf("of %d descriptors viewers have %d and nodes %d", sockets, v, n)
 		}
-		half := c.Half()
-		v, n, k := half.ViewerConns(), half.NodeConns(), half.CallerConns()
+		half := c.WithHalfSockets()
+		v, n, k := half.MaxViewerConns(), half.MaxNodeConns(), half.MaxOperatorConns()
 		if v < 2 || n < 2 || k < 2 || 2*(v+n+k+ownDescriptors) > sockets {
 			t.Fatalf("of %d descriptors each of two processes gives viewers %d, nodes %d and callers %d", sockets, v, n, k)
 		}
@@ -98,9 +98,9 @@
 
 // A time that stands for "never" is only very long.
 func TestLongTimes(t *testing.T) {
-	c, err := Parse([]byte(strings.NewReplacer(`"connIdleS": 15`, `"connIdleS": 1e12`, `"giveUpS": 3`, `"giveUpS": 1e12`, `"policyLimits"`, `"obligations": {"drainGraceS": 0.8}, "policyLimits"`).Replace(example(t))))
-	if err != nil || c.ConnIdle*9 <= c.ConnIdle || c.MostLeft <= c.ConnIdle || c.DrainGrace != 800*time.Millisecond || c.Drain.KeepFor != 3600*time.Millisecond {
-		t.Errorf("idle %v, left %v, drain %v, grace %v, %v", c.ConnIdle, c.MostLeft, c.Drain, c.DrainGrace, err)
+	c, err := ParsePlatform([]byte(strings.NewReplacer(`"connIdleS": 15`, `"connIdleS": 1e12`, `"giveUpS": 3`, `"giveUpS": 1e12`, `"policyLimits"`, `"obligations": {"drainGraceS": 0.8}, "policyLimits"`).Replace(example(t))))
+	if err != nil || c.IdleConnTimeout*9 <= c.IdleConnTimeout || c.TimeLeftLimit <= c.IdleConnTimeout || c.DrainGrace != 800*time.Millisecond || c.Drain.KeepFor != 3600*time.Millisecond {
+		t.Errorf("idle %v, left %v, drain %v, grace %v, %v", c.IdleConnTimeout, c.TimeLeftLimit, c.Drain, c.DrainGrace, err)
 	}
 }
 
@@ -119,7 +119,7 @@
 	text := operatorExample(t)
 	o, err := ParseOperator("op", []byte(text), nil, deployment)
 	if err != nil || o.WebSocket.Grace != 3*time.Second || len(o.Teams) != 2 || o.Teams[0].Classes[0] || !o.Teams[0].Classes[1] ||
-		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MostOpen != 512 || !o.Viewers.Reasons || len(o.Routes.Rules()) != 2 {
+		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MaxOpenSetups != 512 || !o.Viewers.IncludeReasons || len(o.Routes.Rules()) != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, e := range [][3]string{
@@ -188,11 +188,11 @@
 // A peak's block tells its faults, and one that the fleet has no room for.
 func TestPeaks(t *testing.T) {
 	on := deployment
-	on.Room, on.Planned = 100, []peaks.Class{
+	on.FleetSlots, on.PeakClasses = 100, []peaks.Class{
 		{Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.5, 1, 2}, Floor: 1, Top: 2}, {Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.2, 0.5, 1}, Top: 2}}
 	good := "ordinary {\n clip 0.5 40s\n feed 1 40s\n}\npeak q {\n days 15 last\n at 18:00\n zone America/Mexico_City\n length 3h\n factor 2\n}\n"
 	o, err := ParseOperator("op", []byte(good), nil, on)
-	if err != nil || len(o.Peaks) != 1 || o.Peaks[0].At != 18*time.Hour || o.Peaks[0].Days.OfMonth[1] != 0 || o.Peaks[0].Lead != defaultLead || !o.Peaks[0].Classes[1] || o.Ordinary[1].Lasts != 40*time.Second {
+	if err != nil || len(o.Peaks) != 1 || o.Peaks[0].At != 18*time.Hour || o.Peaks[0].Days.OfMonth[1] != 0 || o.Peaks[0].Lead != defaultLead || !o.Peaks[0].Classes[1] || o.OrdinaryLoad[1].MeanLength != 40*time.Second {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, e := range [][3]string{
@@ -246,8 +246,8 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	env["BALANCER_ADMIN"], env["TMPDIR"] = "127.0.0.1:2", dir
-	if c, err := load(); err != nil || c.Admin != "127.0.0.1:2" || c.Temp != dir {
-		t.Errorf("%q, %q, %v", c.Admin, c.Temp, err)
+	if c, err := load(); err != nil || c.AdminListen != "127.0.0.1:2" || c.SharedDir != dir {
+		t.Errorf("%q, %q, %v", c.AdminListen, c.SharedDir, err)
 	}
 	env["BALANCER_ADMIN"] = "nowhere"
 	if _, err := load(); err == nil || !strings.Contains(err.Error(), "admin (or BALANCER_ADMIN)") {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -17,13 +17,13 @@
 
 // Fleet is the managers that an operator's file names, and how they meet.
 type Fleet struct {
-	Listen  string // empty: nothing is sent, and all that are named count as there
-	Address string // at which the others reach this one; empty: Listen
-	Join    []string
-	Members []member.Named
-	At      map[string][2]string // where members are reached from here
-	Keys    [][]byte             // the first seals, all open
-	Voters  []string
+	Listen          string // empty: nothing is sent, and all that are named count as there
+	Address         string // at which the others reach this one; empty: Listen
+	Join            []string
+	Members         []member.Named
+	MemberAddresses map[string][2]string // where members are reached from here
+	Keys            [][]byte             // the first seals, all open
+	Voters          []string
 }
 
 const (
@@ -31,73 +31,73 @@
 	mostName    = 100 // bytes; what a member tells of itself goes into one datagram
 )
 
-func fleetBlock(l *loader) conf.Key {
-	return conf.Key{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Read: func(d *conf.Directive) {
-		f := &Fleet{At: map[string][2]string{}}
+func fleetBlock(l *loader) conf.Keyword {
+	return conf.Keyword{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Apply: func(d *conf.Directive) {
+		f := &Fleet{MemberAddresses: map[string][2]string{}}
 		known := func(d *conf.Directive, name string) {
-			if !slices.ContainsFunc(f.Members, func(m member.Named) bool { return m.Name == name }) && !d.Bad() {
-				d.Fault(d.At(), "%q is none of the members; name them before", name)
+			if !slices.ContainsFunc(f.Members, func(m member.Named) bool { return m.Name == name }) && !d.HasFault() {
+				d.ReportFault(d.ArgumentIndex(), "%q is none of the members; name them before", name)
 			}
 		}
 		var listen *conf.Directive
 		d.Block(
-			conf.Key{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Many: true, Must: true, Read: func(d *conf.Directive) {
-				for first := true; (first || d.More()) && !d.Bad(); first = false {
+			conf.Keyword{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Repeatable: true, Required: true, Apply: func(d *conf.Directive) {
+				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					m := member.Named{Name: fleetName(d, "a manager's name")}
-					if slices.ContainsFunc(f.Members, func(o member.Named) bool { return o.Name == m.Name }) && !d.Bad() {
-						d.Fault(d.At(), "%q is a member already", m.Name)
+					if slices.ContainsFunc(f.Members, func(o member.Named) bool { return o.Name == m.Name }) && !d.HasFault() {
+						d.ReportFault(d.ArgumentIndex(), "%q is a member already", m.Name)
 					}
 					m.Site = fleetName(d, "the site of "+m.Name)
-					if f.Members = append(f.Members, m); len(f.Members) > mostMembers && !d.Bad() {
-						d.Fault(d.At(), "more than %d members", mostMembers)
+					if f.Members = append(f.Members, m); len(f.Members) > mostMembers && !d.HasFault() {
+						d.ReportFault(d.ArgumentIndex(), "more than %d members", mostMembers)
 					}
 				}
 			}},
-			conf.Key{Name: "listen", Usage: "IP:PORT", Doc: "where the others are heard, TCP and UDP; without it nothing is sent, and all count as there", Read: func(d *conf.Directive) {
+			conf.Keyword{Name: "listen", Usage: "IP:PORT", Doc: "where the others are heard, TCP and UDP; without it nothing is sent, and all count as there", Apply: func(d *conf.Directive) {
 				f.Listen, listen = fleetAddress(d), d
 			}},
-			conf.Key{Name: "address", Usage: "IP:PORT", Doc: "at which the others reach this one; that of listen if absent", Read: func(d *conf.Directive) {
-				if f.Address = fleetAddress(d); unbound(f.Address, true) && !d.Bad() {
-					d.Fault(1, "%q can't be reached; name an address and a port", f.Address)
+			conf.Keyword{Name: "address", Usage: "IP:PORT", Doc: "at which the others reach this one; that of listen if absent", Apply: func(d *conf.Directive) {
+				if f.Address = fleetAddress(d); unbound(f.Address, true) && !d.HasFault() {
+					d.ReportFault(1, "%q can't be reached; name an address and a port", f.Address)
 				}
 			}},
-			conf.Key{Name: "join", Usage: "HOST:PORT…", Doc: "members to ask at the start", Read: func(d *conf.Directive) {
-				for first := true; (first || d.More()) && !d.Bad(); first = false {
+			conf.Keyword{Name: "join", Usage: "HOST:PORT…", Doc: "members to ask at the start", Apply: func(d *conf.Directive) {
+				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					f.Join = append(f.Join, d.Address())
 				}
 			}},
-			conf.Key{Name: "at", Usage: "NAME HOST:PORT [HOST:PORT]", Doc: "where a member is reached from here, if not where it says: by TCP, and by UDP if that differs", Many: true, Read: func(d *conf.Directive) {
+			conf.Keyword{Name: "at", Usage: "NAME HOST:PORT [HOST:PORT]", Doc: "where a member is reached from here, if not where it says: by TCP, and by UDP if that differs", Repeatable: true, Apply: func(d *conf.Directive) {
 				name := d.Word("a member")
 				known(d, name)
 				to := [2]string{d.Address()}
 				if to[1] = to[0]; d.More() {
 					to[1] = d.Address()
 				}
-				f.At[name] = to
+				f.MemberAddresses[name] = to
 			}},
-			conf.Key{Name: "key", Usage: "FILE", Doc: "of the fleet's keys, one a line; the first seals, all open. Must off loopback", Read: func(d *conf.Directive) {
+			conf.Keyword{Name: "key", Usage: "FILE", Doc: "of the fleet's keys, one a line; the first seals, all open. Must off loopback", Apply: func(d *conf.Directive) {
 				path := d.Word("a file")
-				if d.Bad() {
+				if d.HasFault() {
 					return
 				}
 				var err error
 				if f.Keys, err = readKeys(path); err != nil {
-					d.Fault(1, "%v", err)
+					d.ReportFault(1, "%v", err)
 				} else if info, err := os.Stat(path); err == nil && info.Mode().Perm()&0o077 != 0 {
 					l.Warnings = append(l.Warnings, fmt.Sprintf("fleet.key: %s may be read by others than its owner (mode %o); chmod 600 it", path, info.Mode().Perm()))
 				}
 			}},
-			conf.Key{Name: "voters", Usage: "NAME…", Doc: "three or five members, who decide for all", Read: func(d *conf.Directive) {
-				for first := true; (first || d.More()) && !d.Bad(); first = false {
+			conf.Keyword{Name: "voters", Usage: "NAME…", Doc: "three or five members, who decide for all", Apply: func(d *conf.Directive) {
+				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					name := d.Word("a member")
 					known(d, name)
-					if slices.Contains(f.Voters, name) && !d.Bad() {
-						d.Fault(d.At(), "%q stands twice", name)
+					if slices.Contains(f.Voters, name) && !d.HasFault() {
+						d.ReportFault(d.ArgumentIndex(), "%q stands twice", name)
 					}
 					f.Voters = append(f.Voters, name)
 				}
-				if n := len(f.Voters); n != 3 && n != 5 && !d.Bad() {
-					d.Fault(1, "%d voters; three or five are wanted", n)
+				if n := len(f.Voters); n != 3 && n != 5 && !d.HasFault() {
+					d.ReportFault(1, "%d voters; three or five are wanted", n)
 				}
 			}},
 		)
@@ -110,43 +110,43 @@
 func (l *loader) checkFleet(d, listen *conf.Directive, f *Fleet) {
 	self := slices.IndexFunc(f.Members, func(m member.Named) bool { return m.Name == l.on.Name })
 	if self < 0 && len(f.Members) > 0 && l.on.Name != "" {
-		d.Fault(0, "%q, the name of this manager, is none of the members", l.on.Name)
+		d.ReportFault(0, "%q, the name of this manager, is none of the members", l.on.Name)
 	}
 	for _, m := range f.Members {
 		site := slices.ContainsFunc(l.Sites, func(s Site) bool { return s.Name == m.Site })
 		if len(l.on.Zones) > 0 && !site && !slices.Contains(l.on.Zones, m.Site) {
-			l.Warnings = append(l.Warnings, d.Remark(0, "%s is in %q, which is no site of this file and no zone of this deployment", m.Name, m.Site))
+			l.Warnings = append(l.Warnings, d.FormatWarning(0, "%s is in %q, which is no site of this file and no zone of this deployment", m.Name, m.Site))
 			break // the others are wrong the same way
 		}
 	}
 	if listen == nil {
-		if len(f.Join)+len(f.At)+len(f.Keys) > 0 || f.Address != "" {
-			l.Warnings = append(l.Warnings, d.Remark(0, "without listen nothing is sent: address, join, at and key are of no use"))
+		if len(f.Join)+len(f.MemberAddresses)+len(f.Keys) > 0 || f.Address != "" {
+			l.Warnings = append(l.Warnings, d.FormatWarning(0, "without listen nothing is sent: address, join, at and key are of no use"))
 		}
 		return
 	}
-	if listen.Bad() {
+	if listen.HasFault() {
 		return
 	}
 	if unbound(f.Listen, false) && f.Address == "" {
-		listen.Fault(1, "%q is every address of this machine; say at which the others reach it, by address", f.Listen)
+		listen.ReportFault(1, "%q is every address of this machine; say at which the others reach it, by address", f.Listen)
 	}
 	if len(f.Keys) == 0 && !(loopback(f.Listen) && (f.Address == "" || loopback(f.Address))) {
-		listen.Fault(1, "%q is not loopback: whoever reaches it could join; name a key file, by key", f.Listen)
+		listen.ReportFault(1, "%q is not loopback: whoever reaches it could join; name a key file, by key", f.Listen)
 	}
-	if len(f.Join)+len(f.At) == 0 && len(f.Members) > 1 {
-		l.Warnings = append(l.Warnings, d.Remark(0, "neither join nor at: this one asks nobody and waits to be asked"))
+	if len(f.Join)+len(f.MemberAddresses) == 0 && len(f.Members) > 1 {
+		l.Warnings = append(l.Warnings, d.FormatWarning(0, "neither join nor at: this one asks nobody and waits to be asked"))
 	}
 }
 
 func fleetName(d *conf.Directive, what string) string {
 	name := d.Word(what)
 	switch {
-	case d.Bad():
+	case d.HasFault():
 	case name == "" || len(name) > mostName:
-		d.Fault(d.At(), "a name has 1 to %d bytes", mostName)
+		d.ReportFault(d.ArgumentIndex(), "a name has 1 to %d bytes", mostName)
 	case strings.ContainsAny(name, "/\n"):
-		d.Fault(d.At(), "%q: a name has no slash and no line break", name)
+		d.ReportFault(d.ArgumentIndex(), "%q: a name has no slash and no line break", name)
 	}
 	return name
 }
@@ -154,8 +154,8 @@
 // fleetAddress reads an IPv4 address and a port.
 func fleetAddress(d *conf.Directive) string {
 	w := d.Address()
-	if a, err := netip.ParseAddrPort(w); (err != nil || !a.Addr().Is4()) && !d.Bad() {
-		d.Fault(d.At(), "%q is no IPv4 address with a port", w)
+	if a, err := netip.ParseAddrPort(w); (err != nil || !a.Addr().Is4()) && !d.HasFault() {
+		d.ReportFault(d.ArgumentIndex(), "%q is no IPv4 address with a port", w)
 	}
 	return w
 }
@@ -199,14 +199,14 @@
 	return keys, nil
 }
 
-// Membership is what a member is told by the configuration; false where the operator's
+// MemberConfig is what a member is told by the configuration; false where the operator's
 // file has no fleet.
-func (c *Config) Membership() (m member.Config, ok bool) {
+func (c *Config) MemberConfig() (m member.Config, ok bool) {
 	f := c.Operator.Fleet
 	if f == nil {
 		return m, false
 	}
-	m = member.Config{Self: member.Meta{Name: c.Name, Address: f.Address}, Named: f.Members, Join: f.Join, Listen: f.Listen, At: f.At, Keys: f.Keys}
+	m = member.Config{Self: member.Meta{Name: c.Name, Address: f.Address}, Named: f.Members, Join: f.Join, Listen: f.Listen, At: f.MemberAddresses, Keys: f.Keys}
 	for _, n := range f.Members {
 		if n.Name == c.Name {
 			m.Self.Site = n.Site
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,34 +14,34 @@
 // Operator is what an operator's file sets. The platform has none: all of it
 // is off there.
 type Operator struct {
-	Set       bool // there is a file
-	WebSocket *WebSocket
-	Viewers   Viewers
-	Teams     []broker.Team
-	DNSSD     *DNSSD
-	Routes    *route.Set // nil: requests keep what they name
-	Ordinary  []Ordinary // by class; nil: not told
-	Peaks     []peaks.Peak
-	Sites     []Site
-	Fleet     *Fleet   // nil: this manager works alone
-	Warnings  []string // of what is no fault, each with its place
+	Present      bool // there is a file
+	WebSocket    *WebSocket
+	Viewers      Viewers
+	Teams        []broker.Team
+	DNSSD        *DNSSD
+	Routes       *route.Set     // nil: requests keep what they name
+	OrdinaryLoad []OrdinaryLoad // by class; nil: not told
+	Peaks        []peaks.Peak
+	Sites        []Site
+	Fleet        *Fleet   // nil: this manager works alone
+	Warnings     []string // of what is no fault, each with its place
 }
 
 // Deployment is what an operator's file may refer to.
 type Deployment struct {
-	Name    string // of this manager
-	Classes []route.Class
-	Planned []peaks.Class // the same, as peaks are planned for
-	Room    float64       // of the fleet, in slots
-	Teams   []string      // of the platform; if Running, all
-	Zones   []string      // of the platform's list
-	Running bool          // a program runs with these teams; those of the file wait
-	Trace   bool          // rules are to be explained
+	Name        string // of this manager
+	Classes     []route.Class
+	PeakClasses []peaks.Class // the same, as peaks are planned for
+	FleetSlots  float64       // of the fleet, in slots
+	Teams       []string      // of the platform; if Running, all
+	Zones       []string      // of the platform's list
+	Running     bool          // a program runs with these teams; those of the file wait
+	Trace       bool          // rules are to be explained
 }
 
 // block is one keyword of an operator's file. A subsystem adds its own by one
 // line in blocks.
-type block func(*loader) conf.Key
+type block func(*loader) conf.Keyword
 
 var blocks = []block{websocketBlock, viewersBlock, teamBlock, dnssdBlock, rulesBlock, ordinaryBlock, peakBlock, siteBlock, fleetBlock}
 
@@ -55,14 +55,14 @@
 
 // ParseOperator reads an operator's file for a deployment. open reads what it
 // includes; nil: nothing can be included. The error is a *conf.Faults.
-func ParseOperator(name string, text []byte, open conf.Open, on Deployment) (Operator, error) {
+func ParseOperator(name string, text []byte, open conf.ReadFileFunc, on Deployment) (Operator, error) {
 	l := &loader{on: on, faults: new(conf.Faults)}
-	l.Set = true
-	var keys []conf.Key
+	l.Present = true
+	var keys []conf.Keyword
 	for _, b := range blocks {
 		keys = append(keys, b(l))
 	}
-	conf.Read(conf.Parse(name, text, open, l.faults), nil, l.faults, keys)
+	conf.Apply(conf.Parse(name, text, open, l.faults), nil, l.faults, keys)
 	for _, f := range l.later {
 		f()
 	}
@@ -82,9 +82,9 @@
 }
 
 // Keywords returns all that an operator's file may hold, for help texts.
-func Keywords() []conf.Key {
+func Keywords() []conf.Keyword {
 	l := &loader{faults: new(conf.Faults)}
-	var keys []conf.Key
+	var keys []conf.Keyword
 	for _, b := range blocks {
 		keys = append(keys, b(l))
 	}
@@ -108,9 +108,9 @@
 
 // unique tells a fault if a name is used twice.
 func unique(d *conf.Directive, name string, used []string) {
-	if name == "" && !d.Bad() {
-		d.Fault(1, "the name is empty")
+	if name == "" && !d.HasFault() {
+		d.ReportFault(1, "the name is empty")
 	} else if slices.Contains(used, name) {
-		d.Fault(1, "%q is used twice", name)
+		d.ReportFault(1, "%q is used twice", name)
 	}
 }
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -59,14 +59,14 @@
 
 // newAdminService returns nil where no admin address is configured.
 func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
-	if cfg.Admin == "" {
+	if cfg.AdminListen == "" {
 		return nil
 	}
-	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
-	if cfg.Temp == "" {
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.ClassNames)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
+	if cfg.SharedDir == "" {
 		return s
 	}
-	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
+	folder, err := handover.Open(cfg.SharedDir, cfg.Name, cfg.Listen)
 	if err == nil {
 		s.process, err = folder.Enter(time.Now())
 	}
@@ -126,9 +126,9 @@
 // maxCallers returns how many operators' connections may be open at once.
 func (s *adminService) maxCallers() int {
 	if s.Shared() {
-		return s.cfg.Half().CallerConns()
+		return s.cfg.WithHalfSockets().MaxOperatorConns()
 	}
-	return s.cfg.CallerConns()
+	return s.cfg.MaxOperatorConns()
 }
 
 // run answers operators' calls and watches for other processes of this manager until ctx
@@ -403,7 +403,7 @@
 	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
 		for i := range counts {
-			m[s.cfg.Classes[i]] = counts[i].Load()
+			m[s.cfg.ClassNames[i]] = counts[i].Load()
 		}
 		return m
 	}
