--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	defaultGrace  = 3 * time.Second
-	mostGrace     = 10 * time.Minute
-	defaultPeriod = time.Hour
-	mostPeriod    = 366 * 24 * time.Hour
-	mostOpen      = 1 << 16
+	defaultPlayerGrace  = 3 * time.Second
+	maxPlayerGrace      = 10 * time.Minute
+	defaultBudgetPeriod = time.Hour
+	maxBudgetPeriod     = 366 * 24 * time.Hour
+	maxOpenSetups       = 1 << 16
 )
 
 // WebSocket is the second front.
@@ -26,7 +26,7 @@
 
 func websocketBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "websocket", Usage: "{ … }", Doc: "the session API for players over WebSocket", Apply: func(d *conf.Directive) {
-		w := &WebSocket{Path: "/", Grace: defaultGrace}
+		w := &WebSocket{Path: "/", Grace: defaultPlayerGrace}
 		d.Block(
 			conf.Keyword{Name: "listen", Usage: "HOST:PORT", Doc: "where players connect", Required: true, Apply: func(d *conf.Directive) {
 				w.Listen = d.Address()
@@ -37,7 +37,7 @@
 				}
 			}},
 			conf.Keyword{Name: "grace", Usage: "DURATION", Doc: "how long a lost player may take to come back; 3s if absent", Apply: func(d *conf.Directive) {
-				w.Grace = d.Duration("how long a player may be away", time.Millisecond, mostGrace)
+				w.Grace = d.Duration("how long a player may be away", time.Millisecond, maxPlayerGrace)
 			}},
 		)
 		l.WebSocket = w
@@ -54,7 +54,7 @@
 	return conf.Keyword{Name: "viewers", Usage: "{ … }", Doc: "what both fronts allow", Apply: func(d *conf.Directive) {
 		d.Block(
 			conf.Keyword{Name: "open-per-connection", Usage: "N", Doc: "set-ups that may be open on one connection; 128 if absent", Apply: func(d *conf.Directive) {
-				l.Viewers.MaxOpenSetups = d.Int("a number of set-ups", 1, mostOpen)
+				l.Viewers.MaxOpenSetups = d.Int("a number of set-ups", 1, maxOpenSetups)
 			}},
 			conf.Keyword{Name: "reasons", Usage: "on|off", Doc: "whether JSON-lines viewers are told why; off if absent", Apply: func(d *conf.Directive) {
 				l.Viewers.IncludeReasons = d.OnOff()
@@ -65,30 +65,30 @@
 
 func teamBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "team", Usage: "NAME { … }", Doc: "a team's contract and budget", Repeatable: true, Apply: func(d *conf.Directive) {
-		t := broker.Team{Name: d.Word("a team's name"), BudgetPeriod: defaultPeriod}
+		team := broker.Team{Name: d.Word("a team's name"), BudgetPeriod: defaultBudgetPeriod}
 		names := make([]string, len(l.Teams))
 		for i := range l.Teams {
 			names[i] = l.Teams[i].Name
 		}
-		unique(d, t.Name, names)
-		count := func(name, doc string, to *int) conf.Keyword {
-			return conf.Keyword{Name: name, Usage: "N", Doc: doc, Apply: func(d *conf.Directive) { *to = d.Int("a number", 0, math.MaxInt32) }}
+		checkUnique(d, team.Name, names)
+		countKeyword := func(name, doc string, target *int) conf.Keyword {
+			return conf.Keyword{Name: name, Usage: "N", Doc: doc, Apply: func(d *conf.Directive) { *target = d.Int("a number", 0, math.MaxInt32) }}
 		}
 		d.Block(
 			conf.Keyword{Name: "classes", Usage: "CLASS…", Doc: "which the team may use; all if absent", Apply: func(d *conf.Directive) {
-				t.Classes = l.classes(d)
+				team.Classes = l.readClasses(d)
 			}},
 			conf.Keyword{Name: "rate", Usage: "N", Doc: "sessions a second over all managers; unbounded if absent", Apply: func(d *conf.Directive) {
-				t.SessionsPerS = d.Float("sessions a second", 0, 1e9)
+				team.SessionsPerS = d.Float("sessions a second", 0, 1e9)
 			}},
-			count("standing", "most sessions set up or playing here; unbounded if absent", &t.MaxSessions),
+			countKeyword("standing", "most sessions set up or playing here; unbounded if absent", &team.MaxSessions),
 			conf.Keyword{Name: "period", Usage: "DURATION", Doc: "of the budget; 1h if absent", Apply: func(d *conf.Directive) {
-				t.BudgetPeriod = d.Duration("a period", time.Second, mostPeriod)
+				team.BudgetPeriod = d.Duration("a period", time.Second, maxBudgetPeriod)
 			}},
-			count("billed-setups", "most in a period; unbounded if absent", &t.MaxBilledSetUps),
-			count("further-attempts", "most in a period; unbounded if absent", &t.MaxFurtherAttempts),
+			countKeyword("billed-setups", "most in a period; unbounded if absent", &team.MaxBilledSetUps),
+			countKeyword("further-attempts", "most in a period; unbounded if absent", &team.MaxFurtherAttempts),
 		)
-		l.Teams = append(l.Teams, t)
+		l.Teams = append(l.Teams, team)
 	}}
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -39,38 +39,38 @@
 	Trace       bool          // rules are to be explained
 }
 
-// block is one keyword of an operator's file. A subsystem adds its own by one
+// blockFunc is one keyword of an operator's file. A subsystem adds its own by one
 // line in blocks.
-type block func(*loader) conf.Keyword
+type blockFunc func(*loader) conf.Keyword
 
-var blocks = []block{websocketBlock, viewersBlock, teamBlock, dnssdBlock, rulesBlock, ordinaryBlock, peakBlock, siteBlock, fleetBlock}
+var topLevelBlocks = []blockFunc{websocketBlock, viewersBlock, teamBlock, dnssdBlock, rulesBlock, ordinaryBlock, peakBlock, siteBlock, fleetBlock}
 
 // loader is an operator's file while it is read.
 type loader struct {
 	Operator
-	on     Deployment
-	faults *conf.Faults
-	later  []func() // what refers to other blocks, run after all are read
+	deployment Deployment
+	faults     *conf.Faults
+	deferred   []func() // what refers to other blocks, run after all are read
 }
 
 // ParseOperator reads an operator's file for a deployment. open reads what it
 // includes; nil: nothing can be included. The error is a *conf.Faults.
-func ParseOperator(name string, text []byte, open conf.ReadFileFunc, on Deployment) (Operator, error) {
-	l := &loader{on: on, faults: new(conf.Faults)}
+func ParseOperator(name string, text []byte, readFile conf.ReadFileFunc, deployment Deployment) (Operator, error) {
+	l := &loader{deployment: deployment, faults: new(conf.Faults)}
 	l.Present = true
-	var keys []conf.Keyword
-	for _, b := range blocks {
-		keys = append(keys, b(l))
+	var keywords []conf.Keyword
+	for _, block := range topLevelBlocks {
+		keywords = append(keywords, block(l))
 	}
-	conf.Apply(conf.Parse(name, text, open, l.faults), nil, l.faults, keys)
-	for _, f := range l.later {
-		f()
+	conf.Apply(conf.Parse(name, text, readFile, l.faults), nil, l.faults, keywords)
+	for _, run := range l.deferred {
+		run()
 	}
 	return l.Operator, l.faults.Err()
 }
 
-// readBounded reads a file, but not one that is longer than any may be.
-func readBounded(path string) ([]byte, error) {
+// readFileBounded reads a file, but not one that is longer than any may be.
+func readFileBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -84,30 +84,30 @@
 // Keywords returns all that an operator's file may hold, for help texts.
 func Keywords() []conf.Keyword {
 	l := &loader{faults: new(conf.Faults)}
-	var keys []conf.Keyword
-	for _, b := range blocks {
-		keys = append(keys, b(l))
+	var keywords []conf.Keyword
+	for _, block := range topLevelBlocks {
+		keywords = append(keywords, block(l))
 	}
-	return keys
+	return keywords
 }
 
-// classes reads the rest of a line as names of classes.
-func (l *loader) classes(d *conf.Directive) []bool {
-	set := make([]bool, len(l.on.Classes))
+// readClasses reads the rest of a line as names of classes.
+func (l *loader) readClasses(d *conf.Directive) []bool {
+	selected := make([]bool, len(l.deployment.Classes))
 	var names []string
-	for _, c := range l.on.Classes {
+	for _, c := range l.deployment.Classes {
 		names = append(names, c.Name)
 	}
 	for first := true; first || d.More(); first = false {
 		if i := d.OneOf("a class of this deployment", names...); i >= 0 {
-			set[i] = true
+			selected[i] = true
 		}
 	}
-	return set
+	return selected
 }
 
-// unique tells a fault if a name is used twice.
-func unique(d *conf.Directive, name string, used []string) {
+// checkUnique tells a fault if a name is used twice.
+func checkUnique(d *conf.Directive, name string, used []string) {
 	if name == "" && !d.HasFault() {
 		d.ReportFault(1, "the name is empty")
 	} else if slices.Contains(used, name) {
