--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// formatDirectives writes directives as they were understood.
+// formatDirectives returns the words and blocks of directives as they were parsed.
 func formatDirectives(directives []*Directive) string {
 	var b strings.Builder
 	for _, d := range directives {
@@ -80,11 +80,11 @@
 		}
 	}
 	if Parse("x", []byte("include a.conf"), nil, new(Faults)) != nil {
-		t.Error("included from nowhere")
+		t.Error("a file was included without a function to read it")
 	}
 }
 
-// All that is wrong is told at once, in the order of the lines, but not without end.
+// All faults are reported together in the order of their lines, up to a maximum.
 func TestAllFaultsReported(t *testing.T) {
 	faults := new(Faults)
 	directives := Parse("f", []byte("nme a\nsize many\nsize\n\"x\n"), nil, faults)
@@ -102,15 +102,16 @@
 	faults = new(Faults)
 	Apply(Parse("f", []byte(strings.Repeat("x\n", 1000)), nil, faults), nil, faults, nil)
 	if n := strings.Count(faults.Error(), "unknown keyword"); n != maxFaults || !strings.HasSuffix(faults.Error(), "900 more faults") {
-		t.Errorf("%d faults told", n)
+		t.Errorf("%d faults listed", n)
 	}
 	var err *Faults
 	if !errors.As(faults.Err(), &err) || new(Faults).Err() != nil {
-		t.Error("Err")
+		t.Error("Err: not nil without faults, or no *Faults with some")
 	}
 }
 
-// A caret stands under its character, whatever is before it.
+// The caret is under the character at fault, also after tabs, multi-byte characters and in
+// long lines that are cut.
 func TestCaretPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"\tsize äö x": "\tsize äö x\n    \t        ^",
@@ -123,7 +124,7 @@
 	}
 }
 
-// Whatever bytes come, faults have a place within the text, and parsing ends.
+// For any input, parsing ends and faults have positions within the text.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"a {\n b \"c\\x41\" `d`\n}\n", "include x", "a \\\n b", "}{\"", "\xff\x00"} {
 		f.Add(seed)
--- a/internal/conf/directive.go
+++ b/internal/conf/directive.go
@@ -12,19 +12,20 @@
 	"millethinge/internal/spell"
 )
 
-// Keyword is one keyword that a block may hold.
+// Keyword describes a keyword that a file or block may contain.
 type Keyword struct {
 	Name       string
-	Usage      string // its arguments, as in "ADDRESS"
-	Doc        string // what it is for, in one line
-	Repeatable bool   // it may stand more than once
-	Required   bool   // it may not be left out
-	Apply      func(*Directive)
+	Usage      string           // its arguments, as in "ADDRESS"
+	Doc        string           // what it sets, in one line
+	Repeatable bool             // it may occur more than once
+	Required   bool             // it must not be left out
+	Apply      func(*Directive) // reads the arguments and block of a directive with this keyword
 }
 
-// Apply hands each directive of a list to the key of its name. Unknown keywords,
-// such as stand too often, and missing ones are faults; around, which may be nil,
-// is the directive whose block this is.
+// Apply passes each directive to the Apply function of its keyword. It reports unknown,
+// repeated and missing keywords, and arguments and blocks left unread, as faults. parent is
+// the directive whose block holds the directives; if it is nil, missing keywords are not
+// reported.
 func Apply(directives []*Directive, parent *Directive, faults *Faults, keywords []Keyword) {
 	names := make([]string, len(keywords))
 	for i, k := range keywords {
@@ -55,18 +56,19 @@
 	}
 }
 
-// Block hands the directives of d's block to keys.
+// Block applies keywords to the directives of d's block. A missing block is a fault.
 func (d *Directive) Block(keywords ...Keyword) {
 	if !d.hasUnreadBlock {
 		d.ReportFault(0, "wants a block: %s {", d.Name())
 		return
 	}
-	d.hasUnreadBlock = false // it has been read
+	d.hasUnreadBlock = false // it is read now
 	Apply(d.block, d, d.faults, keywords)
 }
 
-// Directives returns the directives of d's block, for one whose keywords are names
-// of its own. Each is to be read to its End.
+// Directives returns the directives of d's block, for a block whose keywords are names that
+// the file chooses. The caller reads the arguments of each and then calls its ExpectEnd. A
+// missing block is a fault.
 func (d *Directive) Directives() []*Directive {
 	if !d.hasUnreadBlock {
 		d.ReportFault(0, "wants a block: %s {", d.Name())
@@ -75,13 +77,14 @@
 	return d.block
 }
 
-// Name is the keyword.
+// Name returns the directive's keyword.
 func (d *Directive) Name() string { return d.words[0].value }
 
-// HasUnreadBlock tells whether a block follows that has not been read.
+// HasUnreadBlock reports whether the directive has a block that has not been read.
 func (d *Directive) HasUnreadBlock() bool { return d.hasUnreadBlock }
 
-// blockPath is the keys that lead to what is in d's block.
+// blockPath returns the keywords that lead into d's block, such as "team.north": the path
+// of d, its keyword and its first argument.
 func (d *Directive) blockPath() string {
 	path := d.Name()
 	if len(d.words) > 1 {
@@ -93,8 +96,8 @@
 	return path
 }
 
-// ReportFault tells what is wrong with an argument; 0 is the keyword itself, and one
-// beyond the last is the end of the line.
+// ReportFault adds a fault at the argument of this index. Index 0 is the keyword, and an
+// index beyond the last argument is the end of the line.
 func (d *Directive) ReportFault(argument int, format string, args ...any) {
 	offset := d.endOffset
 	if argument < len(d.words) {
@@ -103,12 +106,13 @@
 	d.ReportFaultAt(offset, format, args...)
 }
 
-// ReportFaultAt is Fault at a byte of the file, as Rest gives it.
+// ReportFaultAt adds a fault at a byte offset of the file, such as Rest returns.
 func (d *Directive) ReportFaultAt(offset int, format string, args ...any) {
 	d.hasFault = true
 	d.faults.add(d.newFault(offset, fmt.Sprintf(format, args...)))
 }
 
+// newFault returns a fault of d at a byte offset of the file.
 func (d *Directive) newFault(offset int, message string) *Fault {
 	line, column, text := d.source.position(offset)
 	path := d.Name()
@@ -118,25 +122,29 @@
 	return &Fault{File: d.source.name, Line: line, Column: column, KeywordPath: path, LineText: text, Message: message}
 }
 
-// FormatWarning words something about a byte of the file that is no fault.
+// FormatWarning returns the text of a warning at a byte offset of the file. It has the form
+// of a fault without the source line.
 func (d *Directive) FormatWarning(offset int, format string, args ...any) string {
 	fault := d.newFault(offset, fmt.Sprintf(format, args...))
 	fault.LineText = ""
 	return fault.Error()
 }
 
-// ArgumentIndex is the position of the argument that was read last, for Fault.
+// ArgumentIndex returns the index of the argument that was read last, for ReportFault.
 func (d *Directive) ArgumentIndex() int { return d.current }
 
-// HasFault tells whether a fault of d's has been told.
+// HasFault reports whether a fault of d has been reported.
 func (d *Directive) HasFault() bool { return d.hasFault }
 
-// More tells whether arguments are left.
+// More reports whether there are unread arguments.
 func (d *Directive) More() bool { return d.current+1 < len(d.words) }
 
-// ExpectEnd tells what is left over of a directive that Lines returned.
+// ExpectEnd reports unread arguments and an unread block as faults, for a directive that
+// Directives returned.
 func (d *Directive) ExpectEnd() { d.expectEnd() }
 
+// expectEnd reports unread arguments and an unread block as faults, unless d has a fault
+// already.
 func (d *Directive) expectEnd() {
 	if d.hasFault {
 		return
@@ -148,10 +156,11 @@
 	}
 }
 
-// Word returns the next argument; what is one is for the message if it's missing.
+// Word returns the next argument. A missing argument is a fault, whose message names what
+// is expected.
 func (d *Directive) Word(expected string) string {
 	if !d.More() {
-		if !d.hasFault { // one such fault a line says it all
+		if !d.hasFault { // one fault for each line is enough
 			d.ReportFault(len(d.words), "wants %s", expected)
 		}
 		return ""
@@ -160,8 +169,8 @@
 	return d.words[d.current].value
 }
 
-// Rest returns what is left of the line as it stands in the file, quotes and
-// all, and the byte of the file at which it begins.
+// Rest returns the unread arguments of the line as they are written in the file, quotes
+// included, and the byte offset of the file at which they begin.
 func (d *Directive) Rest() (text string, offset int) {
 	if !d.More() {
 		return "", d.endOffset
@@ -171,14 +180,16 @@
 	return d.source.text[start:end], start
 }
 
-// reportInvalid tells that the argument just read is not what was wanted.
+// reportInvalid adds a fault that says what is wrong with the argument read last, unless d
+// has a fault already.
 func (d *Directive) reportInvalid(format string, args ...any) {
 	if d.current > 0 && d.current < len(d.words) && !d.hasFault {
 		d.ReportFault(d.current, "%q is "+format, append([]any{d.words[d.current].value}, args...)...)
 	}
 }
 
-// Int returns the next argument as a whole number from least to most.
+// Int returns the next argument as a whole number from minimum to maximum. The number may
+// contain underscores.
 func (d *Directive) Int(expected string, minimum, maximum int) int {
 	w := d.Word(expected)
 	n, err := strconv.Atoi(strings.ReplaceAll(w, "_", ""))
@@ -192,7 +203,7 @@
 	return n
 }
 
-// Float returns the next argument as a number from least to most.
+// Float returns the next argument as a number from minimum to maximum.
 func (d *Directive) Float(expected string, minimum, maximum float64) float64 {
 	w := d.Word(expected)
 	f, err := strconv.ParseFloat(w, 64)
@@ -206,7 +217,8 @@
 	return f
 }
 
-// Duration returns the next argument as a time such as 250ms, 3s or 1h30m.
+// Duration returns the next argument as a duration from minimum to maximum, such as 250ms,
+// 3s or 1h30m.
 func (d *Directive) Duration(expected string, minimum, maximum time.Duration) time.Duration {
 	w := d.Word(expected)
 	t, err := time.ParseDuration(w)
@@ -220,7 +232,7 @@
 	return t
 }
 
-// Address returns the next argument as HOST:PORT.
+// Address returns the next argument, an address HOST:PORT with a numeric port.
 func (d *Directive) Address() string {
 	w := d.Word("an address HOST:PORT")
 	if d.hasFault {
@@ -234,12 +246,12 @@
 	return w
 }
 
-// OnOff returns the next argument as on or off.
+// OnOff reports whether the next argument, on or off, is on.
 func (d *Directive) OnOff() bool {
 	return d.OneOf("on or off", "on", "off") == 0
 }
 
-// OneOf returns which of the words the next argument is, or -1.
+// OneOf returns the index of the next argument in choices, or -1 with a fault.
 func (d *Directive) OneOf(expected string, choices ...string) int {
 	w := d.Word(expected)
 	i := slices.Index(choices, w)
--- a/internal/conf/fault.go
+++ b/internal/conf/fault.go
@@ -7,16 +7,17 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with a file, and where.
+// Fault is an error at a position of a configuration file.
 type Fault struct {
 	File         string
-	Line, Column int    // from 1; columns count characters
-	KeywordPath  string // the keys that lead there, as in "team.north.rate"
-	LineText     string // the line
+	Line, Column int    // from 1; columns count characters, not bytes
+	KeywordPath  string // keywords and names that lead to the position, such as "team.north.rate"
+	LineText     string // the line at fault; empty: Error shows none
 	Message      string
 }
 
-// Error gives the place, the key, what is wrong, and the line with a caret.
+// Error returns the position, the keyword path and the message, then the line at fault with
+// a caret under the position.
 func (f *Fault) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
@@ -25,8 +26,8 @@
 	}
 	b.WriteString(f.Message)
 	if f.LineText != "" {
-		// Guard: a line is shown in part, so that one fault in a very long one
-		// doesn't fill a screen.
+		// Guard: only a part of a long line is shown, so that one fault in a very long
+		// line doesn't fill the screen.
 		text, column := []rune(f.LineText), f.Column-1
 		if first := max(0, column-maxShownChars/2); first > 0 {
 			text, column = text[min(first, len(text)):], column-first
@@ -50,19 +51,20 @@
 	return b.String()
 }
 
-const maxShownChars = 160 // characters of a faulty line
+// maxShownChars is how many characters of a line at fault are shown.
+const maxShownChars = 160
 
-// maxFaults is how many faults are told of one file. A file that is not of
-// this form at all would have one a line.
+// maxFaults is how many faults are listed. Others are only counted: a file of another
+// format could have a fault on each line.
 const maxFaults = 100
 
-// Faults is all that is wrong with a file and what it includes.
+// Faults is the list of faults in a file and the files that it includes. It is an error.
 type Faults struct {
 	list    []*Fault
-	omitted int
+	omitted int // faults beyond maxFaults, which are not in list
 }
 
-// Err returns nil if there are none.
+// Err returns f as an error, or nil if there are no faults.
 func (f *Faults) Err() error {
 	if len(f.list) == 0 {
 		return nil
@@ -70,7 +72,7 @@
 	return f
 }
 
-// List returns the faults in the order of their places.
+// List returns the faults in the order of files, lines and columns.
 func (f *Faults) List() []*Fault {
 	f.sort()
 	return f.list
@@ -82,7 +84,8 @@
 	})
 }
 
-// Error lists them all.
+// Error returns the texts of all listed faults, one after another, and how many were
+// omitted.
 func (f *Faults) Error() string {
 	f.sort()
 	lines := make([]string, 0, len(f.list)+1)
@@ -95,8 +98,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Code and Remedy make Faults a remedy.Error.
+// Code returns the error's code for operators.
 func (f *Faults) Code() string { return "config-faulty" }
+
+// Remedy returns what an operator can do about the error.
 func (f *Faults) Remedy() string {
 	return "correct what is named, and try the file by `millethinge check` before it is used"
 }
--- a/internal/conf/scan.go
+++ b/internal/conf/scan.go
@@ -1,5 +1,5 @@
-// Package conf reads a line-based form of configuration, in the manner of
-// classic daemons:
+// Package conf reads configuration files in a line-based syntax like that of many Unix
+// daemons:
 //
 //	# a comment
 //	keyword argument "quoted argument" `raw argument`
@@ -8,12 +8,13 @@
 //	}
 //	include more.conf
 //
-// A line that ends in a backslash goes on in the next one. Within double quotes
-// \" \\ \n \t \r and \xHH stand for what they do in Go; within backquotes nothing
-// does. The package knows no keyword but include: Read is told which there are.
+// A line that ends in a backslash continues on the next line. Within double quotes, the
+// escapes \" \\ \n \t \r and \xHH have the same meaning as in Go; within backquotes there
+// are no escapes. The only keyword that the package defines is include: callers of Apply
+// define the others.
 //
-// It does no I/O of its own. All that is wrong is told at once, each fault with
-// its file, line and column.
+// The package does no I/O of its own. It collects all faults instead of stopping at the
+// first, each with its file, line and column.
 package conf
 
 import (
@@ -23,21 +24,22 @@
 	"unicode/utf8"
 )
 
-// Bounds of what is read. Beyond them a file is refused and not read on.
+// Limits on the input. A file that exceeds one has a fault, and what is beyond the limit is
+// not read.
 const (
-	MaxBytes        = 32 << 20 // of all files together
-	maxLineBytes    = 64 << 10 // bytes of a line with those that it goes on in
-	maxBlockDepth   = 16       // of blocks within blocks
-	maxIncludeDepth = 8        // of files within files
-	maxFiles        = 256
-	maxArguments    = 1024
+	MaxBytes        = 32 << 20 // bytes of all files together
+	maxLineBytes    = 64 << 10 // bytes of a line with its continuation lines
+	maxBlockDepth   = 16       // levels of blocks within blocks
+	maxIncludeDepth = 8        // levels of files included by files
+	maxFiles        = 256      // with included ones
+	maxArguments    = 1024     // of a line
 )
 
-// sourceFile is one file's text.
+// sourceFile is the text of a file with an index of its lines.
 type sourceFile struct {
 	name       string
 	text       string
-	lineStarts []int // where each line begins
+	lineStarts []int // byte offset of the start of each line
 }
 
 func newSourceFile(name, text string) *sourceFile {
@@ -50,7 +52,8 @@
 	return s
 }
 
-// position returns the line and column of a byte, and the line's text.
+// position returns the line and column of a byte offset, and the line's text. Offsets out
+// of range count as the start or end of the file.
 func (s *sourceFile) position(offset int) (line, column int, text string) {
 	offset = min(max(offset, 0), len(s.text))
 	low, high := 0, len(s.lineStarts)
@@ -70,44 +73,49 @@
 	return low + 1, column, text
 }
 
-// word is one argument: its value, and its place in the source.
+// word is a keyword or an argument: its value, and its byte offsets in the file.
 type word struct {
 	value      string
 	start, end int
 }
 
-// Directive is one line: a keyword, its arguments and, where it opened one, the
-// lines of its block.
+// Directive is a line of a file: a keyword, its arguments and the directives of its block,
+// if it has one. The methods that read arguments do so from left to right; they report a
+// missing or invalid one as a fault.
 type Directive struct {
 	source         *sourceFile
 	faults         *Faults
-	path           string // of the blocks around it
-	words          []word // the keyword is the first
-	current        int    // argument to be read
+	path           string // keywords and names of the enclosing blocks, such as "team.north"
+	words          []word // the keyword and the arguments
+	current        int    // index in words of the argument that was read last
 	block          []*Directive
 	hasUnreadBlock bool
-	endOffset      int // the end of the line, where a missing argument belongs
+	endOffset      int // byte offset of the end of the line or of its {, where a missing argument is reported
 	hasFault       bool
 }
 
 // ReadFileFunc returns the text of an included file.
 type ReadFileFunc func(path string) ([]byte, error)
 
-// Parse cuts a file into directives and takes in what it includes, by paths
-// that are relative to the including file.
+// Parse returns the directives of a file and adds its faults to faults. In place of an
+// include directive it returns those of the included file, whose path is relative to the
+// including file. If readFile is nil, include is a fault.
 func Parse(name string, text []byte, readFile ReadFileFunc, faults *Faults) []*Directive {
 	p := &parser{readFile: readFile, faults: faults}
 	return p.parseFile(name, text, nil, "")
 }
 
+// parser reads a file and the files that it includes.
 type parser struct {
 	readFile     ReadFileFunc
 	faults       *Faults
-	totalBytes   int
+	totalBytes   int // of all files so far
 	fileCount    int
-	includeStack []string // the files that are being read
+	includeStack []string // cleaned paths of the files being read, the outermost first
 }
 
+// parseFile returns the directives of a file. includedBy is the include directive that
+// names it; if that is nil, the file is the outermost.
 func (p *parser) parseFile(name string, text []byte, includedBy *Directive, parentPath string) []*Directive {
 	fail := func(format string, args ...any) []*Directive {
 		if includedBy != nil {
@@ -132,7 +140,7 @@
 	return s.scanBlock(parentPath, nil, 0)
 }
 
-// parseInclude reads the file that a directive names.
+// parseInclude returns the directives of the file that an include directive names.
 func (p *parser) parseInclude(d *Directive, parentPath string) []*Directive {
 	name := d.Word("a file")
 	d.expectEnd()
@@ -165,19 +173,21 @@
 	return p.parseFile(path, text, d, parentPath)
 }
 
-// scanner walks one file.
+// scanner splits a file into words and directives.
 type scanner struct {
 	*parser
 	source *sourceFile
-	offset int
+	offset int // of the next byte to read
 }
 
+// reportFault adds a fault at a byte offset of the file.
 func (s *scanner) reportFault(offset int, path, format string, args ...any) {
 	line, column, text := s.source.position(offset)
 	s.faults.add(&Fault{File: s.source.name, Line: line, Column: column, KeywordPath: path, LineText: text, Message: fmt.Sprintf(format, args...)})
 }
 
-// scanBlock reads directives until the block that opener began ends, or the file.
+// scanBlock reads directives to the end of the block that opener began or, if opener is
+// nil, to the end of the file.
 func (s *scanner) scanBlock(path string, opener *Directive, depth int) []*Directive {
 	var directives []*Directive
 	for {
@@ -201,7 +211,7 @@
 		if d != nil && d.hasUnreadBlock {
 			innerPath := d.blockPath()
 			if depth >= maxBlockDepth {
-				// Guard: what is deeper is passed over by counting, not by recursion.
+				// Guard: deeper blocks are skipped by counting braces, without recursion.
 				d.ReportFault(0, "blocks are nested more than %d deep", maxBlockDepth)
 				s.skipBlock()
 				continue
@@ -211,7 +221,7 @@
 	}
 }
 
-// skipBlock skips to the end of the block just opened.
+// skipBlock reads on to the end of the block that was opened last.
 func (s *scanner) skipBlock() {
 	for openBlocks := 1; openBlocks > 0; {
 		d, closeOffset, ok := s.scanLine("")
@@ -227,8 +237,8 @@
 	}
 }
 
-// scanLine reads one directive. closing is where a } stood alone, or -1; ok is false
-// at the end of the file.
+// scanLine reads one directive, which is nil for a line without one. closeOffset is the
+// offset of a } that is alone on its line, or -1. ok is false at the end of the file.
 func (s *scanner) scanLine(path string) (d *Directive, closeOffset int, ok bool) {
 	text := s.source.text
 	d = &Directive{source: s.source, faults: s.faults, path: path}
@@ -271,11 +281,12 @@
 	return d, -1, true
 }
 
+// isUnquoted reports whether w is written as literal, without quotes or escapes.
 func (s *scanner) isUnquoted(w word, literal string) bool {
 	return s.source.text[w.start:w.end] == literal
 }
 
-// skipBlanks passes over blanks and continued line ends.
+// skipBlanks skips blanks, and line ends with a backslash before them.
 func (s *scanner) skipBlanks() {
 	for text := s.source.text; s.offset < len(text); s.offset++ {
 		switch text[s.offset] {
@@ -292,7 +303,7 @@
 	}
 }
 
-// scanWord reads one argument. Quoted and plain parts that touch are one.
+// scanWord reads a word. Adjacent quoted and unquoted parts are one word.
 func (s *scanner) scanWord(path string) (word, bool) {
 	text, start := s.source.text, s.offset
 	var value strings.Builder
@@ -325,7 +336,8 @@
 	return word{value.String(), start, s.offset}, true
 }
 
-// scanQuoted reads what is between two quotes.
+// scanQuoted reads a quoted part of a word, appends its value to value and reports whether
+// it is valid.
 func (s *scanner) scanQuoted(value *strings.Builder, path string) bool {
 	text, start := s.source.text, s.offset
 	quote := text[start]
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -9,6 +9,7 @@
 	"millethinge/internal/conf"
 )
 
+// Defaults and limits of the settings of players and teams.
 const (
 	defaultPlayerGrace  = 3 * time.Second
 	maxPlayerGrace      = 10 * time.Minute
@@ -17,11 +18,11 @@
 	maxOpenSetups       = 1 << 16
 )
 
-// WebSocket is the second front.
+// WebSocket configures the WebSocket front.
 type WebSocket struct {
-	Listen string
-	Path   string
-	Grace  time.Duration // for a player whose socket is lost to come back
+	Listen string        // address that players connect to
+	Path   string        // of the opening handshake
+	Grace  time.Duration // how long a player that lost its connection may take to reconnect
 }
 
 func websocketBlock(l *loader) conf.Keyword {
@@ -44,10 +45,10 @@
 	}}
 }
 
-// Viewers is what both fronts allow.
+// Viewers configures what both fronts allow to viewers.
 type Viewers struct {
-	MaxOpenSetups  int  // set-ups on one connection; 0: the fronts' default
-	IncludeReasons bool // the platform's front says why, too
+	MaxOpenSetups  int  // on one connection; 0: the fronts' default
+	IncludeReasons bool // the JSON-lines front includes reasons in its answers too
 }
 
 func viewersBlock(l *loader) conf.Keyword {
@@ -92,10 +93,10 @@
 	}}
 }
 
-// DNSSD is the source of the list by DNS service discovery.
+// DNSSD configures DNS service discovery as a source of the list of media nodes.
 type DNSSD struct {
-	Server  string // address of a DNS server
-	Service string // such as _rtsp._tcp.media.example
+	Server  string // address of the DNS server
+	Service string // service name, such as _rtsp._tcp.media.example
 }
 
 func dnssdBlock(l *loader) conf.Keyword {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config is the one place where configuration is read, checked and
-// given defaults: the environment, the platform's JSON and the operator's
-// file. Errors name the key at fault; those of the operator's file also the line
-// and column, and all of them are told at once.
+// Package config reads and checks the whole configuration of the program and fills in
+// its defaults: the environment, the platform's JSON and the operator's file. Errors
+// name the key at fault; those of the operator's file also give the line and column.
+// All faults found in a file are reported together.
 package config
 
 import (
@@ -22,17 +22,17 @@
 	"millethinge/internal/route"
 )
 
-// Environment variables.
+// Environment variables that the configuration is read from.
 const (
-	EnvPlatformFile = "BALANCER_CONFIG"      // path of the platform's JSON
-	EnvOperatorFile = "MILLETHINGE_OPERATOR" // the operator's file; absent: operatorFile
+	EnvPlatformFile = "BALANCER_CONFIG"      // path of the platform's JSON; required
+	EnvOperatorFile = "MILLETHINGE_OPERATOR" // path of the operator's file; unset: defaultOperatorFile
 	envName         = "BALANCER_NAME"
 	envListen       = "BALANCER_LISTEN"
 	envAdmin        = "BALANCER_ADMIN"
 	envSharedDir    = "TMPDIR"
 )
 
-// Defaults of what the platform may leave out.
+// Defaults and limits of the platform's settings.
 const (
 	defaultMemoryMB        = 192
 	defaultSockets         = 1024
@@ -41,79 +41,84 @@
 	defaultConnectTimeout  = 250 * time.Millisecond
 	defaultStreamsPerConn  = 32
 	defaultDeadline        = 10 * time.Second
-	maxWaitInDeadlines     = 4 // a viewer waits so many times its class's deadline at most
-	// At a planned restart requests come for 0.6 s after SIGTERM. SIGKILL follows
-	// no sooner than the longest deadline, at most 3 s, and 0.7 s more.
+	maxWaitInDeadlines     = 4 // a viewer may say that it still waits for at most so many deadlines of a class
+	// At a planned restart, requests arrive for up to 0.6 s after SIGTERM. SIGKILL
+	// follows no sooner than 0.7 s after the longest deadline, of which no more than 3 s
+	// count.
 	drainAcceptFor      = 700 * time.Millisecond
-	drainKeepMargin     = 600 * time.Millisecond // beyond the longest deadline
-	maxDrainDeadline    = 3 * time.Second
+	drainKeepMargin     = 600 * time.Millisecond // added to the longest deadline
+	maxDrainDeadline    = 3 * time.Second        // the most of a deadline that a drain waits for
 	minSockets          = 64
-	defaultOperatorFile = "deploy/operator.conf" // read if it is there
-	platformFaultFile   = "the platform's configuration"
-	viewerConnsDivisor  = 3 // viewers may hold one part in so many of the descriptors
-	viewerConnsMargin   = 24
-	// ownDescriptors is what the program itself holds at most: standard input, output and
-	// error; the runtime's poller, 2, and its files of the control group, 2; three
-	// listeners; a viewer and a player accepted before there is a place; a connection to the
-	// coordinator and one to a DNS server; the mark of the process and a file of its folder;
-	// and a configuration that is read again.
+	defaultOperatorFile = "deploy/operator.conf"         // read if it exists
+	platformFaultFile   = "the platform's configuration" // in place of a file name in faults
+	viewerConnsDivisor  = 3                              // 1/3 of the descriptors are for viewers
+	viewerConnsMargin   = 24                             // viewers' connections beyond that third, for those that are about to close
+	// ownDescriptors is the most that the program itself holds: standard input, output and
+	// error; 2 of the Go runtime's network poller and 2 control group files that the runtime
+	// keeps open; three listeners; a viewer's and a player's connection accepted before a
+	// slot is free; a connection to the coordinator and one to a DNS server; the file that
+	// marks the process and another in its handover folder; and a configuration file while
+	// it is reloaded.
 	ownDescriptors = 17
-	// maxTransientDescriptors are for what libraries open for a moment, such as to find a host by its
-	// name: of those beyond the least, one in so many.
+	// Descriptors for what libraries open for a short time, such as to look up a host
+	// name: one in transientDescriptorsDivisor of those beyond minSockets, and at most
+	// maxTransientDescriptors.
 	maxTransientDescriptors     = 7
 	transientDescriptorsDivisor = 16
-	operatorConnsDivisor        = 8 // of the descriptors at most, where they are few
-	operatorConnsLimit          = 32
-	fleetDescriptors            = 2 // sockets of the fleet's block
-	// maxDuration is as long as any time is taken to be; a longer one could not be
-	// reckoned with.
+	operatorConnsDivisor        = 8  // at most 1/8 of the descriptors are for operators' calls, where they are few
+	operatorConnsLimit          = 32 // operators' calls at the same time, where there are enough descriptors
+	fleetDescriptors            = 2  // the fleet's sockets, TCP and UDP
+	// maxDuration is what any longer time in the settings is reduced to: a time that
+	// stands for "never" must not overflow where it is multiplied.
 	maxDuration = 30 * 24 * time.Hour
 )
 
-// Config is all that the program is told.
+// Config is the whole configuration of the program.
 type Config struct {
 	Name        string
-	Listen      string
-	AdminListen string // where operators call; empty: nowhere
-	SharedDir   string // a folder for what processes of this manager share; empty: there is none
-	Seed        uint64
+	Listen      string // address that viewers connect to
+	AdminListen string // address for operators' calls; empty: none
+	SharedDir   string // directory for files that processes of this manager share; empty: none
+	Seed        uint64 // of the random numbers
 	Cores       float64
 	MemoryMB    int
-	Sockets     int
+	Sockets     int // limit on open file descriptors
 
-	Coordinator    string
-	KnownNodes     directory.Updates
-	DirectoryNames directory.Names
+	Coordinator    string            // address of the coordinator; empty: none
+	KnownNodes     directory.Updates // initial list of media nodes
+	DirectoryNames directory.Names   // names of zones and machine kinds in the list
 	Settings       control.Settings
-	ClassNames     []string      // names by class
-	TenantNames    []string      // of the platform, by number
-	TimeLeftLimit  time.Duration // the longest that a viewer may say it waits
+	ClassNames     []string      // by class
+	TenantNames    []string      // by number; the platform's tenants only
+	TimeLeftLimit  time.Duration // the most that a viewer may state as the time it still waits
 	Drain          broker.DrainTimes
 
-	DrainGrace      time.Duration // after which nothing goes to a node that drains
+	DrainGrace      time.Duration // from when a node drains until nothing more is sent to it
 	IdleConnTimeout time.Duration
 	ConnectTimeout  time.Duration
-	StreamsPerConn  int
+	StreamsPerConn  int // streams that may share a connection to a media node
 
 	Operator Operator
 }
 
-// MaxViewerConns is how many viewers' connections are accepted at once.
-// Guard: where descriptors are few, nodes have two fifths of what is left for both.
-// Without a connection to a node nothing is ever served.
+// MaxViewerConns returns how many viewers' connections are accepted at the same time.
+//
+// Guard: where descriptors are few, nodes keep two fifths of those left for viewers and
+// nodes. Without a connection to a node nothing is ever served.
 func (c *Config) MaxViewerConns() int {
 	return min(c.Sockets/viewerConnsDivisor+viewerConnsMargin, (c.Sockets-c.reservedDescriptors())*3/5)
 }
 
-// MaxNodeConns is how many connections to media nodes may be open at once.
+// MaxNodeConns returns how many connections to media nodes may be open at the same time.
 func (c *Config) MaxNodeConns() int { return c.Sockets - c.reservedDescriptors() - c.MaxViewerConns() }
 
-// MaxOperatorConns is how many operators' calls are accepted at once.
+// MaxOperatorConns returns how many operators' calls are accepted at the same time.
 func (c *Config) MaxOperatorConns() int {
 	return min(operatorConnsLimit, c.Sockets/operatorConnsDivisor)
 }
 
-// reservedDescriptors is what is kept beside viewers and nodes.
+// reservedDescriptors returns the number of descriptors that neither viewers nor nodes
+// may use.
 func (c *Config) reservedDescriptors() int {
 	n := ownDescriptors + min(max(c.Sockets-minSockets, 0)/transientDescriptorsDivisor, maxTransientDescriptors) + c.MaxOperatorConns()
 	if c.Operator.Fleet != nil {
@@ -122,20 +127,25 @@
 	return n
 }
 
-// WithHalfSockets is the configuration of each of two processes that share the descriptors. Guard:
-// half of the connections is too much, since each holds all that the program itself needs.
+// WithHalfSockets returns the configuration of each of two processes that share the
+// descriptors.
+//
+// Guard: the descriptors are halved, not the limits on connections. Half of those limits
+// would be too many, since each process also holds all descriptors that the program
+// itself needs.
 func (c *Config) WithHalfSockets() *Config {
 	half := *c
 	half.Sockets /= 2
 	return &half
 }
 
-// Load reads the configuration of the environment that getenv tells.
+// Load reads the configuration that the environment variables name.
 func Load(getenv func(string) string) (Config, error) {
 	return load(getenv, func(c *Config) Deployment { return c.Deployment() })
 }
 
-// LoadTraced is Load, with rules that can be explained.
+// LoadTraced is like Load, but compiles the rules so that their evaluation can be
+// explained.
 func LoadTraced(getenv func(string) string) (Config, error) {
 	return load(getenv, func(c *Config) Deployment {
 		deployment := c.Deployment()
@@ -144,20 +154,23 @@
 	})
 }
 
-// Reload is Load for a program that runs. What rules refer to is what runs: a
-// team or a class that the files have got since waits for the next start, and a
-// rule that refers to it is a fault.
+// Reload is like Load for a running program. Rules may refer only to the teams and
+// classes that the program runs with: one added to the files since then takes effect at
+// the next start, and a rule that refers to it is a fault.
 func Reload(getenv func(string) string, running *Config) (Config, error) {
 	return load(getenv, func(*Config) Deployment { return running.RunningDeployment() })
 }
 
-// RunningDeployment is what a file that is read while the program runs may refer to.
+// RunningDeployment returns what an operator's file may refer to when it is read while
+// the program runs.
 func (c *Config) RunningDeployment() Deployment {
 	deployment := c.Deployment()
 	deployment.Teams, deployment.Running = c.TeamNames(), true
 	return deployment
 }
 
+// load reads the configuration. deployment returns what the operator's file may refer to,
+// given the platform's settings.
 func load(getenv func(string) string, deployment func(*Config) Deployment) (Config, error) {
 	var c Config
 	path := getenv(EnvPlatformFile)
@@ -204,7 +217,7 @@
 	return c, err
 }
 
-// Deployment is what the operator's file may refer to.
+// Deployment returns what the operator's file may refer to at the start.
 func (c *Config) Deployment() Deployment {
 	deployment := Deployment{Name: c.Name, Teams: c.TenantNames, Zones: c.DirectoryNames.Zones}
 	deployment.FleetSlots, deployment.PeakClasses = peakClassesWithoutLoad(&c.Settings)
@@ -214,7 +227,8 @@
 	return deployment
 }
 
-// TeamNames are the names of all teams, by number: the platform's and the operator's.
+// TeamNames returns the names of all teams by number: first the platform's tenants, then
+// the operator's teams.
 func (c *Config) TeamNames() []string {
 	names := slices.Clone(c.TenantNames)
 	for i := range c.Operator.Teams {
@@ -223,20 +237,20 @@
 	return names
 }
 
-// ParsePlatform reads the platform's JSON.
+// ParsePlatform reads and checks the platform's JSON. Its error joins all faults found.
 func ParsePlatform(text []byte) (Config, error) {
 	var raw struct {
-		Name   string `json:"name"`
-		Listen string `json:"listen"`
-		Admin  string `json:"admin"`
-		Seed   string `json:"seed"`
-		Limits struct {
+		Name        string `json:"name"`
+		Listen      string `json:"listen"`
+		AdminListen string `json:"admin"`
+		Seed        string `json:"seed"`
+		Limits      struct {
 			Cores    float64 `json:"cores"`
 			MemoryMB int     `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
 		} `json:"limits"`
 		Coordinator string          `json:"coordinator"`
-		Known       json.RawMessage `json:"known"`
+		KnownNodes  json.RawMessage `json:"known"`
 		Settings    json.RawMessage `json:"settings"`
 	}
 	var faults []error
@@ -247,7 +261,7 @@
 		return Config{}, fmt.Errorf("%s: %w", platformFaultFile, err)
 	}
 	c := Config{
-		Name: raw.Name, Listen: raw.Listen, AdminListen: raw.Admin, Coordinator: raw.Coordinator,
+		Name: raw.Name, Listen: raw.Listen, AdminListen: raw.AdminListen, Coordinator: raw.Coordinator,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
 	}
 	if c.Cores <= 0 {
@@ -268,8 +282,8 @@
 			reportFault("seed", err)
 		}
 	}
-	if len(raw.Known) > 0 {
-		if c.KnownNodes, err = directory.ParseUpdates(raw.Known); err != nil {
+	if len(raw.KnownNodes) > 0 {
+		if c.KnownNodes, err = directory.ParseUpdates(raw.KnownNodes); err != nil {
 			reportFault("known", err)
 		}
 	}
@@ -320,7 +334,7 @@
 	return c, nil
 }
 
-// Summary says in a few lines what a configuration comes to.
+// Summary returns a description of the configuration in a few lines.
 func (c *Config) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s on %s: classes %s; %d viewers' and %d nodes' connections; %d MB",
@@ -354,8 +368,9 @@
 	return b.String()
 }
 
-// checkClassName tells why a class can't have a name, beside those before it. Viewers name
-// classes by it, and media nodes are told it in a header's line.
+// checkClassName returns an error if name can't be the name of a class, also because an
+// earlier class uses it. Viewers refer to a class by its name, and requests to media nodes
+// carry it in a header line.
 func checkClassName(name string, used []string) error {
 	switch {
 	case name == "":
@@ -368,11 +383,13 @@
 	return nil
 }
 
-// Seconds is a number of seconds as a duration.
+// Seconds returns a number of seconds as a duration of at most maxDuration.
 func Seconds(s float64) time.Duration {
 	return time.Duration(min(s, maxDuration.Seconds()) * float64(time.Second))
 }
 
+// secondsOrDefault returns a number of seconds as a duration, or fallback if it is not
+// positive.
 func secondsOrDefault(seconds float64, fallback time.Duration) time.Duration {
 	if seconds <= 0 {
 		return fallback
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,6 +13,7 @@
 	"millethinge/internal/route"
 )
 
+// platformExample returns the example of the platform's JSON.
 func platformExample(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../example/config.json")
@@ -28,9 +29,9 @@
 		c.ConnectTimeout != 250*time.Millisecond || strings.Join(c.ClassNames, " ") != "clip feed" {
 		t.Errorf("%+v, %v", c, err)
 	}
-	// The drain ends before SIGKILL can come, 0.7 s after the longest deadline.
+	// A drain has to end before the earliest SIGKILL, 0.7 s after the longest deadline.
 	if want := (broker.DrainTimes{AcceptFor: 700 * time.Millisecond, KeepFor: 3600 * time.Millisecond}); c.Drain != want || c.TimeLeftLimit != 12*time.Second {
-		t.Errorf("drain %v, most left %v", c.Drain, c.TimeLeftLimit)
+		t.Errorf("drain %v, longest time left %v", c.Drain, c.TimeLeftLimit)
 	}
 	if viewers, nodes := c.MaxViewerConns(), c.MaxNodeConns(); viewers < c.Sockets/3 || nodes < 400 || viewers+nodes > c.Sockets-viewerConnsMargin {
 		t.Errorf("%d viewers' and %d nodes' connections", viewers, nodes)
@@ -54,8 +55,10 @@
 	}
 }
 
-// What the module can't act on is a fault of the file, by the platform's own key, and all
-// are told at once. Guard: some came only when the program started, one as a panic.
+// Settings that the decision module can't run with are faults of the file under the
+// platform's key, and all of them are reported together.
+//
+// Guard: some of these faults were found only when the program started, one by a panic.
 func TestSettingsErrorsNameTheKey(t *testing.T) {
 	text := platformExample(t)
 	for _, test := range [][3]string{
@@ -80,23 +83,23 @@
 	}
 }
 
-// Whatever the limits, viewers and nodes have connections, and the program some
-// descriptors of its own.
+// For each limit on descriptors, viewers and nodes have connections, and enough descriptors
+// are left for the program itself, also while two processes share them.
 func TestConnectionLimitsFitDescriptors(t *testing.T) {
 	for sockets := minSockets; sockets < 3000; sockets++ {
 		c := Config{Sockets: sockets}
 		if viewers, nodes := c.MaxViewerConns(), c.MaxNodeConns(); viewers < sockets/3 || nodes < sockets/4 || sockets-viewers-nodes < max(2*min(sockets/8, viewerConnsMargin), ownDescriptors+c.MaxOperatorConns()) {
-			t.Fatalf("of %d descriptors viewers have %d and nodes %d", sockets, viewers, nodes)
+			t.Fatalf("%d descriptors: %d connections of viewers and %d of nodes", sockets, viewers, nodes)
 		}
 		half := c.WithHalfSockets()
 		viewers, nodes, operators := half.MaxViewerConns(), half.MaxNodeConns(), half.MaxOperatorConns()
 		if viewers < 2 || nodes < 2 || operators < 2 || 2*(viewers+nodes+operators+ownDescriptors) > sockets {
-			t.Fatalf("of %d descriptors each of two processes gives viewers %d, nodes %d and callers %d", sockets, viewers, nodes, operators)
+			t.Fatalf("%d descriptors, two processes: each has %d connections of viewers, %d of nodes and %d of operators", sockets, viewers, nodes, operators)
 		}
 	}
 }
 
-// A time that stands for "never" is only very long.
+// Very long times, which stand for "never", are limited instead of overflowing.
 func TestDurationsAreBounded(t *testing.T) {
 	c, err := ParsePlatform([]byte(strings.NewReplacer(`"connIdleS": 15`, `"connIdleS": 1e12`, `"giveUpS": 3`, `"giveUpS": 1e12`, `"policyLimits"`, `"obligations": {"drainGraceS": 0.8}, "policyLimits"`).Replace(platformExample(t))))
 	if err != nil || c.IdleConnTimeout*9 <= c.IdleConnTimeout || c.TimeLeftLimit <= c.IdleConnTimeout || c.DrainGrace != 800*time.Millisecond || c.Drain.KeepFor != 3600*time.Millisecond {
@@ -106,6 +109,7 @@
 
 var testDeployment = Deployment{Classes: []route.Class{{Name: "clip", Paid: true, Floor: 1}, {Name: "feed"}}}
 
+// operatorExample returns the example of an operator's file.
 func operatorExample(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/operator.example.conf")
@@ -144,7 +148,7 @@
 		{`open-per-connection 512`, `open-per-connection 0`, `viewers.open-per-connection: "0" is not from 1`},
 	} {
 		if !strings.Contains(text, test[0]) {
-			t.Errorf("the example has no %q", test[0])
+			t.Errorf("the example does not contain %q", test[0])
 		}
 		if _, err := ParseOperator("op", []byte(strings.Replace(text, test[0], test[1], 1)), nil, testDeployment); err == nil || !strings.Contains(err.Error(), test[2]) {
 			t.Errorf("%s: %v", test[2], err)
@@ -152,8 +156,8 @@
 	}
 }
 
-// The rules block tells its faults where they are in the file, included files'
-// too, and warns of what may surprise.
+// Faults in the rules block have their position in the file, also in included files, and a
+// rule that is never reached gives a warning.
 func TestRulesBlock(t *testing.T) {
 	deployment := testDeployment
 	text := "rules {\n    include more\n    zone America/Mexico_City\n    route a when class == feed and \\\n        copies > tw set team = x\n    otherwise set team = x\n}\nteam x {\n}\n"
@@ -167,7 +171,7 @@
 		`more:7:9: rules.set: "tittle" is no kind`, "more:10:8: rules.route: wants when CONDITION set TARGET = VALUE", `op:4:11: rules.route: "a" is used twice`,
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no %q in\n%v", want, err)
+			t.Errorf("%q is missing in\n%v", want, err)
 		}
 	}
 	valid := "team x {\n}\nrules {\n budget 300\n define who if team == none then x else team\n route a when retry set team = who\n route b when retry and copies > 1 set team = none\n}\n"
@@ -178,14 +182,15 @@
 	if _, err := ParseOperator("op", []byte(strings.Replace(valid, "300", "5", 1)), nil, deployment); err == nil || !strings.Contains(err.Error(), "its budget is 5") {
 		t.Error(err)
 	}
-	// While the program runs, a team that the file has got waits for the next start.
+	// While the program runs, rules can't refer to a team that was added to the file: it
+	// takes effect at the next start.
 	deployment.Running, deployment.Teams = true, []string{"y"}
 	if _, err := ParseOperator("op", []byte(valid), nil, deployment); err == nil || !strings.Contains(err.Error(), `unknown name "x"`) {
 		t.Error(err)
 	}
 }
 
-// A peak's block tells its faults, and one that the fleet has no room for.
+// Faults in a peak block are reported, and so is a peak that exceeds the fleet's capacity.
 func TestPeakBlock(t *testing.T) {
 	deployment := testDeployment
 	deployment.FleetSlots, deployment.PeakClasses = 100, []peaks.Class{
@@ -208,7 +213,7 @@
 	}
 }
 
-// A file of the older form comes over whole, also with odd names.
+// A file of the older JSON form is converted completely, also with names that need quotes.
 func TestConvert(t *testing.T) {
 	jsonForm := `{"websocket": {"listen": "127.0.0.1:5080", "path": "/s", "grace_ms": 1500},
 		"teams": [{"name": "a \"b\" #1", "contract": {"classes": ["feed"], "sessions_per_s": 0.5, "standing": 2}, "budget": {"period_s": 90, "billed_setups": 3, "further_attempts": 4}},
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Convert brings an operator's file of the older JSON form into the present one.
-// What it yields is still to be checked.
+// Convert converts an operator's file from the older JSON form to the current syntax. It
+// does not check the values: the result has to be checked as any operator's file.
 func Convert(text []byte) ([]byte, error) {
 	var raw struct {
 		WebSocket *struct {
@@ -79,7 +79,8 @@
 	return b.Bytes(), nil
 }
 
-// quoteArgument writes an argument so that it is read as it is.
+// quoteArgument returns s in the syntax of an argument, quoted where that is needed for it
+// to be read back unchanged.
 func quoteArgument(s string) string {
 	plain := s != "" && s != "{" && s != "}"
 	for _, r := range s {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -15,20 +15,21 @@
 	"millethinge/internal/member"
 )
 
-// Fleet is the managers that an operator's file names, and how they meet.
+// Fleet configures the managers that work together and how they reach each other.
 type Fleet struct {
-	Listen          string // empty: nothing is sent, and all that are named count as there
-	Address         string // at which the others reach this one; empty: Listen
-	Join            []string
+	Listen          string   // IP:PORT for TCP and UDP; empty: nothing is sent, and all members count as present
+	Address         string   // IP:PORT at which the other managers reach this one; empty: Listen
+	Join            []string // addresses of members to ask at the start
 	Members         []member.Named
-	MemberAddresses map[string][2]string // where members are reached from here
-	Keys            [][]byte             // the first seals, all open
-	Voters          []string
+	MemberAddresses map[string][2]string // by member's name, its TCP and UDP address as seen from here, where they differ from what it announces
+	Keys            [][]byte             // the first encrypts, any of them decrypts
+	Voters          []string             // names of the members that decide for all
 }
 
+// Limits of the fleet's block.
 const (
 	maxMembers   = 4096
-	maxNameBytes = 100 // bytes; what a member tells of itself goes into one datagram
+	maxNameBytes = 100 // of a manager or site; what a member announces of itself has to fit into one datagram
 )
 
 func fleetBlock(l *loader) conf.Keyword {
@@ -106,7 +107,8 @@
 	}}
 }
 
-// checkFleet tells what fits together in no line of the block.
+// checkFleet reports settings of the fleet's block that don't fit together or don't fit
+// the rest of the configuration. listen is the block's listen line, or nil.
 func (l *loader) checkFleet(d, listen *conf.Directive, fleet *Fleet) {
 	self := slices.IndexFunc(fleet.Members, func(m member.Named) bool { return m.Name == l.deployment.Name })
 	if self < 0 && len(fleet.Members) > 0 && l.deployment.Name != "" {
@@ -116,7 +118,7 @@
 		isSite := slices.ContainsFunc(l.Sites, func(s Site) bool { return s.Name == m.Site })
 		if len(l.deployment.Zones) > 0 && !isSite && !slices.Contains(l.deployment.Zones, m.Site) {
 			l.Warnings = append(l.Warnings, d.FormatWarning(0, "%s is in %q, which is no site of this file and no zone of this deployment", m.Name, m.Site))
-			break // the others are wrong the same way
+			break // other members with an unknown site most likely have the same cause
 		}
 	}
 	if listen == nil {
@@ -139,6 +141,7 @@
 	}
 }
 
+// readFleetName reads the name of a manager or site.
 func readFleetName(d *conf.Directive, expected string) string {
 	name := d.Word(expected)
 	switch {
@@ -160,19 +163,22 @@
 	return address
 }
 
+// isLoopback reports whether address is an IP address and port of the loopback network.
 func isLoopback(address string) bool {
 	addrPort, err := netip.ParseAddrPort(address)
 	return err == nil && addrPort.Addr().IsLoopback()
 }
 
-// isUnspecified tells whether an address names none, or with port also no port.
+// isUnspecified reports whether address, of the form IP:PORT, has an unspecified IP address
+// or, if checkPort is set, port 0.
 func isUnspecified(address string, checkPort bool) bool {
 	addrPort, err := netip.ParseAddrPort(address)
 	return err == nil && (addrPort.Addr().IsUnspecified() || checkPort && addrPort.Port() == 0)
 }
 
-// readKeyFile reads keys of 16, 24 or 32 bytes, as hexadecimal or base64, one a line.
-// Empty lines and what follows # are left out. No message holds a part of a key.
+// readKeyFile reads keys of 16, 24 or 32 bytes in hexadecimal or base64, one a line. It
+// skips empty lines and comments, which begin with #. No error text contains any part of
+// a key.
 func readKeyFile(path string) (keys [][]byte, err error) {
 	text, err := readFileBounded(path)
 	if err != nil {
@@ -199,8 +205,8 @@
 	return keys, nil
 }
 
-// MemberConfig is what a member is told by the configuration; false where the operator's
-// file has no fleet.
+// MemberConfig returns the configuration of the fleet's member that this manager is. ok is
+// false if the operator's file has no fleet block.
 func (c *Config) MemberConfig() (m member.Config, ok bool) {
 	fleet := c.Operator.Fleet
 	if fleet == nil {
@@ -215,7 +221,7 @@
 	return m, true
 }
 
-// summary says in a line what a fleet comes to.
+// summary returns a description of the fleet in one line.
 func (f *Fleet) summary() string {
 	sites := map[string]bool{}
 	for _, m := range f.Members {
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -49,13 +49,13 @@
 		o, err := ParseOperator("op.conf", []byte("fleet {\n"+test.lines+"\n}\n"), nil, deployment)
 		switch {
 		case test.fault != "" && (err == nil || !strings.Contains(err.Error(), test.fault) || !strings.Contains(err.Error(), "op.conf:") || !strings.Contains(err.Error(), "fleet")):
-			t.Errorf("%s: %v, not %q", test.lines, err, test.fault)
+			t.Errorf("%s: got %v, want %q", test.lines, err, test.fault)
 		case test.fault == "" && err != nil:
 			t.Errorf("%s: %v", test.lines, err)
 		case strings.Join(o.Warnings, "") == "" != (test.warning == "") && err == nil || !strings.Contains(strings.Join(o.Warnings, "\n"), test.warning):
-			t.Errorf("%s: %q, not %q", test.lines, o.Warnings, test.warning)
+			t.Errorf("%s: warnings %q, want %q", test.lines, o.Warnings, test.warning)
 		case err != nil && strings.Contains(err.Error(), "abcd"):
-			t.Error("a part of a key is told")
+			t.Error("the error contains a part of a key")
 		}
 		if strings.Contains(test.lines, "relay") && err == nil {
 			c := Config{Name: "m1", Operator: o}
@@ -66,6 +66,6 @@
 		}
 	}
 	if _, ok := new(Config).MemberConfig(); ok {
-		t.Error("a fleet without a block")
+		t.Error("a member configuration without a fleet block")
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,50 +11,50 @@
 	"millethinge/internal/route"
 )
 
-// Operator is what an operator's file sets. The platform has none: all of it
-// is off there.
+// Operator is the content of an operator's file. The platform has no such file: all that
+// it configures is off there.
 type Operator struct {
-	Present      bool // there is a file
+	Present      bool // a file was read
 	WebSocket    *WebSocket
 	Viewers      Viewers
-	Teams        []broker.Team
+	Teams        []broker.Team // in addition to the platform's tenants
 	DNSSD        *DNSSD
-	Routes       *route.Set     // nil: requests keep what they name
-	OrdinaryLoad []OrdinaryLoad // by class; nil: not told
+	Routes       *route.Set     // nil: requests keep the class and team that they name
+	OrdinaryLoad []OrdinaryLoad // by class; nil: not configured
 	Peaks        []peaks.Peak
 	Sites        []Site
 	Fleet        *Fleet   // nil: this manager works alone
-	Warnings     []string // of what is no fault, each with its place
+	Warnings     []string // each names its position or its keyword
 }
 
-// Deployment is what an operator's file may refer to.
+// Deployment is what an operator's file may refer to and is checked against.
 type Deployment struct {
-	Name        string // of this manager
+	Name        string // name of this manager; empty: not checked against the fleet's members
 	Classes     []route.Class
-	PeakClasses []peaks.Class // the same, as peaks are planned for
-	FleetSlots  float64       // of the fleet, in slots
-	Teams       []string      // of the platform; if Running, all
-	Zones       []string      // of the platform's list
-	Running     bool          // a program runs with these teams; those of the file wait
-	Trace       bool          // rules are to be explained
+	PeakClasses []peaks.Class // the same classes as input to peak plans, without load
+	FleetSlots  float64       // capacity of the fleet in slots; 0: unknown
+	Teams       []string      // names of the platform's tenants; if Running, of all teams that run
+	Zones       []string      // names of zones in the platform's list
+	Running     bool          // the program runs with these teams; new ones in the file wait for the next start
+	Trace       bool          // compile rules so that their evaluation can be explained
 }
 
-// blockFunc is one keyword of an operator's file. A subsystem adds its own by one
-// line in blocks.
+// blockFunc returns a top-level keyword of an operator's file, which sets a part of the
+// loader's Operator. A subsystem adds its own by an entry in topLevelBlocks.
 type blockFunc func(*loader) conf.Keyword
 
 var topLevelBlocks = []blockFunc{websocketBlock, viewersBlock, teamBlock, dnssdBlock, rulesBlock, ordinaryBlock, peakBlock, siteBlock, fleetBlock}
 
-// loader is an operator's file while it is read.
+// loader holds an operator's file while it is read.
 type loader struct {
 	Operator
 	deployment Deployment
 	faults     *conf.Faults
-	deferred   []func() // what refers to other blocks, run after all are read
+	deferred   []func() // work that refers to other blocks, run after all blocks are read
 }
 
-// ParseOperator reads an operator's file for a deployment. open reads what it
-// includes; nil: nothing can be included. The error is a *conf.Faults.
+// ParseOperator reads an operator's file for a deployment. readFile reads the files that
+// it includes; if it is nil, include is a fault. The error is a *conf.Faults.
 func ParseOperator(name string, text []byte, readFile conf.ReadFileFunc, deployment Deployment) (Operator, error) {
 	l := &loader{deployment: deployment, faults: new(conf.Faults)}
 	l.Present = true
@@ -69,7 +69,7 @@
 	return l.Operator, l.faults.Err()
 }
 
-// readFileBounded reads a file, but not one that is longer than any may be.
+// readFileBounded reads a file, and fails for one of more than conf.MaxBytes.
 func readFileBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return os.ReadFile(path)
 }
 
-// Keywords returns all that an operator's file may hold, for help texts.
+// Keywords returns the top-level keywords of an operator's file, for help texts.
 func Keywords() []conf.Keyword {
 	l := &loader{faults: new(conf.Faults)}
 	var keywords []conf.Keyword
@@ -91,7 +91,8 @@
 	return keywords
 }
 
-// readClasses reads the rest of a line as names of classes.
+// readClasses reads the remaining arguments as names of classes, at least one, and
+// returns by class whether it is named.
 func (l *loader) readClasses(d *conf.Directive) []bool {
 	selected := make([]bool, len(l.deployment.Classes))
 	var names []string
@@ -106,7 +107,7 @@
 	return selected
 }
 
-// checkUnique tells a fault if a name is used twice.
+// checkUnique reports a fault if the name, d's first argument, is empty or in used.
 func checkUnique(d *conf.Directive, name string, used []string) {
 	if name == "" && !d.HasFault() {
 		d.ReportFault(1, "the name is empty")
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -11,20 +11,23 @@
 	"millethinge/internal/peaks"
 )
 
+// Defaults and limits of announced peaks and of the ordinary load.
 const (
-	defaultPeakLead        = 90 * time.Second
-	defaultPeakEarly       = 10 * time.Minute
+	defaultPeakLead        = 90 * time.Second // before a peak, for which capacity is held at most
+	defaultPeakEarly       = 10 * time.Minute // by which a peak may begin before its time
 	defaultPeakProbability = 0.9
-	defaultPeakHarm        = 0.05
+	defaultPeakHarm        = 0.05 // fraction of the ordinary sessions' worth that a hold may cost
 	maxPeakLead            = 30 * time.Minute
 	maxPeakEarly           = 2 * time.Hour
 	maxPeakLength          = 7 * 24 * time.Hour
 	maxPeakFactor          = 1000
 	maxSessionsPerS        = 1e6
-	maxMeanLength          = 300 * time.Second // longer sessions are planned with as this long
+	maxMeanLength          = 300 * time.Second // sessions that last longer are planned as if they lasted this long
 )
 
-// peakClassesWithoutLoad is the deployment as peaks are planned for, without rates and lengths.
+// peakClassesWithoutLoad returns the capacity of the fleet in slots and the classes as input
+// to peak plans, without arrival rates and session lengths. A slot is the rate of the
+// ladder's middle rung.
 func peakClassesWithoutLoad(settings *control.Settings) (slots float64, classes []peaks.Class) {
 	if len(settings.RatesKB) == 0 {
 		return 0, nil
@@ -41,7 +44,7 @@
 	return control.TargetUtilization * settings.FleetLinkKB / middleRate, classes
 }
 
-// ordinaryBlock tells what comes and how long it lasts, until that is measured.
+// ordinaryBlock reads the load to expect of each class until it is measured.
 func ordinaryBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "ordinary", Usage: "{ CLASS RATE LENGTH … }", Doc: "sessions a second over all managers, and their mean length, until measured", Apply: func(d *conf.Directive) {
 		for _, line := range d.Directives() {
@@ -67,12 +70,13 @@
 	}}
 }
 
-// OrdinaryLoad is what comes of a class when there is no peak.
+// OrdinaryLoad is the expected load of a class outside of peaks.
 type OrdinaryLoad struct {
-	Rate       float64 // sessions a second over all managers; 0: not told
+	Rate       float64 // sessions a second over all managers; 0: unknown
 	MeanLength time.Duration
 }
 
+// weekdays holds the days of the week by their keywords.
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
 func peakBlock(l *loader) conf.Keyword {
@@ -178,8 +182,8 @@
 	}}
 }
 
-// checkPeakFits refuses a peak that the whole fleet has no room for even on the lowest
-// rungs, if it is told what comes ordinarily.
+// checkPeakFits reports a fault if the whole fleet can't carry the peak even with all
+// sessions on the lowest rungs. It needs the ordinary load to be configured.
 func (l *loader) checkPeakFits(d *conf.Directive, peak peaks.Peak) {
 	classes := l.Operator.peakClassesWithLoad(l.deployment)
 	if d.HasFault() || classes == nil || l.deployment.FleetSlots <= 0 {
@@ -192,7 +196,8 @@
 	}
 }
 
-// peakClassesWithLoad is the classes with what comes ordinarily, or nil if that isn't told.
+// peakClassesWithLoad returns the classes as input to peak plans with the ordinary load, or
+// nil if that is not configured.
 func (o *Operator) peakClassesWithLoad(deployment Deployment) []peaks.Class {
 	if o.OrdinaryLoad == nil {
 		return nil
@@ -208,7 +213,7 @@
 	return classes
 }
 
-// BrokerPeaks is what the broker is told of peaks.
+// BrokerPeaks returns the broker's configuration of announced peaks.
 func (c *Config) BrokerPeaks() broker.PeakConfig {
 	deployment := c.Deployment()
 	announced := broker.PeakConfig{Calendar: peaks.Calendar{Peaks: c.Operator.Peaks}, Classes: deployment.PeakClasses}
@@ -223,9 +228,9 @@
 	return announced
 }
 
-// PeakClasses are the classes with what comes ordinarily by the operator's file,
-// and the fleet's room in slots, for plans made without a running program. They are
-// nil if the file does not tell.
+// PeakClasses returns the classes with the ordinary load of the operator's file, and the
+// capacity of the fleet in slots, for peak plans made without a running program. The
+// classes are nil if the file does not configure the ordinary load.
 func (c *Config) PeakClasses() ([]peaks.Class, float64) {
 	deployment := c.Deployment()
 	return c.Operator.peakClassesWithLoad(deployment), deployment.FleetSlots
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -8,9 +8,8 @@
 	"millethinge/internal/rules"
 )
 
-// rulesBlock reads the rules that give requests their class, team, budget key and
-// labels. They are compiled once all blocks have been read, since they refer to
-// teams.
+// rulesBlock reads the rules that assign class, team, budget key and labels to requests.
+// They are compiled once all blocks are read, since they refer to teams.
 func rulesBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "rules", Usage: "{ … }", Doc: "classes, teams, budget keys and labels by rules", Apply: func(d *conf.Directive) {
 		source := route.Source{Zone: time.LoadLocation, Trace: l.deployment.Trace}
@@ -52,8 +51,8 @@
 	}}
 }
 
-// routeDeployment is what rules may refer to: the teams that run, or at the start those of
-// the file.
+// routeDeployment returns what rules may refer to: the teams that the program runs with or,
+// at the start, the platform's and those of the file.
 func (d Deployment) routeDeployment(operator Operator) route.Deployment {
 	result := route.Deployment{Classes: d.Classes, Teams: d.Teams}
 	if !d.Running {
@@ -64,10 +63,11 @@
 	return result
 }
 
-// ruleSource is the rest of a line, as the language reads it.
+// ruleSource returns the rest of d's line as source text of the rules' language. expected
+// names it in the fault if it is missing.
 func (l *loader) ruleSource(d *conf.Directive, expected string) rules.Source {
 	if !d.More() {
-		d.Word(expected) // tells that it is missing
+		d.Word(expected) // reports that it is missing
 	}
 	text, start := d.Rest()
 	return rules.Source{
@@ -79,7 +79,7 @@
 	}
 }
 
-// readTable reads a table, or a set, which has no values.
+// readTable reads a table or, if values is false, a set.
 func readTable(d *conf.Directive, values bool) rules.Table {
 	table := rules.Table{Name: d.Word("a name")}
 	readKind := func(expected string) rules.Kind {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -8,8 +8,9 @@
 	"millethinge/control"
 )
 
-// params mirrors the keys of the settings that the module uses; the decoder
-// ignores all others.
+// params holds the keys of the platform's settings that the program uses; others are
+// ignored. The errors of encoding/json for values of a wrong type contain the name of this
+// type, and operators see them, so it stays.
 type params struct {
 	Managers     int      `json:"balancers"`
 	Zone         int      `json:"zone"`
@@ -72,7 +73,7 @@
 	} `json:"obligations"`
 }
 
-// ParseSettings reads the settings that come with an instance's start.
+// ParseSettings reads the decision module's settings from the platform's JSON.
 func ParseSettings(text []byte) (control.Settings, error) {
 	p, err := parseParams(text)
 	if err != nil {
@@ -81,6 +82,7 @@
 	return p.settings()
 }
 
+// parseParams decodes the platform's settings.
 func parseParams(text []byte) (params, error) {
 	var p params
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -89,9 +91,12 @@
 	return p, nil
 }
 
-// check tells, by the platform's own keys, all else that the module can't act on. Guard:
-// the module's own errors come only when the program starts, after `millethinge check` has
-// found no fault, and name its fields.
+// check returns all other faults of the settings that the decision module can't run with,
+// each under the platform's key.
+//
+// Guard: the module also refuses such settings, but only when the program starts, after
+// `millethinge check` has found no fault. Its errors don't contain the platform's keys but
+// names of the module's own, some of which are no longer the names of its fields.
 func (p *params) check() error {
 	media, obligations, costs := &p.Media, &p.Obligations, &p.Costs
 	var faults []error
@@ -107,16 +112,16 @@
 	for i, rate := range media.RatesKB {
 		reportIf(rate <= 0 || i > 0 && rate <= media.RatesKB[i-1], fmt.Sprintf("ratesKb[%d]", i), "= %v does not rise", rate)
 	}
-	least := func(key string, value, least float64) {
-		reportIf(value < least, key, "= %v; the least is %v", value, least)
+	checkMinimum := func(key string, value, minimum float64) {
+		reportIf(value < minimum, key, "= %v; the least is %v", value, minimum)
 	}
 	for i, value := range media.LadderWorth {
-		least(fmt.Sprintf("ladderWorth[%d]", i), value, 0)
+		checkMinimum(fmt.Sprintf("ladderWorth[%d]", i), value, 0)
 	}
 	for i, class := range p.Classes {
 		key := func(name string) string { return fmt.Sprintf("lanes[%d].%s", i, name) }
 		reportIf(class.StartGoalS <= 0, key("goalTimeS"), "= %v", class.StartGoalS)
-		least(key("worth"), class.Worth, 0)
+		checkMinimum(key("worth"), class.Worth, 0)
 	}
 	for i, value := range media.FloorRungs[:min(classCount, len(media.FloorRungs))] {
 		reportIf(value < 0 || value >= max(len(media.RatesKB), 1), fmt.Sprintf("classFloor[%d]", i), "= %d is none of %d rungs", value, len(media.RatesKB))
@@ -125,11 +130,11 @@
 		reportIf(value <= 0, fmt.Sprintf("scaleByClass[%d]", i), "= %v", value)
 	}
 	for i, value := range media.MaxPerTitle[:min(classCount, len(media.MaxPerTitle))] {
-		least(fmt.Sprintf("licenceCap[%d]", i), float64(value), 0)
+		checkMinimum(fmt.Sprintf("licenceCap[%d]", i), float64(value), 0)
 	}
 	for _, figure := range []struct {
-		key          string
-		value, least float64
+		key            string
+		value, minimum float64
 	}{
 		{"balancers", float64(p.Managers), 1}, {"places", float64(media.Cells), 1}, {"attemptsCap", float64(p.Limits.AttemptsCap), 1},
 		{"groups", float64(media.Racks), 0}, {"kbPerWeight", media.LinkKBPerWeight, 0}, {"fleetKb", media.FleetLinkKB, 0}, {"rackLinkKb", media.RackUplinkKB, 0},
@@ -138,11 +143,12 @@
 		{"fallMultiple", obligations.ColdSetupMultiple, 0}, {"startCapacity", obligations.StartCapacityShare, 0}, {"warmAfterS", obligations.WarmAfterS, 0}, {"drainGraceS", obligations.DrainGraceS, 0},
 		{"ratioSpanS", obligations.BudgetWindowS, 0}, {"extraFloor", obligations.BudgetFree, 0}, {"repeatRatio", obligations.BudgetShare, 0},
 	} {
-		least(figure.key, figure.value, figure.least)
+		checkMinimum(figure.key, figure.value, figure.minimum)
 	}
 	return errors.Join(faults...)
 }
 
+// settings returns the decision module's settings.
 func (p *params) settings() (control.Settings, error) {
 	media, obligations := &p.Media, &p.Obligations
 	for _, list := range []struct {
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -13,18 +13,19 @@
 	"millethinge/internal/site"
 )
 
+// Limits and defaults of sites.
 const (
 	maxWarmUp         = time.Hour
-	defaultMeanLength = 35 * time.Second // a session's mean length, where none is told
+	defaultMeanLength = 35 * time.Second // of a session, where the operator's file gives none
 )
 
-// Site is what an operator says of zones that are lost together.
+// Site configures a group of zones that fail together.
 type Site struct {
 	Name         string
-	Zones        []string
-	KeepClasses  []bool        // by class: taken before all others while the site is lost
-	RefusalOrder []int         // classes in the order in which they are refused; nil: by worth
-	WarmUp       time.Duration // until its nodes bear their full load again; 0: the settings' warm-up
+	Zones        []string      // names in the platform's list
+	KeepClasses  []bool        // by class: its sessions are accepted before those of all other classes while the site is lost
+	RefusalOrder []int         // classes in the order in which their sessions are refused; nil: by worth
+	WarmUp       time.Duration // until its nodes carry their full load after a return; 0: as in the settings
 }
 
 func siteBlock(l *loader) conf.Keyword {
@@ -73,27 +74,29 @@
 	}}
 }
 
-// tier ranks a class's sessions: kept ones highest, then by the order of refusal.
+// tier returns the rank of a class's sessions in plans: classes to keep have the highest,
+// the others rank by the order of refusal. Lower tiers are refused first.
 func (s *Site) tier(class int) int {
 	if class < len(s.KeepClasses) && s.KeepClasses[class] {
 		return 1 + len(s.RefusalOrder)
 	}
-	return max(slices.Index(s.RefusalOrder, class), 0) // the first refused compete by worth
+	return max(slices.Index(s.RefusalOrder, class), 0) // the class refused first and those without an order are in tier 0, ranked by worth
 }
 
-// SiteModel is what the loss of sites is planned for, from a configuration alone: the
-// list that it holds, and what comes ordinarily by the operator's file, spread over the
-// sites as their links are.
+// SiteModel is the input to plans for the loss of sites, made from the configuration
+// alone: from its initial list of media nodes, and from the ordinary load in the operator's
+// file, spread over the sites in proportion to their links.
 type SiteModel struct {
 	Fleet      site.Fleet
-	SiteNames  []string // of the sites
-	MeanLength []time.Duration
-	Rates      []float64 // by class, sessions a second over all managers
-	Returns    []site.Return
-	NodeCounts []int
+	SiteNames  []string        // by site
+	MeanLength []time.Duration // of sessions, by class
+	Rates      []float64       // by class, sessions a second over all managers
+	Returns    []site.Return   // by site
+	NodeCounts []int           // by site
 }
 
-// BuildSiteModel makes a SitePlan. It fails where the list or the file does not tell enough.
+// BuildSiteModel returns the input to plans for the loss of sites. It fails if the
+// operator's file has no ordinary load or the initial list names no media node in a site.
 func (c *Config) BuildSiteModel() (*SiteModel, error) {
 	settings := &c.Settings
 	if c.Operator.OrdinaryLoad == nil {
@@ -137,7 +140,7 @@
 	return model, model.Fleet.Check()
 }
 
-// siteClasses are the classes as plans for sites know them.
+// siteClasses returns the classes as input to plans for the loss of sites.
 func (c *Config) siteClasses() (classes []site.Class) {
 	settings := &c.Settings
 	for index, class := range settings.Classes {
@@ -151,8 +154,8 @@
 	return classes
 }
 
-// allSites are the sites of the operator's file, and each zone that none of them names as
-// one of its own; of is the site by zone.
+// allSites returns the sites of the operator's file, followed by a site for each zone that
+// none of them contains, and by zone the index of its site.
 func (c *Config) allSites() (sites []Site, siteByZone []int) {
 	sites = slices.Clone(c.Operator.Sites)
 	for _, zone := range c.DirectoryNames.Zones {
@@ -165,8 +168,8 @@
 	return sites, siteByZone
 }
 
-// BrokerSites is which sites a running manager looks after: none where the operator's file
-// names none.
+// BrokerSites returns the broker's configuration of sites. It is empty if the operator's
+// file has no site.
 func (c *Config) BrokerSites() (siteConfig broker.SiteConfig) {
 	if len(c.Operator.Sites) == 0 {
 		return siteConfig
@@ -193,7 +196,7 @@
 	return siteConfig
 }
 
-// effectiveWarmUp is how long the nodes of a site take to bear their full load.
+// effectiveWarmUp returns how long the nodes of a site take to carry their full load.
 func (s *Site) effectiveWarmUp(settings *control.Settings) time.Duration {
 	if s.WarmUp > 0 {
 		return s.WarmUp
@@ -201,8 +204,8 @@
 	return Seconds(settings.WarmAfterS)
 }
 
-// forEachReadyNode calls do for each media node of the list that the configuration holds and
-// that neither drains nor is gone.
+// forEachReadyNode calls visit for each media node of the initial list that neither drains
+// nor is gone.
 func (c *Config) forEachReadyNode(visit func(control.Entry)) {
 	var order []control.ServerID
 	nodes := map[control.ServerID]control.Entry{}
@@ -219,14 +222,15 @@
 	})
 	for _, id := range order {
 		if entry, ok := nodes[id]; ok && entry.State == control.Ready {
-			delete(nodes, id) // a node that came back stands in order twice
+			delete(nodes, id) // a node that a later full list names again is in order twice
 			visit(entry)
 		}
 	}
 }
 
-// SiteWarnings tell of sites whose loss the rest could not carry for the classes that
-// are to be kept. There are none where the configuration does not tell enough.
+// SiteWarnings returns a warning for each site whose loss would leave too little capacity
+// for sessions of the classes that are to be kept. If the configuration is not enough to
+// plan with, the only warning says why.
 func (c *Config) SiteWarnings() (warnings []string) {
 	if len(c.Operator.Sites) == 0 {
 		return nil
--- a/internal/spell/spell.go
+++ b/internal/spell/spell.go
@@ -1,4 +1,4 @@
-// Package spell finds the known word that a mistyped one most likely means.
+// Package spell suggests the known word that a misspelled one most likely stands for.
 package spell
 
 import (
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Nearest returns the known word that is the fewest letters away, or "" if all
-// are far.
+// Nearest returns the known word with the smallest edit distance from word, ignoring case,
+// or "" if none is within len(word)/3+1 edits.
 func Nearest(word string, known []string) string {
 	nearest, nearestDistance := "", len(word)/3+2
 	for _, k := range known {
@@ -18,8 +18,8 @@
 	return nearest
 }
 
-// Suggest ends a message about an unknown word: by the nearest one, or by all if
-// they are few.
+// Suggest returns the end of a message about an unknown word: the nearest known word or,
+// if none is near, all known words if there are at most 12.
 func Suggest(word string, known []string) string {
 	if nearest := Nearest(word, known); nearest != "" {
 		return fmt.Sprintf("; did you mean %q?", nearest)
@@ -30,8 +30,9 @@
 	return ""
 }
 
-// distance counts the letters to add, drop, change or swap with the next one to
-// get from a to b; at most counts on no further.
+// distance returns the edit distance of a and b in bytes: the number of insertions,
+// deletions, substitutions and swaps of adjacent bytes that turn a into b. Where the
+// lengths alone differ by limit or more, it returns limit.
 func distance(a, b string, limit int) int {
 	if len(a)-len(b) >= limit || len(b)-len(a) >= limit {
 		return limit
