--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -222,7 +222,7 @@
 	deployment := Deployment{Name: c.Name, Teams: c.TenantNames, Zones: c.DirectoryNames.Zones}
 	deployment.FleetSlots, deployment.PeakClasses = peakClassesWithoutLoad(&c.Settings)
 	for i, class := range c.Settings.Classes {
-		deployment.Classes = append(deployment.Classes, route.Class{Name: c.ClassNames[i], Paid: class.RepeatEffect != control.Idempotent, Floor: class.FloorRung})
+		deployment.Classes = append(deployment.Classes, route.Class{Name: c.ClassNames[i], BilledSetup: class.RepeatEffect != control.Idempotent, FloorRung: class.FloorRung})
 	}
 	return deployment
 }
@@ -307,7 +307,7 @@
 	if err := platform.check(); err != nil {
 		reportFault("settings", err)
 	}
-	c.DirectoryNames = directory.Names{Zones: platform.Zones, Kinds: platform.MachineKinds}
+	c.DirectoryNames = directory.Names{Zones: platform.Zones, MachineKinds: platform.MachineKinds}
 	for i, class := range platform.Classes {
 		if err := checkClassName(class.Name, c.ClassNames); err != nil {
 			reportFault(fmt.Sprintf("settings.lanes[%d].name", i), err)
@@ -351,7 +351,7 @@
 		fmt.Fprintf(&b, "\n%d teams", len(operator.Teams))
 	}
 	if r := operator.Routes; r != nil {
-		fmt.Fprintf(&b, "\n%d rules, at most %d steps a request", len(r.Rules()), r.Bound())
+		fmt.Fprintf(&b, "\n%d rules, at most %d steps a request", len(r.RuleNames()), r.MaxCost())
 	}
 	if len(operator.Peaks) > 0 {
 		fmt.Fprintf(&b, "\n%d announced peaks", len(operator.Peaks))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-var testDeployment = Deployment{Classes: []route.Class{{Name: "clip", Paid: true, Floor: 1}, {Name: "feed"}}}
+var testDeployment = Deployment{Classes: []route.Class{{Name: "clip", BilledSetup: true, FloorRung: 1}, {Name: "feed"}}}
 
 // operatorExample returns the example of an operator's file.
 func operatorExample(t *testing.T) string {
@@ -123,7 +123,7 @@
 	text := operatorExample(t)
 	o, err := ParseOperator("op", []byte(text), nil, testDeployment)
 	if err != nil || o.WebSocket.Grace != 3*time.Second || len(o.Teams) != 2 || o.Teams[0].Classes[0] || !o.Teams[0].Classes[1] ||
-		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MaxOpenSetups != 512 || !o.Viewers.IncludeReasons || len(o.Routes.Rules()) != 2 {
+		o.Teams[1].MaxBilledSetUps != 4000 || o.Teams[1].BudgetPeriod != time.Hour || o.DNSSD.Service == "" || o.Viewers.MaxOpenSetups != 512 || !o.Viewers.IncludeReasons || len(o.Routes.RuleNames()) != 2 {
 		t.Errorf("%+v, %v", o, err)
 	}
 	for _, test := range [][3]string{
@@ -176,7 +176,7 @@
 	}
 	valid := "team x {\n}\nrules {\n budget 300\n define who if team == none then x else team\n route a when retry set team = who\n route b when retry and copies > 1 set team = none\n}\n"
 	o, err := ParseOperator("op", []byte(valid), nil, deployment)
-	if err != nil || len(o.Routes.Rules()) != 2 || len(o.Warnings) != 1 || !strings.Contains(o.Warnings[0], "op:7:10: rules.route: never reached: rule a takes all its requests") {
+	if err != nil || len(o.Routes.RuleNames()) != 2 || len(o.Warnings) != 1 || !strings.Contains(o.Warnings[0], "op:7:10: rules.route: never reached: rule a takes all its requests") {
 		t.Errorf("%v, %q", err, o.Warnings)
 	}
 	if _, err := ParseOperator("op", []byte(strings.Replace(valid, "300", "5", 1)), nil, deployment); err == nil || !strings.Contains(err.Error(), "its budget is 5") {
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -12,17 +12,17 @@
 // They are compiled once all blocks are read, since they refer to teams.
 func rulesBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "rules", Usage: "{ … }", Doc: "classes, teams, budget keys and labels by rules", Apply: func(d *conf.Directive) {
-		source := route.Source{Zone: time.LoadLocation, Trace: l.deployment.Trace}
+		source := route.Source{LoadZone: time.LoadLocation, Trace: l.deployment.Trace}
 		var otherwise []rules.Rule
 		d.Block(
 			conf.Keyword{Name: "zone", Usage: "NAME", Doc: "the time zone of clock and today; UTC if absent", Apply: func(d *conf.Directive) {
-				source.Local = d.Word("a time zone, as in America/Mexico_City")
-				if _, err := time.LoadLocation(source.Local); err != nil && !d.HasFault() {
+				source.LocalZone = d.Word("a time zone, as in America/Mexico_City")
+				if _, err := time.LoadLocation(source.LocalZone); err != nil && !d.HasFault() {
 					d.ReportFault(1, "%v", err)
 				}
 			}},
 			conf.Keyword{Name: "budget", Usage: "STEPS", Doc: "the most that a request may cost; 50000 if absent", Apply: func(d *conf.Directive) {
-				source.Budget = int64(d.Int("a number of steps", 1, rules.MostBudget))
+				source.StepBudget = int64(d.Int("a number of steps", 1, rules.MaxStepBudget))
 			}},
 			conf.Keyword{Name: "define", Usage: "NAME EXPRESSION", Doc: "an expression's name", Repeatable: true, Apply: func(d *conf.Directive) {
 				source.Definitions = append(source.Definitions, rules.Definition{Name: d.Word("a name"), Source: l.ruleSource(d, "an expression")})
@@ -71,9 +71,9 @@
 	}
 	text, start := d.Rest()
 	return rules.Source{
-		Text:  text,
-		Fault: func(offset int, msg string) { d.ReportFaultAt(start+offset, "%s", msg) },
-		Remark: func(offset int, msg string) {
+		Text:        text,
+		ReportError: func(offset int, msg string) { d.ReportFaultAt(start+offset, "%s", msg) },
+		ReportWarning: func(offset int, msg string) {
 			l.Warnings = append(l.Warnings, d.FormatWarning(start+offset, "%s", msg))
 		},
 	}
@@ -84,22 +84,22 @@
 	table := rules.Table{Name: d.Word("a name")}
 	readKind := func(expected string) rules.Kind {
 		word := d.Word(expected)
-		kind := rules.KindOf(word)
+		kind := rules.KindByName(word)
 		if kind == 0 && !d.HasFault() {
 			d.ReportFault(d.ArgumentIndex(), "%q is no kind; there are int, string, duration, date, prefix, class, team and title", word)
 		}
 		return kind
 	}
-	table.Key = readKind("the kind of its keys")
+	table.KeyKind = readKind("the kind of its keys")
 	if values {
 		d.OneOf("->", "->")
-		table.Value = readKind("the kind of its values")
+		table.ValueKind = readKind("the kind of its values")
 		d.OneOf("default", "default")
 		table.Default = d.Word("what a key has that there is no line for")
 	}
-	table.Fault = func(msg string) { d.ReportFault(1, "%s", msg) }
+	table.ReportError = func(msg string) { d.ReportFault(1, "%s", msg) }
 	for _, line := range d.Directives() {
-		tableLine := rules.Line{Key: line.Name(), Fault: func(argument int, msg string) { line.ReportFault(argument, "%s", msg) }}
+		tableLine := rules.TableLine{Key: line.Name(), ReportError: func(argument int, msg string) { line.ReportFault(argument, "%s", msg) }}
 		if values {
 			tableLine.Value = line.Word("a value")
 		}
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -209,7 +209,7 @@
 func (c *Config) forEachReadyNode(visit func(control.Entry)) {
 	var order []control.ServerID
 	nodes := map[control.ServerID]control.Entry{}
-	directory.Apply(c.KnownNodes, c.DirectoryNames, func(change directory.Change) {
+	directory.Replay(c.KnownNodes, c.DirectoryNames, func(change directory.Change) {
 		if change.Full {
 			clear(nodes)
 		}
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -201,7 +201,7 @@
 			wasShared := s.shared.Load()
 			s.checkProcesses()
 			if overrides := s.loadOverrides(); overrides != nil {
-				s.nodeList.After(func() { s.applyOverrides(overrides) })
+				s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 			}
 			s.adoptSessions()
 			if wasShared && !s.shared.Load() {
@@ -350,7 +350,7 @@
 		return
 	}
 	if overrides := s.loadOverridesLocked(); overrides != nil {
-		s.nodeList.After(func() { s.applyOverrides(overrides) })
+		s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 	}
 	if err := s.folder.StoreOrders(s.overrideState); err != nil {
 		warnOperator(s.log, err)
@@ -413,7 +413,7 @@
 	}
 	type size struct{ listed, disabled int }
 	memberCounts := make(chan size, 1)
-	s.nodeList.After(func() {
+	s.nodeList.AfterPending(func() {
 		listed, disabled := s.overrides.Size()
 		memberCounts <- size{listed, disabled}
 	})
@@ -433,7 +433,7 @@
 func (s *adminService) Out(ctx context.Context, member string, disable bool) error {
 	override := duty.Order{Out: disable, At: time.Now()}
 	done := make(chan error, 1)
-	s.nodeList.After(func() {
+	s.nodeList.AfterPending(func() {
 		c, known := s.overrides.Give(member, override)
 		if !known {
 			listed, _ := s.overrides.Size()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -99,7 +99,7 @@
 	// The broker and the pool refer to each other. The broker processes nothing
 	// before its Run is called, so the pool can be created first.
 	var sessionBroker *broker.Broker
-	var coordinator *directory.Coordinator
+	var coordinator *directory.CoordinatorClient
 	pool := media.NewPool(ctx, group, media.Config{
 		ClassNames: cfg.ClassNames, LoadFields: cfg.Settings.LoadFields,
 		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.IdleConnTimeout,
@@ -109,7 +109,7 @@
 		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
-			coordinator.Ask()
+			coordinator.PollNow()
 			sessionBroker.ProcessPaused(d)
 		},
 	})
@@ -123,22 +123,22 @@
 		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
 		sessionBroker.UpdateList(brokerList(c))
 	}))
-	coordinator = directory.NewCoordinator(cfg.KnownNodes, cfg.DirectoryNames, nodeList.Source("coordinator"), log)
-	coordinator.Heard = func(requested time.Time) {
-		nodeList.After(func() {
+	coordinator = directory.NewCoordinatorClient(cfg.KnownNodes, cfg.DirectoryNames, nodeList.SinkFor("coordinator"), log)
+	coordinator.OnResponse = func(requested time.Time) {
+		nodeList.AfterPending(func() {
 			pool.ListRefreshed(requested)
 			service.noteCoordinatorAnswer()
 		})
 	}
-	coordinator.Follow(cfg.Coordinator)
+	coordinator.SetAddr(cfg.Coordinator)
 	if service != nil {
-		coordinator.Ask() // readiness waits for the first answer, which must not wait for a change of the list
+		coordinator.PollNow() // readiness waits for the first answer, which must not wait for a change of the list
 	}
 	service.restoreOverrides()
-	nodeList.Settle()
+	nodeList.ProcessPending()
 	if d := cfg.Operator.DNSSD; d != nil {
-		discovery := &directory.DNSSD{
-			Server: d.Server, Service: d.Service, Names: cfg.DirectoryNames, Log: log, Sink: nodeList.Source("dns-sd"),
+		discovery := &directory.DNSSDClient{
+			ServerAddr: d.Server, Service: d.Service, Names: cfg.DirectoryNames, Log: log, Sink: nodeList.SinkFor("dns-sd"),
 		}
 		group.Go(func() error { return discovery.Run(ctx) })
 	}
@@ -147,8 +147,8 @@
 	if err != nil {
 		return err
 	}
-	routes := new(route.Live)
-	routes.Swap(cfg.Operator.Routes)
+	routes := new(route.ActiveSet)
+	routes.Replace(cfg.Operator.Routes)
 	for _, w := range cfg.Operator.Warnings {
 		log.Warn("configuration", zap.String("remark", w))
 	}
@@ -197,8 +197,8 @@
 				logReloadError(err, log)
 				continue
 			}
-			coordinator.Follow(next.Coordinator)
-			routes.Swap(next.Operator.Routes)
+			coordinator.SetAddr(next.Coordinator)
+			routes.Replace(next.Operator.Routes)
 			logReloaded(&next, log)
 		}
 	}()
@@ -269,7 +269,7 @@
 func logReloaded(cfg *config.Config, log *zap.Logger) {
 	fields := []zap.Field{zap.String("coordinator", cfg.Coordinator)}
 	if r := cfg.Operator.Routes; r != nil {
-		fields = append(fields, zap.Int("rules", len(r.Rules())), zap.Int64("most_steps", r.Bound()))
+		fields = append(fields, zap.Int("rules", len(r.RuleNames())), zap.Int64("most_steps", r.MaxCost()))
 	}
 	for _, w := range cfg.Operator.Warnings {
 		log.Warn("configuration", zap.String("remark", w))
