--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -25,32 +25,32 @@
 	actTime = 700 * time.Millisecond
 )
 
-// Figures is what the program reports of itself, by class where a map stands. The counts
+// Metrics is what the program reports of itself, by class where a map stands. The counts
 // run from the start of the process.
-type Figures struct {
-	OK      map[string]int64 `json:"ok"`
-	Shed    map[string]int64 `json:"shed"`
-	Errors  map[string]int64 `json:"errors"`
-	Tries   int64            `json:"tries"`        // attempts written whole to media nodes
-	Active  int              `json:"active"`       // requests taken and not ended
-	Size    int              `json:"pool_size"`    // media nodes on the list
-	Ejected int              `json:"pool_ejected"` // of these, left out by hand or by choice
+type Metrics struct {
+	OK          map[string]int64 `json:"ok"`
+	Shed        map[string]int64 `json:"shed"`
+	Errors      map[string]int64 `json:"errors"`
+	Attempts    int64            `json:"tries"`        // attempts written whole to media nodes
+	Active      int              `json:"active"`       // requests taken and not ended
+	PoolSize    int              `json:"pool_size"`    // media nodes on the list
+	PoolEjected int              `json:"pool_ejected"` // of these, left out by hand or by choice
 }
 
-// Program is what calls act on. Each method returns within the time of its context.
-type Program interface {
+// Backend is what calls act on. Each method returns within the time of its context.
+type Backend interface {
 	// Ready tells whether this process serves.
 	Ready() bool
 	// Figures are at most 0.5 s old.
-	Figures(context.Context) (Figures, error)
+	Metrics(context.Context) (Metrics, error)
 	// Out takes a media node out by hand, or puts it back.
-	Out(ctx context.Context, member string, out bool) error
+	SetDisabled(ctx context.Context, member string, out bool) error
 	// Drain sends clients away, or takes them again.
-	Drain(ctx context.Context, on bool) error
+	SetDraining(ctx context.Context, on bool) error
 }
 
 // Serve answers calls on l until ctx ends, of at most so many callers at once.
-func Serve(ctx context.Context, l net.Listener, most func() int, p Program, log *zap.Logger) error {
+func Serve(ctx context.Context, l net.Listener, most func() int, p Backend, log *zap.Logger) error {
 	places := newPlaces(l, most)
 	s := &http.Server{
 		Handler: handler(p, log), ReadTimeout: wholeTime, WriteTimeout: wholeTime + answerTime,
@@ -65,7 +65,7 @@
 	return nil
 }
 
-func handler(p Program, log *zap.Logger) http.Handler {
+func handler(p Backend, log *zap.Logger) http.Handler {
 	mux := http.NewServeMux()
 	call := func(pattern string, do func(ctx context.Context, r *http.Request) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
@@ -88,29 +88,29 @@
 	done := map[string]bool{"done": true}
 	call("GET /ready", func(context.Context, *http.Request) (any, error) {
 		if !p.Ready() {
-			return nil, &NotReady{}
+			return nil, &NotReadyError{}
 		}
 		return map[string]bool{"ready": true}, nil
 	})
-	call("GET /metrics", func(ctx context.Context, _ *http.Request) (any, error) { return p.Figures(ctx) })
+	call("GET /metrics", func(ctx context.Context, _ *http.Request) (any, error) { return p.Metrics(ctx) })
 	out := func(out bool) func(context.Context, *http.Request) (any, error) {
 		return func(ctx context.Context, r *http.Request) (any, error) {
 			member := r.URL.Query().Get("member")
 			if member == "" {
-				return nil, &NoMember{Call: r.URL.Path}
+				return nil, &MissingMemberError{Path: r.URL.Path}
 			}
-			return done, p.Out(ctx, member, out)
+			return done, p.SetDisabled(ctx, member, out)
 		}
 	}
 	call("POST /media-servers/disable", out(true))
 	call("POST /media-servers/enable", out(false))
 	drain := func(on bool) func(context.Context, *http.Request) (any, error) {
-		return func(ctx context.Context, _ *http.Request) (any, error) { return done, p.Drain(ctx, on) }
+		return func(ctx context.Context, _ *http.Request) (any, error) { return done, p.SetDraining(ctx, on) }
 	}
 	call("POST /drain", drain(true))
 	call("POST /undrain", drain(false))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		refuse(w, r, &NoCall{Method: r.Method, Path: r.URL.Path}, log)
+		refuse(w, r, &UnknownCallError{Method: r.Method, Path: r.URL.Path}, log)
 	})
 	return mux
 }
@@ -118,7 +118,7 @@
 // refuse answers a call with no: what is wrong, and what the caller can do.
 func refuse(w http.ResponseWriter, r *http.Request, err error, log *zap.Logger) {
 	status, body := http.StatusServiceUnavailable, map[string]string{"error": err.Error()}
-	if known, ok := remedy.Of(err); ok {
+	if known, ok := remedy.FromError(err); ok {
 		body["code"], body["remedy"] = known.Code(), known.Remedy()
 	}
 	var s interface{ Status() int }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,17 +19,17 @@
 type program struct{ told []string }
 
 func (p *program) Ready() bool { return len(p.told) > 0 }
-func (p *program) Figures(context.Context) (Figures, error) {
-	return Figures{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, Tries: 4, Active: 2, Size: 5, Ejected: 1}, nil
+func (p *program) Metrics(context.Context) (Metrics, error) {
+	return Metrics{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, Attempts: 4, Active: 2, PoolSize: 5, PoolEjected: 1}, nil
 }
-func (p *program) Out(_ context.Context, member string, out bool) error {
+func (p *program) SetDisabled(_ context.Context, member string, out bool) error {
 	if member != "s-1" {
-		return &UnknownMember{Member: member, Listed: 1}
+		return &UnknownMemberError{Member: member, ListedCount: 1}
 	}
 	p.told = append(p.told, fmt.Sprint(member, " ", out))
 	return nil
 }
-func (p *program) Drain(_ context.Context, on bool) error {
+func (p *program) SetDraining(_ context.Context, on bool) error {
 	p.told = append(p.told, fmt.Sprint("drain ", on))
 	return nil
 }
--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -93,7 +93,7 @@
 				}
 				var told int
 				err := quiet(func(Change) { told++ }).follow(t.Context(), addr, 0)
-				if e, ok := remedy.Of(err); !ok || e.Code() != code || told != 0 {
+				if e, ok := remedy.FromError(err); !ok || e.Code() != code || told != 0 {
 					t.Errorf("%.60q: %v, told %d times", text, err, told)
 				}
 			})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -11,32 +11,32 @@
 	"millethinge/internal/directory"
 )
 
-// Order is what was ordered last for one node.
-type Order struct {
-	Out bool
-	At  time.Time // of the call
+// Override is what was ordered last for one node.
+type Override struct {
+	Active bool      `cbor:"Out"`
+	At     time.Time // of the call
 }
 
-// Orders lays what was ordered by hand over what the list says. The list's actor owns it.
+// Overrides lays what was ordered by hand over what the list says. The list's actor owns it.
 //
 // Guard: the list never ends an order. A node that is out by hand counts as draining
 // while it is listed, whatever a source says of it, under its id, until it is called back.
-type Orders struct {
+type Overrides struct {
 	nodes map[string]*node // all that were ever listed, or ordered
 }
 
 // node is what is known of one node.
 type node struct {
-	order  Order
+	order  Override
 	listed bool             // it is on the list
 	ever   bool             // it has been
 	last   directory.Member // as the list last said
 }
 
-// NewOrders returns Orders that know of no node.
-func NewOrders() *Orders { return &Orders{nodes: make(map[string]*node)} }
+// NewOverrides returns Orders that know of no node.
+func NewOverrides() *Overrides { return &Overrides{nodes: make(map[string]*node)} }
 
-func (o *Orders) node(id string) *node {
+func (o *Overrides) node(id string) *node {
 	n := o.nodes[id]
 	if n == nil {
 		n = new(node)
@@ -45,8 +45,8 @@
 	return n
 }
 
-// Listed takes a change to the list, and returns it as it is to be acted on.
-func (o *Orders) Listed(c directory.Change) directory.Change {
+// ApplyListChange takes a change to the list, and returns it as it is to be acted on.
+func (o *Overrides) ApplyListChange(c directory.Change) directory.Change {
 	out := directory.Change{Full: c.Full, Members: make([]directory.Member, len(c.Members))}
 	for i, m := range c.Members {
 		n := o.node(m.ID)
@@ -59,16 +59,16 @@
 // laid is a node as it is to be acted on.
 func (n *node) laid() directory.Member {
 	m := n.last
-	if n.order.Out && m.State == control.Ready {
+	if n.order.Active && m.State == control.Ready {
 		m.State = control.Draining
 	}
 	return m
 }
 
-// Give takes an order for a node, and returns what changes by it. known is false where
+// Set takes an order for a node, and returns what changes by it. known is false where
 // the node was never listed; nothing changes then. An order that is older than the last
 // one for the node is not taken.
-func (o *Orders) Give(id string, order Order) (c directory.Change, known bool) {
+func (o *Overrides) Set(id string, order Override) (c directory.Change, known bool) {
 	n := o.nodes[id]
 	if n == nil || !n.ever {
 		return c, false
@@ -76,26 +76,26 @@
 	return n.give(order), true
 }
 
-// Take takes orders of another process of this manager, some perhaps for nodes that were
+// Merge takes orders of another process of this manager, some perhaps for nodes that were
 // not listed yet, and returns what changes by them.
-func (o *Orders) Take(orders map[string]Order) (c directory.Change) {
+func (o *Overrides) Merge(orders map[string]Override) (c directory.Change) {
 	for _, id := range slices.Sorted(maps.Keys(orders)) {
 		c.Members = append(c.Members, o.node(id).give(orders[id]).Members...)
 	}
 	return c
 }
 
-func (n *node) give(order Order) (c directory.Change) {
+func (n *node) give(order Override) (c directory.Change) {
 	if !order.At.After(n.order.At) {
 		return c
 	}
-	was := n.order.Out
+	was := n.order.Active
 	n.order = order
-	if was == order.Out || !n.listed {
+	if was == order.Active || !n.listed {
 		return c
 	}
 	m := n.laid()
-	if !order.Out {
+	if !order.Active {
 		// Guard: it was restarted meanwhile and comes back cold, though the list may not
 		// show it yet. What stood there from before has ended with it, or goes on.
 		m.StartedAtS = max(m.StartedAtS, float64(order.At.UnixNano())/1e9)
@@ -106,8 +106,8 @@
 }
 
 // All returns the orders that stand, and those that ended others.
-func (o *Orders) All() map[string]Order {
-	all := make(map[string]Order)
+func (o *Overrides) All() map[string]Override {
+	all := make(map[string]Override)
 	for id, n := range o.nodes {
 		if !n.order.At.IsZero() {
 			all[id] = n.order
@@ -116,14 +116,14 @@
 	return all
 }
 
-// Size returns how many nodes the list holds, and how many of them are out by hand.
-func (o *Orders) Size() (listed, out int) {
+// NodeCounts returns how many nodes the list holds, and how many of them are out by hand.
+func (o *Overrides) NodeCounts() (listed, out int) {
 	for _, n := range o.nodes {
 		if !n.listed {
 			continue
 		}
 		listed++
-		if n.order.Out {
+		if n.order.Active {
 			out++
 		}
 	}
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -25,13 +25,13 @@
 	return l, err
 }
 
-// LeadAway has the kernel give new connections to the younger one of two sockets that
+// DirectToSuccessor has the kernel give new connections to the younger one of two sockets that
 // share an address, of which l is the older: a program of one instruction tells it the
 // younger's number. Where there is no such number any more, the kernel chooses as usual.
 //
 // Guard: what waits in a listener's queue when it closes is reset, unheard. Once nothing
 // more comes the queue is soon empty.
-func LeadAway(l net.Listener) error {
+func DirectToSuccessor(l net.Listener) error {
 	younger := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 1}
 	prog := unix.SockFprog{Len: 1, Filter: &younger}
 	return onSocket(l, func(fd int) error {
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeadAway(old); err != nil {
+	if err := DirectToSuccessor(old); err != nil {
 		t.Fatal(err)
 	}
 	take := func(l net.Listener, n int) {
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeadAway(young); err != nil {
+	if err := DirectToSuccessor(young); err != nil {
 		t.Fatal(err)
 	}
 	take(next, 64)
--- a/internal/handover/process.go
+++ b/internal/handover/process.go
@@ -28,8 +28,8 @@
 	most   int // other processes seen alive at once
 }
 
-// Enter marks this process as starting.
-func (f *Folder) Enter(now time.Time) (*Process, error) {
+// Register marks this process as starting.
+func (f *Folder) Register(now time.Time) (*Process, error) {
 	p := &Process{folder: f, born: now.UnixNano()}
 	// Guard: the mark's one byte is there from the start. Where the disk is full later, it can
 	// be changed still.
@@ -41,50 +41,50 @@
 	}
 	if err == nil {
 		p.file = file
-		err = p.Serves(false)
+		err = p.SetServing(false)
 	}
 	if err == nil {
 		err = os.Rename(name+".new", name)
 	}
 	if err != nil {
-		return nil, &NoFolder{Path: f.path, Err: err}
+		return nil, &FolderError{Path: f.path, Err: err}
 	}
 	return p, nil
 }
 
-// Serves marks this process as one that serves, or that no longer does.
-func (p *Process) Serves(yes bool) error {
+// SetServing marks this process as one that serves, or that no longer does.
+func (p *Process) SetServing(yes bool) error {
 	mark := byte('-')
 	if yes {
 		mark = '+'
 	}
 	if _, err := p.file.WriteAt([]byte{mark}, 0); err != nil {
-		return &NoFolder{Path: p.folder.path, Err: err}
+		return &FolderError{Path: p.folder.path, Err: err}
 	}
 	return nil
 }
 
-// Leave takes the mark away.
-func (p *Process) Leave() {
+// Unregister takes the mark away.
+func (p *Process) Unregister() {
 	os.Remove(filepath.Join(p.folder.path, filepath.Base(strings.TrimSuffix(p.file.Name(), ".new"))))
 	p.file.Close()
 }
 
 // Others are the other live processes of this manager.
 type Others struct {
-	Alive   int
-	Younger []int64 // when those were born that are younger and serve, the youngest first
-	Newest  int64   // when the youngest was born of all that are younger; 0: none is
+	Alive       int
+	Successors  []int64 // when those were born that are younger and serve, the youngest first
+	NewestStart int64   // when the youngest was born of all that are younger; 0: none is
 	// Alone: never more than one other was seen, so that the kernel's order of the
 	// sockets is known: the older one's comes first.
-	Alone bool
+	AtMostOneSeen bool
 }
 
-// Others looks who else is alive, and sweeps away the marks of the dead.
-func (p *Process) Others() (o Others, err error) {
+// FindOthers looks who else is alive, and sweeps away the marks of the dead.
+func (p *Process) FindOthers() (o Others, err error) {
 	entries, err := os.ReadDir(p.folder.path)
 	if err != nil {
-		return o, &NoFolder{Path: p.folder.path, Err: err}
+		return o, &FolderError{Path: p.folder.path, Err: err}
 	}
 	for _, e := range entries {
 		born, ok := bornOf(e.Name())
@@ -99,29 +99,29 @@
 		}
 		o.Alive++
 		if born > p.born {
-			o.Newest = max(o.Newest, born)
+			o.NewestStart = max(o.NewestStart, born)
 			if serves {
-				o.Younger = append(o.Younger, born)
+				o.Successors = append(o.Successors, born)
 			}
 		}
 	}
-	slices.SortFunc(o.Younger, func(a, b int64) int { return cmp.Compare(b, a) })
+	slices.SortFunc(o.Successors, func(a, b int64) int { return cmp.Compare(b, a) })
 	p.most = max(p.most, o.Alive)
-	o.Alone = p.most <= 1
+	o.AtMostOneSeen = p.most <= 1
 	return o, nil
 }
 
-// Successor is who takes over what stands: the one that was chosen last while it serves, else
+// ChooseSuccessor is who takes over what stands: the one that was chosen last while it serves, else
 // the youngest, one that serves before one that starts; 0: nobody. Guard: two that take it
 // would both tell the ends and both count the sessions.
-func (o Others) Successor(last int64) int64 {
+func (o Others) ChooseSuccessor(last int64) int64 {
 	switch {
-	case slices.Contains(o.Younger, last):
+	case slices.Contains(o.Successors, last):
 		return last
-	case len(o.Younger) > 0:
-		return o.Younger[0]
+	case len(o.Successors) > 0:
+		return o.Successors[0]
 	}
-	return o.Newest
+	return o.NewestStart
 }
 
 // bornOf reads when a process was born from the name of its mark.
@@ -138,8 +138,8 @@
 	return store(p.folder, fmt.Sprintf("%s-%d-%d", handoverFile, p.born, successor), e)
 }
 
-// Handover reads what an older process hands over to this one, if it was not read before.
-func (p *Process) Handover() (e broker.Handover, changed bool, err error) {
+// LoadHandover reads what an older process hands over to this one, if it was not read before.
+func (p *Process) LoadHandover() (e broker.Handover, changed bool, err error) {
 	entries, err := os.ReadDir(p.folder.path)
 	if err != nil {
 		return e, false, nil // Others tells
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -29,21 +29,21 @@
 	handoverFile = "estate"
 )
 
-// State is what was ordered by hand.
-type State struct {
-	Away  duty.Order            `cbor:"1,keyasint"` // whether clients are sent away
-	Nodes map[string]duty.Order `cbor:"2,keyasint"`
+// Overrides is what was ordered by hand.
+type Overrides struct {
+	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are sent away
+	Nodes map[string]duty.Override `cbor:"2,keyasint"`
 }
 
 // Merge takes what is newer in other. It tells whether anything was.
-func (s *State) Merge(other State) (newer bool) {
-	if other.Away.At.After(s.Away.At) {
-		s.Away, newer = other.Away, true
+func (s *Overrides) Merge(other Overrides) (newer bool) {
+	if other.Drain.At.After(s.Drain.At) {
+		s.Drain, newer = other.Drain, true
 	}
 	for id, o := range other.Nodes {
 		if o.At.After(s.Nodes[id].At) {
 			if s.Nodes == nil {
-				s.Nodes = make(map[string]duty.Order)
+				s.Nodes = make(map[string]duty.Override)
 			}
 			s.Nodes[id], newer = o, true
 		}
@@ -51,15 +51,15 @@
 	return newer
 }
 
-// BadFile tells that what another process left can't be used. It costs its content only.
-type BadFile struct {
-	File string
-	Why  string
+// BadFileError tells that what another process left can't be used. It costs its content only.
+type BadFileError struct {
+	File   string
+	Reason string
 }
 
-func (e *BadFile) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Why) }
-func (e *BadFile) Code() string  { return "handover-bad-file" }
-func (e *BadFile) Remedy() string {
+func (e *BadFileError) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Reason) }
+func (e *BadFileError) Code() string  { return "handover-bad-file" }
+func (e *BadFileError) Remedy() string {
 	return "what was ordered by hand before this start is not known: repeat the calls; the file is replaced by the next one"
 }
 
@@ -123,33 +123,35 @@
 	f := &Folder{name: name, listen: listen, read: make(map[string]fs.FileInfo),
 		path: filepath.Join(below, fmt.Sprintf("millethinge-%016x", xxhash.Sum64String(name+"\x00"+listen)))}
 	if err := os.MkdirAll(f.path, 0o700); err != nil {
-		return nil, &NoFolder{Path: f.path, Err: err}
+		return nil, &FolderError{Path: f.path, Err: err}
 	}
 	return f, nil
 }
 
-// NoFolder tells that nothing can be handed over: there is no folder, or no room in it.
-type NoFolder struct {
+// FolderError tells that nothing can be handed over: there is no folder, or no room in it.
+type FolderError struct {
 	Path string
 	Err  error
 }
 
-func (e *NoFolder) Error() string { return fmt.Sprintf("no folder for an upgrade: %v", e.Err) }
-func (e *NoFolder) Unwrap() error { return e.Err }
-func (e *NoFolder) Code() string  { return "handover-no-folder" }
-func (e *NoFolder) Remedy() string {
+func (e *FolderError) Error() string { return fmt.Sprintf("no folder for an upgrade: %v", e.Err) }
+func (e *FolderError) Unwrap() error { return e.Err }
+func (e *FolderError) Code() string  { return "handover-no-folder" }
+func (e *FolderError) Remedy() string {
 	return "give the program a $TMPDIR that it may write to; without it orders by hand are forgotten at an upgrade, and what stands is cut"
 }
 
-// Orders reads what was ordered by hand, if that has changed since it was last read.
-func (f *Folder) Orders() (s State, changed bool, err error) { return read[State](f, stateFile) }
+// LoadOverrides reads what was ordered by hand, if that has changed since it was last read.
+func (f *Folder) LoadOverrides() (s Overrides, changed bool, err error) {
+	return read[Overrides](f, stateFile)
+}
 
-// StoreOrders replaces the file of orders.
-func (f *Folder) StoreOrders(s State) error { return store(f, stateFile, s) }
+// StoreOverrides replaces the file of orders.
+func (f *Folder) StoreOverrides(s Overrides) error { return store(f, stateFile, s) }
 
-// Forget takes away what older processes handed over, for their heirs only, and what one
+// RemoveHandovers takes away what older processes handed over, for their heirs only, and what one
 // that was killed left half written.
-func (f *Folder) Forget() {
+func (f *Folder) RemoveHandovers() {
 	entries, _ := os.ReadDir(f.path)
 	for _, e := range entries {
 		if strings.HasPrefix(strings.TrimPrefix(e.Name(), "."), handoverFile) {
@@ -166,19 +168,19 @@
 		return v, false, nil
 	}
 	if err != nil {
-		return v, false, &BadFile{file, err.Error()}
+		return v, false, &BadFileError{file, err.Error()}
 	}
 	f.read[name] = info
 	if info.Size() > mostBytes {
-		return v, false, &BadFile{file, fmt.Sprintf("it holds %d bytes; %d are read at most", info.Size(), mostBytes)}
+		return v, false, &BadFileError{file, fmt.Sprintf("it holds %d bytes; %d are read at most", info.Size(), mostBytes)}
 	}
 	b, err := os.ReadFile(file)
 	if err != nil {
-		return v, false, &BadFile{file, err.Error()}
+		return v, false, &BadFileError{file, err.Error()}
 	}
 	v, why := decode[T](b, f.name, f.listen)
 	if why != "" {
-		return v, false, &BadFile{file, why}
+		return v, false, &BadFileError{file, why}
 	}
 	return v, true, nil
 }
@@ -191,7 +193,7 @@
 		return err
 	}
 	if err := renameio.WriteFile(filepath.Join(f.path, name), b, 0o600, renameio.WithTempDir(f.path)); err != nil {
-		return &NoFolder{Path: f.path, Err: err}
+		return &FolderError{Path: f.path, Err: err}
 	}
 	return nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -27,8 +27,8 @@
 func TestBadFilesCostTheirContentOnly(t *testing.T) {
 	below := t.TempDir()
 	f := folder(t, below, "n1")
-	want := State{Away: duty.Order{Out: true, At: time.Unix(7, 5)}, Nodes: map[string]duty.Order{"s-1": {Out: true, At: time.Unix(8, 123456789)}}}
-	if err := f.StoreOrders(want); err != nil {
+	want := Overrides{Drain: duty.Override{Active: true, At: time.Unix(7, 5)}, Nodes: map[string]duty.Override{"s-1": {Active: true, At: time.Unix(8, 123456789)}}}
+	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(f.path, stateFile)
@@ -41,8 +41,8 @@
 		if err := os.WriteFile(file, b, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var bad *BadFile
-		if s, changed, err := folder(t, below, "n1").Orders(); changed || !errors.As(err, &bad) || s.Nodes != nil {
+		var bad *BadFileError
+		if s, changed, err := folder(t, below, "n1").LoadOverrides(); changed || !errors.As(err, &bad) || s.Nodes != nil {
 			t.Fatalf("%s at %d is taken: %v, %v", what, at, s, err)
 		}
 	}
@@ -52,17 +52,17 @@
 		b[n] ^= 0x10
 		refused(b, "a changed byte", n)
 	}
-	other, err := encode(envelope[State]{"n2", "127.0.0.1:5060", want})
+	other, err := encode(envelope[Overrides]{"n2", "127.0.0.1:5060", want})
 	if err != nil {
 		t.Fatal(err)
 	}
 	refused(other, "another manager's file", 0)
 
-	if err := f.StoreOrders(want); err != nil {
+	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
-	got, changed, err := folder(t, below, "n1").Orders()
-	if err != nil || !changed || !got.Away.At.Equal(want.Away.At) || !got.Nodes["s-1"].At.Equal(want.Nodes["s-1"].At) || !got.Nodes["s-1"].Out {
+	got, changed, err := folder(t, below, "n1").LoadOverrides()
+	if err != nil || !changed || !got.Drain.At.Equal(want.Drain.At) || !got.Nodes["s-1"].At.Equal(want.Nodes["s-1"].At) || !got.Nodes["s-1"].Active {
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
 	if newer := got.Merge(want); newer {
@@ -72,7 +72,7 @@
 
 func enter(t *testing.T, below string, at int64) *Process {
 	t.Helper()
-	p, err := folder(t, below, "n1").Enter(time.Unix(at, 0))
+	p, err := folder(t, below, "n1").Register(time.Unix(at, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,23 +85,23 @@
 	old, young := enter(t, below, 1), enter(t, below, 2)
 	want := broker.Handover{Final: true, Ended: map[control.SessionID]int{3: 41},
 		Sessions: []broker.EstablishedSession{{ID: 1, Class: 1, Team: -1, Key: "7f", Title: 0x7f, Home: 2, Copies: 3, MaxRung: 4, Server: 9, Rung: 2, EstablishedAtNS: 5, ViewerHost: "127.0.0.9"}}}
-	if _, changed, err := young.Handover(); changed || err != nil {
+	if _, changed, err := young.LoadHandover(); changed || err != nil {
 		t.Fatal("there is one before it was stored", err)
 	}
 	if err := old.StoreHandover(want, young.born); err != nil {
 		t.Fatal(err)
 	}
-	got, changed, err := young.Handover()
+	got, changed, err := young.LoadHandover()
 	if err != nil || !changed || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
-	if _, changed, _ := young.Handover(); changed {
+	if _, changed, _ := young.LoadHandover(); changed {
 		t.Error("it is handed over twice")
 	}
 	if err := os.WriteFile(filepath.Join(old.folder.path, ".estate-1-25"), nil, 0o600); err != nil { // half written
 		t.Fatal(err)
 	}
-	young.folder.Forget()
+	young.folder.RemoveHandovers()
 	if left, _ := filepath.Glob(filepath.Join(old.folder.path, "*estate*")); len(left) > 0 {
 		t.Errorf("files that are left: %v", left)
 	}
@@ -113,40 +113,40 @@
 	below := t.TempDir()
 	enter := func(at int64) *Process { return enter(t, below, at) }
 	look := func(p *Process) Others {
-		o, err := p.Others()
+		o, err := p.FindOthers()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return o
 	}
 	a := enter(1)
-	if o := look(a); o.Alive != 0 || len(o.Younger) != 0 {
+	if o := look(a); o.Alive != 0 || len(o.Successors) != 0 {
 		t.Fatalf("alone: %+v", o)
 	}
 	b := enter(2)
-	if o := look(a); o.Alive != 1 || len(o.Younger) != 0 {
+	if o := look(a); o.Alive != 1 || len(o.Successors) != 0 {
 		t.Fatalf("the younger one does not serve yet: %+v", o)
 	}
-	if err := b.Serves(true); err != nil {
+	if err := b.SetServing(true); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Serves(true); err != nil {
+	if err := a.SetServing(true); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); len(o.Younger) != 1 || !o.Alone {
+	if o := look(a); len(o.Successors) != 1 || !o.AtMostOneSeen {
 		t.Fatalf("it serves: %+v", o)
 	}
-	if o := look(b); o.Alive != 1 || len(o.Younger) != 0 {
+	if o := look(b); o.Alive != 1 || len(o.Successors) != 0 {
 		t.Fatalf("the other one is older: %+v", o)
 	}
-	if err := b.Serves(false); err != nil {
+	if err := b.SetServing(false); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); o.Alive != 1 || len(o.Younger) != 0 {
+	if o := look(a); o.Alive != 1 || len(o.Successors) != 0 {
 		t.Fatalf("the younger one serves no more: %+v", o)
 	}
 	c := enter(3)
-	if o := look(a); o.Alive != 2 || o.Alone {
+	if o := look(a); o.Alive != 2 || o.AtMostOneSeen {
 		t.Fatalf("three: %+v", o)
 	}
 	// A mark that can't be looked at now, as where no descriptor is left, is not taken for a
@@ -155,15 +155,15 @@
 	if err := os.Symlink(locked, locked); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); o.Alive != 3 || len(o.Younger) != 0 {
+	if o := look(a); o.Alive != 3 || len(o.Successors) != 0 {
 		t.Errorf("one can't be looked at: %+v", o)
 	}
 	if err := os.Remove(locked); err != nil {
 		t.Error("a mark that can't be looked at is swept away")
 	}
 	c.file.Close() // as its process's end would
-	b.Leave()
-	if o := look(a); o.Alive != 0 || o.Alone {
+	b.Unregister()
+	if o := look(a); o.Alive != 0 || o.AtMostOneSeen {
 		t.Fatalf("both are gone: %+v", o)
 	}
 	if left, _ := filepath.Glob(filepath.Join(a.folder.path, processPrefix+"*")); len(left) != 1 {
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -21,8 +21,8 @@
 	Remedy() string // what the operator can do, as a sentence
 }
 
-// Of returns the outermost Error in err's tree, if there is one.
-func Of(err error) (e Error, ok bool) {
+// FromError returns the outermost Error in err's tree, if there is one.
+func FromError(err error) (e Error, ok bool) {
 	ok = errors.As(err, &e)
 	return e, ok
 }
@@ -30,7 +30,7 @@
 // Fields is err for the log. An err without a code has its text alone.
 func Fields(err error) []zap.Field {
 	fields := []zap.Field{zap.Error(err)}
-	if e, ok := Of(err); ok {
+	if e, ok := FromError(err); ok {
 		fields = append(fields, zap.String("code", e.Code()), zap.String("remedy", e.Remedy()))
 	}
 	return fields
@@ -48,7 +48,7 @@
 			return strings.Join(parts, "\n")
 		}
 	}
-	if e, ok := Of(err); ok {
+	if e, ok := FromError(err); ok {
 		return err.Error() + "\n    [" + e.Code() + "] " + e.Remedy()
 	}
 	return err.Error()
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -23,10 +23,10 @@
 
 func TestSeam(t *testing.T) {
 	wrapped := fmt.Errorf("hall: %w", &full{3})
-	if e, ok := Of(wrapped); !ok || e.(*full).places != 3 {
+	if e, ok := FromError(wrapped); !ok || e.(*full).places != 3 {
 		t.Errorf("%v, %t", e, ok)
 	}
-	if _, ok := Of(errors.New("bare")); ok {
+	if _, ok := FromError(errors.New("bare")); ok {
 		t.Error("a bare error has a code")
 	}
 	if n, bare := len(Fields(wrapped)), len(Fields(errors.New("bare"))); n != 3 || bare != 1 {
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -47,11 +47,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	predecessor, err := folder.Enter(time.Unix(1, 0))
+	predecessor, err := folder.Register(time.Unix(1, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer predecessor.Leave()
+	defer predecessor.Unregister()
 	for name, test := range map[string]struct {
 		steps []func(*adminService)
 		want  bool
@@ -65,7 +65,7 @@
 		for _, step := range test.steps {
 			step(service)
 		}
-		if others, err := predecessor.Others(); err != nil || others.Alive != 1 || (len(others.Younger) == 1) != test.want {
+		if others, err := predecessor.FindOthers(); err != nil || others.Alive != 1 || (len(others.Successors) == 1) != test.want {
 			t.Errorf("%s: %+v, %v", name, others, err)
 		}
 		service.close()
@@ -99,7 +99,7 @@
 			}
 		}
 		service.markReady()
-		if err := service.Drain(t.Context(), true); err != nil || service.Gate().AcceptsClients() || !service.Ready() || service.leaveToSuccessor() {
+		if err := service.SetDraining(t.Context(), true); err != nil || service.Gate().AcceptsClients() || !service.Ready() || service.leaveToSuccessor() {
 			t.Error(name, "the drain has no effect:", err)
 		}
 		service.handOver(broker.Handover{})
@@ -130,7 +130,7 @@
 		t.Helper()
 		var taken []string
 		for i, s := range services {
-			for h, changed, err := s.process.Handover(); changed || err != nil; h, changed, err = s.process.Handover() {
+			for h, changed, err := s.process.LoadHandover(); changed || err != nil; h, changed, err = s.process.LoadHandover() {
 				taken = append(taken, fmt.Sprint(i, " takes ", len(h.Sessions)))
 			}
 		}
