--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -22,9 +22,9 @@
 }
 
 // FromError returns the outermost Error in err's tree, if there is one.
-func FromError(err error) (e Error, ok bool) {
-	ok = errors.As(err, &e)
-	return e, ok
+func FromError(err error) (found Error, ok bool) {
+	ok = errors.As(err, &found)
+	return found, ok
 }
 
 // Fields is err for the log. An err without a code has its text alone.
@@ -40,12 +40,12 @@
 // code followed by it and by what to do.
 func Text(err error) string {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
-		if _, whole := err.(Error); !whole {
-			var parts []string
-			for _, one := range joined.Unwrap() {
-				parts = append(parts, Text(one))
+		if _, hasCode := err.(Error); !hasCode {
+			var texts []string
+			for _, child := range joined.Unwrap() {
+				texts = append(texts, Text(child))
 			}
-			return strings.Join(parts, "\n")
+			return strings.Join(texts, "\n")
 		}
 	}
 	if e, ok := FromError(err); ok {
