--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin answers the calls of those who run the program: by HTTP/1.1, one call a
-// connection, on an address of their own.
+// Package admin serves operators' calls by HTTP/1.1, one call per connection, at an address of
+// their own.
 package admin
 
 import (
@@ -15,41 +15,46 @@
 	"millethinge/internal/remedy"
 )
 
+// Limits of one call.
 const (
-	// readTimeout is how long a caller may take for a whole call, and answerTime for what
-	// is answered; mostHeader is what its head may hold, in bytes.
+	// readTimeout limits the time in which a caller sends the complete request, answerTimeout
+	// the time in which it reads the answer, and maxHeaderBytes the size of the request's
+	// header.
 	readTimeout    = 5 * time.Second
 	answerTimeout  = 2 * time.Second
 	maxHeaderBytes = 8 << 10
-	// callTimeout is how long what is called may take. An answer is owed within 1 s.
+	// callTimeout limits the time in which the Backend carries out a call. An answer is due
+	// within 1 s.
 	callTimeout = 700 * time.Millisecond
 )
 
-// Metrics is what the program reports of itself, by class where a map stands. The counts
-// run from the start of the process.
+// Metrics are the figures that the program reports of itself. The maps are by class; the counts
+// in them and Attempts run from the start of the process.
 type Metrics struct {
-	OK          map[string]int64 `json:"ok"`
-	Shed        map[string]int64 `json:"shed"`
-	Errors      map[string]int64 `json:"errors"`
-	Attempts    int64            `json:"tries"`        // attempts written whole to media nodes
-	Active      int              `json:"active"`       // requests taken and not ended
+	OK          map[string]int64 `json:"ok"`           // requests served
+	Shed        map[string]int64 `json:"shed"`         // requests refused
+	Errors      map[string]int64 `json:"errors"`       // requests failed
+	Attempts    int64            `json:"tries"`        // attempts written completely to media nodes
+	Active      int              `json:"active"`       // requests accepted and not ended
 	PoolSize    int              `json:"pool_size"`    // media nodes on the list
-	PoolEjected int              `json:"pool_ejected"` // of these, left out by hand or by choice
+	PoolEjected int              `json:"pool_ejected"` // of these, disabled by an operator or avoided by the manager
 }
 
-// Backend is what calls act on. Each method returns within the time of its context.
+// Backend carries out operators' calls. Each method must return within the deadline of its
+// context.
 type Backend interface {
-	// Ready tells whether this process serves.
+	// Ready reports whether this process serves.
 	Ready() bool
-	// Figures are at most 0.5 s old.
+	// Metrics returns figures that are at most 0.5 s old.
 	Metrics(context.Context) (Metrics, error)
-	// Out takes a media node out by hand, or puts it back.
+	// SetDisabled disables a media node, or enables it again.
 	SetDisabled(ctx context.Context, member string, disabled bool) error
-	// Drain sends clients away, or takes them again.
+	// SetDraining begins or ends a drain of clients.
 	SetDraining(ctx context.Context, draining bool) error
 }
 
-// Serve answers calls on l until ctx ends, of at most so many callers at once.
+// Serve answers calls on listener until ctx ends. At most maxCallers connections are open at
+// once.
 func Serve(ctx context.Context, listener net.Listener, maxCallers func() int, backend Backend, log *zap.Logger) error {
 	limited := newLimitListener(listener, maxCallers)
 	server := &http.Server{
@@ -65,6 +70,8 @@
 	return nil
 }
 
+// newHandler returns the handler of all calls, which logs each call that changes something or is
+// refused.
 func newHandler(backend Backend, log *zap.Logger) http.Handler {
 	mux := http.NewServeMux()
 	handle := func(pattern string, do func(ctx context.Context, r *http.Request) (any, error)) {
@@ -117,7 +124,8 @@
 	return mux
 }
 
-// writeError answers a call with no: what is wrong, and what the caller can do.
+// writeError refuses a call: it answers with the error, and with its code and remedy if it has
+// them, and logs the refusal.
 func writeError(w http.ResponseWriter, r *http.Request, err error, log *zap.Logger) {
 	status, body := http.StatusServiceUnavailable, map[string]string{"error": err.Error()}
 	if withCode, ok := remedy.FromError(err); ok {
@@ -131,6 +139,7 @@
 	writeJSON(w, status, body)
 }
 
+// writeJSON answers a call with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 )
 
-// fakeBackend notes what is called.
+// fakeBackend records the calls that it gets.
 type fakeBackend struct{ calls []string }
 
 func (b *fakeBackend) Ready() bool { return len(b.calls) > 0 }
@@ -34,8 +34,10 @@
 	return nil
 }
 
+// testMaxCallers is the limit of connections in these tests.
 func testMaxCallers() int { return 8 }
 
+// startServer serves calls until the test ends; it returns the backend and the address.
 func startServer(t *testing.T) (*fakeBackend, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +72,7 @@
 		{"POST", "/drain", 200, ""},
 		{"POST", "/undrain", 200, ""},
 		{"GET", "/ready", 200, ""},
-		{"GET", "/drain", 404, "call-unknown"}, // a look must not empty a manager
+		{"GET", "/drain", 404, "call-unknown"}, // a GET must not start a drain
 		{"GET", "/", 404, "call-unknown"},
 	} {
 		req, _ := http.NewRequest(test.method, "http://"+addr+test.path, nil)
@@ -98,9 +100,10 @@
 	}
 }
 
-// Callers that never finish take all places and are answered by nothing; the one who
-// calls is. What a caller sends beside its call, or instead, costs it at most its
-// connection.
+// Connections that never complete a request must not keep another caller from being answered,
+// even if there are more of them than the limit. A call with a large body that nobody reads must
+// still be answered; a header that is too long must be refused, at most at the cost of the
+// caller's own connection.
 func TestIncompleteRequestsBlockNoCaller(t *testing.T) {
 	_, addr := startServer(t)
 	for i := range 3 * testMaxCallers() {
@@ -135,12 +138,12 @@
 	go io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: x\r\nX-Long: "+strings.Repeat("x", 64<<10))
 	c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if res, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil && res.StatusCode != 431 {
-		t.Errorf("a head of 64 KiB: %v", res.Status)
+		t.Errorf("a header of 64 KiB: status %v", res.Status)
 	}
 }
 
-// Where all places are taken the oldest caller without a whole call gives way, and one
-// that has called does not. Nothing here ends by a time-out of the server.
+// At the limit, the oldest connection without a complete request must be evicted, and one with a
+// complete request must not. There is no server here whose time-outs could close a connection.
 func TestOldestIncompleteRequestIsEvicted(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -168,7 +171,7 @@
 		case conn := <-accepted:
 			return conn
 		case <-time.After(20 * time.Second):
-			t.Fatal("nobody gives way")
+			t.Fatal("no connection is accepted at the limit")
 			return nil
 		}
 	}
@@ -182,6 +185,6 @@
 	connect()
 	closed := func(c *limitedConn) bool { return c.SetDeadline(time.Time{}) != nil }
 	if closed(conns[0]) || !closed(conns[1]) {
-		t.Errorf("gone: who called %v, the oldest who did not %v", closed(conns[0]), closed(conns[1]))
+		t.Errorf("closed: oldest with a complete request %v, oldest without one %v; want false, true", closed(conns[0]), closed(conns[1]))
 	}
 }
--- a/internal/admin/places.go
+++ b/internal/admin/places.go
@@ -7,18 +7,21 @@
 	"time"
 )
 
-// evictionGrace is how long a caller keeps its place whatever comes: a whole call that is
-// on its way is there by then.
+// evictionGrace is how long a new connection can't be evicted. A complete request that is on
+// its way arrives within this time.
 const evictionGrace = 50 * time.Millisecond
 
-// limitListener is a listener of few places. Guard: where all are taken, the caller that has
-// been connected for longest without a whole call gives way: those who say nothing lock
-// nobody out. One place is kept free ahead of who comes next. Those who come meanwhile wait in the kernel's queue for at most graceTime.
+// limitListener is a listener that limits the number of open connections.
+//
+// Guard: at the limit it closes the connection that has been open for longest without a
+// complete request, so callers that send nothing can't lock others out. It does so before it
+// accepts the next connection; connections that arrive meanwhile wait in the kernel's queue for
+// at most evictionGrace.
 type limitListener struct {
 	net.Listener
-	maxConns func() int // callers at once; their descriptors are kept apart from those of viewers and nodes
+	maxConns func() int // limit of open connections; their descriptors are reserved apart from those of viewers and nodes
 	mu       sync.Mutex
-	conns    []*limitedConn // the oldest first
+	conns    []*limitedConn // the open connections, the oldest first
 }
 
 // limitedConn is one caller's connection.
@@ -26,16 +29,20 @@
 	net.Conn
 	listener        *limitListener
 	acceptedAt      time.Time
-	requestReceived atomic.Bool // its call has come whole
+	requestReceived atomic.Bool // whether the caller's request is complete, and being answered
 	closeOnce       sync.Once
 }
 
+// connKey is the key under which the context of a request holds its connection.
 type connKey struct{}
 
+// newLimitListener returns a listener that keeps at most maxConns connections of listener open.
 func newLimitListener(listener net.Listener, maxConns func() int) *limitListener {
 	return &limitListener{Listener: listener, maxConns: maxConns}
 }
 
+// Accept waits until the number of open connections is below the limit, evicting one if need be,
+// and accepts the next connection.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		evicted, wait := l.nextEviction()
@@ -58,7 +65,8 @@
 	return conn, nil
 }
 
-// nextEviction tells who gives way where all places are taken, or how long to wait for a place.
+// nextEviction returns, at the limit, the connection to evict, or how long to wait before it is
+// called again. Below the limit it returns neither.
 func (l *limitListener) nextEviction() (evicted *limitedConn, wait time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,10 +81,10 @@
 			return c, 0
 		}
 	}
-	return nil, time.Millisecond // each is being answered
+	return nil, time.Millisecond // the request of each connection is being answered
 }
 
-// Close frees the descriptor before its place.
+// Close closes the connection's descriptor before it counts the connection as closed.
 func (c *limitedConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		err = c.Conn.Close()
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty decides what operators order by hand: which media nodes are out, and
-// whether this manager takes clients. It does no I/O; times are arguments.
+// Package duty applies operator overrides: which media nodes are disabled, and whether
+// clients are drained. It does no I/O; times are arguments.
 package duty
 
 import (
@@ -11,31 +11,35 @@
 	"millethinge/internal/directory"
 )
 
-// Override is what was ordered last for one node.
+// Override is the last operator override of one media node, or of the drain of clients. It is
+// stored and handed to other processes under the field names Out and At.
 type Override struct {
-	Active bool      `cbor:"Out"`
+	Active bool      `cbor:"Out"` // whether the node is disabled, or clients are drained
 	At     time.Time // of the call
 }
 
-// Overrides lays what was ordered by hand over what the list says. The list's actor owns it.
+// Overrides applies operator overrides to the list of media nodes. It is not safe for
+// concurrent use; the list's actor goroutine owns it.
 //
-// Guard: the list never ends an order. A node that is out by hand counts as draining
-// while it is listed, whatever a source says of it, under its id, until it is called back.
+// Guard: a change of the list never ends an override. A disabled node, identified by its id,
+// counts as draining while it is listed, whatever a source of the list reports, until an
+// operator enables it.
 type Overrides struct {
-	nodes map[string]*nodeState // all that were ever listed, or ordered
+	nodes map[string]*nodeState // by id: each node that was ever listed or overridden
 }
 
 // nodeState is what is known of one node.
 type nodeState struct {
 	override   Override
-	listed     bool             // it is on the list
-	everListed bool             // it has been
-	lastListed directory.Member // as the list last said
+	listed     bool             // whether the node is on the list
+	everListed bool             // whether it is or was on the list
+	lastListed directory.Member // as in the last change of the list
 }
 
-// NewOverrides returns Orders that know of no node.
+// NewOverrides returns Overrides without any node.
 func NewOverrides() *Overrides { return &Overrides{nodes: make(map[string]*nodeState)} }
 
+// state returns the state of a node, which it creates if there is none.
 func (o *Overrides) state(id string) *nodeState {
 	n := o.nodes[id]
 	if n == nil {
@@ -45,7 +49,7 @@
 	return n
 }
 
-// ApplyListChange takes a change to the list, and returns it as it is to be acted on.
+// ApplyListChange records a change of the list and returns it with the overrides applied.
 func (o *Overrides) ApplyListChange(change directory.Change) directory.Change {
 	result := directory.Change{Full: change.Full, Members: make([]directory.Member, len(change.Members))}
 	for i, member := range change.Members {
@@ -56,7 +60,7 @@
 	return result
 }
 
-// effective is a node as it is to be acted on.
+// effective returns the node as last listed, with its override applied.
 func (n *nodeState) effective() directory.Member {
 	member := n.lastListed
 	if n.override.Active && member.State == control.Ready {
@@ -65,9 +69,9 @@
 	return member
 }
 
-// Set takes an order for a node, and returns what changes by it. known is false where
-// the node was never listed; nothing changes then. An order that is older than the last
-// one for the node is not taken.
+// Set sets the override of a node and returns the resulting change of the list. If the node was
+// never listed, known is false and nothing changes. An override that is not newer than the
+// node's last one is ignored.
 func (o *Overrides) Set(id string, override Override) (change directory.Change, known bool) {
 	n := o.nodes[id]
 	if n == nil || !n.everListed {
@@ -76,8 +80,8 @@
 	return n.set(override), true
 }
 
-// Merge takes orders of another process of this manager, some perhaps for nodes that were
-// not listed yet, and returns what changes by them.
+// Merge sets overrides that another process of this manager stored, possibly for nodes that
+// were not listed yet, and returns the resulting change of the list.
 func (o *Overrides) Merge(overrides map[string]Override) (change directory.Change) {
 	for _, id := range slices.Sorted(maps.Keys(overrides)) {
 		change.Members = append(change.Members, o.state(id).set(overrides[id]).Members...)
@@ -85,6 +89,8 @@
 	return change
 }
 
+// set sets the node's override unless its last one is as new, and returns the resulting change
+// of the list.
 func (n *nodeState) set(override Override) (change directory.Change) {
 	if !override.At.After(n.override.At) {
 		return change
@@ -96,8 +102,9 @@
 	}
 	member := n.effective()
 	if !override.Active {
-		// Guard: it was restarted meanwhile and comes back cold, though the list may not
-		// show it yet. What stood there from before has ended with it, or goes on.
+		// Guard: the node is taken to have been restarted while it was disabled, and thus to
+		// be cold, even if the list does not show the restart yet. Sessions established on it
+		// before have ended with the restart, or go on.
 		member.StartedAtS = max(member.StartedAtS, float64(override.At.UnixNano())/1e9)
 		member.Reenabled = true
 	}
@@ -105,7 +112,8 @@
 	return change
 }
 
-// All returns the orders that stand, and those that ended others.
+// All returns the last override of each node by id, including those that are not active any
+// more.
 func (o *Overrides) All() map[string]Override {
 	all := make(map[string]Override)
 	for id, n := range o.nodes {
@@ -116,7 +124,7 @@
 	return all
 }
 
-// NodeCounts returns how many nodes the list holds, and how many of them are out by hand.
+// NodeCounts returns the number of listed nodes, and how many of them are disabled.
 func (o *Overrides) NodeCounts() (listed, disabled int) {
 	for _, n := range o.nodes {
 		if !n.listed {
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -8,7 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Listen opens a TCP listener that another process of this manager may share.
+// Listen opens a TCP listener at an address at which another process of this manager may listen
+// at the same time.
 func Listen(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) (err error) {
 		if controlErr := conn.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); controlErr != nil {
@@ -16,21 +17,23 @@
 		}
 		return err
 	}}
-	config.SetMultipathTCP(false) // its sockets take no program
+	config.SetMultipathTCP(false) // BPF programs can't be attached to MPTCP sockets
 	listener, err := config.Listen(context.Background(), "tcp", addr)
 	if err == nil {
-		// What an upgrade before this one has led elsewhere comes to all again.
+		// Detaches the program that directed connections in an earlier upgrade, so that
+		// the kernel spreads them over all listeners again.
 		withDescriptor(listener, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_REUSEPORT_BPF, 0) })
 	}
 	return listener, err
 }
 
-// DirectToSuccessor has the kernel give new connections to the younger one of two sockets that
-// share an address, of which l is the older: a program of one instruction tells it the
-// younger's number. Where there is no such number any more, the kernel chooses as usual.
+// DirectToSuccessor makes the kernel give new connections to the younger of two sockets that
+// share an address, of which older is the other one: a BPF program of one instruction returns
+// the younger socket's index, 1. Once no socket has that index any more, the kernel chooses a
+// socket by hash as usual.
 //
-// Guard: what waits in a listener's queue when it closes is reset, unheard. Once nothing
-// more comes the queue is soon empty.
+// Guard: connections that wait in a listener's queue when it closes are reset without being
+// served. Once new connections go to the other socket, the queue is soon empty.
 func DirectToSuccessor(older net.Listener) error {
 	returnOne := unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: 1}
 	program := unix.SockFprog{Len: 1, Filter: &returnOne}
@@ -39,6 +42,7 @@
 	})
 }
 
+// withDescriptor calls use with the listener's file descriptor.
 func withDescriptor(listener net.Listener, use func(fd int) error) (err error) {
 	conn, ok := listener.(syscall.Conn)
 	if !ok {
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// New connections come to the younger of two listeners once they are led there, none
-// that came before is lost, and to the one that is left when the other has closed.
+// After DirectToSuccessor, all new connections must reach the younger of two listeners, and after
+// the older has closed they must still reach the one that is left. The same must hold for the
+// next upgrade.
 func TestDirectToSuccessor(t *testing.T) {
 	first, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -31,15 +32,15 @@
 			listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 			accepted, err := listener.Accept()
 			if err != nil {
-				t.Fatalf("it came to the other one: %v", err)
+				t.Fatalf("the connection did not reach the expected listener: %v", err)
 			}
 			accepted.Close()
 		}
 	}
-	expectAccepted(second, 64) // by hash half of them would come to the old one
+	expectAccepted(second, 64) // by hash, half of them would reach the first
 	first.Close()
 	expectAccepted(second, 64)
-	third, err := Listen(second.Addr().String()) // it lets all come to both again
+	third, err := Listen(second.Addr().String()) // this spreads connections over both again
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/process.go
+++ b/internal/handover/process.go
@@ -17,24 +17,26 @@
 	"millethinge/internal/broker"
 )
 
+// processPrefix begins the name of each mark file; the process's start time and id follow.
 const processPrefix = "process-"
 
-// Process is this process's mark in the folder: a file that it holds a lock on. A lock
-// goes with its process, however that ends.
+// Process represents this process in the folder by a mark file that it holds a lock on. The
+// lock ends with the process, however that ends.
 type Process struct {
 	folder    *Folder
-	startNS   int64 // Unix time in ns; the younger one replaces the older
+	startNS   int64 // start of the process, Unix time in ns; it identifies the process, and a younger one replaces an older one
 	markFile  *os.File
-	maxOthers int // other processes seen alive at once
+	maxOthers int // largest number of other processes that FindOthers has seen alive at once
 }
 
-// Register marks this process as starting.
+// Register creates the mark file of this process, which shows it as not serving yet.
 func (f *Folder) Register(now time.Time) (*Process, error) {
 	p := &Process{folder: f, startNS: now.UnixNano()}
-	// Guard: the mark's one byte is there from the start. Where the disk is full later, it can
-	// be changed still.
+	// Guard: the mark's single byte is written right away, so that it can still be
+	// overwritten if the disk is full later.
 	path := filepath.Join(f.path, fmt.Sprintf("%s%d-%d", processPrefix, p.startNS, os.Getpid()))
-	// Guard: it gets its name when it is locked. Nobody takes it for a dead one's.
+	// Guard: the file gets its final name only after it is locked, so that no other process
+	// takes it for the file of a process that has ended.
 	markFile, err := os.OpenFile(path+".new", os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
 	if err == nil {
 		err = unix.Flock(int(markFile.Fd()), unix.LOCK_EX|unix.LOCK_NB)
@@ -52,7 +54,7 @@
 	return p, nil
 }
 
-// SetServing marks this process as one that serves, or that no longer does.
+// SetServing records in the mark file whether this process serves.
 func (p *Process) SetServing(serving bool) error {
 	mark := byte('-')
 	if serving {
@@ -64,23 +66,25 @@
 	return nil
 }
 
-// Unregister takes the mark away.
+// Unregister removes the mark file.
 func (p *Process) Unregister() {
 	os.Remove(filepath.Join(p.folder.path, filepath.Base(strings.TrimSuffix(p.markFile.Name(), ".new"))))
 	p.markFile.Close()
 }
 
-// Others are the other live processes of this manager.
+// Others describes the other live processes of this manager. Processes are identified by their
+// start, as Unix time in ns.
 type Others struct {
-	Alive       int
-	Successors  []int64 // when those were born that are younger and serve, the youngest first
-	NewestStart int64   // when the youngest was born of all that are younger; 0: none is
-	// Alone: never more than one other was seen, so that the kernel's order of the
-	// sockets is known: the older one's comes first.
+	Alive       int     // number of the processes
+	Successors  []int64 // the younger processes that serve, the youngest first
+	NewestStart int64   // the youngest of the younger processes, serving or not; 0: there is none
+	// AtMostOneSeen reports whether this process has never seen more than one other. Only then
+	// is the kernel's order of the sockets known: the older process's socket comes first.
 	AtMostOneSeen bool
 }
 
-// FindOthers looks who else is alive, and sweeps away the marks of the dead.
+// FindOthers returns the other live processes, and removes the mark files of those that have
+// ended.
 func (p *Process) FindOthers() (others Others, err error) {
 	entries, err := os.ReadDir(p.folder.path)
 	if err != nil {
@@ -111,9 +115,12 @@
 	return others, nil
 }
 
-// ChooseSuccessor is who takes over what stands: the one that was chosen last while it serves, else
-// the youngest, one that serves before one that starts; 0: nobody. Guard: two that take it
-// would both tell the ends and both count the sessions.
+// ChooseSuccessor returns the start of the process that takes over the established sessions:
+// the previously chosen one as long as it serves, otherwise the youngest that serves,
+// otherwise the youngest that is starting; 0 if there is none.
+//
+// Guard: the choice must not change without need. Two processes that took over the same
+// sessions would both report their ends and both count them.
 func (o Others) ChooseSuccessor(previous int64) int64 {
 	switch {
 	case slices.Contains(o.Successors, previous):
@@ -124,7 +131,8 @@
 	return o.NewestStart
 }
 
-// parseStart reads when a process was born from the name of its mark.
+// parseStart returns the start of a process from the name of its mark file, and reports whether
+// it is such a name.
 func parseStart(name string) (int64, bool) {
 	rest, ok := strings.CutPrefix(name, processPrefix)
 	start, _, _ := strings.Cut(rest, "-")
@@ -132,22 +140,24 @@
 	return startNS, ok && err == nil && !strings.HasSuffix(name, ".new")
 }
 
-// StoreHandover hands over to the process that was born at successor. Each giver has a file of its
-// own, and each file one successor, so that no two meet at one.
+// StoreHandover hands h over to the process that started at successor. There is one file for each
+// pair of predecessor and successor, so that no two processes write or take over the same file.
 func (p *Process) StoreHandover(h broker.Handover, successor int64) error {
 	return writeFile(p.folder, fmt.Sprintf("%s-%d-%d", handoverFile, p.startNS, successor), h)
 }
 
-// LoadHandover reads what an older process hands over to this one, if it was not read before.
+// LoadHandover returns what a predecessor hands over to this process. changed is false if there
+// is nothing that was not read before.
 func (p *Process) LoadHandover() (h broker.Handover, changed bool, err error) {
 	entries, err := os.ReadDir(p.folder.path)
 	if err != nil {
-		return h, false, nil // Others tells
+		return h, false, nil // FindOthers returns this error
 	}
 	suffix := fmt.Sprintf("-%d", p.startNS)
 	for _, entry := range entries {
 		name := entry.Name()
-		// One of a program that names no successor is for whoever sees it.
+		// A version of the program that names no successor writes a file without start times
+		// in its name, which is for any process that finds it.
 		if name != handoverFile && !(strings.HasPrefix(name, handoverFile+"-") && strings.HasSuffix(name, suffix)) {
 			continue
 		}
@@ -155,16 +165,17 @@
 		if changed {
 			return h, true, nil
 		}
-		err = cmp.Or(err, readErr) // it costs its content, and no other's
+		err = cmp.Or(err, readErr) // an unusable file does not keep the others from being read
 	}
 	return h, false, err
 }
 
-// readMark tells whether the process of a mark lives, and whether it serves.
+// readMark reports whether the process of a mark file is alive, and whether it serves.
 func readMark(path string) (alive, serving bool) {
 	file, err := os.Open(path)
 	if err != nil {
-		// Guard: where no descriptor is left, nobody is taken for dead.
+		// Guard: a process whose file can't be opened, such as when no file descriptor is
+		// left, is not taken for ended.
 		return !errors.Is(err, fs.ErrNotExist), false
 	}
 	defer file.Close()
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,6 +1,7 @@
-// Package handover lets two processes of one manager, an old one and the younger that
-// replaces it, know of each other, and hands over what was ordered by hand. Both share
-// a folder and nothing else.
+// Package handover lets two processes of one manager, a predecessor and the successor that
+// replaces it in an upgrade, find each other and listen at the same address, and hands over
+// operator overrides and established sessions. The processes communicate only through a folder
+// that they share.
 package handover
 
 import (
@@ -19,23 +20,24 @@
 	"millethinge/internal/duty"
 )
 
+// Format and names of the files.
 const (
 	magic       = "mlth"
 	version     = 1
-	headerBytes = len(magic) + 2 + 4 + 8 // and the version, the body's length, its hash
-	// maxFileBytes bounds a file: some ten thousand sessions.
+	headerBytes = len(magic) + 2 + 4 + 8 // magic, version, length of the body, hash of the body
+	// maxFileBytes limits the size of a file; it is enough for some ten thousand sessions.
 	maxFileBytes  = 8 << 20
 	overridesFile = "orders"
 	handoverFile  = "estate"
 )
 
-// Overrides is what was ordered by hand.
+// Overrides are the operator overrides as they are stored for other processes.
 type Overrides struct {
-	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are sent away
-	Nodes map[string]duty.Override `cbor:"2,keyasint"`
+	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are drained
+	Nodes map[string]duty.Override `cbor:"2,keyasint"` // whether a media node is disabled, by its id
 }
 
-// Merge takes what is newer in other. It tells whether anything was.
+// Merge adopts the overrides of other that are newer, and reports whether there were any.
 func (o *Overrides) Merge(other Overrides) (changed bool) {
 	if other.Drain.At.After(o.Drain.At) {
 		o.Drain, changed = other.Drain, true
@@ -51,26 +53,32 @@
 	return changed
 }
 
-// BadFileError tells that what another process left can't be used. It costs its content only.
+// BadFileError reports that a file that another process stored can't be used. Only the content of
+// that file is lost.
 type BadFileError struct {
-	File   string
+	File   string // path of the file
 	Reason string
 }
 
+// Error names the file and the reason.
 func (e *BadFileError) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Reason) }
-func (e *BadFileError) Code() string  { return "handover-bad-file" }
+
+// Code returns the error's code for operators.
+func (e *BadFileError) Code() string { return "handover-bad-file" }
+
+// Remedy returns what an operator can do about the error.
 func (e *BadFileError) Remedy() string {
-	return "what was ordered by hand before this start is not known: repeat the calls; the file is replaced by the next one"
+	return "operator overrides from before this start are not known: repeat the calls; the next write replaces the file"
 }
 
-// envelope is what stands in a file behind its head.
+// envelope is the body of a file, after its header.
 type envelope[T any] struct {
-	Name   string `cbor:"1,keyasint"` // of the manager
-	Listen string `cbor:"2,keyasint"` // its viewers' address
+	Name   string `cbor:"1,keyasint"` // name of the manager
+	Listen string `cbor:"2,keyasint"` // address at which the manager listens for viewers
 	Body   T      `cbor:"3,keyasint"`
 }
 
-// encode is a value as it stands in a file.
+// encode returns the content of a file: header and body.
 func encode[T any](env envelope[T]) ([]byte, error) {
 	encMode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, Sort: cbor.SortCanonical}.EncMode()
 	if err != nil {
@@ -86,39 +94,42 @@
 	return append(data, body...), nil
 }
 
-// decode reads a value that was meant for a manager. why is empty if it can be used.
+// decode returns the value in the content of a file, if the file was written by the given manager.
+// reason says why the file can't be used; it is empty if it can.
 func decode[T any](data []byte, name, listen string) (value T, reason string) {
 	if len(data) < headerBytes || string(data[:len(magic)]) != magic {
-		return value, "it is cut off, or not a file of this program"
+		return value, "truncated, or not written by this program"
 	}
 	header, body := data[len(magic):headerBytes], data[headerBytes:]
 	if fileVersion := binary.BigEndian.Uint16(header); fileVersion != version {
-		return value, fmt.Sprintf("it is of version %d; this program reads %d", fileVersion, version)
+		return value, fmt.Sprintf("format version is %d; this program reads version %d", fileVersion, version)
 	}
 	if length := binary.BigEndian.Uint32(header[2:]); int(length) != len(body) {
-		return value, fmt.Sprintf("it holds %d bytes in place of %d", len(body), length)
+		return value, fmt.Sprintf("body has %d bytes; the header says %d", len(body), length)
 	}
 	if binary.BigEndian.Uint64(header[6:]) != xxhash.Sum64(body) {
-		return value, "its hash is wrong"
+		return value, "hash of the body is wrong"
 	}
 	var env envelope[T]
 	if err := cbor.Unmarshal(body, &env); err != nil {
 		return value, err.Error()
 	}
 	if env.Name != name || env.Listen != listen {
-		return value, fmt.Sprintf("it is of manager %q at %s", env.Name, env.Listen)
+		return value, fmt.Sprintf("written by manager %q at %s", env.Name, env.Listen)
 	}
 	return env.Body, ""
 }
 
-// Folder is what the processes of one manager share.
+// Folder is the folder that the processes of one manager share. A Folder remembers which files it
+// has read, so it is not safe for concurrent use.
 type Folder struct {
 	path         string
-	name, listen string
-	lastRead     map[string]fs.FileInfo // of each file when it was last read
+	name, listen string                 // name and viewers' address of the manager
+	lastRead     map[string]fs.FileInfo // by file name: the file when it was last read
 }
 
-// Open returns the folder of a manager below a folder for files that don't last.
+// Open returns the folder of the manager with this name and viewers' address, and creates it if
+// need be. parent is a folder for temporary files.
 func Open(parent, name, listen string) (*Folder, error) {
 	f := &Folder{name: name, listen: listen, lastRead: make(map[string]fs.FileInfo),
 		path: filepath.Join(parent, fmt.Sprintf("millethinge-%016x", xxhash.Sum64String(name+"\x00"+listen)))}
@@ -128,31 +139,40 @@
 	return f, nil
 }
 
-// FolderError tells that nothing can be handed over: there is no folder, or no room in it.
+// FolderError reports that nothing can be handed over, since the folder does not exist or can't be
+// read or written, for instance because the disk is full.
 type FolderError struct {
-	Path string
+	Path string // path of the folder
 	Err  error
 }
 
-func (e *FolderError) Error() string { return fmt.Sprintf("no folder for an upgrade: %v", e.Err) }
+// Error names the cause.
+func (e *FolderError) Error() string { return fmt.Sprintf("handover folder can't be used: %v", e.Err) }
+
+// Unwrap returns the cause.
 func (e *FolderError) Unwrap() error { return e.Err }
-func (e *FolderError) Code() string  { return "handover-no-folder" }
+
+// Code returns the error's code for operators.
+func (e *FolderError) Code() string { return "handover-no-folder" }
+
+// Remedy returns what an operator can do about the error.
 func (e *FolderError) Remedy() string {
-	return "give the program a $TMPDIR that it may write to; without it orders by hand are forgotten at an upgrade, and what stands is cut"
+	return "set $TMPDIR to a folder that the program can write to; otherwise an upgrade loses operator overrides and cuts established sessions off"
 }
 
-// LoadOverrides reads what was ordered by hand, if that has changed since it was last read.
+// LoadOverrides reads the stored overrides. changed is false if there are none or if they have not
+// changed since they were last read.
 func (f *Folder) LoadOverrides() (overrides Overrides, changed bool, err error) {
 	return readFile[Overrides](f, overridesFile)
 }
 
-// StoreOverrides replaces the file of orders.
+// StoreOverrides replaces the stored overrides.
 func (f *Folder) StoreOverrides(overrides Overrides) error {
 	return writeFile(f, overridesFile, overrides)
 }
 
-// RemoveHandovers takes away what older processes handed over, for their heirs only, and what one
-// that was killed left half written.
+// RemoveHandovers removes what predecessors handed over, which is meant for their successors
+// only, and the temporary files of a process that was killed while it wrote one.
 func (f *Folder) RemoveHandovers() {
 	entries, _ := os.ReadDir(f.path)
 	for _, entry := range entries {
@@ -162,6 +182,8 @@
 	}
 }
 
+// readFile reads the value in a file. changed is false if there is no such file or if it has not
+// changed since it was last read.
 func readFile[T any](f *Folder, name string) (value T, changed bool, err error) {
 	path := filepath.Join(f.path, name)
 	info, err := os.Stat(path)
@@ -174,7 +196,7 @@
 	}
 	f.lastRead[name] = info
 	if info.Size() > maxFileBytes {
-		return value, false, &BadFileError{path, fmt.Sprintf("it holds %d bytes; %d are read at most", info.Size(), maxFileBytes)}
+		return value, false, &BadFileError{path, fmt.Sprintf("file has %d bytes; the limit is %d", info.Size(), maxFileBytes)}
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -187,8 +209,8 @@
 	return value, true, nil
 }
 
-// writeFile replaces a file whole: whoever reads finds the old one or the new one, also where
-// the process is killed in the middle.
+// writeFile replaces a file atomically: a reader finds either the old or the new content, even if
+// this process is killed in between.
 func writeFile[T any](f *Folder, name string, value T) error {
 	data, err := encode(envelope[T]{f.name, f.listen, value})
 	if err != nil {
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -13,6 +13,7 @@
 	"millethinge/internal/duty"
 )
 
+// openFolder opens the folder of a manager with this name.
 func openFolder(t *testing.T, parent, name string) *Folder {
 	t.Helper()
 	f, err := Open(parent, name, "127.0.0.1:5060")
@@ -22,8 +23,8 @@
 	return f
 }
 
-// A file that is cut off at any length, changed at any byte, or another manager's is told
-// and not used, and the next one that is stored is.
+// A file that is truncated at any length, has any byte changed, or was written by another manager
+// must be rejected with a BadFileError and not be used. A file that is stored after it must be.
 func TestUnusableFilesAreRejected(t *testing.T) {
 	parent := t.TempDir()
 	f := openFolder(t, parent, "n1")
@@ -43,20 +44,20 @@
 		}
 		var badFile *BadFileError
 		if overrides, changed, err := openFolder(t, parent, "n1").LoadOverrides(); changed || !errors.As(err, &badFile) || overrides.Nodes != nil {
-			t.Fatalf("%s at %d is taken: %v, %v", fault, offset, overrides, err)
+			t.Fatalf("%s, offset %d: not rejected: %v, %v", fault, offset, overrides, err)
 		}
 	}
 	for i := range data {
-		expectRejected(data[:i], "a file cut off", i)
+		expectRejected(data[:i], "truncated file", i)
 		changedData := append([]byte(nil), data...)
 		changedData[i] ^= 0x10
-		expectRejected(changedData, "a changed byte", i)
+		expectRejected(changedData, "changed byte", i)
 	}
 	other, err := encode(envelope[Overrides]{"n2", "127.0.0.1:5060", want})
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectRejected(other, "another manager's file", 0)
+	expectRejected(other, "file of another manager", 0)
 
 	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
@@ -66,10 +67,27 @@
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
 	if merged := got.Merge(want); merged {
-		t.Error("an order is newer than itself once it was in a file")
+		t.Error("a stored override counts as newer than the original")
 	}
 }
 
+// The stored bytes must not change, since other versions of the program read and write them: the
+// fields of an override are stored under the names Out and At, whatever they are called in Go.
+func TestStoredFormat(t *testing.T) {
+	const stored = "mlth\x00\x01\x00\x00\x00e\xf0\x1dIқ\"\xf6y\xa3\x01bn1\x02n127.0.0.1:5060\x03\xa2\x01\xa2bAtx\x1e1970-01-01T00:00:07.000000005ZcOut\xf5\x02\xa1cs-1\xa2bAtt1970-01-01T00:00:08ZcOut\xf4"
+	want := Overrides{Drain: duty.Override{Active: true, At: time.Unix(7, 5).UTC()},
+		Nodes: map[string]duty.Override{"s-1": {Active: false, At: time.Unix(8, 0).UTC()}}}
+	data, err := encode(envelope[Overrides]{"n1", "127.0.0.1:5060", want})
+	if err != nil || string(data) != stored {
+		t.Errorf("stored as %q, want %q, %v", data, stored, err)
+	}
+	got, reason := decode[Overrides]([]byte(stored), "n1", "127.0.0.1:5060")
+	if reason != "" || !reflect.DeepEqual(got, want) {
+		t.Errorf("read as %+v, want %+v, %s", got, want, reason)
+	}
+}
+
+// register registers a process that started at startS, in Unix seconds.
 func register(t *testing.T, parent string, startS int64) *Process {
 	t.Helper()
 	p, err := openFolder(t, parent, "n1").Register(time.Unix(startS, 0))
@@ -79,14 +97,15 @@
 	return p
 }
 
-// What is handed over comes as it was, and is seen once.
+// A handover must be read exactly as it was stored, and only once. RemoveHandovers must remove
+// its file and temporary files.
 func TestHandoverFile(t *testing.T) {
 	parent := t.TempDir()
 	predecessor, successor := register(t, parent, 1), register(t, parent, 2)
 	want := broker.Handover{Final: true, Ended: map[control.SessionID]int{3: 41},
 		Sessions: []broker.EstablishedSession{{ID: 1, Class: 1, Team: -1, Key: "7f", Title: 0x7f, Home: 2, Copies: 3, MaxRung: 4, Server: 9, Rung: 2, EstablishedAtNS: 5, ViewerHost: "127.0.0.9"}}}
 	if _, changed, err := successor.LoadHandover(); changed || err != nil {
-		t.Fatal("there is one before it was stored", err)
+		t.Fatal("a handover is read before one was stored", err)
 	}
 	if err := predecessor.StoreHandover(want, successor.startNS); err != nil {
 		t.Fatal(err)
@@ -96,19 +115,19 @@
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
 	if _, changed, _ := successor.LoadHandover(); changed {
-		t.Error("it is handed over twice")
+		t.Error("the same handover is read twice")
 	}
-	if err := os.WriteFile(filepath.Join(predecessor.folder.path, ".estate-1-25"), nil, 0o600); err != nil { // half written
+	if err := os.WriteFile(filepath.Join(predecessor.folder.path, ".estate-1-25"), nil, 0o600); err != nil { // a file whose writer was killed
 		t.Fatal(err)
 	}
 	successor.folder.RemoveHandovers()
 	if remaining, _ := filepath.Glob(filepath.Join(predecessor.folder.path, "*estate*")); len(remaining) > 0 {
-		t.Errorf("files that are left: %v", remaining)
+		t.Errorf("handover files not removed: %v", remaining)
 	}
 }
 
-// Two processes know of each other and which is the younger; one that is gone, however it
-// ended, is not counted, and its mark is swept away.
+// Processes must find each other and know which are younger and serve. A process that has ended,
+// in whatever way, must not be counted, and its mark file must be removed.
 func TestFindOthers(t *testing.T) {
 	parent := t.TempDir()
 	register := func(startS int64) *Process { return register(t, parent, startS) }
@@ -121,11 +140,11 @@
 	}
 	first := register(1)
 	if others := find(first); others.Alive != 0 || len(others.Successors) != 0 {
-		t.Fatalf("alone: %+v", others)
+		t.Fatalf("no other process: %+v", others)
 	}
 	second := register(2)
 	if others := find(first); others.Alive != 1 || len(others.Successors) != 0 {
-		t.Fatalf("the younger one does not serve yet: %+v", others)
+		t.Fatalf("the younger process does not serve yet: %+v", others)
 	}
 	if err := second.SetServing(true); err != nil {
 		t.Fatal(err)
@@ -134,39 +153,39 @@
 		t.Fatal(err)
 	}
 	if others := find(first); len(others.Successors) != 1 || !others.AtMostOneSeen {
-		t.Fatalf("it serves: %+v", others)
+		t.Fatalf("the younger process serves: %+v", others)
 	}
 	if others := find(second); others.Alive != 1 || len(others.Successors) != 0 {
-		t.Fatalf("the other one is older: %+v", others)
+		t.Fatalf("the other process is older: %+v", others)
 	}
 	if err := second.SetServing(false); err != nil {
 		t.Fatal(err)
 	}
 	if others := find(first); others.Alive != 1 || len(others.Successors) != 0 {
-		t.Fatalf("the younger one serves no more: %+v", others)
+		t.Fatalf("the younger process does not serve any more: %+v", others)
 	}
 	third := register(3)
 	if others := find(first); others.Alive != 2 || others.AtMostOneSeen {
-		t.Fatalf("three: %+v", others)
+		t.Fatalf("three processes: %+v", others)
 	}
-	// A mark that can't be looked at now, as where no descriptor is left, is not taken for a
-	// dead one's.
+	// A mark file that can't be opened, such as when no file descriptor is left, must not be
+	// taken for that of a process that has ended.
 	unreadable := filepath.Join(first.folder.path, processPrefix+"4-4")
 	if err := os.Symlink(unreadable, unreadable); err != nil {
 		t.Fatal(err)
 	}
 	if others := find(first); others.Alive != 3 || len(others.Successors) != 0 {
-		t.Errorf("one can't be looked at: %+v", others)
+		t.Errorf("one mark file can't be opened: %+v", others)
 	}
 	if err := os.Remove(unreadable); err != nil {
-		t.Error("a mark that can't be looked at is swept away")
+		t.Error("a mark file that can't be opened is removed")
 	}
-	third.markFile.Close() // as its process's end would
+	third.markFile.Close() // as the end of its process would
 	second.Unregister()
 	if others := find(first); others.Alive != 0 || others.AtMostOneSeen {
-		t.Fatalf("both are gone: %+v", others)
+		t.Fatalf("both other processes have ended: %+v", others)
 	}
 	if remaining, _ := filepath.Glob(filepath.Join(first.folder.path, processPrefix+"*")); len(remaining) != 1 {
-		t.Errorf("marks that are left: %v", remaining)
+		t.Errorf("mark files: %v; want one", remaining)
 	}
 }
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -1,7 +1,7 @@
-// Package remedy is the one seam for errors that reach an operator: at the start,
-// in the log, in an answer to a call. Each is a type of its own with its facts as
-// fields, and gives a stable code, by which docs/errors.md is looked up, and what
-// the operator can do.
+// Package remedy defines the interface of all errors that reach an operator: at the start, in
+// the log, or in the answer to an operator's call. Each such error is a type of its own, with
+// the facts as fields. It has a stable code, under which docs/errors.md lists it, and says
+// what the operator can do.
 package remedy
 
 import (
@@ -13,21 +13,24 @@
 
 // Error is an error that reaches an operator.
 //
-// Code returns a string literal in the method's own body, so that a search for the
-// code leads to it and a test can hold docs/errors.md against the sources.
+// Code must return a string literal in the method's own body, so that a search for the code
+// finds it and a test can compare docs/errors.md with the sources.
 type Error interface {
 	error
-	Code() string   // such as "list-silent"; it never changes
-	Remedy() string // what the operator can do, as a sentence
+	// Code returns the error's code, such as "list-silent". A code never changes.
+	Code() string
+	// Remedy returns what the operator can do, as a sentence.
+	Remedy() string
 }
 
-// FromError returns the outermost Error in err's tree, if there is one.
+// FromError returns the outermost Error in err's tree and reports whether there is one.
 func FromError(err error) (found Error, ok bool) {
 	ok = errors.As(err, &found)
 	return found, ok
 }
 
-// Fields is err for the log. An err without a code has its text alone.
+// Fields returns the log fields of err: its text and, if there is an Error in its tree, that
+// error's code and remedy.
 func Fields(err error) []zap.Field {
 	fields := []zap.Field{zap.Error(err)}
 	if e, ok := FromError(err); ok {
@@ -36,8 +39,8 @@
 	return fields
 }
 
-// Text is err for a terminal: each that err joins on lines of its own, those with a
-// code followed by it and by what to do.
+// Text formats err for a terminal. Errors that err joins are on separate lines; an error with a
+// code is followed by a line with its code and remedy.
 func Text(err error) string {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
 		if _, hasCode := err.(Error); !hasCode {
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -15,31 +15,32 @@
 	"testing"
 )
 
+// fullError is an Error of these tests.
 type fullError struct{ capacity int }
 
-func (f *fullError) Error() string  { return fmt.Sprintf("all %d places are taken", f.capacity) }
+func (f *fullError) Error() string  { return fmt.Sprintf("all %d slots are in use", f.capacity) }
 func (f *fullError) Code() string   { return "test-full" }
 func (f *fullError) Remedy() string { return "Wait." }
 
 func TestErrorInTree(t *testing.T) {
-	wrapped := fmt.Errorf("hall: %w", &fullError{3})
+	wrapped := fmt.Errorf("queue: %w", &fullError{3})
 	if e, ok := FromError(wrapped); !ok || e.(*fullError).capacity != 3 {
 		t.Errorf("%v, %t", e, ok)
 	}
 	if _, ok := FromError(errors.New("bare")); ok {
-		t.Error("a bare error has a code")
+		t.Error("FromError finds a code in an error without one")
 	}
 	if n, bare := len(Fields(wrapped)), len(Fields(errors.New("bare"))); n != 3 || bare != 1 {
-		t.Errorf("%d fields, %d of a bare error", n, bare)
+		t.Errorf("%d log fields, and %d of an error without a code; want 3 and 1", n, bare)
 	}
-	const want = "bare\nhall: all 3 places are taken\n    [test-full] Wait."
+	const want = "bare\nqueue: all 3 slots are in use\n    [test-full] Wait."
 	if got := Text(errors.Join(errors.New("bare"), wrapped)); got != want {
 		t.Errorf("%q", got)
 	}
 }
 
-// TestCodesDocumented holds docs/errors.md against the sources: each code has its row there, no
-// row is of a code that is gone, and no two types share one.
+// TestCodesDocumented compares docs/errors.md with the sources: each code must have a complete
+// row there, each row must be of a code that exists, and no two types may share a code.
 func TestCodesDocumented(t *testing.T) {
 	doc, err := os.ReadFile("../../docs/errors.md")
 	if err != nil {
@@ -52,10 +53,10 @@
 	codes := findCodes(t, "../..")
 	for code, positions := range codes {
 		if len(positions) > 1 {
-			t.Errorf("%s: more than one type has it: %s", code, strings.Join(positions, ", "))
+			t.Errorf("%s: several types have this code: %s", code, strings.Join(positions, ", "))
 		}
 		if !rows[code] {
-			t.Errorf("%s: %s has no whole row in docs/errors.md", positions[0], code)
+			t.Errorf("%s: %s has no complete row in docs/errors.md", positions[0], code)
 		}
 	}
 	for code := range rows {
@@ -64,11 +65,12 @@
 		}
 	}
 	if len(codes) < 5 {
-		t.Errorf("only %d codes are found: does the search still work?", len(codes))
+		t.Errorf("found only %d codes, fewer than the program has: the search in the sources may be broken", len(codes))
 	}
 }
 
-// findCodes finds what the methods Code of all sources under root return, and where.
+// findCodes returns the codes that the Code methods in all sources under root return, each with
+// the positions of its return statements.
 func findCodes(t *testing.T, root string) map[string][]string {
 	found, fileSet := make(map[string][]string), token.NewFileSet()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -92,7 +94,7 @@
 				position := fileSet.Position(ret.Pos()).String()
 				lit, ok := ret.Results[0].(*ast.BasicLit)
 				if !ok || lit.Kind != token.STRING {
-					t.Errorf("%s: Code returns something else than a literal", position)
+					t.Errorf("%s: Code returns something other than a string literal", position)
 					return false
 				}
 				code, err := strconv.Unquote(lit.Value)
