--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -29,15 +29,15 @@
 )
 
 // Metrics are the figures that the program reports of itself. The maps are by class; the counts
-// in them and Attempts run from the start of the process.
+// in them and AttemptsSent run from the start of the process.
 type Metrics struct {
-	OK          map[string]int64 `json:"ok"`           // requests served
-	Shed        map[string]int64 `json:"shed"`         // requests refused
-	Errors      map[string]int64 `json:"errors"`       // requests failed
-	Attempts    int64            `json:"tries"`        // attempts written completely to media nodes
-	Active      int              `json:"active"`       // requests accepted and not ended
-	PoolSize    int              `json:"pool_size"`    // media nodes on the list
-	PoolEjected int              `json:"pool_ejected"` // of these, disabled by an operator or avoided by the manager
+	OK           map[string]int64 `json:"ok"`           // requests served
+	Shed         map[string]int64 `json:"shed"`         // requests refused
+	Errors       map[string]int64 `json:"errors"`       // requests failed
+	AttemptsSent int64            `json:"tries"`        // attempts written completely to media nodes
+	Active       int              `json:"active"`       // requests accepted and not ended
+	PoolSize     int              `json:"pool_size"`    // media nodes on the list
+	PoolEjected  int              `json:"pool_ejected"` // of these, disabled by an operator or avoided by the manager
 }
 
 // Backend carries out operators' calls. Each method must return within the deadline of its
@@ -104,7 +104,7 @@
 		return func(ctx context.Context, r *http.Request) (any, error) {
 			member := r.URL.Query().Get("member")
 			if member == "" {
-				return nil, &MissingMemberError{Path: r.URL.Path}
+				return nil, &MissingMemberError{CallPath: r.URL.Path}
 			}
 			return doneBody, backend.SetDisabled(ctx, member, disabled)
 		}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -20,7 +20,7 @@
 
 func (b *fakeBackend) Ready() bool { return len(b.calls) > 0 }
 func (b *fakeBackend) Metrics(context.Context) (Metrics, error) {
-	return Metrics{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, Attempts: 4, Active: 2, PoolSize: 5, PoolEjected: 1}, nil
+	return Metrics{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, AttemptsSent: 4, Active: 2, PoolSize: 5, PoolEjected: 1}, nil
 }
 func (b *fakeBackend) SetDisabled(_ context.Context, member string, disabled bool) error {
 	if member != "s-1" {
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -23,10 +23,10 @@
 func (*NotReadyError) Status() int { return http.StatusServiceUnavailable }
 
 // MissingMemberError reports that a call names no media node.
-type MissingMemberError struct{ Path string }
+type MissingMemberError struct{ CallPath string }
 
 // Error names the call's path.
-func (e *MissingMemberError) Error() string { return e.Path + ": names no media node" }
+func (e *MissingMemberError) Error() string { return e.CallPath + ": names no media node" }
 
 // Code returns the error's code for operators.
 func (e *MissingMemberError) Code() string { return "call-no-member" }
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -31,14 +31,14 @@
 	handoverFile  = "estate"
 )
 
-// Overrides are the operator overrides as they are stored for other processes.
-type Overrides struct {
+// StoredOverrides are the operator overrides as they are stored for other processes.
+type StoredOverrides struct {
 	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are drained
 	Nodes map[string]duty.Override `cbor:"2,keyasint"` // whether a media node is disabled, by its id
 }
 
 // Merge adopts the overrides of other that are newer, and reports whether there were any.
-func (o *Overrides) Merge(other Overrides) (changed bool) {
+func (o *StoredOverrides) Merge(other StoredOverrides) (changed bool) {
 	if other.Drain.At.After(o.Drain.At) {
 		o.Drain, changed = other.Drain, true
 	}
@@ -162,12 +162,12 @@
 
 // LoadOverrides reads the stored overrides. changed is false if there are none or if they have not
 // changed since they were last read.
-func (f *Folder) LoadOverrides() (overrides Overrides, changed bool, err error) {
-	return readFile[Overrides](f, overridesFile)
+func (f *Folder) LoadOverrides() (overrides StoredOverrides, changed bool, err error) {
+	return readFile[StoredOverrides](f, overridesFile)
 }
 
 // StoreOverrides replaces the stored overrides.
-func (f *Folder) StoreOverrides(overrides Overrides) error {
+func (f *Folder) StoreOverrides(overrides StoredOverrides) error {
 	return writeFile(f, overridesFile, overrides)
 }
 
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -51,10 +51,10 @@
 	overrides           *duty.Overrides // owned by the list's actor goroutine
 
 	mu            sync.Mutex
-	overrideState handover.Overrides // the overrides as they are stored for other processes
-	handingOver   bool               // whether this process leaves its sessions to a successor
-	successorBorn int64              // identifies the successor: the time at which it started
-	finalHandover bool               // whether this process has handed over for the last time, and adopts no more
+	overrideState handover.StoredOverrides // the overrides as they are stored for other processes
+	handingOver   bool                     // whether this process leaves its sessions to a successor
+	successorBorn int64                    // identifies the successor: the time at which it started
+	finalHandover bool                     // whether this process has handed over for the last time, and adopts no more
 }
 
 // newAdminService returns nil where no admin address is configured.
@@ -342,7 +342,7 @@
 }
 
 // storeOverrides merges newer overrides and stores the result for the other processes.
-func (s *adminService) storeOverrides(newer handover.Overrides) {
+func (s *adminService) storeOverrides(newer handover.StoredOverrides) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.overrideState.Merge(newer)
@@ -424,7 +424,7 @@
 		return admin.Metrics{}, &admin.TimeoutError{Operation: "the figures"}
 	}
 	return admin.Metrics{
-		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Attempts: s.counts.Attempts.Load(),
+		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), AttemptsSent: s.counts.Attempts.Load(),
 		Active: c.Open + c.Playing, PoolSize: members.listed, PoolEjected: members.disabled + c.Avoided,
 	}, nil
 }
@@ -443,7 +443,7 @@
 		if len(c.Members) > 0 {
 			s.listSink(c)
 		}
-		s.storeOverrides(handover.Overrides{Nodes: map[string]duty.Override{member: override}})
+		s.storeOverrides(handover.StoredOverrides{Nodes: map[string]duty.Override{member: override}})
 		done <- nil
 	})
 	select {
@@ -463,6 +463,6 @@
 	}
 	s.mu.Unlock()
 	s.applyDrain(override)
-	s.storeOverrides(handover.Overrides{Drain: override})
+	s.storeOverrides(handover.StoredOverrides{Drain: override})
 	return nil
 }
