--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -39,8 +39,8 @@
 // NewOverrides returns Overrides without any node.
 func NewOverrides() *Overrides { return &Overrides{nodes: make(map[string]*nodeState)} }
 
-// state returns the state of a node, which it creates if there is none.
-func (o *Overrides) state(id string) *nodeState {
+// nodeState returns the state of a node, which it creates if there is none.
+func (o *Overrides) nodeState(id string) *nodeState {
 	n := o.nodes[id]
 	if n == nil {
 		n = new(nodeState)
@@ -53,7 +53,7 @@
 func (o *Overrides) ApplyListChange(change directory.Change) directory.Change {
 	result := directory.Change{Full: change.Full, Members: make([]directory.Member, len(change.Members))}
 	for i, member := range change.Members {
-		n := o.state(member.ID)
+		n := o.nodeState(member.ID)
 		n.lastListed, n.everListed, n.listed = member, true, member.State != control.Gone
 		result.Members[i] = n.effective()
 	}
@@ -84,7 +84,7 @@
 // were not listed yet, and returns the resulting change of the list.
 func (o *Overrides) Merge(overrides map[string]Override) (change directory.Change) {
 	for _, id := range slices.Sorted(maps.Keys(overrides)) {
-		change.Members = append(change.Members, o.state(id).set(overrides[id]).Members...)
+		change.Members = append(change.Members, o.nodeState(id).set(overrides[id]).Members...)
 	}
 	return change
 }
--- a/internal/handover/process.go
+++ b/internal/handover/process.go
@@ -34,10 +34,10 @@
 	p := &Process{folder: f, startNS: now.UnixNano()}
 	// Guard: the mark's single byte is written right away, so that it can still be
 	// overwritten if the disk is full later.
-	path := filepath.Join(f.path, fmt.Sprintf("%s%d-%d", processPrefix, p.startNS, os.Getpid()))
+	markPath := filepath.Join(f.path, fmt.Sprintf("%s%d-%d", processPrefix, p.startNS, os.Getpid()))
 	// Guard: the file gets its final name only after it is locked, so that no other process
 	// takes it for the file of a process that has ended.
-	markFile, err := os.OpenFile(path+".new", os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
+	markFile, err := os.OpenFile(markPath+".new", os.O_CREATE|os.O_RDWR|os.O_EXCL, 0o600)
 	if err == nil {
 		err = unix.Flock(int(markFile.Fd()), unix.LOCK_EX|unix.LOCK_NB)
 	}
@@ -46,7 +46,7 @@
 		err = p.SetServing(false)
 	}
 	if err == nil {
-		err = os.Rename(path+".new", path)
+		err = os.Rename(markPath+".new", markPath)
 	}
 	if err != nil {
 		return nil, &FolderError{Path: f.path, Err: err}
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -185,26 +185,26 @@
 // readFile reads the value in a file. changed is false if there is no such file or if it has not
 // changed since it was last read.
 func readFile[T any](f *Folder, name string) (value T, changed bool, err error) {
-	path := filepath.Join(f.path, name)
-	info, err := os.Stat(path)
+	filePath := filepath.Join(f.path, name)
+	info, err := os.Stat(filePath)
 	last := f.lastRead[name]
 	if errors.Is(err, fs.ErrNotExist) || err == nil && last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) {
 		return value, false, nil
 	}
 	if err != nil {
-		return value, false, &BadFileError{path, err.Error()}
+		return value, false, &BadFileError{filePath, err.Error()}
 	}
 	f.lastRead[name] = info
 	if info.Size() > maxFileBytes {
-		return value, false, &BadFileError{path, fmt.Sprintf("file has %d bytes; the limit is %d", info.Size(), maxFileBytes)}
+		return value, false, &BadFileError{filePath, fmt.Sprintf("file has %d bytes; the limit is %d", info.Size(), maxFileBytes)}
 	}
-	data, err := os.ReadFile(path)
+	data, err := os.ReadFile(filePath)
 	if err != nil {
-		return value, false, &BadFileError{path, err.Error()}
+		return value, false, &BadFileError{filePath, err.Error()}
 	}
 	value, reason := decode[T](data, f.name, f.listen)
 	if reason != "" {
-		return value, false, &BadFileError{path, reason}
+		return value, false, &BadFileError{filePath, reason}
 	}
 	return value, true, nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -32,14 +32,14 @@
 	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
-	path := filepath.Join(f.path, overridesFile)
-	data, err := os.ReadFile(path)
+	filePath := filepath.Join(f.path, overridesFile)
+	data, err := os.ReadFile(filePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	expectRejected := func(changedData []byte, fault string, offset int) {
 		t.Helper()
-		if err := os.WriteFile(path, changedData, 0o600); err != nil {
+		if err := os.WriteFile(filePath, changedData, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var badFile *BadFileError
