--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -59,14 +59,14 @@
 
 // newAdminService returns nil where no admin address is configured.
 func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
-	if cfg.Admin == "" {
+	if cfg.AdminListen == "" {
 		return nil
 	}
-	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), overrides: duty.NewOverrides(), log: log, coordinatorAnswered: make(chan struct{})}
-	if cfg.Temp == "" {
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.ClassNames)), overrides: duty.NewOverrides(), log: log, coordinatorAnswered: make(chan struct{})}
+	if cfg.SharedDir == "" {
 		return s
 	}
-	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
+	folder, err := handover.Open(cfg.SharedDir, cfg.Name, cfg.Listen)
 	if err == nil {
 		s.process, err = folder.Register(time.Now())
 	}
@@ -126,9 +126,9 @@
 // maxCallers returns how many operators' connections may be open at once.
 func (s *adminService) maxCallers() int {
 	if s.Shared() {
-		return s.cfg.Half().CallerConns()
+		return s.cfg.WithHalfSockets().MaxOperatorConns()
 	}
-	return s.cfg.CallerConns()
+	return s.cfg.MaxOperatorConns()
 }
 
 // run answers operators' calls and watches for other processes of this manager until ctx
@@ -201,7 +201,7 @@
 			wasShared := s.shared.Load()
 			s.checkProcesses()
 			if overrides := s.loadOverrides(); overrides != nil {
-				s.nodeList.After(func() { s.applyOverrides(overrides) })
+				s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 			}
 			s.adoptSessions()
 			if wasShared && !s.shared.Load() {
@@ -350,7 +350,7 @@
 		return
 	}
 	if overrides := s.loadOverridesLocked(); overrides != nil {
-		s.nodeList.After(func() { s.applyOverrides(overrides) })
+		s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 	}
 	if err := s.folder.StoreOverrides(s.overrideState); err != nil {
 		warnOperator(s.log, err)
@@ -403,7 +403,7 @@
 	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
 		for i := range counts {
-			m[s.cfg.Classes[i]] = counts[i].Load()
+			m[s.cfg.ClassNames[i]] = counts[i].Load()
 		}
 		return m
 	}
@@ -413,7 +413,7 @@
 	}
 	type size struct{ listed, disabled int }
 	memberCounts := make(chan size, 1)
-	s.nodeList.After(func() {
+	s.nodeList.AfterPending(func() {
 		listed, disabled := s.overrides.NodeCounts()
 		memberCounts <- size{listed, disabled}
 	})
@@ -433,7 +433,7 @@
 func (s *adminService) SetDisabled(ctx context.Context, member string, disable bool) error {
 	override := duty.Override{Active: disable, At: time.Now()}
 	done := make(chan error, 1)
-	s.nodeList.After(func() {
+	s.nodeList.AfterPending(func() {
 		c, known := s.overrides.Set(member, override)
 		if !known {
 			listed, _ := s.overrides.NodeCounts()
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -42,8 +42,8 @@
 // A process that was asked to end must not become the successor of an older one, even if it was
 // asked before it was ready.
 func TestStoppingProcessIsNoSuccessor(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
-	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
+	folder, err := handover.Open(cfg.SharedDir, cfg.Name, cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,14 +86,14 @@
 		},
 	} {
 		core, logged := observer.New(zap.WarnLevel)
-		cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+		cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 		if breakFolder == nil {
-			cfg.Temp = filepath.Join(cfg.Temp, "file")
-			os.WriteFile(cfg.Temp, nil, 0o600)
+			cfg.SharedDir = filepath.Join(cfg.SharedDir, "file")
+			os.WriteFile(cfg.SharedDir, nil, 0o600)
 		}
 		service := newAdminService(&cfg, zap.New(core))
 		if breakFolder != nil {
-			folders, _ := filepath.Glob(filepath.Join(cfg.Temp, "*"))
+			folders, _ := filepath.Glob(filepath.Join(cfg.SharedDir, "*"))
 			if err := breakFolder(folders[0]); err != nil {
 				t.Fatal(err)
 			}
@@ -117,7 +117,7 @@
 // Established sessions must have exactly one successor, even if several younger processes are
 // ready, the successor ends before the last handover, or two processes hand over at once.
 func TestOneSuccessor(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 	var services [4]*adminService
 	for i := range services {
 		services[i] = newAdminService(&cfg, zap.NewNop())
@@ -161,7 +161,7 @@
 // The periodic check and a signal may check for other processes at the same time. The race
 // detector finds unprotected access.
 func TestConcurrentProcessChecks(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 	first, second := newAdminService(&cfg, zap.NewNop()), newAdminService(&cfg, zap.NewNop())
 	defer first.close()
 	defer second.close()
