--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -97,7 +97,7 @@
 				}
 				var changes int
 				err := newTestClient(func(Change) { changes++ }).pollConn(t.Context(), addr, 0)
-				if e, ok := remedy.Of(err); !ok || e.Code() != code || changes != 0 {
+				if e, ok := remedy.FromError(err); !ok || e.Code() != code || changes != 0 {
 					t.Errorf("%.60q: error %v, %d changes", response, err, changes)
 				}
 			})
--- a/internal/handover/listen_test.go
+++ b/internal/handover/listen_test.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// New connections come to the younger of two listeners once they are led there, none
-// that came before is lost, and to the one that is left when the other has closed.
-func TestLeadAway(t *testing.T) {
-	old, err := Listen("127.0.0.1:0")
+// After DirectToSuccessor, all new connections must reach the younger of two listeners, and after
+// the older has closed they must still reach the one that is left. The same must hold for the
+// next upgrade.
+func TestDirectToSuccessor(t *testing.T) {
+	first, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	young, err := Listen(old.Addr().String())
+	second, err := Listen(first.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeadAway(old); err != nil {
+	if err := DirectToSuccessor(first); err != nil {
 		t.Fatal(err)
 	}
-	take := func(l net.Listener, n int) {
+	expectAccepted := func(listener net.Listener, n int) {
 		t.Helper()
 		for range n {
-			c, err := net.Dial("tcp", l.Addr().String())
+			client, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
-			a, err := l.Accept()
+			defer client.Close()
+			listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
+			accepted, err := listener.Accept()
 			if err != nil {
-				t.Fatalf("it came to the other one: %v", err)
+				t.Fatalf("the connection did not reach the expected listener: %v", err)
 			}
-			a.Close()
+			accepted.Close()
 		}
 	}
-	take(young, 64) // by hash half of them would come to the old one
-	old.Close()
-	take(young, 64)
-	next, err := Listen(young.Addr().String()) // it lets all come to both again
+	expectAccepted(second, 64) // by hash, half of them would reach the first
+	first.Close()
+	expectAccepted(second, 64)
+	third, err := Listen(second.Addr().String()) // this spreads connections over both again
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := LeadAway(young); err != nil {
+	if err := DirectToSuccessor(second); err != nil {
 		t.Fatal(err)
 	}
-	take(next, 64)
-	young.Close()
-	next.Close()
+	expectAccepted(third, 64)
+	second.Close()
+	third.Close()
 }
