--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -189,7 +189,7 @@
 func TestPeaks(t *testing.T) {
 	on := deployment
 	on.Room, on.Planned = 100, []peaks.Class{
-		{Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.5, 1, 2}, Floor: 1, Top: 2}, {Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.2, 0.5, 1}, Top: 2}}
+		{SlotsByRung: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.5, 1, 2}, Floor: 1, Top: 2}, {SlotsByRung: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.2, 0.5, 1}, Top: 2}}
 	good := "ordinary {\n clip 0.5 40s\n feed 1 40s\n}\npeak q {\n days 15 last\n at 18:00\n zone America/Mexico_City\n length 3h\n factor 2\n}\n"
 	o, err := ParseOperator("op", []byte(good), nil, on)
 	if err != nil || len(o.Peaks) != 1 || o.Peaks[0].At != 18*time.Hour || o.Peaks[0].Days.OfMonth[1] != 0 || o.Peaks[0].Lead != defaultLead || !o.Peaks[0].Classes[1] || o.Ordinary[1].Lasts != 40*time.Second {
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -33,7 +33,7 @@
 	for _, k := range s.Classes {
 		c := peaks.Class{Floor: k.FloorRung, Top: min(k.TopRung, len(s.RatesKB)-1)}
 		for r, rate := range s.RatesKB {
-			c.Sizes = append(c.Sizes, rate*k.RateScale/middle)
+			c.SlotsByRung = append(c.SlotsByRung, rate*k.RateScale/middle)
 			c.Worth = append(c.Worth, k.Worth*s.LadderWorth[r])
 		}
 		classes = append(classes, c)
@@ -77,7 +77,7 @@
 
 func peakBlock(l *loader) conf.Key {
 	return conf.Key{Name: "peak", Usage: "NAME { … }", Doc: "an announced peak, for which room is held", Many: true, Read: func(d *conf.Directive) {
-		p := peaks.Peak{Name: d.Word("a name"), Zone: time.UTC, Lead: defaultLead, Early: defaultEarly, Sure: defaultSure, Harm: defaultHarm}
+		p := peaks.Peak{Name: d.Word("a name"), Zone: time.UTC, Lead: defaultLead, Early: defaultEarly, Probability: defaultSure, MaxHarm: defaultHarm}
 		names := make([]string, len(l.Peaks))
 		for i := range l.Peaks {
 			names[i] = l.Peaks[i].Name
@@ -161,10 +161,10 @@
 				p.Factor, much = d.Float("a factor over 1", 1, mostFactor), much+1
 			}},
 			conf.Key{Name: "more", Usage: "N", Doc: "sessions a second, in place of a factor", Read: func(d *conf.Directive) {
-				p.Rate, much = d.Float("sessions a second", 0, mostRate), much+1
+				p.ExtraRate, much = d.Float("sessions a second", 0, mostRate), much+1
 			}},
-			part("sure", "how likely it is to come; 0.9 if absent", &p.Sure),
-			part("harm", "of the ordinary worth that a hold may cost; 0.05 if absent", &p.Harm),
+			part("sure", "how likely it is to come; 0.9 if absent", &p.Probability),
+			part("harm", "of the ordinary worth that a hold may cost; 0.05 if absent", &p.MaxHarm),
 		)
 		switch {
 		case d.Bad():
@@ -185,10 +185,10 @@
 	if d.Bad() || classes == nil || l.on.Room <= 0 {
 		return
 	}
-	plan, err := peaks.Make(peaks.Occurrence{Peak: &p}, l.on.Room, classes)
-	if err == nil && plan.Short > 0 {
+	plan, err := peaks.MakePlan(peaks.Occurrence{Peak: &p}, l.on.Room, classes)
+	if err == nil && plan.ShortSlots > 0 {
 		d.Fault(0, "can't be met: on the lowest rungs it needs %.0f slots, and the fleet has %.0f: %.0f too few",
-			plan.Short+plan.Room, plan.Room, plan.Short)
+			plan.ShortSlots+plan.CapacitySlots, plan.CapacitySlots, plan.ShortSlots)
 	}
 }
 
@@ -201,7 +201,7 @@
 	for i, c := range on.Planned {
 		if i < len(o.Ordinary) {
 			c.Rate = o.Ordinary[i].Rate
-			c.Survival = peaks.NewLengths(max(o.Ordinary[i].Lasts, time.Second).Seconds()).Survival(nil)
+			c.Survival = peaks.NewLengthEstimator(max(o.Ordinary[i].Lasts, time.Second).Seconds()).Survival(nil)
 		}
 		classes[i] = c
 	}
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -89,7 +89,7 @@
 	Names   []string // of the sites
 	Lasts   []time.Duration
 	Rates   []float64 // by class, sessions a second over all managers
-	Returns []site.Return
+	Returns []site.Recovery
 	Nodes   []int
 }
 
@@ -99,13 +99,13 @@
 	if c.Operator.Ordinary == nil {
 		return nil, fmt.Errorf("an ordinary block is wanted: it says how many sessions of each class come, and how long they last")
 	}
-	p := &SitePlan{Fleet: site.Fleet{Cross: set.CrossZoneCost}}
+	p := &SitePlan{Fleet: site.Fleet{CrossSiteCost: set.CrossZoneCost}}
 	rules, of := c.sites()
 	p.Nodes = make([]int, len(rules))
 	for _, r := range rules {
 		p.Names = append(p.Names, r.Name)
 		warm := r.warm(set)
-		p.Returns = append(p.Returns, site.Return{Warm: warm, Share: set.StartCapacityShare, Returns: 1})
+		p.Returns = append(p.Returns, site.Recovery{WarmUp: warm, InitialShare: set.StartCapacityShare, ReturnCount: 1})
 	}
 	var listed []control.Entry
 	c.eachNode(func(e control.Entry) { listed = append(listed, e) })
@@ -117,12 +117,12 @@
 		n := broker.SiteNode(set, e, of[e.Zone], len(listed))
 		nodes = append(nodes, n)
 		p.Nodes[n.Site]++
-		p.Returns[n.Site].Places += n.Places
+		p.Returns[n.Site].MaxStreams += n.MaxStreams
 	}
 	if len(nodes) == 0 {
 		return nil, fmt.Errorf("known: the list names no media node")
 	}
-	p.Fleet.Sites = site.Build(p.Names, nodes, set.RackUplinkKB*control.TargetUtilization)
+	p.Fleet.Sites = site.BuildSites(p.Names, nodes, set.RackUplinkKB*control.TargetUtilization)
 	p.Fleet.Classes = c.siteClasses()
 	sessions := make([]float64, len(set.Classes))
 	for k := range set.Classes {
@@ -133,8 +133,8 @@
 		p.Lasts, p.Rates = append(p.Lasts, o.Lasts), append(p.Rates, o.Rate)
 		sessions[k] = o.Rate * o.Lasts.Seconds()
 	}
-	p.Fleet.Demands = p.Fleet.Spread(sessions, func(i, class int) int { return rules[i].tier(class) })
-	return p, p.Fleet.Check()
+	p.Fleet.Demands = p.Fleet.SpreadDemand(sessions, func(i, class int) int { return rules[i].tier(class) })
+	return p, p.Fleet.Validate()
 }
 
 // siteClasses are the classes as plans for sites know them.
@@ -175,17 +175,17 @@
 	set := &c.Settings
 	for _, r := range rules {
 		s.Names = append(s.Names, r.Name)
-		rule := site.Rule{Warm: r.warm(set), Share: set.StartCapacityShare}
+		rule := site.Rule{WarmUp: r.warm(set), InitialShare: set.StartCapacityShare}
 		for k := range set.Classes {
-			rule.Tier = append(rule.Tier, r.tier(k))
+			rule.Tiers = append(rule.Tiers, r.tier(k))
 		}
 		s.Rules = append(s.Rules, rule)
 	}
 	for k := range set.Classes {
-		e := site.Expect{Lasts: defaultLast}
+		e := site.ExpectedLoad{MeanLength: defaultLast}
 		if k < len(c.Operator.Ordinary) {
 			e.Rate = c.Operator.Ordinary[k].Rate
-			e.Lasts = cmp.Or(c.Operator.Ordinary[k].Lasts, defaultLast)
+			e.MeanLength = cmp.Or(c.Operator.Ordinary[k].Lasts, defaultLast)
 		}
 		s.Expected = append(s.Expected, e)
 	}
@@ -235,7 +235,7 @@
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
-	plans, err := site.Losses(&p.Fleet)
+	plans, err := site.PlanLosses(&p.Fleet)
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
@@ -243,13 +243,13 @@
 		kept, refused := 0.0, 0.0
 		for i, d := range p.Fleet.Demands {
 			home := c.Operator.Sites
-			if d.Home < len(home) && d.Class < len(home[d.Home].Keep) && home[d.Home].Keep[d.Class] {
-				kept, refused = kept+d.Sessions, refused+l.Takes[i].Refused
+			if d.HomeSite < len(home) && d.Class < len(home[d.HomeSite].Keep) && home[d.HomeSite].Keep[d.Class] {
+				kept, refused = kept+d.Sessions, refused+l.Allocations[i].Refused
 			}
 		}
-		if len(l.Lost) == 1 && refused > 1e-6*kept {
+		if len(l.LostSites) == 1 && refused > 1e-6*kept {
 			warnings = append(warnings, fmt.Sprintf("site %s: if it is lost, the rest can't carry %.1f of %.1f sessions that are to be kept (%.1f%%)",
-				p.Names[l.Lost[0]], refused, kept, 100*refused/kept))
+				p.Names[l.LostSites[0]], refused, kept, 100*refused/kept))
 		}
 	}
 	return warnings
--- a/internal/peaks/calendar.go
+++ b/internal/peaks/calendar.go
@@ -35,17 +35,17 @@
 	Lead   time.Duration // before it, for which room is held at most
 	Early  time.Duration // by how much it may come too early
 
-	Classes []bool  // by class: which ones more viewers come for
-	Factor  float64 // of the ordinary rate; 0: Rate is given
-	Rate    float64 // more sessions a second over all managers and classes
-	Sure    float64 // how likely it is to come, from 0 to 1
-	Harm    float64 // the most part of the ordinary sessions' room that a hold may take
+	Classes     []bool  // by class: which ones more viewers come for
+	Factor      float64 // of the ordinary rate; 0: Rate is given
+	ExtraRate   float64 // more sessions a second over all managers and classes
+	Probability float64 // how likely it is to come, from 0 to 1
+	MaxHarm     float64 // the most part of the ordinary sessions' room that a hold may take
 }
 
 // Occurrence is one time that a peak is announced for.
 type Occurrence struct {
 	Peak       *Peak
-	Index      int // of the peak in its calendar
+	PeakIndex  int // of the peak in its calendar
 	Begin, End time.Time
 }
 
@@ -70,17 +70,17 @@
 	}
 }
 
-// More is how many more sessions a second there are of a class at a full peak, of
+// ClassExtraRate is how many more sessions a second there are of a class at a full peak, of
 // which rate come ordinarily; share is the class's part of all the peak's classes'
 // ordinary sessions.
-func (p *Peak) More(class int, rate, share float64) float64 {
+func (p *Peak) ClassExtraRate(class int, rate, share float64) float64 {
 	switch {
 	case class >= len(p.Classes) || !p.Classes[class]:
 		return 0
 	case p.Factor > 0:
 		return max(p.Factor-1, 0) * rate
 	}
-	return p.Rate * share
+	return p.ExtraRate * share
 }
 
 // Calendar is all announcements. Where peaks overlap, what each brings beyond the
@@ -103,14 +103,14 @@
 				continue
 			}
 			begin := local(day, p.At, p.Zone)
-			o := Occurrence{Peak: p, Index: i, Begin: begin, End: begin.Add(p.Length)}
+			o := Occurrence{Peak: p, PeakIndex: i, Begin: begin, End: begin.Add(p.Length)}
 			if a, b := o.Window(); a.Before(until) && b.After(from) {
 				list = append(list, o)
 			}
 		}
 	}
 	slices.SortStableFunc(list, func(a, b Occurrence) int {
-		return cmp.Or(a.Begin.Compare(b.Begin), a.Index-b.Index)
+		return cmp.Or(a.Begin.Compare(b.Begin), a.PeakIndex-b.PeakIndex)
 	})
 	return list
 }
--- a/internal/peaks/calendar_test.go
+++ b/internal/peaks/calendar_test.go
@@ -21,7 +21,7 @@
 	return Peak{
 		Name: "quincena", Days: Days{OfMonth: []int{15, 0}}, At: 18 * time.Hour, Zone: zone(t, "America/Mexico_City"),
 		Length: 3 * time.Hour, Ramp: 5 * time.Minute, Lead: 2 * time.Minute, Early: 10 * time.Minute,
-		Classes: []bool{true, true}, Factor: 2, Sure: 0.9, Harm: 0.1,
+		Classes: []bool{true, true}, Factor: 2, Probability: 0.9, MaxHarm: 0.1,
 	}
 }
 
@@ -104,10 +104,10 @@
 	}{
 		{Peak{Classes: []bool{true, false}, Factor: 3}, "4.0 0.0"},
 		{Peak{Classes: []bool{true, true}, Factor: 0.5}, "0.0 0.0"},
-		{Peak{Classes: []bool{true, true}, Rate: 9}, "3.0 6.0"},
-		{Peak{Classes: []bool{true}, Rate: 9}, "3.0 0.0"},
+		{Peak{Classes: []bool{true, true}, ExtraRate: 9}, "3.0 6.0"},
+		{Peak{Classes: []bool{true}, ExtraRate: 9}, "3.0 0.0"},
 	} {
-		if got := fmt.Sprintf("%.1f %.1f", e.peak.More(0, 2, 1./3), e.peak.More(1, 4, 2./3)); got != e.want {
+		if got := fmt.Sprintf("%.1f %.1f", e.peak.ClassExtraRate(0, 2, 1./3), e.peak.ClassExtraRate(1, 4, 2./3)); got != e.want {
 			t.Errorf("%d: %s, want %s", i, got, e.want)
 		}
 	}
--- a/internal/peaks/keeper.go
+++ b/internal/peaks/keeper.go
@@ -19,19 +19,19 @@
 
 // Input is what a Keeper is told, each second or so.
 type Input struct {
-	Now  time.Time
-	Room float64 // slots, by Room
+	Now           time.Time
+	CapacitySlots float64 // slots, by Room
 	// Share is the part of all managers' arrivals that this one sees; 0 means all.
-	Share   float64
-	Classes []Class // Rate is what comes at this manager, as far as it is known at the start
-	Counts  []int   // arrivals by class since the last Tick
+	ManagerShare float64
+	Classes      []Class // Rate is what comes at this manager, as far as it is known at the start
+	Arrivals     []int   // arrivals by class since the last Tick
 	// Own are those of them that are a peak's own by its rule; a peak that has none is
 	// told by its classes alone.
-	Own []Own
+	PeakArrivals []PeakArrivals
 }
 
-// Own is the arrivals of a peak that its rule tells from others.
-type Own struct {
+// PeakArrivals is the arrivals of a peak that its rule tells from others.
+type PeakArrivals struct {
 	Peak  int
 	Count int
 }
@@ -45,7 +45,7 @@
 // Keeper holds room for the peaks of a calendar: it plans, watches whether they
 // come, and gives back what is not needed.
 type Keeper struct {
-	Errors
+	ErrorRates
 	cal     Calendar
 	entries map[key]*entry
 	base    []float64 // ordinary arrivals a second at this manager, by class
@@ -60,7 +60,7 @@
 
 // entry is one occurrence that is near.
 type entry struct {
-	show    *Show
+	show    *Detector
 	plan    Plan
 	good    bool // there is a plan
 	planned time.Time
@@ -71,8 +71,8 @@
 }
 
 // NewKeeper returns a Keeper for a calendar.
-func NewKeeper(c Calendar, e Errors) *Keeper {
-	return &Keeper{Errors: e, cal: c, entries: make(map[key]*entry)}
+func NewKeeper(c Calendar, e ErrorRates) *Keeper {
+	return &Keeper{ErrorRates: e, cal: c, entries: make(map[key]*entry)}
 }
 
 // Tick returns the part of the room to hold for each class from now on, and what
@@ -88,17 +88,17 @@
 	k.learn(in, dt, near)
 	live := make(map[key]bool, len(near))
 	for _, o := range near {
-		id := key{o.Index, o.Begin.Unix()}
+		id := key{o.PeakIndex, o.Begin.Unix()}
 		live[id] = true
 		e := k.entries[id]
 		if e == nil {
-			e = &entry{show: NewShow(o, k.Errors)}
+			e = &entry{show: NewDetector(o, k.ErrorRates)}
 			k.entries[id] = e
 		}
 		notices = append(notices, k.watch(e, in, dt)...)
-		for i, h := range e.held(in.Now, k.own(o.Index, in)) {
-			if i < len(held) && in.Room > 0 {
-				held[i] += h * e.plan.Room / in.Room // the same slots, on the nodes that are left
+		for i, h := range e.held(in.Now, k.own(o.PeakIndex, in)) {
+			if i < len(held) && in.CapacitySlots > 0 {
+				held[i] += h * e.plan.CapacitySlots / in.CapacitySlots // the same slots, on the nodes that are left
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 			continue
 		}
 		delete(k.entries, id)
-		if e.state == Came {
+		if e.state == StateArrived {
 			notices = append(notices, Notice{e.show.Occurrence, fmt.Sprintf("the peak's time is over; it was %.1f times what was announced", e.size)})
 		}
 	}
@@ -126,7 +126,7 @@
 
 // own tells whether a peak's requests are told from others by a rule.
 func (k *Keeper) own(peak int, in Input) bool {
-	for _, o := range in.Own {
+	for _, o := range in.PeakArrivals {
 		if o.Peak == peak {
 			return true
 		}
@@ -144,16 +144,16 @@
 		}
 	}
 	for _, o := range near {
-		e := k.entries[key{o.Index, o.Begin.Unix()}]
-		if !in.Now.Before(o.Begin) || e != nil && e.state == Came {
+		e := k.entries[key{o.PeakIndex, o.Begin.Unix()}]
+		if !in.Now.Before(o.Begin) || e != nil && e.state == StateArrived {
 			return
 		}
 	}
 	// The first minutes count alike, and then the last ones more.
 	span := min(max(in.Now.Sub(k.since).Seconds(), baseLeast.Seconds()), baseTime)
 	for i := range k.base {
-		if i < len(in.Counts) && dt > 0 {
-			k.base[i] += (float64(in.Counts[i])/dt - k.base[i]) * (1 - math.Exp(-dt/span))
+		if i < len(in.Arrivals) && dt > 0 {
+			k.base[i] += (float64(in.Arrivals[i])/dt - k.base[i]) * (1 - math.Exp(-dt/span))
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	tell := func(format string, args ...any) {
 		notices = append(notices, Notice{o, fmt.Sprintf(format, args...)})
 	}
-	share := in.Share
+	share := in.ManagerShare
 	if !(share > 0) {
 		share = 1
 	}
@@ -174,14 +174,14 @@
 		classes[i] = c
 	}
 	lead := o.Begin.Add(-o.Peak.Lead - planAhead)
-	if e.state == Awaited && in.Now.Before(o.Begin) && !in.Now.Before(lead) && (e.planned.IsZero() || in.Now.Sub(e.planned) >= planEvery || in.Now.Before(e.planned)) {
+	if e.state == StateAwaited && in.Now.Before(o.Begin) && !in.Now.Before(lead) && (e.planned.IsZero() || in.Now.Sub(e.planned) >= planEvery || in.Now.Before(e.planned)) {
 		e.planned = in.Now
 		// Guard: the last good plan stays if one can't be had.
-		if p, err := Make(o, in.Room, classes); err == nil {
+		if p, err := MakePlan(o, in.CapacitySlots, classes); err == nil {
 			e.plan, e.good = p, true
-			if short := p.Short > 0; short != e.short {
+			if short := p.ShortSlots > 0; short != e.short {
 				if e.short = short; short {
-					tell("the full peak lacks %.0f of %.0f slots, even on the lowest rungs", p.Short, p.Room)
+					tell("the full peak lacks %.0f of %.0f slots, even on the lowest rungs", p.ShortSlots, p.CapacitySlots)
 				}
 			}
 		} else if !e.good {
@@ -189,25 +189,25 @@
 		}
 	}
 	count, base, more := 0, 0.0, 0.0
-	m := newModel(o, max(in.Room, 1), classes)
+	m := newModel(o, max(in.CapacitySlots, 1), classes)
 	for i := range classes {
 		if m.more[i] > 0 {
 			base, more = base+k.base[i], more+m.more[i]*share
-			if i < len(in.Counts) {
-				count += in.Counts[i]
+			if i < len(in.Arrivals) {
+				count += in.Arrivals[i]
 			}
 		}
 	}
-	for _, own := range in.Own {
-		if own.Peak == o.Index { // its own requests are told from others: none come ordinarily
+	for _, own := range in.PeakArrivals {
+		if own.Peak == o.PeakIndex { // its own requests are told from others: none come ordinarily
 			count, base = own.Count, 0
 		}
 	}
-	before := e.held(in.Now, k.own(o.Index, in))
+	before := e.held(in.Now, k.own(o.PeakIndex, in))
 	if st := e.show.Tick(in.Now, count, base, more); st != e.state {
 		e.at = before
 		switch e.state = st; st {
-		case Came:
+		case StateArrived:
 			when := "as announced"
 			if d := in.Now.Sub(o.Begin); d < 0 {
 				when = fmt.Sprintf("%v early", -d.Round(time.Second))
@@ -215,7 +215,7 @@
 				when = fmt.Sprintf("%v late", d.Round(time.Second))
 			}
 			tell("the peak has come, %s; what was held is open to it", when)
-		case NoShow:
+		case StateNoShow:
 			tell("the peak does not come; what was held is given back")
 		}
 	}
@@ -233,15 +233,15 @@
 	_, told := e.show.State()
 	left := 0.0
 	switch e.state {
-	case Awaited:
-		return e.plan.At(now)
-	case Came:
+	case StateAwaited:
+		return e.plan.HeldSharesAt(now)
+	case StateArrived:
 		// Whose requests are told from others find it open, and fill it; for others
 		// nothing can be kept any longer without keeping it from them.
 		if own {
 			left = 1 - float64(now.Sub(told))/float64(fadeTime)
 		}
-	case NoShow:
+	case StateNoShow:
 		left = 1 - float64(now.Sub(told)/releaseStep+1)/releaseIn
 	}
 	part := make([]float64, len(e.at))
--- a/internal/peaks/keeper_test.go
+++ b/internal/peaks/keeper_test.go
@@ -42,7 +42,7 @@
 	_, classes := site(0.45)
 	src := rand.NewPCG(seed, 3)
 	for now := from; now.Before(until); now = now.Add(time.Second) {
-		in := Input{Now: now, Room: room(now), Classes: classes}
+		in := Input{Now: now, CapacitySlots: room(now), Classes: classes}
 		mine := 0
 		for _, c := range classes {
 			n := int(distuv.Poisson{Lambda: c.Rate, Src: src}.Rand())
@@ -50,10 +50,10 @@
 			if l := level(now); l > 0 {
 				extra = int(distuv.Poisson{Lambda: 9 * c.Rate * l, Src: src}.Rand())
 			}
-			in.Counts, mine = append(in.Counts, n+extra), mine+extra
+			in.Arrivals, mine = append(in.Arrivals, n+extra), mine+extra
 		}
 		if own {
-			in.Own = []Own{{0, mine}}
+			in.PeakArrivals = []PeakArrivals{{0, mine}}
 		}
 		held, notices := k.Tick(in)
 		each(now, held, notices)
@@ -96,7 +96,7 @@
 		}, "lacks|as announced", true},
 	} {
 		p := tenfold()
-		k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrors)
+		k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrorRates)
 		var all []string
 		atBegin, release, rises, last := 0.0, time.Time{}, 0, 0.0
 		day(k, 1, evening.Add(-25*time.Minute), evening.Add(25*time.Minute), e.level, e.own, e.room, func(now time.Time, held []float64, notices []Notice) {
@@ -164,10 +164,10 @@
 			p.Lead = time.Duration(rapid.IntRange(0, 180).Draw(t, "lead")) * time.Second
 			p.Early = time.Duration(rapid.IntRange(0, 10).Draw(t, "early")) * time.Minute
 			p.Length = time.Duration(rapid.IntRange(1, 10).Draw(t, "length")) * time.Minute
-			p.Sure, p.Harm = rapid.Float64Range(0, 1).Draw(t, "sure"), rapid.Float64Range(0, 1).Draw(t, "harm")
+			p.Probability, p.MaxHarm = rapid.Float64Range(0, 1).Draw(t, "sure"), rapid.Float64Range(0, 1).Draw(t, "harm")
 			c.Peaks = append(c.Peaks, p)
 		}
-		k := NewKeeper(c, DefaultErrors)
+		k := NewKeeper(c, DefaultErrorRates)
 		shift := time.Duration(rapid.IntRange(-12, 12).Draw(t, "late")) * time.Minute
 		size := rapid.SampledFrom([]float64{0, 0.5, 1, 3}).Draw(t, "size")
 		jump := rapid.IntRange(-1, 40).Draw(t, "jump")
@@ -177,9 +177,9 @@
 		src := rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)
 		now := evening.Add(-20 * time.Minute)
 		for now.Before(evening.Add(25 * time.Minute)) {
-			in := Input{Now: now, Room: 160, Classes: classes}
+			in := Input{Now: now, CapacitySlots: 160, Classes: classes}
 			for _, cl := range classes {
-				in.Counts = append(in.Counts, int(distuv.Poisson{Lambda: cl.Rate * (1 + 9*size*level(now, shift)), Src: src}.Rand()))
+				in.Arrivals = append(in.Arrivals, int(distuv.Poisson{Lambda: cl.Rate * (1 + 9*size*level(now, shift)), Src: src}.Rand()))
 			}
 			held, _ := k.Tick(in)
 			h := sum(held)
@@ -192,7 +192,7 @@
 				t.Fatalf("%v held at %v, inside %v", h, now, inside)
 			}
 			for id, e := range k.entries {
-				if e.state == NoShow {
+				if e.state == StateNoShow {
 					one := sum(e.held(now, false))
 					if before, ok := gone[id]; ok && one > before+1e-12 {
 						t.Fatalf("%v held again after a no-show", one)
@@ -212,7 +212,7 @@
 // that are left, from the next tick on.
 func TestHoldMoves(t *testing.T) {
 	p := tenfold()
-	k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrors)
+	k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrorRates)
 	at := evening.Add(-4 * time.Second)
 	before, moved := 0.0, false
 	day(k, 2, evening.Add(-5*time.Minute), evening, always(0), false, func(now time.Time) float64 {
@@ -241,7 +241,7 @@
 	a, b := tenfold(), tenfold()
 	b.Name, b.At = "second", a.At+30*time.Second
 	held := func(c Calendar) (most float64) {
-		day(NewKeeper(c, DefaultErrors), 4, evening.Add(-4*time.Minute), evening, always(0), false, always(160), func(now time.Time, h []float64, _ []Notice) { most = sum(h) })
+		day(NewKeeper(c, DefaultErrorRates), 4, evening.Add(-4*time.Minute), evening, always(0), false, always(160), func(now time.Time, h []float64, _ []Notice) { most = sum(h) })
 		return most
 	}
 	// At a's begin, half a minute before b's.
@@ -254,7 +254,7 @@
 // A peak that is announced while it runs is taken for the ordinary, and nothing is
 // held for it any more.
 func TestAnnouncedWhileItRuns(t *testing.T) {
-	k := NewKeeper(Calendar{Peaks: []Peak{tenfold()}}, DefaultErrors)
+	k := NewKeeper(Calendar{Peaks: []Peak{tenfold()}}, DefaultErrorRates)
 	day(k, 5, evening.Add(5*time.Minute), evening.Add(7*time.Minute), func(t time.Time) float64 { return level(t, 0) }, false, always(160), func(now time.Time, held []float64, _ []Notice) {
 		if sum(held) > 0 {
 			t.Fatalf("%v held at %v", held, now)
@@ -268,10 +268,10 @@
 	room, classes := site(0.45)
 	for _, harm := range []float64{0.01, 0.03, 0.1} {
 		o := doubling()
-		o.Peak.Factor, o.Peak.Harm, o.Peak.Sure = 20, harm, 1
-		p, err := Make(o, room, classes)
-		if err != nil || p.Lost > harm+1e-3 || sum(p.Part) == 0 {
-			t.Errorf("harm %v: %v, loses %.4f, holds %.3f", harm, err, p.Lost, sum(p.Part))
+		o.Peak.Factor, o.Peak.MaxHarm, o.Peak.Probability = 20, harm, 1
+		p, err := MakePlan(o, room, classes)
+		if err != nil || p.OrdinaryLoss > harm+1e-3 || sum(p.HeldShares) == 0 {
+			t.Errorf("harm %v: %v, loses %.4f, holds %.3f", harm, err, p.OrdinaryLoss, sum(p.HeldShares))
 		}
 	}
 }
--- a/internal/peaks/lengths.go
+++ b/internal/peaks/lengths.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Lengths estimates how long sessions last from those that have ended and from
+// LengthEstimator estimates how long sessions last from those that have ended and from
 // those that were cut short or still play, whose lengths are known to be longer
 // only. It is the product-limit estimate over seconds, and forgets slowly.
-type Lengths struct {
+type LengthEstimator struct {
 	ended [lengthSteps]float64
 	cut   [lengthSteps]float64
 	seen  float64
@@ -18,11 +18,13 @@
 	keepCount   = 2000 // sessions after which what was seen counts half as much
 )
 
-// NewLengths begins with a guess of the mean.
-func NewLengths(mean float64) *Lengths { return &Lengths{mean: min(max(mean, 1), lengthSteps-1)} }
+// NewLengthEstimator begins with a guess of the mean.
+func NewLengthEstimator(mean float64) *LengthEstimator {
+	return &LengthEstimator{mean: min(max(mean, 1), lengthSteps-1)}
+}
 
 // Add takes a session's length in seconds. Cut: it did not end by itself.
-func (l *Lengths) Add(s float64, cut bool) {
+func (l *LengthEstimator) Add(s float64, cut bool) {
 	if !(s >= 0) { // guard: a clock that jumped gives no length
 		return
 	}
@@ -42,7 +44,7 @@
 
 // Survival is the share of sessions that last for at least so many whole seconds,
 // by second. playing are the ages of those that play now, which last longer.
-func (l *Lengths) Survival(playing []float64) []float64 {
+func (l *LengthEstimator) Survival(playing []float64) []float64 {
 	var risk [lengthSteps + 1]float64 // sessions that reached a second
 	cut := l.cut
 	for _, age := range playing {
@@ -68,8 +70,8 @@
 	return s
 }
 
-// Mean is the mean of a survival, in seconds.
-func Mean(survival []float64) float64 {
+// MeanLength is the mean of a survival, in seconds.
+func MeanLength(survival []float64) float64 {
 	sum := 0.0
 	for i := 1; i < len(survival); i++ {
 		sum += (survival[i-1] + survival[i]) / 2
--- a/internal/peaks/plan.go
+++ b/internal/peaks/plan.go
@@ -11,28 +11,28 @@
 // Class is what a plan has to know of a class. Sizes are in slots: streams at the
 // middle rung's rate.
 type Class struct {
-	Rate     float64   // ordinary sessions a second over all managers
-	Survival []float64 // share that lasts so many seconds
-	Sizes    []float64 // by rung
-	Worth    []float64 // of a session, by rung
-	Floor    int       // lowest rung
-	Top      int       // highest rung that most viewers can use
+	Rate        float64   // ordinary sessions a second over all managers
+	Survival    []float64 // share that lasts so many seconds
+	SlotsByRung []float64 // by rung
+	Worth       []float64 // of a session, by rung
+	Floor       int       // lowest rung
+	Top         int       // highest rung that most viewers can use
 }
 
 // Node is a media node as far as it gives room.
 type Node struct {
-	Slots float64
-	Ready bool    // listed, not draining, in a zone that can be reached
-	Warm  float64 // share that it has warmed, from 0 to 1
+	Slots     float64
+	Ready     bool    // listed, not draining, in a zone that can be reached
+	WarmShare float64 // share that it has warmed, from 0 to 1
 }
 
-// Room is what nodes give together: nothing counts on one that drains, is gone or
+// UsableSlots is what nodes give together: nothing counts on one that drains, is gone or
 // is cut off, and of a cold one only what has warmed.
-func Room(nodes []Node) float64 {
+func UsableSlots(nodes []Node) float64 {
 	room := 0.0
 	for _, n := range nodes {
 		if n.Ready {
-			room += n.Slots * min(max(n.Warm, 0), 1)
+			room += n.Slots * min(max(n.WarmShare, 0), 1)
 		}
 	}
 	return room
@@ -43,16 +43,16 @@
 // since the room that it takes has still to be left by those who play.
 type Plan struct {
 	Occurrence
-	From  time.Time
-	Part  []float64 // of the room at the begin, by class
-	Room  float64   // slots that it was made for
-	Short float64   // slots that the full peak lacks even on the lowest rungs; 0: none
+	From          time.Time
+	HeldShares    []float64 // of the room at the begin, by class
+	CapacitySlots float64   // slots that it was made for
+	ShortSlots    float64   // slots that the full peak lacks even on the lowest rungs; 0: none
 	// What is expected to be earned from the earliest hold to settleTime after the
 	// begin, in worth: by the plan, and without any hold.
-	Earned, Without float64
+	ExpectedWorth, WorthWithoutHold float64
 	// Lost is the share of the ordinary sessions' worth before the begin that the
 	// hold costs.
-	Lost float64
+	OrdinaryLoss float64
 }
 
 const (
@@ -64,10 +64,10 @@
 	mostSearch  = 250 * time.Millisecond
 )
 
-// ErrNoRoom tells that no node gives room to plan with.
-var ErrNoRoom = errors.New("peaks: no node gives room")
+// ErrNoCapacity tells that no node gives room to plan with.
+var ErrNoCapacity = errors.New("peaks: no node gives room")
 
-// Make finds the hold with which most is expected to be earned before and in a
+// MakePlan finds the hold with which most is expected to be earned before and in a
 // peak together, the no-show included by how sure the announcement is. It costs
 // the ordinary sessions before the peak at most the part Harm of their worth.
 //
@@ -76,17 +76,17 @@
 // Newcomers are given an equal part of what may be filled, as the decision module
 // levels them, and what finds no room on its lowest rung is lost, as is the share
 // that chance takes on links this full.
-func Make(o Occurrence, room float64, classes []Class) (Plan, error) {
-	p := Plan{Occurrence: o, From: o.Begin, Part: make([]float64, len(classes)), Room: room}
+func MakePlan(o Occurrence, room float64, classes []Class) (Plan, error) {
+	p := Plan{Occurrence: o, From: o.Begin, HeldShares: make([]float64, len(classes)), CapacitySlots: room}
 	if !(room > 0) {
-		return p, ErrNoRoom
+		return p, ErrNoCapacity
 	}
 	m := newModel(o, room, classes)
-	p.Short = max(m.least()-room, 0)
+	p.ShortSlots = max(m.least()-room, 0)
 	none := m.run(0, 0)
-	p.Without = none.total(o.Peak.Sure)
-	p.Earned = p.Without
-	if m.extra == 0 || o.Peak.Lead <= 0 || o.Peak.Harm <= 0 || o.Peak.Sure <= 0 {
+	p.WorthWithoutHold = none.total(o.Peak.Probability)
+	p.ExpectedWorth = p.WorthWithoutHold
+	if m.extra == 0 || o.Peak.Lead <= 0 || o.Peak.MaxHarm <= 0 || o.Peak.Probability <= 0 {
 		return p, nil
 	}
 	lead := o.Peak.Lead.Seconds()
@@ -96,13 +96,13 @@
 	}
 	value := func(part, tau float64) float64 {
 		out := m.run(part, tau)
-		v := out.total(o.Peak.Sure)
-		if lost := 1 - out.before/max(none.before, 1e-9); lost > o.Peak.Harm {
-			v -= (lost - o.Peak.Harm) * 1e3 * (p.Without + 1) // over what the operator allows
+		v := out.total(o.Peak.Probability)
+		if lost := 1 - out.before/max(none.before, 1e-9); lost > o.Peak.MaxHarm {
+			v -= (lost - o.Peak.MaxHarm) * 1e3 * (p.WorthWithoutHold + 1) // over what the operator allows
 		}
 		return v
 	}
-	best, part, tau := p.Without, 0.0, 0.0
+	best, part, tau := p.WorthWithoutHold, 0.0, 0.0
 	try := func(h, t float64) {
 		if v := value(h, t); v > best*(1+1e-9) {
 			best, part, tau = v, h, t
@@ -129,26 +129,26 @@
 		return p, nil // nothing pays
 	}
 	if out := m.run(part, tau); part > 0 {
-		p.Earned, p.Lost = out.total(o.Peak.Sure), max(1-out.before/max(none.before, 1e-9), 0)
+		p.ExpectedWorth, p.OrdinaryLoss = out.total(o.Peak.Probability), max(1-out.before/max(none.before, 1e-9), 0)
 		p.From = o.Begin.Add(-time.Duration(tau * float64(time.Second)))
 		for k := range classes {
-			p.Part[k] = part * m.share[k]
+			p.HeldShares[k] = part * m.share[k]
 		}
 	}
 	return p, nil
 }
 
-// At is the part of the room held at a time for each class, if the peak is awaited.
-func (p *Plan) At(t time.Time) []float64 {
+// HeldSharesAt is the part of the room held at a time for each class, if the peak is awaited.
+func (p *Plan) HeldSharesAt(t time.Time) []float64 {
 	if from, until := p.Window(); t.Before(p.From) || t.Before(from) || !t.Before(until) {
-		return make([]float64, len(p.Part))
+		return make([]float64, len(p.HeldShares))
 	}
 	grown := 1.0
 	if t.Before(p.Begin) {
 		grown = float64(t.Sub(p.From)) / float64(p.Begin.Sub(p.From))
 	}
-	part := make([]float64, len(p.Part))
-	for k, h := range p.Part {
+	part := make([]float64, len(p.HeldShares))
+	for k, h := range p.HeldShares {
 		part[k] = h * grown
 	}
 	return part
@@ -180,13 +180,13 @@
 		if rates > 0 {
 			part = c.Rate / rates
 		}
-		more := o.Peak.More(k, c.Rate, part)
+		more := o.Peak.ClassExtraRate(k, c.Rate, part)
 		m.more = append(m.more, more)
 		m.extra += more
-		mean := Mean(c.Survival)
+		mean := MeanLength(c.Survival)
 		m.mean = append(m.mean, mean)
 		m.steady = append(m.steady, c.Rate*mean)
-		weight := more * mean * c.Sizes[c.Floor]
+		weight := more * mean * c.SlotsByRung[c.Floor]
 		m.share = append(m.share, weight)
 		total += weight
 	}
@@ -201,7 +201,7 @@
 // least is what the full peak needs with all sessions on their lowest rungs.
 func (m *model) least() (slots float64) {
 	for k, c := range m.classes {
-		slots += (c.Rate + m.more[k]) * m.mean[k] * c.Sizes[c.Floor]
+		slots += (c.Rate + m.more[k]) * m.mean[k] * c.SlotsByRung[c.Floor]
 	}
 	return slots
 }
@@ -209,7 +209,7 @@
 // demand is what more there is of the peak at most, on the top rungs.
 func (m *model) demand() (slots float64) {
 	for k, c := range m.classes {
-		slots += m.more[k] * m.mean[k] * c.Sizes[c.Top]
+		slots += m.more[k] * m.mean[k] * c.SlotsByRung[c.Top]
 	}
 	return slots
 }
@@ -294,13 +294,13 @@
 
 // sizeAt is the size that a session of a class is given for a level.
 func (c *Class) sizeAt(level float64) float64 {
-	return min(max(level, c.Sizes[c.Floor]), c.Sizes[c.Top])
+	return min(max(level, c.SlotsByRung[c.Floor]), c.SlotsByRung[c.Top])
 }
 
 // worthAt is what a session of a size earns, between the rungs in proportion.
 func (c *Class) worthAt(size float64) float64 {
 	for r := c.Floor; r < c.Top; r++ {
-		a, b := c.Sizes[r], c.Sizes[r+1]
+		a, b := c.SlotsByRung[r], c.SlotsByRung[r+1]
 		if size <= b {
 			if size <= a || b <= a {
 				return c.Worth[r]
@@ -359,7 +359,7 @@
 	}
 	at := f.level(room, n)
 	for k := range f.classes {
-		floors += come[k] * f.classes[k].Sizes[f.classes[k].Floor]
+		floors += come[k] * f.classes[k].SlotsByRung[f.classes[k].Floor]
 		wanted += come[k] * f.classes[k].sizeAt(at)
 	}
 	free := max(room-used, 0)
@@ -373,7 +373,7 @@
 	sum, least := 0.0, 0.0
 	for k := range f.classes {
 		sum += n[k]
-		least += n[k] * f.classes[k].Sizes[f.classes[k].Floor]
+		least += n[k] * f.classes[k].SlotsByRung[f.classes[k].Floor]
 	}
 	if sum > 0 && least > 0 { // what chance takes, were all on their lowest rungs
 		served = min(served, 1-erlangLoss(room*sum/least, sum))
@@ -381,7 +381,7 @@
 	earned := 0.0
 	for k := range f.classes {
 		c := &f.classes[k]
-		floor := c.Sizes[c.Floor]
+		floor := c.SlotsByRung[c.Floor]
 		size := floor + give*(c.sizeAt(at)-floor)
 		if come[k] > 0 {
 			f.old = append(f.old, cohort{born: i, class: k, n: come[k] * served, size: size})
--- a/internal/peaks/show.go
+++ b/internal/peaks/show.go
@@ -9,30 +9,30 @@
 type State uint8
 
 const (
-	Awaited  State = iota // its time has not come, or it is not told yet
-	Came                  // more come, early, in time or late
-	NoShow                // it does not come; what was held has been given back
-	Finished              // its window is over
+	StateAwaited  State = iota // its time has not come, or it is not told yet
+	StateArrived               // more come, early, in time or late
+	StateNoShow                // it does not come; what was held has been given back
+	StateFinished              // its window is over
 )
 
 func (s State) String() string {
 	return [...]string{"awaited", "came", "no show", "finished"}[s]
 }
 
-// Errors are the rates at which a Show may be wrong.
-type Errors struct {
-	Miss  float64 // that a peak of the announced size is taken for a no-show
-	False float64 // that ordinary traffic at its begin is taken for the peak
+// ErrorRates are the rates at which a Show may be wrong.
+type ErrorRates struct {
+	MissedPeak float64 // that a peak of the announced size is taken for a no-show
+	FalsePeak  float64 // that ordinary traffic at its begin is taken for the peak
 	// Alarm is how often in its early window ordinary traffic is taken for the peak
 	// that comes early: a probability for the whole window.
-	Alarm float64
+	EarlyFalseAlarm float64
 	// Spread is how much more counts vary than those of independent arrivals: the
 	// variance over the mean.
-	Spread float64
+	Dispersion float64
 }
 
-// DefaultErrors are those that the operators' page states.
-var DefaultErrors = Errors{Miss: 0.01, False: 0.01, Alarm: 0.01, Spread: 1.5}
+// DefaultErrorRates are those that the operators' page states.
+var DefaultErrorRates = ErrorRates{MissedPeak: 0.01, FalsePeak: 0.01, EarlyFalseAlarm: 0.01, Dispersion: 1.5}
 
 const (
 	// longestDoubt is after which the likelier is taken, counted from when the peak
@@ -42,12 +42,12 @@
 	sizeTime     = 15.0 // s over which the size of a peak that came is measured
 )
 
-// Show tells from arrivals whether an announced peak comes. It is a sequential
+// Detector tells from arrivals whether an announced peak comes. It is a sequential
 // test of the peak as it was announced against ordinary traffic, and beside it a
 // cumulative sum that finds the peak whenever else it begins.
-type Show struct {
+type Detector struct {
 	Occurrence
-	Errors
+	ErrorRates
 	state State
 	told  time.Time // when the state was last decided
 	ratio float64   // log likelihood of the peak over ordinary traffic
@@ -61,19 +61,21 @@
 	last  time.Time
 }
 
-// NewShow begins to watch for an occurrence.
-func NewShow(o Occurrence, e Errors) *Show { return &Show{Occurrence: o, Errors: e} }
+// NewDetector begins to watch for an occurrence.
+func NewDetector(o Occurrence, e ErrorRates) *Detector {
+	return &Detector{Occurrence: o, ErrorRates: e}
+}
 
 // State is what has been decided, and when.
-func (s *Show) State() (State, time.Time) { return s.state, s.told }
+func (s *Detector) State() (State, time.Time) { return s.state, s.told }
 
 // Size is how large the peak is that came, by what was announced.
-func (s *Show) Size() float64 { return s.size }
+func (s *Detector) Size() float64 { return s.size }
 
 // Tick takes the arrivals of the peak's classes, or of its own requests, since the
 // last Tick: count of them came, base a second come ordinarily, and more a second
 // would come besides at the full peak.
-func (s *Show) Tick(now time.Time, count int, base, more float64) State {
+func (s *Detector) Tick(now time.Time, count int, base, more float64) State {
 	dt := now.Sub(s.last).Seconds()
 	first := s.last.IsZero()
 	s.last = now
@@ -82,10 +84,10 @@
 	}
 	from := s.Begin.Add(-s.Peak.Early)
 	switch {
-	case s.state == Finished:
+	case s.state == StateFinished:
 		return s.state
 	case !now.Before(s.End.Add(s.Peak.Ramp)):
-		return s.decide(Finished, now)
+		return s.decide(StateFinished, now)
 	case now.Before(from) || more <= 0:
 		return s.state
 	}
@@ -96,29 +98,29 @@
 	}
 	s.size += (max(n/dt-base, 0)/more - s.size) * (1 - math.Exp(-dt/sizeTime))
 	switch s.state {
-	case Awaited:
+	case StateAwaited:
 		if s.alarm() {
-			return s.decide(Came, now)
+			return s.decide(StateArrived, now)
 		}
 		if now.Before(s.Begin) {
 			return s.state
 		}
 		return s.test(now, n, base, more, dt)
-	case NoShow: // it may still come, late
+	case StateNoShow: // it may still come, late
 		if s.alarm() {
-			return s.decide(Came, now)
+			return s.decide(StateArrived, now)
 		}
 	}
 	return s.state
 }
 
 // test holds the peak as announced against ordinary traffic.
-func (s *Show) test(now time.Time, n, base, more, dt float64) State {
+func (s *Detector) test(now time.Time, n, base, more, dt float64) State {
 	level := s.Level(now.Add(-time.Duration(dt * float64(time.Second) / 2)))
 	s.ratio += s.llr(n, base, base+more*level, dt)
 	s.due += more * level * dt
 	s.info -= s.llr(base*dt, base, base+more*level, dt)
-	upper, lower := math.Log((1-s.Miss)/s.False), math.Log(s.Miss/(1-s.False))
+	upper, lower := math.Log((1-s.MissedPeak)/s.FalsePeak), math.Log(s.MissedPeak/(1-s.FalsePeak))
 	// Guard: at its very begin a peak with a ramp brings next to nothing, and what
 	// would tell it from nothing is noise.
 	if s.due < leastDue {
@@ -130,9 +132,9 @@
 	late := !s.doubt.IsZero() && now.Sub(s.doubt) >= longestDoubt
 	switch {
 	case s.ratio >= upper, late && s.ratio > 0:
-		return s.decide(Came, now)
+		return s.decide(StateArrived, now)
 	case s.ratio <= lower, late:
-		return s.decide(NoShow, now)
+		return s.decide(StateNoShow, now)
 	}
 	return s.state
 }
@@ -143,17 +145,17 @@
 
 // llr is the log likelihood of rate b over rate a for n arrivals in dt, for counts
 // that vary as stated.
-func (s *Show) llr(n, a, b, dt float64) float64 {
-	return (n*math.Log(b/a) - (b-a)*dt) / max(s.Spread, 1)
+func (s *Detector) llr(n, a, b, dt float64) float64 {
+	return (n*math.Log(b/a) - (b-a)*dt) / max(s.Dispersion, 1)
 }
 
 // alarm tells whether a sum is so high that ordinary traffic is improbable in the
 // whole early window: each second may begin a new sum, and there are two.
-func (s *Show) alarm() bool {
-	return max(s.sums[0], s.sums[1]) > math.Log(2*max(s.Peak.Early.Seconds(), 60)/s.Alarm)
+func (s *Detector) alarm() bool {
+	return max(s.sums[0], s.sums[1]) > math.Log(2*max(s.Peak.Early.Seconds(), 60)/s.EarlyFalseAlarm)
 }
 
-func (s *Show) decide(state State, now time.Time) State {
+func (s *Detector) decide(state State, now time.Time) State {
 	if state != s.state {
 		s.state, s.told = state, now
 	}
--- a/internal/site/guide.go
+++ b/internal/site/guide.go
@@ -11,15 +11,15 @@
 
 // Node is a media node as plans count it.
 type Node struct {
-	Site   int
-	Rack   int
-	LinkKB float64 // that is to be filled, a second
-	Places float64
+	Site       int
+	Rack       int
+	LinkKB     float64 // that is to be filled, a second
+	MaxStreams float64
 }
 
-// Build puts nodes together to sites. uplinkKB is what is to be filled of each rack's
+// BuildSites puts nodes together to sites. uplinkKB is what is to be filled of each rack's
 // uplink.
-func Build(names []string, nodes []Node, uplinkKB float64) []Site {
+func BuildSites(names []string, nodes []Node, uplinkKB float64) []Site {
 	type rack struct{ site, number int }
 	at := map[rack]int{}
 	sites := make([]Site, len(names))
@@ -35,24 +35,24 @@
 			s.Racks = append(s.Racks, Rack{UplinkKB: uplinkKB})
 		}
 		s.Racks[i].LinksKB += n.LinkKB
-		s.Racks[i].Places += n.Places
+		s.Racks[i].MaxStreams += n.MaxStreams
 	}
 	return sites
 }
 
-// Spread is the demand of classes that is spread over sites as their room is. tier ranks
+// SpreadDemand is the demand of classes that is spread over sites as their room is. tier ranks
 // a class at a site, as Demand has it.
-func (f *Fleet) Spread(sessions []float64, tier func(site, class int) int) (all []Demand) {
+func (f *Fleet) SpreadDemand(sessions []float64, tier func(site, class int) int) (all []Demand) {
 	whole := 0.0
 	for i := range f.Sites {
-		kb, _ := f.Sites[i].Room()
+		kb, _ := f.Sites[i].Capacity()
 		whole += kb
 	}
 	for k, c := range f.Classes {
 		for i := range f.Sites {
-			kb, _ := f.Sites[i].Room()
+			kb, _ := f.Sites[i].Capacity()
 			if n := sessions[k] * kb / max(whole, 1); n > 0 {
-				all = append(all, Demand{Class: k, Home: i, Sessions: n, Top: c.Top, Tier: tier(i, k)})
+				all = append(all, Demand{Class: k, HomeSite: i, Sessions: n, Top: c.Top, Tier: tier(i, k)})
 			}
 		}
 	}
@@ -78,19 +78,19 @@
 
 // Rule is what a Guide knows of a site beforehand.
 type Rule struct {
-	Tier  []int         // by class
-	Warm  time.Duration // until a node that starts cold is warm
-	Share float64       // of it that is warm at the start
+	Tiers        []int         // by class
+	WarmUp       time.Duration // until a node that starts cold is warm
+	InitialShare float64       // of it that is warm at the start
 }
 
 // Ration is what one manager may do of a plan for the whole fleet.
 type Ration struct {
-	Limit []float64 // by class, sessions that it may hold at a time; under 0: any number
-	Every []float64 // by class, s between two refused viewers that come again; 0: not spread
-	Pace  []float64 // by site, sessions a second that it may send there; under 0: any number
+	SessionLimit   []float64 // by class, sessions that it may hold at a time; under 0: any number
+	RetryIntervalS []float64 // by class, s between two refused viewers that come again; 0: not spread
+	MaxSessionRate []float64 // by site, sessions a second that it may send there; under 0: any number
 	// Rungs is, by class and rung, the part of what plays that does so on that rung or a
 	// lower one.
-	Rungs [][]float64
+	ByRung [][]float64
 }
 
 // Guide makes the plan for the sites that are lost, from what one manager measures, and
@@ -161,26 +161,26 @@
 	return c.counted(now, over) / over.Seconds() / max(seen, 0.05)
 }
 
-// Expect is what is taken to come of a class until it is measured.
-type Expect struct {
-	Rate  float64 // sessions a second over all managers; 0: not told
-	Lasts time.Duration
+// ExpectedLoad is what is taken to come of a class until it is measured.
+type ExpectedLoad struct {
+	Rate       float64 // sessions a second over all managers; 0: not told
+	MeanLength time.Duration
 }
 
 // NewGuide returns a Guide.
-func NewGuide(names []string, rules []Rule, classes []Class, expect []Expect, cross, uplinkKB float64) *Guide {
+func NewGuide(names []string, rules []Rule, classes []Class, expect []ExpectedLoad, cross, uplinkKB float64) *Guide {
 	g := &Guide{names: names, rules: rules, classes: classes, cross: cross, uplinkKB: uplinkKB, nodes: map[uint64]Node{},
 		flows: make([]flow, len(classes)), back: make([]time.Time, len(names)), returns: make([]int, len(names))}
 	for k := range g.flows {
 		g.flows[k].ends = priorEnds
-		g.flows[k].played = priorEnds * expect[k].Lasts.Seconds()
+		g.flows[k].played = priorEnds * expect[k].MeanLength.Seconds()
 		g.flows[k].expect = expect[k].Rate
 	}
 	return g
 }
 
-// Listed tells of a node of the list. One that is not ready carries nothing new.
-func (g *Guide) Listed(id uint64, n Node, ready bool) {
+// UpdateNode tells of a node of the list. One that is not ready carries nothing new.
+func (g *Guide) UpdateNode(id uint64, n Node, ready bool) {
 	if ready && n.Site >= 0 && n.Site < len(g.names) {
 		g.nodes[id] = n
 	} else {
@@ -188,9 +188,9 @@
 	}
 }
 
-// Arrived tells of a viewer who asks for the first time. Those who come again are
+// CountArrival tells of a viewer who asks for the first time. Those who come again are
 // counted already.
-func (g *Guide) Arrived(now time.Time, class int) {
+func (g *Guide) CountArrival(now time.Time, class int) {
 	f := &g.flows[class]
 	if f.since.IsZero() {
 		f.since = now
@@ -202,24 +202,24 @@
 // lasts is a session's mean length in seconds.
 func (f *flow) lasts() float64 { return max(f.played/f.ends, 1) }
 
-// Over tells of a session that played for a time. One that was broken off says nothing:
+// AddSessionLength tells of a session that played for a time. One that was broken off says nothing:
 // they come in crowds, when a site is lost, and would make all look longer.
-func (g *Guide) Over(class int, stood time.Duration, broken bool) {
+func (g *Guide) AddSessionLength(class int, stood time.Duration, broken bool) {
 	if f := &g.flows[class]; !broken {
 		f.played += max(stood, 0).Seconds()
 		f.ends++
 	}
 }
 
-// Told takes what a Watch says has changed.
-func (g *Guide) Told(now time.Time, n Notice, returns int) {
+// ApplyNotice takes what a Watch says has changed.
+func (g *Guide) ApplyNotice(now time.Time, n Notice, returns int) {
 	if n.Site < 0 {
 		return
 	}
 	switch n.State {
-	case Lost:
+	case StateLost:
 		g.back[n.Site] = time.Time{}
-	case Back:
+	case StateRecovering:
 		g.back[n.Site], g.returns[n.Site] = now, returns
 	}
 	g.planned = time.Time{} // anew
@@ -228,11 +228,11 @@
 // warm is the part of a site's room that counts, and whether it still comes back.
 func (g *Guide) warm(now time.Time, i int) (float64, bool) {
 	r := &g.rules[i]
-	if g.back[i].IsZero() || r.Warm <= 0 {
+	if g.back[i].IsZero() || r.WarmUp <= 0 {
 		return 1, false
 	}
-	part := Return{Warm: r.Warm, Share: r.Share}.Warmed(now.Sub(g.back[i]))
-	if part >= 1 && now.Sub(g.back[i]) >= r.Warm<<min(max(g.returns[i]-1, 0), trusted) {
+	part := Recovery{WarmUp: r.WarmUp, InitialShare: r.InitialShare}.WarmShare(now.Sub(g.back[i]))
+	if part >= 1 && now.Sub(g.back[i]) >= r.WarmUp<<min(max(g.returns[i]-1, 0), trusted) {
 		return 1, false
 	}
 	return part, true
@@ -245,7 +245,7 @@
 	var lost []int
 	returning := false
 	for i := range g.names {
-		if w.State(i) == Lost {
+		if w.State(i) == StateLost {
 			lost = append(lost, i)
 		}
 		_, comes := g.warm(now, i)
@@ -255,7 +255,7 @@
 		g.ordinary(now, share)
 		return nil, g.say("")
 	}
-	if w.Alone() {
+	if w.Isolated() {
 		return nil, g.say("")
 	}
 	if g.before == nil {
@@ -269,7 +269,7 @@
 	share = g.part(now)
 	if g.plan == nil || now.Sub(g.planned) >= planEvery {
 		f := g.fleet(now)
-		if p, err := Make(f, lost...); err == nil {
+		if p, err := MakePlan(f, lost...); err == nil {
 			g.plan, g.demands, g.planned = &p, f.Demands, now
 		}
 	}
@@ -330,19 +330,19 @@
 
 // fleet is all sites, of those that come back what is warm, and all managers' demand.
 func (g *Guide) fleet(now time.Time) *Fleet {
-	f := &Fleet{Classes: g.classes, Cross: g.cross}
+	f := &Fleet{Classes: g.classes, CrossSiteCost: g.cross}
 	nodes := make([]Node, 0, len(g.nodes))
 	for _, id := range slices.Sorted(maps.Keys(g.nodes)) { // the same plan each time
 		nodes = append(nodes, g.nodes[id])
 	}
-	f.Sites = Build(g.names, nodes, g.uplinkKB)
-	sessions, _ := g.Measured()
-	f.Demands = f.Spread(sessions, func(site, class int) int { return g.rules[site].Tier[class] })
+	f.Sites = BuildSites(g.names, nodes, g.uplinkKB)
+	sessions, _ := g.PlanBasis()
+	f.Demands = f.SpreadDemand(sessions, func(site, class int) int { return g.rules[site].Tiers[class] })
 	for i := range f.Sites {
 		part, _ := g.warm(now, i)
 		for r := range f.Sites[i].Racks {
 			k := &f.Sites[i].Racks[r]
-			k.LinksKB, k.UplinkKB, k.Places = k.LinksKB*part, k.UplinkKB*part, k.Places*part
+			k.LinksKB, k.UplinkKB, k.MaxStreams = k.LinksKB*part, k.UplinkKB*part, k.MaxStreams*part
 		}
 	}
 	return f
@@ -350,61 +350,61 @@
 
 func (g *Guide) ration(now time.Time, share float64) (*Ration, string) {
 	p := g.plan
-	r := &Ration{Limit: make([]float64, len(g.classes)), Every: make([]float64, len(g.classes)), Pace: make([]float64, len(g.names))}
+	r := &Ration{SessionLimit: make([]float64, len(g.classes)), RetryIntervalS: make([]float64, len(g.classes)), MaxSessionRate: make([]float64, len(g.names))}
 	taken, refused := make([]float64, len(g.classes)), make([]float64, len(g.classes))
 	for _, c := range g.classes {
-		r.Rungs = append(r.Rungs, make([]float64, len(c.RatesKB)))
+		r.ByRung = append(r.ByRung, make([]float64, len(c.RatesKB)))
 	}
-	for i, t := range p.Takes {
+	for i, t := range p.Allocations {
 		k := g.demands[i].Class
-		for rung, n := range t.Rungs {
-			for ; rung < len(r.Rungs[k]); rung++ {
-				r.Rungs[k][rung] += n
+		for rung, n := range t.ByRung {
+			for ; rung < len(r.ByRung[k]); rung++ {
+				r.ByRung[k][rung] += n
 			}
 		}
-		taken[k], refused[k] = taken[k]+t.Taken(), refused[k]+t.Refused
+		taken[k], refused[k] = taken[k]+t.Accepted(), refused[k]+t.Refused
 	}
 	var words []string
 	for k, c := range g.classes {
-		for rung := range r.Rungs[k] {
-			r.Rungs[k][rung] /= max(taken[k], 1e-9)
+		for rung := range r.ByRung[k] {
+			r.ByRung[k][rung] /= max(taken[k], 1e-9)
 		}
 		if taken[k] <= 0 {
-			r.Rungs[k] = nil
+			r.ByRung[k] = nil
 		}
-		r.Limit[k] = -1
+		r.SessionLimit[k] = -1
 		if all := taken[k] + refused[k]; refused[k] <= leastRefused*all {
 			continue
 		}
-		r.Limit[k] = share * taken[k]
-		r.Every[k] = g.flows[k].lasts() / max(r.Limit[k], 1e-3)
+		r.SessionLimit[k] = share * taken[k]
+		r.RetryIntervalS[k] = g.flows[k].lasts() / max(r.SessionLimit[k], 1e-3)
 		words = append(words, c.Name)
 	}
 	for i := range g.names {
-		r.Pace[i] = -1
+		r.MaxSessionRate[i] = -1
 		if _, comes := g.warm(now, i); comes {
-			back := Return{Warm: g.rules[i].Warm, Share: g.rules[i].Share, Returns: g.returns[i]}
+			back := Recovery{WarmUp: g.rules[i].WarmUp, InitialShare: g.rules[i].InitialShare, ReturnCount: g.returns[i]}
 			for _, n := range g.nodes {
 				if n.Site == i {
-					back.Places += n.Places
+					back.MaxStreams += n.MaxStreams
 				}
 			}
-			r.Pace[i] = share * back.Pace(now.Sub(g.back[i]))
+			r.MaxSessionRate[i] = share * back.MaxSessionRate(now.Sub(g.back[i]))
 		}
 	}
 	text := "all classes are taken"
 	if len(words) > 0 {
 		text = "rationed: " + strings.Join(words, " ")
 	}
-	if text = g.say(text); text != "" && p.Before > 0 {
-		text += fmt.Sprintf("; %.0f%% of the worth is kept", 100*p.Worth/p.Before)
+	if text = g.say(text); text != "" && p.WorthBefore > 0 {
+		text += fmt.Sprintf("; %.0f%% of the worth is kept", 100*p.Worth/p.WorthBefore)
 	}
 	return r, text
 }
 
-// Demand is what all managers are asked for, as this one measures it: by class, sessions
+// MeasuredDemand is what all managers are asked for, as this one measures it: by class, sessions
 // a second and how long they last in the mean. False: not measured yet.
-func (g *Guide) Demand(now time.Time) (rates []float64, lasts []time.Duration, ok bool) {
+func (g *Guide) MeasuredDemand(now time.Time) (rates []float64, lasts []time.Duration, ok bool) {
 	if g.share <= 0 {
 		return nil, nil, false
 	}
@@ -416,9 +416,9 @@
 	return rates, lasts, ok
 }
 
-// Measured is what the plan rests on: by class, how many sessions all managers are asked
+// PlanBasis is what the plan rests on: by class, how many sessions all managers are asked
 // for at a time, and this manager's share of them before the loss.
-func (g *Guide) Measured() (sessions []float64, share float64) {
+func (g *Guide) PlanBasis() (sessions []float64, share float64) {
 	if g.before == nil {
 		return nil, 0
 	}
--- a/internal/site/guide_test.go
+++ b/internal/site/guide_test.go
@@ -19,13 +19,13 @@
 		{Name: "clip", Floor: 1, Top: 2, RatesKB: []float64{200, 400, 800}, Worth: []float64{0.5, 1.1, 2}},
 		{Name: "feed", Top: 2, RatesKB: []float64{200, 400, 800}, Worth: []float64{0.25, 0.55, 1}},
 	}
-	rule := Rule{Tier: []int{0, 0}, Warm: 4 * time.Second, Share: 0.25}
+	rule := Rule{Tiers: []int{0, 0}, WarmUp: 4 * time.Second, InitialShare: 0.25}
 	for range managers {
-		guide := NewGuide([]string{"a", "b"}, []Rule{rule, rule}, classes, []Expect{{Lasts: 20 * time.Second}, {Lasts: 20 * time.Second}}, 0.02, 1e9)
+		guide := NewGuide([]string{"a", "b"}, []Rule{rule, rule}, classes, []ExpectedLoad{{MeanLength: 20 * time.Second}, {MeanLength: 20 * time.Second}}, 0.02, 1e9)
 		w := NewWatch([]string{"a", "b"})
 		for n := range 8 {
-			guide.Listed(uint64(n), Node{Site: n / 4, Rack: n, LinkKB: 10000, Places: 100}, true)
-			w.Listed(n/4, uint64(n), true)
+			guide.UpdateNode(uint64(n), Node{Site: n / 4, Rack: n, LinkKB: 10000, MaxStreams: 100}, true)
+			w.UpdateNode(n/4, uint64(n), true)
 		}
 		g.guides, g.watch = append(g.guides, guide), append(g.watch, w)
 	}
@@ -42,19 +42,19 @@
 			for k := range 2 {
 				for n := rates[i] / 10; n > 0; n-- { // a tenth of a second's
 					if n >= 1 || math.Mod(float64(g.now.UnixMilli()/100), math.Round(1/n)) == 0 {
-						guide.Arrived(g.now, k)
+						guide.CountArrival(g.now, k)
 					}
 				}
 			}
 			for n := range 8 {
-				if sign := Heard; n >= 4 && down {
-					g.watch[i].Saw(g.now, uint64(n), NoWay)
+				if sign := SignHeard; n >= 4 && down {
+					g.watch[i].RecordSign(g.now, uint64(n), SignUnreachable)
 				} else {
-					g.watch[i].Saw(g.now, uint64(n), sign)
+					g.watch[i].RecordSign(g.now, uint64(n), sign)
 				}
 			}
 			for _, n := range g.watch[i].Tick(g.now) {
-				guide.Told(g.now, n, g.watch[i].Returns(g.now, max(n.Site, 0)))
+				guide.ApplyNotice(g.now, n, g.watch[i].ReturnCount(g.now, max(n.Site, 0)))
 			}
 			last[i], _ = guide.Tick(g.now, g.watch[i], shares[i])
 		}
@@ -74,18 +74,18 @@
 	var sum [2]float64
 	// What managers hold once it is lost says nothing of their shares.
 	for i, r := range g.pass(10*time.Second, []float64{0.9, 0.9, 0, 0}, rates, true) {
-		if r == nil || r.Limit[0] >= 0 && r.Limit[0] < 1 || r.Limit[1] < 0 {
+		if r == nil || r.SessionLimit[0] >= 0 && r.SessionLimit[0] < 1 || r.SessionLimit[1] < 0 {
 			t.Fatalf("manager %d: %+v", i, r)
 		}
-		if want := shares[i] * sumFeed(g.guides[i]); math.Abs(r.Limit[1]-want) > 0.25*want {
-			t.Errorf("manager %d: %.1f feed, its share is %.1f", i, r.Limit[1], shares[i])
+		if want := shares[i] * sumFeed(g.guides[i]); math.Abs(r.SessionLimit[1]-want) > 0.25*want {
+			t.Errorf("manager %d: %.1f feed, its share is %.1f", i, r.SessionLimit[1], shares[i])
 		}
-		sum[1] += r.Limit[1]
-		if got := r.Rungs[0]; got[0] != 0 || got[1] != 1 {
+		sum[1] += r.SessionLimit[1]
+		if got := r.ByRung[0]; got[0] != 0 || got[1] != 1 {
 			t.Errorf("manager %d: clip by rung %v, want all on its lowest", i, got)
 		}
-		if wait := r.Every[1] * r.Limit[1]; math.Abs(wait-20) > 1 {
-			t.Errorf("manager %d: places get free each %.1f s, sessions last 20 s", i, r.Every[1])
+		if wait := r.RetryIntervalS[1] * r.SessionLimit[1]; math.Abs(wait-20) > 1 {
+			t.Errorf("manager %d: places get free each %.1f s, sessions last 20 s", i, r.RetryIntervalS[1])
 		}
 	}
 	if feed := sumFeed(g.guides[0]); math.Abs(sum[1]-feed) > 0.15*feed {
@@ -96,7 +96,7 @@
 func sumFeed(g *Guide) (n float64) {
 	for i, d := range g.demands {
 		if d.Class == 1 {
-			n += g.plan.Takes[i].Taken()
+			n += g.plan.Allocations[i].Accepted()
 		}
 	}
 	return n
@@ -106,8 +106,8 @@
 func TestShareGrowsWithArrivals(t *testing.T) {
 	g := newGuided(1)
 	g.pass(90*time.Second, []float64{0.25}, []float64{5}, false)
-	before := g.pass(8*time.Second, []float64{0.25}, []float64{5}, true)[0].Limit[1]
-	after := g.pass(20*time.Second, []float64{0.25}, []float64{10}, true)[0].Limit[1]
+	before := g.pass(8*time.Second, []float64{0.25}, []float64{5}, true)[0].SessionLimit[1]
+	after := g.pass(20*time.Second, []float64{0.25}, []float64{10}, true)[0].SessionLimit[1]
 	if got := after / before; got < 1.7 || got > 2.2 {
 		t.Errorf("twice the arrivals: %.2f times the part", got)
 	}
@@ -123,12 +123,12 @@
 	for i := range first {
 		g.pass(8*time.Second, share, rate, true)
 		for r := g.pass(100*time.Millisecond, share, rate, false); ; r = g.pass(100*time.Millisecond, share, rate, false) {
-			if r[0].Pace[1] >= 0 {
-				first[i] = r[0].Pace[1]
+			if r[0].MaxSessionRate[1] >= 0 {
+				first[i] = r[0].MaxSessionRate[1]
 				break
 			}
 		}
-		if r := g.pass(3*time.Second, share, rate, false); r[0] == nil || r[0].Pace[1] < first[i] || r[0].Pace[0] >= 0 {
+		if r := g.pass(3*time.Second, share, rate, false); r[0] == nil || r[0].MaxSessionRate[1] < first[i] || r[0].MaxSessionRate[0] >= 0 {
 			t.Errorf("return %d: %+v after 3 s", i, r[0])
 		}
 	}
@@ -149,12 +149,12 @@
 	for range 50 {
 		g.now = g.now.Add(100 * time.Millisecond)
 		for n := range 8 {
-			g.watch[0].Saw(g.now, uint64(n), NoWay)
+			g.watch[0].RecordSign(g.now, uint64(n), SignUnreachable)
 		}
 		g.watch[0].Tick(g.now)
 	}
-	if r, _ := g.guides[0].Tick(g.now, g.watch[0], 0.5); !g.watch[0].Alone() || r != nil {
-		t.Errorf("alone %v: %+v", g.watch[0].Alone(), r)
+	if r, _ := g.guides[0].Tick(g.now, g.watch[0], 0.5); !g.watch[0].Isolated() || r != nil {
+		t.Errorf("alone %v: %+v", g.watch[0].Isolated(), r)
 	}
 }
 
@@ -163,20 +163,20 @@
 func TestAsk(t *testing.T) {
 	w := NewWatch([]string{"a", "b"})
 	for n := range 8 {
-		w.Listed(n/4, uint64(n), true)
+		w.UpdateNode(n/4, uint64(n), true)
 	}
 	now, asked := time.Unix(1000, 0), map[uint64]int{}
 	run := func(fails bool) (n int) {
 		for range 80 { // 8 s
 			now = now.Add(100 * time.Millisecond)
-			w.Saw(now, 0, Heard) // a is busy
-			for _, node := range w.Ask(now) {
+			w.RecordSign(now, 0, SignHeard) // a is busy
+			for _, node := range w.NodesToProbe(now) {
 				asked[node]++
 				n++
 				if fails {
-					w.Saw(now, node, NoWay)
+					w.RecordSign(now, node, SignUnreachable)
 				} else {
-					w.Saw(now, node, Heard)
+					w.RecordSign(now, node, SignHeard)
 				}
 			}
 			w.Tick(now)
@@ -187,7 +187,7 @@
 		t.Errorf("%d asked: %v", n, asked)
 	}
 	clear(asked)
-	if run(true); w.State(1) != Lost || asked[7] < 2 {
+	if run(true); w.State(1) != StateLost || asked[7] < 2 {
 		t.Errorf("%v after asking %v", w.State(1), asked)
 	}
 	if n := run(true); n > 8 {
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -15,9 +15,9 @@
 
 // Rack is nodes behind one uplink.
 type Rack struct {
-	LinksKB  float64 // of its nodes together, a second, as far as they are to be filled
-	UplinkKB float64 // likewise; 0: not told
-	Places   float64 // streams at most, of its nodes together
+	LinksKB    float64 // of its nodes together, a second, as far as they are to be filled
+	UplinkKB   float64 // likewise; 0: not told
+	MaxStreams float64 // streams at most, of its nodes together
 }
 
 // Site is what is lost together.
@@ -26,14 +26,14 @@
 	Racks []Rack
 }
 
-// Room is what a site carries: kB a second, and streams.
-func (s *Site) Room() (kb, places float64) {
+// Capacity is what a site carries: kB a second, and streams.
+func (s *Site) Capacity() (kb, places float64) {
 	for _, r := range s.Racks {
 		room := r.LinksKB
 		if r.UplinkKB > 0 {
 			room = min(room, r.UplinkKB)
 		}
-		kb, places = kb+room, places+r.Places
+		kb, places = kb+room, places+r.MaxStreams
 	}
 	return kb, places
 }
@@ -50,7 +50,7 @@
 // Demand is sessions that are alike.
 type Demand struct {
 	Class    int
-	Home     int     // site of its viewers
+	HomeSite int     // site of its viewers
 	Sessions float64 // that would play at a time if all were taken
 	Top      int     // highest rung that its viewers can use
 	Tier     int     // of a higher tier all are taken, on their lowest rung, before any of a lower; 0: by worth alone
@@ -58,14 +58,14 @@
 
 // Fleet is what a plan is made for.
 type Fleet struct {
-	Sites   []Site
-	Classes []Class
-	Demands []Demand
-	Cross   float64 // what a session that crosses sites costs, as a part of its worth on its top rung
+	Sites         []Site
+	Classes       []Class
+	Demands       []Demand
+	CrossSiteCost float64 // what a session that crosses sites costs, as a part of its worth on its top rung
 }
 
-// Check tells what can't be planned with.
-func (f *Fleet) Check() error {
+// Validate tells what can't be planned with.
+func (f *Fleet) Validate() error {
 	var errs []error
 	for i, c := range f.Classes {
 		switch {
@@ -82,57 +82,57 @@
 		}
 	}
 	for i, d := range f.Demands {
-		if d.Class < 0 || d.Class >= len(f.Classes) || d.Home < 0 || d.Home >= len(f.Sites) || !(d.Sessions >= 0) || math.IsInf(d.Sessions, 0) {
-			errs = append(errs, fmt.Errorf("demand %d: class %d, site %d, %g sessions", i, d.Class, d.Home, d.Sessions))
+		if d.Class < 0 || d.Class >= len(f.Classes) || d.HomeSite < 0 || d.HomeSite >= len(f.Sites) || !(d.Sessions >= 0) || math.IsInf(d.Sessions, 0) {
+			errs = append(errs, fmt.Errorf("demand %d: class %d, site %d, %g sessions", i, d.Class, d.HomeSite, d.Sessions))
 		}
 	}
 	for _, s := range f.Sites {
-		if kb, places := s.Room(); !(kb >= 0) || !(places >= 0) || math.IsInf(kb+places, 0) {
+		if kb, places := s.Capacity(); !(kb >= 0) || !(places >= 0) || math.IsInf(kb+places, 0) {
 			errs = append(errs, fmt.Errorf("site %s: room for %g kB a second and %g streams", s.Name, kb, places))
 		}
 	}
-	if !(f.Cross >= 0) || math.IsInf(f.Cross, 0) {
-		errs = append(errs, fmt.Errorf("crossing costs %g", f.Cross))
+	if !(f.CrossSiteCost >= 0) || math.IsInf(f.CrossSiteCost, 0) {
+		errs = append(errs, fmt.Errorf("crossing costs %g", f.CrossSiteCost))
 	}
 	return errors.Join(errs...)
 }
 
-// Take is what becomes of one demand.
-type Take struct {
-	Rungs    []float64 // sessions by rung
-	Refused  float64   // sessions
-	Crossing float64   // of those taken, how many play at another site than their viewers'
+// Allocation is what becomes of one demand.
+type Allocation struct {
+	ByRung    []float64 // sessions by rung
+	Refused   float64   // sessions
+	CrossSite float64   // of those taken, how many play at another site than their viewers'
 }
 
-// Taken is how many sessions play.
-func (t *Take) Taken() (n float64) {
-	for _, s := range t.Rungs {
+// Accepted is how many sessions play.
+func (t *Allocation) Accepted() (n float64) {
+	for _, s := range t.ByRung {
 		n += s
 	}
 	return n
 }
 
-// Step is something that is given up as room shrinks.
-type Step struct {
-	Demand   int
-	From, To int // rungs; To under 0: refused
-	Ratio    float64
+// DegradationStep is something that is given up as room shrinks.
+type DegradationStep struct {
+	Demand           int
+	FromRung, ToRung int // rungs; To under 0: refused
+	WorthPerKB       float64
 }
 
 // Plan is what is to be done while some sites are lost.
 type Plan struct {
-	Lost   []int
-	Before float64   // worth a second with all sites
-	Worth  float64   // worth a second without the lost ones
-	Bound  float64   // no plan earns more than this
-	Takes  []Take    // by demand
-	Use    []float64 // by site, the part of its kB a second that is asked for
-	Price  float64   // worth of one kB a second more; 0: there is room for all
-	Order  []Step    // what is given up, the first first
-	Short  float64   // sessions of a tier over 0 that are refused
+	LostSites        []int
+	WorthBefore      float64           // worth a second with all sites
+	Worth            float64           // worth a second without the lost ones
+	WorthBound       float64           // no plan earns more than this
+	Allocations      []Allocation      // by demand
+	Utilization      []float64         // by site, the part of its kB a second that is asked for
+	MarginalWorth    float64           // worth of one kB a second more; 0: there is room for all
+	DegradationOrder []DegradationStep // what is given up, the first first
+	TieredRefused    float64           // sessions of a tier over 0 that are refused
 }
 
-// Make plans for the loss of some sites; with none it is the plan for an ordinary time.
+// MakePlan plans for the loss of some sites; with none it is the plan for an ordinary time.
 //
 // It takes all sites that are left as one room first. Each demand offers its rungs, of
 // which those count that lie on the concave hull of worth over rate; room is given to
@@ -151,8 +151,8 @@
 // room is left; and in turn each site chooses anew, the same way, among what plays there
 // and what is refused, until that earns no more. Worth is what comes of it, so that
 // Worth over Bound tells how good a plan is at least.
-func Make(f *Fleet, lost ...int) (Plan, error) {
-	if err := f.Check(); err != nil {
+func MakePlan(f *Fleet, lost ...int) (Plan, error) {
+	if err := f.Validate(); err != nil {
 		return Plan{}, fmt.Errorf("site: %w", err)
 	}
 	for _, l := range lost {
@@ -162,34 +162,34 @@
 	}
 	p := f.make(lost)
 	if len(lost) > 0 {
-		p.Before = f.make(nil).Worth
+		p.WorthBefore = f.make(nil).Worth
 	} else {
-		p.Before = p.Worth
+		p.WorthBefore = p.Worth
 	}
 	return p, nil
 }
 
 func (f *Fleet) make(lost []int) Plan {
-	p := Plan{Lost: slices.Clone(lost)}
-	slices.Sort(p.Lost)
+	p := Plan{LostSites: slices.Clone(lost)}
+	slices.Sort(p.LostSites)
 	var kb, places float64
 	room := make([]space, len(f.Sites))
 	for i := range f.Sites {
 		if !slices.Contains(lost, i) {
-			k, n := f.Sites[i].Room()
+			k, n := f.Sites[i].Capacity()
 			room[i] = space{k, n}
 			kb, places = kb+k, places+n
 		}
 	}
 	in := f.offers(func(home int) bool { return slices.Contains(lost, home) })
 	best, _ := in.fill(kb, places)
-	p.Bound = in.worth(best)
+	p.WorthBound = in.worth(best)
 	in.strict = true
 	pooled, price := in.fill(kb, places)
-	p.Price, p.Order = price, in.order()
-	p.Takes = make([]Take, len(f.Demands))
+	p.MarginalWorth, p.DegradationOrder = price, in.order()
+	p.Allocations = make([]Allocation, len(f.Demands))
 	for i, d := range f.Demands {
-		p.Takes[i] = Take{Rungs: make([]float64, len(pooled[i])), Refused: d.Sessions}
+		p.Allocations[i] = Allocation{ByRung: make([]float64, len(pooled[i])), Refused: d.Sessions}
 	}
 	at := f.settle(&p, pooled, room)
 	for range sweeps {
@@ -228,7 +228,7 @@
 		o.most = append(o.most, d.Sessions)
 		o.rungs = append(o.rungs, [2]int{c.Floor, min(c.Top, d.Top)})
 		fee := 0.0
-		if crosses(d.Home) {
+		if crosses(d.HomeSite) {
 			fee = f.crossing(d)
 		}
 		o.fee = append(o.fee, fee)
@@ -243,7 +243,7 @@
 	if top < c.Floor {
 		return 0
 	}
-	return f.Cross * c.Worth[top]
+	return f.CrossSiteCost * c.Worth[top]
 }
 
 // item is one step up of a demand: from nothing to a rung, or from rung to rung.
@@ -383,9 +383,9 @@
 }
 
 // order is what is given up as room shrinks: the steps up, backwards.
-func (o *offers) order() (steps []Step) {
+func (o *offers) order() (steps []DegradationStep) {
 	for _, it := range slices.Backward(o.items(0)) {
-		steps = append(steps, Step{it.demand, it.to, it.from, it.ratio})
+		steps = append(steps, DegradationStep{it.demand, it.to, it.from, it.ratio})
 	}
 	return steps
 }
@@ -426,10 +426,10 @@
 		n := max(min(x.n, s.kb/rate(x), s.places), 0)
 		s.kb, s.places, x.n = s.kb-n*rate(x), s.places-n, x.n-n
 		at[site][x.demand][x.rung] += n
-		p.Takes[x.demand].Refused -= n
+		p.Allocations[x.demand].Refused -= n
 	}
 	for i := range parts {
-		place(&parts[i], f.Demands[parts[i].demand].Home)
+		place(&parts[i], f.Demands[parts[i].demand].HomeSite)
 	}
 	for i := range parts {
 		for x := &parts[i]; x.n > 1e-9; {
@@ -458,16 +458,16 @@
 		in := f.offers(func(home int) bool { return home != s })
 		in.strict = true
 		for i := range f.Demands {
-			in.most[i] = max(p.Takes[i].Refused, 0)
+			in.most[i] = max(p.Allocations[i].Refused, 0)
 			for _, n := range at[s][i] {
 				in.most[i] += n
 			}
 		}
 		got, _ := in.fill(room[s].kb, room[s].places)
 		for i := range f.Demands {
-			p.Takes[i].Refused = in.most[i]
+			p.Allocations[i].Refused = in.most[i]
 			for _, n := range got[i] {
-				p.Takes[i].Refused -= n
+				p.Allocations[i].Refused -= n
 			}
 		}
 		at[s] = got
@@ -477,43 +477,43 @@
 
 // count tells what a plan comes to.
 func (f *Fleet) count(p *Plan, at [][][]float64, room []space) {
-	p.Use = make([]float64, len(f.Sites))
+	p.Utilization = make([]float64, len(f.Sites))
 	p.Worth = 0
 	for i, d := range f.Demands {
 		c := &f.Classes[d.Class]
-		t := &p.Takes[i]
+		t := &p.Allocations[i]
 		for s := range f.Sites {
 			for r, n := range at[s][i] {
 				if n <= 0 {
 					continue
 				}
-				t.Rungs[r] += n
+				t.ByRung[r] += n
 				p.Worth += n * c.Worth[r]
-				p.Use[s] += n * c.RatesKB[r] / room[s].kb
-				if s != d.Home {
-					t.Crossing += n
+				p.Utilization[s] += n * c.RatesKB[r] / room[s].kb
+				if s != d.HomeSite {
+					t.CrossSite += n
 					p.Worth -= n * f.crossing(d)
 				}
 			}
 		}
-		t.Refused = max(d.Sessions-t.Taken(), 0)
+		t.Refused = max(d.Sessions-t.Accepted(), 0)
 		if d.Tier > 0 {
-			p.Short += t.Refused
+			p.TieredRefused += t.Refused
 		}
 	}
 }
 
-// Losses plans for the loss of each site, and of each pair where there are more than
+// PlanLosses plans for the loss of each site, and of each pair where there are more than
 // two.
-func Losses(f *Fleet) ([]Plan, error) {
-	if err := f.Check(); err != nil {
+func PlanLosses(f *Fleet) ([]Plan, error) {
+	if err := f.Validate(); err != nil {
 		return nil, fmt.Errorf("site: %w", err)
 	}
 	before := f.make(nil).Worth
 	var plans []Plan
 	add := func(lost ...int) {
 		p := f.make(lost)
-		p.Before = before
+		p.WorthBefore = before
 		plans = append(plans, p)
 	}
 	for i := range f.Sites {
@@ -529,45 +529,45 @@
 	return plans, nil
 }
 
-// Return is how a site that was lost takes its load back.
-type Return struct {
-	Warm   time.Duration // until a node that starts cold is warm
-	Share  float64       // of its pace and links that is warm at the start
-	Places float64       // streams of all nodes that come back
+// Recovery is how a site that was lost takes its load back.
+type Recovery struct {
+	WarmUp       time.Duration // until a node that starts cold is warm
+	InitialShare float64       // of its pace and links that is warm at the start
+	MaxStreams   float64       // streams of all nodes that come back
 	// Returns is how often the site has come back within the last minute, this time
 	// included. A site that comes and goes is trusted half as much each time.
-	Returns int
+	ReturnCount int
 }
 
-// Pace is how many sessions a second all managers together may send to a site that
+// MaxSessionRate is how many sessions a second all managers together may send to a site that
 // has been back for a time: no more than its places over its warm-up, times the share
 // that it has warmed.
-func (r Return) Pace(since time.Duration) float64 {
-	if r.Warm <= 0 {
+func (r Recovery) MaxSessionRate(since time.Duration) float64 {
+	if r.WarmUp <= 0 {
 		return math.Inf(1)
 	}
-	return r.Places / r.Warm.Seconds() * r.Warmed(since) * math.Pow(0.5, float64(max(r.Returns-1, 0)))
+	return r.MaxStreams / r.WarmUp.Seconds() * r.WarmShare(since) * math.Pow(0.5, float64(max(r.ReturnCount-1, 0)))
 }
 
-// Warmed is the part of the site's room that has warmed after a time.
-func (r Return) Warmed(since time.Duration) float64 {
-	if r.Warm <= 0 {
+// WarmShare is the part of the site's room that has warmed after a time.
+func (r Recovery) WarmShare(since time.Duration) float64 {
+	if r.WarmUp <= 0 {
 		return 1
 	}
-	return min(r.Share+(1-r.Share)*float64(max(since, 0))/float64(r.Warm), 1)
+	return min(r.InitialShare+(1-r.InitialShare)*float64(max(since, 0))/float64(r.WarmUp), 1)
 }
 
-// Back tells how long it takes until a part of so many sessions plays at the site
+// TimeToRestore tells how long it takes until a part of so many sessions plays at the site
 // again, where its viewers ask for them at a rate and they last so long in the mean.
 // What found a place elsewhere stays there. False: it never does.
-func (r Return) Back(sessions, rate float64, lasts time.Duration, part float64) (time.Duration, bool) {
+func (r Recovery) TimeToRestore(sessions, rate float64, lasts time.Duration, part float64) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	standing := 0.0
 	for t := time.Duration(0); t < time.Hour; t += step {
 		if standing >= part*sessions {
 			return t, true
 		}
-		in := min(rate, r.Pace(t))
+		in := min(rate, r.MaxSessionRate(t))
 		standing += (in - standing/max(lasts.Seconds(), 1e-3)) * step.Seconds()
 	}
 	return 0, false
--- a/internal/site/watch.go
+++ b/internal/site/watch.go
@@ -12,11 +12,11 @@
 type State uint8
 
 const (
-	Present State = iota
-	Slow          // it takes connections and leaves set-ups unanswered
-	Thin          // a part of its nodes can't be reached, others are heard of
-	Lost          // none of its nodes is heard of, and others elsewhere are
-	Back          // it was lost, and is heard of again; not all of it yet
+	StatePresent    State = iota
+	StateSlow             // it takes connections and leaves set-ups unanswered
+	StatePartial          // a part of its nodes can't be reached, others are heard of
+	StateLost             // none of its nodes is heard of, and others elsewhere are
+	StateRecovering       // it was lost, and is heard of again; not all of it yet
 )
 
 func (s State) String() string { return [...]string{"present", "slow", "thin", "lost", "back"}[s] }
@@ -25,10 +25,10 @@
 type Sign uint8
 
 const (
-	Heard   Sign = iota // the node itself said something, if only that it is full
-	NoWay               // no connection came up, or it was refused
-	Silence             // a set-up got no answer
-	Broke               // what stood or was open went down, and no new connection came up
+	SignHeard          Sign = iota // the node itself said something, if only that it is full
+	SignUnreachable                // no connection came up, or it was refused
+	SignNoAnswer                   // a set-up got no answer
+	SignConnectionLost             // what stood or was open went down, and no new connection came up
 )
 
 // Figures of a Watch. What one node does, or a manager's own bad moment, tells nothing
@@ -75,10 +75,10 @@
 
 // Notice is a change that operators are told, and what it rests on.
 type Notice struct {
-	Site  int // under 0: this manager itself
-	State State
-	Alone bool // this manager hears nobody
-	Text  string
+	Site     int // under 0: this manager itself
+	State    State
+	Isolated bool // this manager hears nobody
+	Text     string
 }
 
 // Watch tells the loss of a site from what looks like it: a node, a rack, a slow site, a
@@ -134,9 +134,9 @@
 	return w
 }
 
-// Listed tells of a node of the list. One that drains or is gone is evidence of nothing:
+// UpdateNode tells of a node of the list. One that drains or is gone is evidence of nothing:
 // it is expected to go.
-func (w *Watch) Listed(site int, node uint64, ready bool) {
+func (w *Watch) UpdateNode(site int, node uint64, ready bool) {
 	if site < 0 || site >= len(w.sites) {
 		return
 	}
@@ -150,8 +150,8 @@
 	}
 }
 
-// Saw takes a sign of a node.
-func (w *Watch) Saw(now time.Time, node uint64, sign Sign) {
+// RecordSign takes a sign of a node.
+func (w *Watch) RecordSign(now time.Time, node uint64, sign Sign) {
 	for i := range w.sites {
 		s := &w.sites[i]
 		n := s.nodes[node]
@@ -159,13 +159,13 @@
 			continue
 		}
 		s.signed = now
-		if sign == Heard {
+		if sign == SignHeard {
 			*n = seen{heard: now}
 			s.heard, s.row = now, row{}
 			return
 		}
 		way := 0
-		if sign == NoWay || sign == Broke {
+		if sign == SignUnreachable || sign == SignConnectionLost {
 			way = 1
 		}
 		n.failed, n.signs, n.ways = now, n.signs+1, n.ways+way
@@ -189,9 +189,9 @@
 	}
 }
 
-// Forget drops what has failed so far, as after a time in which this manager stood still:
+// ForgetFailures drops what has failed so far, as after a time in which this manager stood still:
 // what it then finds to have timed out says more of it than of anybody else.
-func (w *Watch) Forget() {
+func (w *Watch) ForgetFailures() {
 	for i := range w.sites {
 		w.sites[i].forget()
 	}
@@ -207,13 +207,13 @@
 // State is what a site is taken for.
 func (w *Watch) State(site int) State { return w.sites[site].state }
 
-// Alone tells whether this manager hears nobody. Then it is taken to be the one that is
+// Isolated tells whether this manager hears nobody. Then it is taken to be the one that is
 // cut off: no site is given up for it.
-func (w *Watch) Alone() bool { return w.alone }
+func (w *Watch) Isolated() bool { return w.alone }
 
-// Returns is how often a site has come back within the last minute, for the pace of its
+// ReturnCount is how often a site has come back within the last minute, for the pace of its
 // return.
-func (w *Watch) Returns(now time.Time, site int) int {
+func (w *Watch) ReturnCount(now time.Time, site int) int {
 	s := &w.sites[site]
 	s.returns = slices.DeleteFunc(s.returns, func(t time.Time) bool { return now.Sub(t) > trustTime })
 	return len(s.returns)
@@ -233,7 +233,7 @@
 		if n.failing(now) || now.Sub(n.heard) <= freshTime {
 			c.met++
 		}
-		if s.state >= Lost && n.heard.After(s.lost) {
+		if s.state >= StateLost && n.heard.After(s.lost) {
 			c.heard++
 		}
 	}
@@ -263,7 +263,7 @@
 			continue
 		}
 		any++
-		if s.silent(now, fewSigns) || s.state == Lost {
+		if s.silent(now, fewSigns) || s.state == StateLost {
 			silent++
 		}
 		fails = fails || s.silent(now, fewSigns)
@@ -279,21 +279,21 @@
 				text = "nobody has ever been heard of: this manager takes itself for cut off, and no site for lost"
 			}
 		} else {
-			w.Forget() // what failed meanwhile says nothing of anybody else
+			w.ForgetFailures() // what failed meanwhile says nothing of anybody else
 			for i := range w.sites {
 				counts[i] = w.sites[i].count(now)
 			}
 		}
-		notices = append(notices, Notice{Site: -1, Alone: alone, Text: text})
+		notices = append(notices, Notice{Site: -1, Isolated: alone, Text: text})
 	}
 	for i := range w.sites {
 		s, c := &w.sites[i], &counts[i]
 		if c.nodes > 0 || s.listed.IsZero() {
 			s.listed = now
 		}
-		if c.nodes == 0 && (s.state != Lost || now.Sub(s.listed) > goneTime) {
-			if s.state != Present {
-				s.state, s.since = Present, now
+		if c.nodes == 0 && (s.state != StateLost || now.Sub(s.listed) > goneTime) {
+			if s.state != StatePresent {
+				s.state, s.since = StatePresent, now
 				notices = append(notices, Notice{Site: i, Text: "none of its nodes is expected to be there: they drain, or are off the list"})
 			}
 			continue
@@ -308,12 +308,12 @@
 			continue
 		}
 		switch {
-		case next == Lost:
+		case next == StateLost:
 			s.lost = now
-		case s.state == Lost:
+		case s.state == StateLost:
 			s.returns = append(s.returns, now)
 			s.forget()
-			text = fmt.Sprintf("%s; lost for %v, back %d times within a minute", text, now.Sub(s.since).Round(100*time.Millisecond), w.Returns(now, i))
+			text = fmt.Sprintf("%s; lost for %v, back %d times within a minute", text, now.Sub(s.since).Round(100*time.Millisecond), w.ReturnCount(now, i))
 		}
 		s.state, s.since = next, now
 		notices = append(notices, Notice{Site: i, State: next, Text: text})
@@ -324,39 +324,39 @@
 // next is the state that a site's evidence leads to.
 func (s *watched) next(now time.Time, c *count, alone, others bool) (State, string) {
 	switch {
-	case s.state == Lost:
+	case s.state == StateLost:
 		if c.heard > 0 {
-			return Back, fmt.Sprintf("%d of %d nodes are heard of again", c.heard, c.nodes)
+			return StateRecovering, fmt.Sprintf("%d of %d nodes are heard of again", c.heard, c.nodes)
 		}
-		return Lost, ""
+		return StateLost, ""
 	case !alone && others && s.row.vouched >= leastVouched && s.silent(now, leastSigns):
 		r := &s.row
-		return Lost, fmt.Sprintf("%d of %d nodes fail, %d signs in %v, %d without a connection, and no word of the site between them; other sites are heard of",
+		return StateLost, fmt.Sprintf("%d of %d nodes fail, %d signs in %v, %d without a connection, and no word of the site between them; other sites are heard of",
 			len(r.nodes), c.nodes, r.signs, r.last.Sub(r.first).Round(time.Millisecond), r.ways)
-	case s.state == Back:
+	case s.state == StateRecovering:
 		if float64(c.heard) >= wholePart*float64(c.nodes) && c.failing == 0 || c.failing == 0 && now.Sub(s.since) > longBack {
-			return Present, fmt.Sprintf("%d of %d nodes are heard of, and none fails", c.heard, c.nodes)
+			return StatePresent, fmt.Sprintf("%d of %d nodes are heard of, and none fails", c.heard, c.nodes)
 		}
-		return Back, ""
+		return StateRecovering, ""
 	case !alone && c.failing >= 2 && c.ways == 0 && c.signs >= fewSigns && float64(c.failing) >= thinPart*float64(c.met):
-		return Slow, fmt.Sprintf("%d of %d nodes that were met lately leave set-ups unanswered and take connections", c.failing, c.met)
+		return StateSlow, fmt.Sprintf("%d of %d nodes that were met lately leave set-ups unanswered and take connections", c.failing, c.met)
 	case !alone && c.failing >= 2 && c.failing < c.met && c.ways > 0 && c.signs >= fewSigns && float64(c.failing) >= thinPart*float64(c.met):
-		return Thin, fmt.Sprintf("%d of %d nodes that were met lately can't be reached, others can", c.failing, c.met)
-	case s.state != Present && c.failing == 0 && now.Sub(s.since) > quietTime:
-		return Present, "no node fails any more"
+		return StatePartial, fmt.Sprintf("%d of %d nodes that were met lately can't be reached, others can", c.failing, c.met)
+	case s.state != StatePresent && c.failing == 0 && now.Sub(s.since) > quietTime:
+		return StatePresent, "no node fails any more"
 	}
 	return s.state, ""
 }
 
-// Ask returns nodes to be asked for a report, in turn, so that a site is watched that
+// NodesToProbe returns nodes to be asked for a report, in turn, so that a site is watched that
 // this manager sends little to, as one that prefers another does, and so that the return
 // of one is seen to which nothing is sent. It is one node a second of a site that nothing
 // else is seen of, and five where there is doubt.
-func (w *Watch) Ask(now time.Time) (nodes []uint64) {
+func (w *Watch) NodesToProbe(now time.Time) (nodes []uint64) {
 	for i := range w.sites {
 		s := &w.sites[i]
 		pause := askTime
-		if s.row.signs > 0 && s.state != Lost && now.Sub(s.row.last) <= freshTime {
+		if s.row.signs > 0 && s.state != StateLost && now.Sub(s.row.last) <= freshTime {
 			pause = doubtTime
 		}
 		if len(s.nodes) == 0 || now.Sub(s.signed) < pause || now.Sub(s.asked) < pause {
@@ -381,8 +381,8 @@
 	return nodes
 }
 
-// Nodes are the nodes of a site that can't be reached at the moment, in order.
-func (w *Watch) Nodes(now time.Time, site int) (failing []uint64) {
+// UnreachableNodes are the nodes of a site that can't be reached at the moment, in order.
+func (w *Watch) UnreachableNodes(now time.Time, site int) (failing []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(w.sites[site].nodes)) {
 		if w.sites[site].nodes[id].failing(now) {
 			failing = append(failing, id)
--- a/internal/site/watch_test.go
+++ b/internal/site/watch_test.go
@@ -22,9 +22,9 @@
 func newWorld(seed uint64) *world {
 	v := &world{w: NewWatch([]string{"a", "b"}), now: time.Unix(1000, 0), src: rand.New(rand.NewPCG(seed, 5)), after: map[string]time.Duration{}}
 	for n := range 16 {
-		v.w.Listed(n/8, uint64(n), true)
+		v.w.UpdateNode(n/8, uint64(n), true)
 	}
-	v.sign = func(int) (Sign, bool) { return Heard, true }
+	v.sign = func(int) (Sign, bool) { return SignHeard, true }
 	v.mark = v.now
 	return v
 }
@@ -33,12 +33,12 @@
 	for end := v.now.Add(d); v.now.Before(end); v.now = v.now.Add(100 * time.Millisecond) {
 		n := v.src.IntN(16)
 		if sign, ok := v.sign(n); ok {
-			v.w.Saw(v.now, uint64(n), sign)
+			v.w.RecordSign(v.now, uint64(n), sign)
 		}
 		for _, x := range v.w.Tick(v.now) {
 			text := fmt.Sprint(x.Site, " ", x.State)
 			if x.Site < 0 {
-				text = fmt.Sprint("alone ", x.Alone)
+				text = fmt.Sprint("alone ", x.Isolated)
 			}
 			v.told = append(v.told, text)
 			if _, ok := v.after[text]; !ok {
@@ -54,7 +54,7 @@
 		if n >= from && n < to {
 			return sign, true
 		}
-		return Heard, true
+		return SignHeard, true
 	}
 }
 
@@ -65,13 +65,13 @@
 		during func(int) (Sign, bool)
 		want   []string
 	}{
-		"nothing":                 {fails(Heard, 0, 0), nil},
-		"one node":                {fails(NoWay, 8, 9), nil},
-		"a rack of four of eight": {fails(NoWay, 8, 12), []string{"1 thin", "1 present"}},
-		"a slow site":             {fails(Silence, 8, 16), []string{"1 slow", "1 present"}},
-		"a site":                  {fails(NoWay, 8, 16), []string{"1 lost", "1 back", "1 present"}},
-		"this manager":            {fails(NoWay, 0, 16), []string{"alone true", "alone false"}},
-		"this manager, silently":  {fails(Silence, 0, 16), nil},
+		"nothing":                 {fails(SignHeard, 0, 0), nil},
+		"one node":                {fails(SignUnreachable, 8, 9), nil},
+		"a rack of four of eight": {fails(SignUnreachable, 8, 12), []string{"1 thin", "1 present"}},
+		"a slow site":             {fails(SignNoAnswer, 8, 16), []string{"1 slow", "1 present"}},
+		"a site":                  {fails(SignUnreachable, 8, 16), []string{"1 lost", "1 back", "1 present"}},
+		"this manager":            {fails(SignUnreachable, 0, 16), []string{"alone true", "alone false"}},
+		"this manager, silently":  {fails(SignNoAnswer, 0, 16), nil},
 		"nobody asks":             {func(int) (Sign, bool) { return 0, false }, nil},
 	} {
 		for seed := range uint64(20) {
@@ -79,7 +79,7 @@
 			v.run(10 * time.Second)
 			v.mark, v.sign = v.now, e.during
 			v.run(15 * time.Second)
-			v.sign = fails(Heard, 0, 0)
+			v.sign = fails(SignHeard, 0, 0)
 			v.run(40 * time.Second)
 			got := v.told
 			// On the way a loss may look like a thin site, or a cut-off manager's world.
@@ -118,17 +118,17 @@
 			gone := map[int]bool{}
 			v.sign = func(n int) (Sign, bool) {
 				if gone[n] {
-					return NoWay, true
+					return SignUnreachable, true
 				}
-				return Heard, true
+				return SignHeard, true
 			}
 			for n := 8; n < 16; n++ {
 				gone[n] = true
 				v.run(late)
-				v.w.Listed(1, uint64(n), false)
+				v.w.UpdateNode(1, uint64(n), false)
 				v.run(4*time.Second - late)
 				gone[n] = false
-				v.w.Listed(1, uint64(n), true)
+				v.w.UpdateNode(1, uint64(n), true)
 				v.run(time.Second)
 			}
 			for _, s := range v.told {
@@ -146,42 +146,42 @@
 	v := newWorld(3)
 	v.run(5 * time.Second)
 	for i := range 3 {
-		v.sign = fails(NoWay, 8, 16)
+		v.sign = fails(SignUnreachable, 8, 16)
 		v.run(8 * time.Second)
-		if v.w.State(1) != Lost {
+		if v.w.State(1) != StateLost {
 			t.Fatalf("loss %d: %v, told %v", i, v.w.State(1), v.told)
 		}
-		v.sign = fails(Heard, 0, 0)
+		v.sign = fails(SignHeard, 0, 0)
 		v.run(time.Second)
-		if v.w.State(1) == Lost || v.w.Returns(v.now, 1) != i+1 {
-			t.Fatalf("return %d: %v, %d returns", i, v.w.State(1), v.w.Returns(v.now, 1))
+		if v.w.State(1) == StateLost || v.w.ReturnCount(v.now, 1) != i+1 {
+			t.Fatalf("return %d: %v, %d returns", i, v.w.State(1), v.w.ReturnCount(v.now, 1))
 		}
 	}
 	v.run(70 * time.Second)
-	if v.w.State(1) != Present || v.w.Returns(v.now, 1) != 0 {
-		t.Errorf("a minute later: %v, %d returns", v.w.State(1), v.w.Returns(v.now, 1))
+	if v.w.State(1) != StatePresent || v.w.ReturnCount(v.now, 1) != 0 {
+		t.Errorf("a minute later: %v, %d returns", v.w.State(1), v.w.ReturnCount(v.now, 1))
 	}
-	v.sign = fails(NoWay, 8, 16)
+	v.sign = fails(SignUnreachable, 8, 16)
 	v.run(6 * time.Second)
 	for n := 8; n < 16; n++ {
-		v.w.Listed(1, uint64(n), false)
+		v.w.UpdateNode(1, uint64(n), false)
 	}
 	v.run(2 * time.Second)
-	if v.w.State(1) != Lost {
+	if v.w.State(1) != StateLost {
 		t.Errorf("off the list: %v", v.w.State(1))
 	}
-	v.w.Listed(1, 20, true)
-	v.w.Saw(v.now, 20, Heard)
-	if v.run(time.Second); v.w.State(1) == Lost {
+	v.w.UpdateNode(1, 20, true)
+	v.w.RecordSign(v.now, 20, SignHeard)
+	if v.run(time.Second); v.w.State(1) == StateLost {
 		t.Error("a new node of it is heard of, and it is lost still")
 	}
 	// What times out at once after this manager stood still is no evidence.
 	v = newWorld(4)
 	v.run(5 * time.Second)
 	for n := range uint64(16) {
-		v.w.Saw(v.now, n, NoWay)
+		v.w.RecordSign(v.now, n, SignUnreachable)
 	}
-	v.w.Forget()
+	v.w.ForgetFailures()
 	if v.run(10 * time.Second); len(v.told) != 0 {
 		t.Errorf("after a stand: %v", v.told)
 	}
@@ -193,13 +193,13 @@
 	v := newWorld(5)
 	v.run(5 * time.Second)
 	for n := range uint64(3) { // three failures of a, each with a word of b before
-		v.w.Saw(v.now, n, Silence)
+		v.w.RecordSign(v.now, n, SignNoAnswer)
 		v.now = v.now.Add(50 * time.Millisecond)
-		v.w.Saw(v.now, 8, Heard)
+		v.w.RecordSign(v.now, 8, SignHeard)
 	}
-	v.sign = fails(NoWay, 0, 16)
+	v.sign = fails(SignUnreachable, 0, 16)
 	v.run(8 * time.Second)
-	if v.w.State(0) == Lost || v.w.State(1) == Lost || !v.w.Alone() {
+	if v.w.State(0) == StateLost || v.w.State(1) == StateLost || !v.w.Isolated() {
 		t.Errorf("told %v", v.told)
 	}
 }
@@ -218,13 +218,13 @@
 		if s, ok := bad[n]; ok && v.now.Before(until[n]) {
 			return s, true
 		}
-		return Heard, true
+		return SignHeard, true
 	}
 	faults := 0
 	for v.now.Before(time.Unix(1000, 0).Add(day)) {
 		for range 1 + v.src.IntN(3) { // of sixteen nodes up to three at a time, as the operators' days have it
 			n := v.src.IntN(16)
-			bad[n] = []Sign{NoWay, Silence, Broke}[v.src.IntN(3)]
+			bad[n] = []Sign{SignUnreachable, SignNoAnswer, SignConnectionLost}[v.src.IntN(3)]
 			until[n] = v.now.Add(5*time.Second + time.Duration(v.src.Int64N(int64(25*time.Second))))
 			faults++
 		}
