--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -148,7 +148,7 @@
 				"func (c *Controller) isCold(sv *server) bool {\n\treturn false"},
 			{"control/control.go", "return c.now >= sv.coldUntil || c.dueAfterReenabling", "return true || c.dueAfterReenabling"},
 		}},
-		{"site-like", "logged before the mark", []Patch{{"internal/site/watch.go", "r.signs >= signs && r.ways > 0", "r.signs >= signs"}}},
+		{"site-like", "logged before the mark", []Patch{{"internal/site/watch.go", "r.failures >= failures && r.unconnected > 0", "r.failures >= failures"}}},
 		{"ops-ban", `"bans" broken`, []Patch{{"internal/duty/duty.go", "if n.order.Out && m.State == control.Ready", "if false && m.State == control.Ready"}}},
 		{"ops-ban", "sent to a1 by m2", []Patch{{"internal/server/operation.go", "		s.overrides.Take(s.overrideState.Nodes)\n", ""}}},
 		{"ops-ban", "a1 is left unused", []Patch{{"internal/server/operation.go", "		c, known := s.overrides.Give(member, override)\n",
--- a/internal/peaks/calendar.go
+++ b/internal/peaks/calendar.go
@@ -92,17 +92,17 @@
 	var list []Occurrence
 	for i := range c.Peaks {
 		p := &c.Peaks[i]
-		reach := p.Early + p.Lead
+		beforeBegin := p.Early + p.Lead
 		// A window may have begun before: so many days more are looked at.
 		first := from.Add(-p.Length - p.Ramp).In(p.Zone)
-		last := until.Add(reach).In(p.Zone)
+		last := until.Add(beforeBegin).In(p.Zone)
 		day := time.Date(first.Year(), first.Month(), first.Day()-1, 0, 0, 0, 0, time.UTC)
 		end := time.Date(last.Year(), last.Month(), last.Day()+1, 0, 0, 0, 0, time.UTC)
 		for ; !day.After(end); day = day.AddDate(0, 0, 1) {
-			if !p.Days.has(day) {
+			if !p.Days.includes(day) {
 				continue
 			}
-			begin := local(day, p.At, p.Zone)
+			begin := localTime(day, p.At, p.Zone)
 			o := Occurrence{Peak: p, PeakIndex: i, Begin: begin, End: begin.Add(p.Length)}
 			if a, b := o.Window(); a.Before(until) && b.After(from) {
 				list = append(list, o)
@@ -115,8 +115,8 @@
 	return list
 }
 
-// has tells whether a date, given as its midnight in UTC, is one of the days.
-func (d *Days) has(t time.Time) bool {
+// includes tells whether a date, given as its midnight in UTC, is one of the days.
+func (d *Days) includes(t time.Time) bool {
 	if d.Daily || d.Weekdays[t.Weekday()] {
 		return true
 	}
@@ -127,10 +127,10 @@
 	return slices.Contains(d.OfMonth, n) || slices.Contains(d.OfMonth, 0) && t.AddDate(0, 0, 1).Day() == 1
 }
 
-// local is a time of day on a date in a zone. Where the clocks are put back it is
+// localTime is a time of day on a date in a zone. Where the clocks are put back it is
 // the first of the two; a time that is left out where they are put forward comes
 // as much later.
-func local(day time.Time, at time.Duration, zone *time.Location) time.Time {
+func localTime(day time.Time, at time.Duration, zone *time.Location) time.Time {
 	wall := day.Add(at).Unix()
 	offset := func(t int64) int64 {
 		_, s := time.Unix(t, 0).In(zone).Zone()
--- a/internal/peaks/plan_test.go
+++ b/internal/peaks/plan_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// site is the classes of a site of 16 nodes whose ordinary traffic fills 45% of the
+// testFleet is the classes of a site of 16 nodes whose ordinary traffic fills 45% of the
 // links at the middle rate, and its room in slots.
-func site(load float64) (float64, []Class) {
+func testFleet(load float64) (float64, []Class) {
 	const room = 16 * 10.0
 	lasts := func(least, most float64) []float64 {
 		s := make([]float64, 80)
@@ -37,8 +37,8 @@
 	return room, classes
 }
 
-// doubling is a peak that doubles both classes.
-func doubling() Occurrence {
+// doublingOccurrence is a peak that doubles both classes.
+func doublingOccurrence() Occurrence {
 	o := occurrence(0)
 	o.Peak.Classes, o.Peak.Factor, o.Peak.Probability, o.Peak.MaxHarm, o.Peak.Lead = []bool{true, true}, 2, 0.9, 0.3, 90*time.Second
 	return o
@@ -46,7 +46,7 @@
 
 // A hold is made where it pays, and by more the surer the peak is; it never earns
 // less than none, and costs no more than the operator allows.
-func TestMake(t *testing.T) {
+func TestMakePlan(t *testing.T) {
 	for name, e := range map[string]struct {
 		load   float64
 		change func(*Peak)
@@ -69,8 +69,8 @@
 		"no lead":           {0.45, func(p *Peak) { p.Factor, p.Lead = 10, 0 }, 0},
 		"nothing more":      {0.45, func(p *Peak) { p.Factor = 1 }, 0},
 	} {
-		room, classes := site(e.load)
-		o := doubling()
+		room, classes := testFleet(e.load)
+		o := doublingOccurrence()
 		e.change(o.Peak)
 		p, err := MakePlan(o, room, classes)
 		if err != nil {
@@ -84,21 +84,21 @@
 			sum += h
 		}
 		from, _ := p.Window()
-		if e.held > 0 && sum < e.held || e.held <= 0 && sum > -e.held || p.ExpectedWorth < p.WorthWithoutHold || p.OrdinaryLoss > o.Peak.MaxHarm+0.001 || sum > mostHeld || p.From.Before(from) || p.From.After(p.Begin) {
+		if e.held > 0 && sum < e.held || e.held <= 0 && sum > -e.held || p.ExpectedWorth < p.WorthWithoutHold || p.OrdinaryLoss > o.Peak.MaxHarm+0.001 || sum > maxHeldShare || p.From.Before(from) || p.From.After(p.Begin) {
 			t.Errorf("%s: held %.3f from %v, earned %.1f of %.1f, lost %.3f", name, p.HeldShares, p.Begin.Sub(p.From), p.ExpectedWorth, p.WorthWithoutHold, p.OrdinaryLoss)
 		}
 		t.Logf("%s: held %.3f for %v, expected %.1f, without %.1f (%+.2f%%), ordinary loses %.2f%%, short %.0f slots", name, p.HeldShares, p.Begin.Sub(p.From).Round(time.Second),
 			p.ExpectedWorth, p.WorthWithoutHold, 100*(p.ExpectedWorth/p.WorthWithoutHold-1), 100*p.OrdinaryLoss, p.ShortSlots)
 	}
-	if _, err := MakePlan(doubling(), 0, nil); err != ErrNoCapacity {
+	if _, err := MakePlan(doublingOccurrence(), 0, nil); err != ErrNoCapacity {
 		t.Error(err)
 	}
 }
 
 // What can't be met even on the lowest rungs is told with what is lacking.
-func TestShort(t *testing.T) {
-	room, classes := site(0.45)
-	o := doubling()
+func TestShortSlots(t *testing.T) {
+	room, classes := testFleet(0.45)
+	o := doublingOccurrence()
 	o.Peak.Factor = 10
 	p, err := MakePlan(o, room, classes)
 	need := 0.0
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestUsableSlots(t *testing.T) {
 	nodes := []Node{{10, true, 1}, {10, false, 1}, {10, true, 0.25}, {10, true, 0}, {10, true, 7}, {10, true, -1}}
 	if got := UsableSlots(nodes); got != 22.5 {
 		t.Error(got)
@@ -118,9 +118,9 @@
 }
 
 // Nothing is held outside of an announcement's window, or before the plan's time.
-func TestAt(t *testing.T) {
-	room, classes := site(0.45)
-	o := doubling()
+func TestHeldSharesAt(t *testing.T) {
+	room, classes := testFleet(0.45)
+	o := doublingOccurrence()
 	o.Peak.Factor = 10
 	p, err := MakePlan(o, room, classes)
 	if err != nil {
@@ -152,7 +152,7 @@
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		for _, hours := range []int{24, 240} {
 			b.Run(fmt.Sprintf("nodes=%d/hours=%d", nodes, hours), func(b *testing.B) {
-				_, two := site(0.45)
+				_, two := testFleet(0.45)
 				classes := append(two, two...)
 				all := make([]Node, nodes)
 				for i := range all {
--- a/internal/peaks/show.go
+++ b/internal/peaks/show.go
@@ -35,11 +35,11 @@
 var DefaultErrorRates = ErrorRates{MissedPeak: 0.01, FalsePeak: 0.01, EarlyFalseAlarm: 0.01, Dispersion: 1.5}
 
 const (
-	// longestDoubt is after which the likelier is taken, counted from when the peak
+	// maxDecisionDelay is after which the likelier is taken, counted from when the peak
 	// should have been told: when ordinary traffic would have brought the ratio down
 	// to its bound on the mean.
-	longestDoubt = 8 * time.Second
-	sizeTime     = 15.0 // s over which the size of a peak that came is measured
+	maxDecisionDelay = 8 * time.Second
+	sizeWindowS      = 15.0 // s over which the size of a peak that came is measured
 )
 
 // Detector tells from arrivals whether an announced peak comes. It is a sequential
@@ -48,17 +48,17 @@
 type Detector struct {
 	Occurrence
 	ErrorRates
-	state State
-	told  time.Time // when the state was last decided
-	ratio float64   // log likelihood of the peak over ordinary traffic
+	state     State
+	decidedAt time.Time // when the state was last decided
+	logRatio  float64   // log likelihood of the peak over ordinary traffic
 	// sums are the same for the peak and for one of half its size, each since the
 	// last moment at which it was least.
-	sums  [2]float64
-	size  float64   // of what came, by the announced: 1 is as announced
-	doubt time.Time // when the peak should have been told; zero: not yet
-	due   float64   // sessions that the peak should have brought
-	info  float64   // by how much the ratio should have fallen without a peak
-	last  time.Time
+	cusums           [2]float64
+	size             float64   // of what came, by the announced: 1 is as announced
+	decisionDueAt    time.Time // when the peak should have been told; zero: not yet
+	expectedSessions float64   // sessions that the peak should have brought
+	expectedFall     float64   // by how much the ratio should have fallen without a peak
+	lastTick         time.Time
 }
 
 // NewDetector begins to watch for an occurrence.
@@ -67,7 +67,7 @@
 }
 
 // State is what has been decided, and when.
-func (s *Detector) State() (State, time.Time) { return s.state, s.told }
+func (s *Detector) State() (State, time.Time) { return s.state, s.decidedAt }
 
 // Size is how large the peak is that came, by what was announced.
 func (s *Detector) Size() float64 { return s.size }
@@ -75,10 +75,10 @@
 // Tick takes the arrivals of the peak's classes, or of its own requests, since the
 // last Tick: count of them came, base a second come ordinarily, and more a second
 // would come besides at the full peak.
-func (s *Detector) Tick(now time.Time, count int, base, more float64) State {
-	dt := now.Sub(s.last).Seconds()
-	first := s.last.IsZero()
-	s.last = now
+func (s *Detector) Tick(now time.Time, count int, ordinaryRate, extraRate float64) State {
+	dt := now.Sub(s.lastTick).Seconds()
+	first := s.lastTick.IsZero()
+	s.lastTick = now
 	if first || !(dt > 0) || dt > 60 { // guard: a clock that jumped tells nothing of a rate
 		return s.state
 	}
@@ -87,77 +87,77 @@
 	case s.state == StateFinished:
 		return s.state
 	case !now.Before(s.End.Add(s.Peak.Ramp)):
-		return s.decide(StateFinished, now)
-	case now.Before(from) || more <= 0:
+		return s.setState(StateFinished, now)
+	case now.Before(from) || extraRate <= 0:
 		return s.state
 	}
-	base = max(base, 0.01) // nobody comes at no rate at all
+	ordinaryRate = max(ordinaryRate, 0.01) // nobody comes at no rate at all
 	n := float64(count)
-	for i, part := range [...]float64{1, 0.5} {
-		s.sums[i] = max(s.sums[i]+s.llr(n, base, base+part*more, dt), 0)
+	for i, scale := range [...]float64{1, 0.5} {
+		s.cusums[i] = max(s.cusums[i]+s.logLikelihoodRatio(n, ordinaryRate, ordinaryRate+scale*extraRate, dt), 0)
 	}
-	s.size += (max(n/dt-base, 0)/more - s.size) * (1 - math.Exp(-dt/sizeTime))
+	s.size += (max(n/dt-ordinaryRate, 0)/extraRate - s.size) * (1 - math.Exp(-dt/sizeWindowS))
 	switch s.state {
 	case StateAwaited:
-		if s.alarm() {
-			return s.decide(StateArrived, now)
+		if s.cusumAlarm() {
+			return s.setState(StateArrived, now)
 		}
 		if now.Before(s.Begin) {
 			return s.state
 		}
-		return s.test(now, n, base, more, dt)
+		return s.testAnnounced(now, n, ordinaryRate, extraRate, dt)
 	case StateNoShow: // it may still come, late
-		if s.alarm() {
-			return s.decide(StateArrived, now)
+		if s.cusumAlarm() {
+			return s.setState(StateArrived, now)
 		}
 	}
 	return s.state
 }
 
-// test holds the peak as announced against ordinary traffic.
-func (s *Detector) test(now time.Time, n, base, more, dt float64) State {
+// testAnnounced holds the peak as announced against ordinary traffic.
+func (s *Detector) testAnnounced(now time.Time, n, ordinaryRate, extraRate, dt float64) State {
 	level := s.Level(now.Add(-time.Duration(dt * float64(time.Second) / 2)))
-	s.ratio += s.llr(n, base, base+more*level, dt)
-	s.due += more * level * dt
-	s.info -= s.llr(base*dt, base, base+more*level, dt)
+	s.logRatio += s.logLikelihoodRatio(n, ordinaryRate, ordinaryRate+extraRate*level, dt)
+	s.expectedSessions += extraRate * level * dt
+	s.expectedFall -= s.logLikelihoodRatio(ordinaryRate*dt, ordinaryRate, ordinaryRate+extraRate*level, dt)
 	upper, lower := math.Log((1-s.MissedPeak)/s.FalsePeak), math.Log(s.MissedPeak/(1-s.FalsePeak))
 	// Guard: at its very begin a peak with a ramp brings next to nothing, and what
 	// would tell it from nothing is noise.
-	if s.due < leastDue {
+	if s.expectedSessions < minExpectedSessions {
 		return s.state
 	}
-	if s.doubt.IsZero() && s.info >= -lower {
-		s.doubt = now
+	if s.decisionDueAt.IsZero() && s.expectedFall >= -lower {
+		s.decisionDueAt = now
 	}
-	late := !s.doubt.IsZero() && now.Sub(s.doubt) >= longestDoubt
+	overdue := !s.decisionDueAt.IsZero() && now.Sub(s.decisionDueAt) >= maxDecisionDelay
 	switch {
-	case s.ratio >= upper, late && s.ratio > 0:
-		return s.decide(StateArrived, now)
-	case s.ratio <= lower, late:
-		return s.decide(StateNoShow, now)
+	case s.logRatio >= upper, overdue && s.logRatio > 0:
+		return s.setState(StateArrived, now)
+	case s.logRatio <= lower, overdue:
+		return s.setState(StateNoShow, now)
 	}
 	return s.state
 }
 
-// leastDue is how many sessions a peak has to have brought before it can be
+// minExpectedSessions is how many sessions a peak has to have brought before it can be
 // missed.
-const leastDue = 8
+const minExpectedSessions = 8
 
-// llr is the log likelihood of rate b over rate a for n arrivals in dt, for counts
+// logLikelihoodRatio is the log likelihood of rate b over rate a for n arrivals in dt, for counts
 // that vary as stated.
-func (s *Detector) llr(n, a, b, dt float64) float64 {
+func (s *Detector) logLikelihoodRatio(n, a, b, dt float64) float64 {
 	return (n*math.Log(b/a) - (b-a)*dt) / max(s.Dispersion, 1)
 }
 
-// alarm tells whether a sum is so high that ordinary traffic is improbable in the
+// cusumAlarm tells whether a sum is so high that ordinary traffic is improbable in the
 // whole early window: each second may begin a new sum, and there are two.
-func (s *Detector) alarm() bool {
-	return max(s.sums[0], s.sums[1]) > math.Log(2*max(s.Peak.Early.Seconds(), 60)/s.EarlyFalseAlarm)
+func (s *Detector) cusumAlarm() bool {
+	return max(s.cusums[0], s.cusums[1]) > math.Log(2*max(s.Peak.Early.Seconds(), 60)/s.EarlyFalseAlarm)
 }
 
-func (s *Detector) decide(state State, now time.Time) State {
+func (s *Detector) setState(state State, now time.Time) State {
 	if state != s.state {
-		s.state, s.told = state, now
+		s.state, s.decidedAt = state, now
 	}
 	return s.state
 }
--- a/internal/peaks/show_test.go
+++ b/internal/peaks/show_test.go
@@ -17,19 +17,19 @@
 	return Occurrence{Peak: p, Begin: begin, End: begin.Add(p.Length)}
 }
 
-// watch ticks a show each second of a day on which base sessions a second come,
+// runDetector ticks a show each second of a day on which base sessions a second come,
 // and more at what level tells. Counts vary as spread says.
-func watch(o Occurrence, seed uint64, base, more, spread float64, level func(time.Time) float64, each func(time.Time, State)) *Detector {
+func runDetector(o Occurrence, seed uint64, ordinaryRate, extraRate, dispersion float64, level func(time.Time) float64, each func(time.Time, State)) *Detector {
 	s := NewDetector(o, DefaultErrorRates)
 	src := rand.NewPCG(seed, 1)
 	for now := o.Begin.Add(-15 * time.Minute); now.Before(o.End.Add(2 * time.Minute)); now = now.Add(time.Second) {
 		// A negative binomial of that mean and spread: a mixture of Poissons.
-		mean := base + more*level(now)
-		if spread > 1 {
-			mean = distuv.Gamma{Alpha: mean / (spread - 1), Beta: 1 / (spread - 1), Src: src}.Rand()
+		mean := ordinaryRate + extraRate*level(now)
+		if dispersion > 1 {
+			mean = distuv.Gamma{Alpha: mean / (dispersion - 1), Beta: 1 / (dispersion - 1), Src: src}.Rand()
 		}
 		n := int(distuv.Poisson{Lambda: mean, Src: src}.Rand())
-		st := s.Tick(now, n, base, more)
+		st := s.Tick(now, n, ordinaryRate, extraRate)
 		if each != nil {
 			each(now, st)
 		}
@@ -37,9 +37,9 @@
 	return s
 }
 
-// TestShow holds what a show decides, and when, against days of which the truth is
+// TestDetector holds what a show decides, and when, against days of which the truth is
 // known, at the error rates that it states. 400 days of each kind, fixed seeds.
-func TestShow(t *testing.T) {
+func TestDetector(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
@@ -69,7 +69,7 @@
 		for seed := range uint64(days) {
 			var last State
 			var at time.Time
-			s := watch(o, seed, e.base, e.more, DefaultErrorRates.Dispersion, func(t time.Time) float64 { return e.level(o, t) }, func(now time.Time, st State) {
+			s := runDetector(o, seed, e.base, e.more, DefaultErrorRates.Dispersion, func(t time.Time) float64 { return e.level(o, t) }, func(now time.Time, st State) {
 				if st != last && st != StateFinished {
 					last, at = st, now
 				}
@@ -93,7 +93,7 @@
 			t.Errorf("%s: told after %.0f s in 95 of 100 days, %v is wanted", name, late, e.within)
 		}
 		// Without a ramp, what is held for a no-show is given back within 30 s, always.
-		if worst := took[len(took)-1]; name == "no show" && worst+((releaseIn-1)*releaseStep).Seconds() > 30 {
+		if worst := took[len(took)-1]; name == "no show" && worst+((releaseSteps-1)*releaseInterval).Seconds() > 30 {
 			t.Errorf("%s: told after %.0f s in the worst", name, worst)
 		}
 		t.Logf("%s: %d of %d wrong, told after %.0f s (median), %.0f s (95 of 100), %.0f s (worst)", name, wrong, days, took[len(took)/2], late, took[len(took)-1])
@@ -104,7 +104,7 @@
 func (o Occurrence) early() time.Time { return o.Begin.Add(-o.Peak.Early) }
 
 // Ordinary traffic is taken for an early peak no more often than stated.
-func TestFalseAlarms(t *testing.T) {
+func TestDetectorFalseAlarms(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
@@ -113,7 +113,7 @@
 	const days = 1000
 	for seed := range uint64(days) {
 		came := false
-		watch(o, seed, 3.7, 3.7, DefaultErrorRates.Dispersion, func(time.Time) float64 { return 0 }, func(now time.Time, st State) {
+		runDetector(o, seed, 3.7, 3.7, DefaultErrorRates.Dispersion, func(time.Time) float64 { return 0 }, func(now time.Time, st State) {
 			came = came || st == StateArrived && now.Before(o.Begin)
 		})
 		if came {
@@ -127,7 +127,7 @@
 }
 
 // A clock that jumps decides nothing.
-func TestShowAndTheClock(t *testing.T) {
+func TestDetectorClockJump(t *testing.T) {
 	o := occurrence(0)
 	s := NewDetector(o, DefaultErrorRates)
 	s.Tick(o.Begin.Add(-time.Minute), 0, 4, 4)
@@ -146,7 +146,7 @@
 }
 
 // The size of a peak that came is near the truth.
-func TestSize(t *testing.T) {
+func TestDetectorSize(t *testing.T) {
 	o := occurrence(0)
 	for _, size := range []float64{0.5, 1, 2} {
 		sum, n := 0.0, 0
@@ -167,7 +167,7 @@
 
 // Lengths are estimated without bias, also where half of the sessions are cut
 // short, which a plain mean of what ended would miss.
-func TestLengths(t *testing.T) {
+func TestLengthEstimator(t *testing.T) {
 	src := rand.NewPCG(7, 7)
 	length := distuv.Uniform{Min: 26, Max: 65, Src: src} // as clips last
 	cutAt := distuv.Exponential{Rate: 1. / 50, Src: src}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -13,17 +13,17 @@
 
 var ladder = []float64{172, 364, 767, 1617}
 
-func classes() []Class {
+func testClasses() []Class {
 	return []Class{
 		{Name: "clip", Floor: 1, Top: 3, RatesKB: ladder, Worth: []float64{0.52, 1.06, 1.54, 2}},
 		{Name: "feed", Floor: 0, Top: 3, RatesKB: ladder, Worth: []float64{0.26, 0.53, 0.77, 1}},
 	}
 }
 
-// fleet is sites of racks, each of eight nodes, and the load that would fill a part of
+// testFleet is sites of racks, each of eight nodes, and the load that would fill a part of
 // their links at the middle rate.
-func fleet(sites, racks int, load float64) *Fleet {
-	f := &Fleet{Classes: classes(), CrossSiteCost: 0.021}
+func testFleet(sites, racks int, load float64) *Fleet {
+	f := &Fleet{Classes: testClasses(), CrossSiteCost: 0.021}
 	for i := range sites {
 		s := Site{Name: fmt.Sprintf("site-%d", i)}
 		for range racks {
@@ -53,7 +53,7 @@
 			for r := k.Floor; r <= min(k.Top, d.Top) && s != lost; r++ {
 				w := k.Worth[r]
 				if s != d.HomeSite {
-					w -= f.crossing(d)
+					w -= f.sessionCrossingCost(d)
 				}
 				vars, c = append(vars, key{i, s, r}), append(c, -w)
 			}
@@ -89,30 +89,30 @@
 
 // No plan earns more than Bound, and none that is made asks for more than there is;
 // how far it stays below the optimum of the whole linear programme is bounded here.
-func TestPlanAgainstLinearProgramme(t *testing.T) {
-	src := rand.New(rand.NewPCG(1, 2))
+func TestPlanAgainstLinearProgram(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	worst, sum, n := 0.0, 0.0, 0
 	for range 150 {
-		f := fleet(2+src.IntN(2), 1, 0.2+1.5*src.Float64())
+		f := testFleet(2+rng.IntN(2), 1, 0.2+1.5*rng.Float64())
 		for i := range f.Sites {
-			f.Sites[i].Racks[0].UplinkKB *= 0.4 + src.Float64()
-			f.Sites[i].Racks[0].MaxStreams = math.Round(f.Sites[i].Racks[0].MaxStreams * (0.1 + src.Float64())) // streams run out, too
+			f.Sites[i].Racks[0].UplinkKB *= 0.4 + rng.Float64()
+			f.Sites[i].Racks[0].MaxStreams = math.Round(f.Sites[i].Racks[0].MaxStreams * (0.1 + rng.Float64())) // streams run out, too
 		}
 		for i := range f.Demands {
-			f.Demands[i].Sessions *= 2 * src.Float64()
+			f.Demands[i].Sessions *= 2 * rng.Float64()
 		}
-		lost := src.IntN(len(f.Sites))
+		lost := rng.IntN(len(f.Sites))
 		p, err := MakePlan(f, lost)
 		if err != nil {
 			t.Fatal(err)
 		}
-		best := optimum(t, f, lost)
-		if p.Worth > best*(1+1e-6) || best > p.WorthBound*(1+1e-6) {
-			t.Fatalf("worth %g, optimum %g, bound %g", p.Worth, best, p.WorthBound)
+		optimal := optimum(t, f, lost)
+		if p.Worth > optimal*(1+1e-6) || optimal > p.WorthBound*(1+1e-6) {
+			t.Fatalf("worth %g, optimum %g, bound %g", p.Worth, optimal, p.WorthBound)
 		}
-		gap := 1 - p.Worth/best
+		gap := 1 - p.Worth/optimal
 		worst, sum, n = max(worst, gap), sum+gap, n+1
-		feasible(t, f, &p)
+		checkFeasible(t, f, &p)
 	}
 	t.Logf("below the optimum by %.3f%% in the mean of %d, %.2f%% at worst", 100*sum/float64(n), n, 100*worst)
 	if sum/float64(n) > 0.005 || worst > 0.1 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// feasible holds a plan against the room of the sites that are left.
-func feasible(t *testing.T, f *Fleet, p *Plan) {
+// checkFeasible holds a plan against the room of the sites that are left.
+func checkFeasible(t *testing.T, f *Fleet, p *Plan) {
 	t.Helper()
 	var kb, places, asked, streams float64
 	for i := range f.Sites {
@@ -164,8 +164,8 @@
 
 // What gives way, as room shrinks: upper rungs first, then the class that earns less
 // for a kB, and a tier over 0 last; clip never plays on the lowest rung.
-func TestOrder(t *testing.T) {
-	f := fleet(2, 1, 0.9)
+func TestDegradationOrder(t *testing.T) {
+	f := testFleet(2, 1, 0.9)
 	for i := range f.Demands {
 		if f.Demands[i].Class == 1 && f.Demands[i].HomeSite == 0 {
 			f.Demands[i].Tier = 1 // what a contract guarantees, though it earns less
@@ -201,7 +201,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		feasible(t, f, &p)
+		checkFeasible(t, f, &p)
 		refused, taken := map[string]float64{}, map[string]float64{}
 		for i, take := range p.Allocations {
 			d := f.Demands[i]
@@ -215,8 +215,8 @@
 }
 
 // Nothing is left, nothing is asked for, or what is told makes no sense.
-func TestEdges(t *testing.T) {
-	f := fleet(3, 1, 0.5)
+func TestMakePlanEdgeCases(t *testing.T) {
+	f := testFleet(3, 1, 0.5)
 	p, err := MakePlan(f, 0, 1, 2)
 	if err != nil || p.Worth != 0 || p.WorthBound != 0 {
 		t.Errorf("all lost: %+v, %v", p, err)
@@ -245,23 +245,23 @@
 		"endless":      func(f *Fleet) { f.Sites[0].Racks[0].LinksKB, f.Sites[0].Racks[0].UplinkKB = math.Inf(1), 0 },
 		"crossing":     func(f *Fleet) { f.CrossSiteCost = -1 },
 	} {
-		f := fleet(2, 1, 0.5)
+		f := testFleet(2, 1, 0.5)
 		if spoil(f); f.Validate() == nil {
 			t.Errorf("%s: no fault", name)
 		}
 	}
-	losses, err := PlanLosses(fleet(5, 1, 0.5))
+	losses, err := PlanLosses(testFleet(5, 1, 0.5))
 	if err != nil || len(losses) != 5+10 {
 		t.Errorf("%d losses of 5 sites, %v", len(losses), err)
 	}
-	if losses, err = PlanLosses(fleet(2, 1, 0.5)); err != nil || len(losses) != 2 {
+	if losses, err = PlanLosses(testFleet(2, 1, 0.5)); err != nil || len(losses) != 2 {
 		t.Errorf("%d losses of 2 sites, %v", len(losses), err)
 	}
 }
 
 // The load goes back no faster than nodes warm, and slower to a site that comes and
 // goes.
-func TestReturn(t *testing.T) {
+func TestRecovery(t *testing.T) {
 	r := Recovery{WarmUp: 10 * time.Second, InitialShare: 0.2, MaxStreams: 100, ReturnCount: 1}
 	for since, want := range map[time.Duration]float64{0: 2, 5 * time.Second: 6, 10 * time.Second: 10, time.Hour: 10, -time.Second: 2} {
 		if got := r.MaxSessionRate(since); math.Abs(got-want) > 1e-9 {
@@ -289,7 +289,7 @@
 
 func BenchmarkPlan(b *testing.B) {
 	for _, sites := range []int{2, 5, 20} {
-		f := fleet(sites, 5000/8/sites, 0.75)
+		f := testFleet(sites, 5000/8/sites, 0.75)
 		b.Run(fmt.Sprintf("one loss of %d sites", sites), func(b *testing.B) {
 			for b.Loop() {
 				MakePlan(f, 0)
