--- a/internal/peaks/calendar.go
+++ b/internal/peaks/calendar.go
@@ -1,5 +1,5 @@
-// Package peaks plans for peaks that are announced: how much room to hold for
-// them, from when, and when to give it back. It does no I/O and is told the time.
+// Package peaks plans for announced peaks: how much capacity to hold for them, from
+// when on, and when to release it. It does no I/O and reads no clock.
 package peaks
 
 import (
@@ -8,55 +8,54 @@
 	"time"
 )
 
-// Days says on which dates a peak is.
+// Days says on which dates a peak occurs: on those that any of its fields names.
 type Days struct {
-	Dates    []Day   // these only
-	OfMonth  []int   // 1 to 31; 0: the last
+	Dates    []Day   // single dates
+	OfMonth  []int   // days of the month, 1 to 31; 0: the last
 	Weekdays [7]bool // by time.Weekday
-	Daily    bool
+	Daily    bool    // every day
 }
 
-// Day is a date without a zone.
+// Day is a date without a time zone.
 type Day struct {
 	Year  int
 	Month time.Month
 	Day   int
 }
 
-// Peak is an announcement.
+// Peak is an announced peak.
 type Peak struct {
 	Name string
 	Days Days
-	At   time.Duration // the time of day at which it begins
-	Zone *time.Location
+	At   time.Duration  // time of day at which it begins
+	Zone *time.Location // time zone of Days and At
 
 	Length time.Duration // from its begin to its end
-	Ramp   time.Duration // over which it comes, and after its end goes
-	Lead   time.Duration // before it, for which room is held at most
+	Ramp   time.Duration // over which it rises after its begin, and falls after its end
+	Lead   time.Duration // maximum time before its begin during which capacity is held
 	Early  time.Duration // by how much it may come too early
 
-	Classes     []bool  // by class: which ones more viewers come for
-	Factor      float64 // of the ordinary rate; 0: Rate is given
-	ExtraRate   float64 // more sessions a second over all managers and classes
-	Probability float64 // how likely it is to come, from 0 to 1
-	MaxHarm     float64 // the most part of the ordinary sessions' room that a hold may take
+	Classes     []bool  // by class, whether the peak brings more sessions of it
+	Factor      float64 // multiple of the ordinary rate; 0: ExtraRate is given instead
+	ExtraRate   float64 // additional sessions per second at all managers, of all the peak's classes together
+	Probability float64 // that the peak comes, from 0 to 1
+	MaxHarm     float64 // maximum share of the ordinary sessions' worth before the begin that a hold may cost
 }
 
-// Occurrence is one time that a peak is announced for.
+// Occurrence is one time for which a peak is announced.
 type Occurrence struct {
 	Peak       *Peak
-	PeakIndex  int // of the peak in its calendar
+	PeakIndex  int // index of the peak in its calendar
 	Begin, End time.Time
 }
 
-// Window is the widest time in which anything may be held for an occurrence.
+// Window returns the longest period in which capacity may be held for the occurrence.
 func (o Occurrence) Window() (from, until time.Time) {
 	return o.Begin.Add(-o.Peak.Early - o.Peak.Lead), o.End.Add(o.Peak.Ramp)
 }
 
-// Level is how much of the peak there is at a time, from 0 to 1, if it comes as it
-// was announced: it rises over the ramp from its begin on, and falls over the ramp
-// after its end.
+// Level returns the level of the peak at a time, from 0 to 1, if it comes as announced: it
+// rises over the ramp from its begin on, and falls over the ramp after its end.
 func (o Occurrence) Level(t time.Time) float64 {
 	switch ramp := o.Peak.Ramp; {
 	case t.Before(o.Begin) || !t.Before(o.End.Add(ramp)):
@@ -70,9 +69,9 @@
 	}
 }
 
-// ClassExtraRate is how many more sessions a second there are of a class at a full peak, of
-// which rate come ordinarily; share is the class's part of all the peak's classes'
-// ordinary sessions.
+// ClassExtraRate returns how many more sessions of a class come per second at the full peak.
+// rate is the class's ordinary rate, and share its share of the ordinary rate of all the
+// peak's classes.
 func (p *Peak) ClassExtraRate(class int, rate, share float64) float64 {
 	switch {
 	case class >= len(p.Classes) || !p.Classes[class]:
@@ -83,17 +82,17 @@
 	return p.ExtraRate * share
 }
 
-// Calendar is all announcements. Where peaks overlap, what each brings beyond the
-// ordinary adds up.
+// Calendar holds all announced peaks. Where peaks overlap, their additional sessions add up.
 type Calendar struct{ Peaks []Peak }
 
-// Between lists the occurrences whose windows meet a span of time, by their begin.
+// Between returns the occurrences whose windows overlap a period, in the order of their
+// begins.
 func (c *Calendar) Between(from, until time.Time) []Occurrence {
 	var list []Occurrence
 	for i := range c.Peaks {
 		p := &c.Peaks[i]
 		beforeBegin := p.Early + p.Lead
-		// A window may have begun before: so many days more are looked at.
+		// A window that began earlier may reach into the period, so earlier days are included.
 		first := from.Add(-p.Length - p.Ramp).In(p.Zone)
 		last := until.Add(beforeBegin).In(p.Zone)
 		day := time.Date(first.Year(), first.Month(), first.Day()-1, 0, 0, 0, 0, time.UTC)
@@ -115,7 +114,7 @@
 	return list
 }
 
-// includes tells whether a date, given as its midnight in UTC, is one of the days.
+// includes reports whether a date, given as its midnight in UTC, is one of the days.
 func (d *Days) includes(t time.Time) bool {
 	if d.Daily || d.Weekdays[t.Weekday()] {
 		return true
@@ -127,9 +126,9 @@
 	return slices.Contains(d.OfMonth, n) || slices.Contains(d.OfMonth, 0) && t.AddDate(0, 0, 1).Day() == 1
 }
 
-// localTime is a time of day on a date in a zone. Where the clocks are put back it is
-// the first of the two; a time that is left out where they are put forward comes
-// as much later.
+// localTime returns a time of day on a date in a time zone. Of a time that occurs twice,
+// since the clocks are put back, it returns the first. A time that is skipped, since the
+// clocks are put forward, becomes later by as much as they are.
 func localTime(day time.Time, at time.Duration, zone *time.Location) time.Time {
 	wall := day.Add(at).Unix()
 	offset := func(t int64) int64 {
--- a/internal/peaks/calendar_test.go
+++ b/internal/peaks/calendar_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// loadZone returns a time zone by its name.
 func loadZone(t testing.TB, name string) *time.Location {
 	t.Helper()
 	z, err := time.LoadLocation(name)
@@ -16,7 +17,8 @@
 	return z
 }
 
-// quincena is the 15th and the last of the month, at 18:00 for three hours.
+// quincena returns a peak on the 15th and the last day of each month, at 18:00 for three
+// hours.
 func quincena(t testing.TB) Peak {
 	return Peak{
 		Name: "quincena", Days: Days{OfMonth: []int{15, 0}}, At: 18 * time.Hour, Zone: loadZone(t, "America/Mexico_City"),
@@ -37,8 +39,8 @@
 		"a leap year":       {quincena(t), "2028-02-20T00:00:00Z", "2028-03-10T00:00:00Z", "2028-02-29 18:00"},
 		"in its window":     {quincena(t), "2026-05-15T23:50:00Z", "2026-05-15T23:51:00Z", "2026-05-15 18:00"},
 		"while it runs":     {quincena(t), "2026-05-16T02:59:00Z", "2026-05-16T02:59:01Z", "2026-05-15 18:00"},
-		"as it goes":        {quincena(t), "2026-05-16T03:04:59Z", "2026-05-16T04:00:00Z", "2026-05-15 18:00"},
-		"when it has gone":  {quincena(t), "2026-05-16T03:05:00Z", "2026-05-16T04:00:00Z", ""},
+		"on its last ramp":  {quincena(t), "2026-05-16T03:04:59Z", "2026-05-16T04:00:00Z", "2026-05-15 18:00"},
+		"after its window":  {quincena(t), "2026-05-16T03:05:00Z", "2026-05-16T04:00:00Z", ""},
 		"before its window": {quincena(t), "2026-05-15T23:00:00Z", "2026-05-15T23:48:00Z", ""},
 		"weekly": {Peak{Days: Days{Weekdays: [7]bool{time.Friday: true, time.Saturday: true}}, At: 20 * time.Hour, Zone: berlin, Length: time.Hour},
 			"2026-05-13T00:00:00Z", "2026-05-20T00:00:00Z", "2026-05-15 20:00 2026-05-16 20:00"},
@@ -46,11 +48,11 @@
 			"2026-01-01T00:00:00Z", "2027-12-31T00:00:00Z", "2026-12-24 00:00"},
 		// The clocks are put forward from 02:00 to 03:00 on 2026-03-29, and back from
 		// 03:00 to 02:00 on 2026-10-25.
-		"a time left out": {Peak{Days: Days{Daily: true}, At: 2*time.Hour + 30*time.Minute, Zone: berlin, Length: time.Hour},
+		"skipped time": {Peak{Days: Days{Daily: true}, At: 2*time.Hour + 30*time.Minute, Zone: berlin, Length: time.Hour},
 			"2026-03-28T00:00:00Z", "2026-03-30T12:00:00Z", "2026-03-28 02:30 2026-03-29 03:30 2026-03-30 02:30"},
-		"a time twice": {Peak{Days: Days{Daily: true}, At: 2*time.Hour + 30*time.Minute, Zone: berlin, Length: time.Minute},
+		"repeated time": {Peak{Days: Days{Daily: true}, At: 2*time.Hour + 30*time.Minute, Zone: berlin, Length: time.Minute},
 			"2026-10-24T23:00:00Z", "2026-10-26T00:00:00Z", "2026-10-25 02:30"},
-		"over midnight": {Peak{Days: Days{Daily: true}, At: 23 * time.Hour, Zone: berlin, Length: 4 * time.Hour},
+		"past midnight": {Peak{Days: Days{Daily: true}, At: 23 * time.Hour, Zone: berlin, Length: 4 * time.Hour},
 			"2026-05-16T00:30:00Z", "2026-05-16T00:31:00Z", "2026-05-15 23:00"},
 	} {
 		parse := func(s string) time.Time {
@@ -69,7 +71,7 @@
 			t.Errorf("%s: %s, want %s", name, s, e.want)
 		}
 	}
-	// Of a time that is twice it is the first.
+	// Of a time that occurs twice, the first is returned.
 	if got := localTime(time.Date(2026, 10, 25, 0, 0, 0, 0, time.UTC), 150*time.Minute, berlin); !got.Equal(time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)) {
 		t.Error(got)
 	}
@@ -91,12 +93,11 @@
 	sharp.Ramp = 0
 	o.Peak = &sharp
 	if o.Level(o.Begin) != 1 || o.Level(o.End) != 0 {
-		t.Error("without a ramp")
+		t.Error("without a ramp, the level is not 1 at the begin and 0 at the end")
 	}
 }
 
-// What a peak brings beyond the ordinary goes by its classes, and is never less
-// than nothing.
+// The additional rate of a peak is divided among its classes, and is never negative.
 func TestClassExtraRate(t *testing.T) {
 	for i, e := range []struct {
 		peak Peak
--- a/internal/peaks/keeper_test.go
+++ b/internal/peaks/keeper_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// Properties are tried with the same values every time.
+// TestMain makes rapid draw the same values in each run, unless flags say otherwise.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "20260515", "rapid.checks": "8", "rapid.nofailfile": "true", "rapid.shrinktime": "5s"} {
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// tenfoldPeak is a peak that brings ten times as many, so that room is held for it.
+// tenfoldPeak returns a peak with ten times the ordinary rate, for which capacity is held.
 func tenfoldPeak() Peak {
 	p := *doublingOccurrence().Peak
 	p.Name, p.Factor, p.Zone, p.Days, p.At = "tenfold", 10, time.UTC, Days{Dates: []Day{{2026, 5, 15}}}, 18*time.Hour
@@ -36,13 +36,14 @@
 
 var announcedBegin = time.Date(2026, 5, 15, 18, 0, 0, 0, time.UTC)
 
-// runKeeper ticks a keeper through an evening on which the ordinary comes and, of each
-// peak, what level says. each is told what is held.
-func runKeeper(k *Keeper, seed uint64, from, until time.Time, level func(time.Time) float64, own bool, room func(time.Time) float64, each func(time.Time, []float64, []Notice)) {
+// runKeeper ticks a keeper once a second, with random arrivals at the ordinary rate and, at
+// the given level, those of a tenfold peak. If own is set, a rule tells the peak's arrivals
+// from others. After each tick it calls each with the held shares and the notices.
+func runKeeper(k *Keeper, seed uint64, from, until time.Time, level func(time.Time) float64, own bool, capacitySlots func(time.Time) float64, each func(time.Time, []float64, []Notice)) {
 	_, classes := testFleet(0.45)
 	src := rand.NewPCG(seed, 3)
 	for now := from; now.Before(until); now = now.Add(time.Second) {
-		in := Input{Now: now, CapacitySlots: room(now), Classes: classes}
+		in := Input{Now: now, CapacitySlots: capacitySlots(now), Classes: classes}
 		mine := 0
 		for _, c := range classes {
 			n := int(distuv.Poisson{Lambda: c.Rate, Src: src}.Rand())
@@ -60,6 +61,7 @@
 	}
 }
 
+// totalShare returns the sum of the held shares of all classes.
 func totalShare(held []float64) (s float64) {
 	for _, h := range held {
 		s += h
@@ -67,6 +69,7 @@
 	return s
 }
 
+// constant returns a function of time that always returns v.
 func constant(v float64) func(time.Time) float64 { return func(time.Time) float64 { return v } }
 
 func TestKeeper(t *testing.T) {
@@ -76,20 +79,20 @@
 	for name, e := range map[string]struct {
 		peakLevel func(time.Time) float64
 		own       bool
-		room      func(time.Time) float64
-		want      string // of the notices
-		held      bool   // something was, at the begin
+		capacity  func(time.Time) float64
+		want      string // parts of the notices, in order
+		held      bool   // capacity is held at the begin
 	}{
-		"comes":              {func(t time.Time) float64 { return peakLevel(t, 0) }, false, constant(160), "lacks|as announced|over; it was", true},
-		"comes, known":       {func(t time.Time) float64 { return peakLevel(t, 0) }, true, constant(160), "lacks|as announced|over", true},
+		"as announced":       {func(t time.Time) float64 { return peakLevel(t, 0) }, false, constant(160), "lacks|as announced|over; it was", true},
+		"as announced, own":  {func(t time.Time) float64 { return peakLevel(t, 0) }, true, constant(160), "lacks|as announced|over", true},
 		"no show":            {constant(0), false, constant(160), "lacks|does not come", true},
-		"no show, known":     {constant(0), true, constant(160), "lacks|does not come", true},
+		"no show, own":       {constant(0), true, constant(160), "lacks|does not come", true},
 		"ten minutes early":  {func(t time.Time) float64 { return peakLevel(t, -10*time.Minute) }, false, constant(160), "early; what was held is open|over", false},
 		"half the size":      {func(t time.Time) float64 { return peakLevel(t, 0) / 2 }, false, constant(160), "lacks|has come|it was 0.5 times", true},
 		"a minute late":      {func(t time.Time) float64 { return peakLevel(t, 90*time.Second) }, false, constant(160), "lacks|does not come|late; what was held|over", true},
-		"no room from first": {constant(0), false, constant(0), "no plan: peaks: no node gives room", false},
-		"room is lost for a while": {func(t time.Time) float64 { return peakLevel(t, 0) }, false, func(t time.Time) float64 {
-			if d := t.Sub(announcedBegin); d > -20*time.Second && d < 20*time.Second { // the hall is cut off
+		"never any capacity": {constant(0), false, constant(0), "no plan: peaks: no node gives room", false},
+		"capacity lost for a while": {func(t time.Time) float64 { return peakLevel(t, 0) }, false, func(t time.Time) float64 {
+			if d := t.Sub(announcedBegin); d > -20*time.Second && d < 20*time.Second { // some nodes are cut off
 				return 80
 			}
 			return 160
@@ -98,8 +101,8 @@
 		p := tenfoldPeak()
 		k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrorRates)
 		var all []string
-		atBegin, release, rises, last := 0.0, time.Time{}, 0, 0.0
-		runKeeper(k, 1, announcedBegin.Add(-25*time.Minute), announcedBegin.Add(25*time.Minute), e.peakLevel, e.own, e.room, func(now time.Time, held []float64, notices []Notice) {
+		atBegin, release, increases, last := 0.0, time.Time{}, 0, 0.0
+		runKeeper(k, 1, announcedBegin.Add(-25*time.Minute), announcedBegin.Add(25*time.Minute), e.peakLevel, e.own, e.capacity, func(now time.Time, held []float64, notices []Notice) {
 			for _, n := range notices {
 				all = append(all, n.Text)
 				if strings.Contains(n.Text, "does not come") {
@@ -113,7 +116,7 @@
 			}
 			if !release.IsZero() {
 				if h > last {
-					rises++
+					increases++
 				}
 				if now.Sub(release) >= (releaseSteps-1)*releaseInterval && h > 0 {
 					t.Errorf("%s: %v held %v after the no-show", name, h, now.Sub(release))
@@ -128,18 +131,19 @@
 		for _, w := range strings.Split(e.want, "|") {
 			i := strings.Index(got[at:], w)
 			if i < 0 {
-				t.Errorf("%s: no %q in order in\n%s", name, w, got)
+				t.Errorf("%s: notices lack %q, or have it in another order:\n%s", name, w, got)
 				break
 			}
 			at += i
 		}
-		if atBegin > 0 != e.held || rises > 0 {
-			t.Errorf("%s: %.3f held at the begin, %d rises after the release", name, atBegin, rises)
+		if atBegin > 0 != e.held || increases > 0 {
+			t.Errorf("%s: share of %.3f held at the begin, %d rises after the release", name, atBegin, increases)
 		}
 	}
 }
 
-// peakLevel is a peak's that comes so much later than announced, for 20 minutes.
+// peakLevel returns the level at time t of a peak of 20 minutes that comes later than announced
+// by the given time.
 func peakLevel(t time.Time, late time.Duration) float64 {
 	if d := t.Sub(announcedBegin) - late; d >= 0 && d < 20*time.Minute {
 		return 1
@@ -147,9 +151,9 @@
 	return 0
 }
 
-// Whatever is announced and comes: never more is held than there is, nothing
-// outside the widest window of an announcement, and what is given back after a
-// no-show is not taken again.
+// For random announcements and arrivals: the held shares never exceed maxHeldShare, nothing
+// is held outside the windows of the announcements, and a hold that is released after a
+// no-show never grows again.
 func TestKeeperProperties(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
@@ -195,7 +199,7 @@
 				if e.state == StateNoShow {
 					share := totalShare(e.heldShares(now, false))
 					if before, ok := noShowShares[id]; ok && share > before+1e-12 {
-						t.Fatalf("%v held again after a no-show", share)
+						t.Fatalf("hold grew to %v after a no-show", share)
 					}
 					noShowShares[id] = share
 				}
@@ -208,8 +212,8 @@
 	})
 }
 
-// When nodes with held room drain or are cut off, the same slots are held on those
-// that are left, from the next tick on.
+// When nodes with held capacity drain or are cut off, the same number of slots is held on the
+// remaining nodes from the next tick on.
 func TestHoldMoves(t *testing.T) {
 	p := tenfoldPeak()
 	k := NewKeeper(Calendar{Peaks: []Peak{p}}, DefaultErrorRates)
@@ -232,11 +236,11 @@
 		}
 	})
 	if !moved {
-		t.Error("nothing was looked at")
+		t.Error("no tick after the loss was checked")
 	}
 }
 
-// What peaks that overlap bring adds up, and so do their holds, in one room.
+// The holds of overlapping peaks add up within the same capacity.
 func TestOverlappingPeaks(t *testing.T) {
 	a, b := tenfoldPeak(), tenfoldPeak()
 	b.Name, b.At = "second", a.At+30*time.Second
@@ -247,12 +251,12 @@
 	// At a's begin, half a minute before b's.
 	one, two, both := held(Calendar{Peaks: []Peak{a}}), held(Calendar{Peaks: []Peak{b}}), held(Calendar{Peaks: []Peak{a, b}})
 	if one <= 0 || both < one+two-1e-9 || both > one+two+0.02 {
-		t.Errorf("%.4f, %.4f, both %.4f", one, two, both)
+		t.Errorf("held for the first peak %.4f, for the second %.4f, for both %.4f", one, two, both)
 	}
 }
 
-// A peak that is announced while it runs is taken for the ordinary, and nothing is
-// held for it any more.
+// A peak that is announced after its begin is taken for ordinary traffic, and nothing is held
+// for it.
 func TestPeakAnnouncedAfterBegin(t *testing.T) {
 	k := NewKeeper(Calendar{Peaks: []Peak{tenfoldPeak()}}, DefaultErrorRates)
 	runKeeper(k, 5, announcedBegin.Add(5*time.Minute), announcedBegin.Add(7*time.Minute), func(t time.Time) float64 { return peakLevel(t, 0) }, false, constant(160), func(now time.Time, held []float64, _ []Notice) {
@@ -262,16 +266,16 @@
 	})
 }
 
-// An announcement that is ten times too large costs ordinary sessions no more than
-// the operator allows, by the plan, and is given back.
+// By the plan, the hold for an overstated peak costs ordinary sessions no more than the
+// operator allows.
 func TestOverstatedPeak(t *testing.T) {
-	room, classes := testFleet(0.45)
+	capacitySlots, classes := testFleet(0.45)
 	for _, harm := range []float64{0.01, 0.03, 0.1} {
 		o := doublingOccurrence()
 		o.Peak.Factor, o.Peak.MaxHarm, o.Peak.Probability = 20, harm, 1
-		p, err := MakePlan(o, room, classes)
+		p, err := MakePlan(o, capacitySlots, classes)
 		if err != nil || p.OrdinaryLoss > harm+1e-3 || totalShare(p.HeldShares) == 0 {
-			t.Errorf("harm %v: %v, loses %.4f, holds %.3f", harm, err, p.OrdinaryLoss, totalShare(p.HeldShares))
+			t.Errorf("harm %v: error %v, ordinary loss %.4f, held share %.3f", harm, err, p.OrdinaryLoss, totalShare(p.HeldShares))
 		}
 	}
 }
--- a/internal/peaks/plan.go
+++ b/internal/peaks/plan.go
@@ -8,26 +8,26 @@
 	"gonum.org/v1/gonum/optimize"
 )
 
-// Class is what a plan has to know of a class. Sizes are in slots: streams at the
-// middle rung's rate.
+// Class holds the properties of a class that a plan depends on. A slot is the capacity for
+// one stream at the middle rung's rate.
 type Class struct {
-	Rate        float64   // ordinary sessions a second over all managers
-	Survival    []float64 // share that lasts so many seconds
-	SlotsByRung []float64 // by rung
-	Worth       []float64 // of a session, by rung
-	Floor       int       // lowest rung
-	Top         int       // highest rung that most viewers can use
+	Rate        float64   // ordinary sessions per second at all managers
+	Survival    []float64 // by second, share of sessions that last at least that long
+	SlotsByRung []float64 // slots that a session takes, by rung
+	Worth       []float64 // worth of a session, by rung
+	Floor       int       // lowest rung that may play
+	Top         int       // highest rung that most viewers can play
 }
 
-// Node is a media node as far as it gives room.
+// Node is a media node with the capacity that it offers.
 type Node struct {
 	Slots     float64
-	Ready     bool    // listed, not draining, in a zone that can be reached
-	WarmShare float64 // share that it has warmed, from 0 to 1
+	Ready     bool    // listed, not draining, and in a zone that can be reached
+	WarmShare float64 // share of its capacity that is warm, from 0 to 1
 }
 
-// UsableSlots is what nodes give together: nothing counts on one that drains, is gone or
-// is cut off, and of a cold one only what has warmed.
+// UsableSlots returns the usable slots of all nodes: none of a node that drains, is gone or
+// is cut off, and only the warm share of a cold one.
 func UsableSlots(nodes []Node) float64 {
 	slots := 0.0
 	for _, n := range nodes {
@@ -38,44 +38,44 @@
 	return slots
 }
 
-// Plan is how much room is held for an occurrence. The hold grows evenly from a
-// time until the peak's begin: at once it would refuse those who come meanwhile,
-// since the room that it takes has still to be left by those who play.
+// Plan says how much capacity is held for an occurrence. The hold grows linearly until the
+// begin of the peak. If it were made at once, sessions that come meanwhile would be refused,
+// since those that play have yet to free the held capacity.
 type Plan struct {
 	Occurrence
-	From          time.Time
-	HeldShares    []float64 // of the room at the begin, by class
-	CapacitySlots float64   // slots that it was made for
+	From          time.Time // when the hold begins to grow
+	HeldShares    []float64 // by class, share of the capacity held at the begin of the peak
+	CapacitySlots float64   // capacity for which the plan was made
 	ShortSlots    float64   // slots that the full peak lacks even on the lowest rungs; 0: none
-	// What is expected to be earned from the earliest hold to settleTime after the
-	// begin, in worth: by the plan, and without any hold.
+	// ExpectedWorth and WorthWithoutHold are the worth expected from the earliest possible
+	// hold until settlePeriod after the begin, with the plan and without any hold.
 	ExpectedWorth, WorthWithoutHold float64
-	// Lost is the share of the ordinary sessions' worth before the begin that the
+	// OrdinaryLoss is the share of the ordinary sessions' worth before the begin that the
 	// hold costs.
 	OrdinaryLoss float64
 }
 
 const (
-	stepS         = 2.0 // s
-	settlePeriod  = 90 * time.Second
-	releasePeriod = 30 * time.Second // in which a hold is given back after a no-show
-	maxHeldShare  = 0.9              // of the room, whatever is announced
-	maxTrials     = 80               // of holds, while the best is searched
-	maxSearchTime = 250 * time.Millisecond
+	stepS         = 2.0                    // time step of the simulation, in s
+	settlePeriod  = 90 * time.Second       // simulated time after the begin of a peak
+	releasePeriod = 30 * time.Second       // time in which a hold is released after a no-show
+	maxHeldShare  = 0.9                    // of the capacity, whatever is announced
+	maxTrials     = 80                     // holds that are tried by the optimizer
+	maxSearchTime = 250 * time.Millisecond // time limit of the optimizer
 )
 
-// ErrNoCapacity tells that no node gives room to plan with.
+// ErrNoCapacity is returned if no node offers capacity to plan with.
 var ErrNoCapacity = errors.New("peaks: no node gives room")
 
-// MakePlan finds the hold with which most is expected to be earned before and in a
-// peak together, the no-show included by how sure the announcement is. It costs
-// the ordinary sessions before the peak at most the part Harm of their worth.
+// MakePlan finds the hold with the highest expected worth before and during a peak. A
+// no-show is taken into account with the probability that the announcement leaves to it. The
+// hold costs the ordinary sessions before the peak at most the share MaxHarm of their worth.
 //
-// Sessions are followed as a fluid: cohorts by the second in which they came, which
-// last as the classes' survival says and keep the size that they were given.
-// Newcomers are given an equal part of what may be filled, as the decision module
-// levels them, and what finds no room on its lowest rung is lost, as is the share
-// that chance takes on links this full.
+// Sessions are simulated as a fluid: in cohorts by the time step in which they came, which
+// last according to the survival of their class and keep the size they were given. New
+// sessions get equal parts of the capacity that may be filled, as the decision module levels
+// them. Sessions for which there is no capacity on their lowest rung are lost, and so is the
+// share that is blocked by chance on links that are this full.
 func MakePlan(o Occurrence, capacitySlots float64, classes []Class) (Plan, error) {
 	p := Plan{Occurrence: o, From: o.Begin, HeldShares: make([]float64, len(classes)), CapacitySlots: capacitySlots}
 	if !(capacitySlots > 0) {
@@ -98,7 +98,7 @@
 		out := m.simulate(holdShare, growthS)
 		v := out.expected(o.Peak.Probability)
 		if lost := 1 - out.before/max(noHold.before, 1e-9); lost > o.Peak.MaxHarm {
-			v -= (lost - o.Peak.MaxHarm) * 1e3 * (p.WorthWithoutHold + 1) // over what the operator allows
+			v -= (lost - o.Peak.MaxHarm) * 1e3 * (p.WorthWithoutHold + 1) // penalty beyond what the operator allows
 		}
 		return v
 	}
@@ -109,7 +109,7 @@
 		}
 	}
 	start := []float64{0, 0}
-	for _, h := range []float64{0.1, 0.3, 0.6, 0.95} { // the surface has a ridge where a hold begins to pay
+	for _, h := range []float64{0.1, 0.3, 0.6, 0.95} { // several starting points, since the objective has a ridge where a hold begins to pay
 		for _, t := range []float64{0.25, 0.6, 0.95} {
 			before := best
 			if try(h*maxHoldShare, t*lead); best > before {
@@ -126,7 +126,7 @@
 		return -v
 	}}, start, &optimize.Settings{FuncEvaluations: maxTrials, Runtime: maxSearchTime}, &optimize.NelderMead{})
 	if err != nil && holdShare == 0 {
-		return p, nil // nothing pays
+		return p, nil // no hold pays
 	}
 	if out := m.simulate(holdShare, growthS); holdShare > 0 {
 		p.ExpectedWorth, p.OrdinaryLoss = out.expected(o.Peak.Probability), max(1-out.before/max(noHold.before, 1e-9), 0)
@@ -138,7 +138,8 @@
 	return p, nil
 }
 
-// HeldSharesAt is the part of the room held at a time for each class, if the peak is awaited.
+// HeldSharesAt returns, by class, the share of the capacity held at a time while the peak is
+// awaited.
 func (p *Plan) HeldSharesAt(t time.Time) []float64 {
 	if from, until := p.Window(); t.Before(p.From) || t.Before(from) || !t.Before(until) {
 		return make([]float64, len(p.HeldShares))
@@ -154,18 +155,19 @@
 	return shares
 }
 
-// model follows the sessions of one occurrence.
+// model holds the parameters of the simulation for one occurrence.
 type model struct {
 	occurrence       Occurrence
 	capacitySlots    float64
 	classes          []Class
-	extraRate        []float64 // sessions a second at the full peak
-	holdShares       []float64 // of what is held, by class
-	totalExtraRate   float64   // of all more
-	ordinarySessions []float64 // ordinary sessions that play
-	meanLengthS      []float64 // s
+	extraRate        []float64 // by class, additional sessions per second at the full peak
+	holdShares       []float64 // by class, share of the hold
+	totalExtraRate   float64   // total of extraRate
+	ordinarySessions []float64 // by class, concurrent ordinary sessions
+	meanLengthS      []float64 // by class
 }
 
+// newModel returns the model for an occurrence, a capacity in slots and the classes.
 func newModel(occurrence Occurrence, capacitySlots float64, classes []Class) *model {
 	m := &model{occurrence: occurrence, capacitySlots: capacitySlots, classes: classes}
 	rates := 0.0
@@ -198,7 +200,8 @@
 	return m
 }
 
-// floorSlots is what the full peak needs with all sessions on their lowest rungs.
+// floorSlots returns the slots that the full peak and the ordinary sessions need with all
+// sessions on their lowest rungs.
 func (m *model) floorSlots() (slots float64) {
 	for k, c := range m.classes {
 		slots += (c.Rate + m.extraRate[k]) * m.meanLengthS[k] * c.SlotsByRung[c.Floor]
@@ -206,7 +209,7 @@
 	return slots
 }
 
-// maxPeakSlots is what more there is of the peak at most, on the top rungs.
+// maxPeakSlots returns the slots that the peak's additional sessions take on their top rungs.
 func (m *model) maxPeakSlots() (slots float64) {
 	for k, c := range m.classes {
 		slots += m.extraRate[k] * m.meanLengthS[k] * c.SlotsByRung[c.Top]
@@ -214,27 +217,28 @@
 	return slots
 }
 
-// outcome is what a hold is expected to earn.
+// outcome is the worth that results from a hold.
 type outcome struct {
 	before float64 // until the begin
-	peak   float64 // from then on, if the peak comes
-	noShow float64 // if it does not
+	peak   float64 // from the begin on, if the peak comes
+	noShow float64 // from the begin on, if it does not
 }
 
+// expected returns the expected worth if the peak comes with the given probability.
 func (o outcome) expected(probability float64) float64 {
 	return o.before + probability*o.peak + (1-probability)*o.noShow
 }
 
-// cohort is the sessions of a class that came in one step.
+// cohort is the sessions of a class that began in one time step.
 type cohort struct {
-	startStep int
+	startStep int // math.MinInt32: sessions that play when the simulation begins
 	class     int
 	sessions  float64
-	slots     float64 // of one
+	slots     float64 // of one session
 }
 
-// simulate follows the sessions with a hold that grows over so many seconds to a part
-// of the room.
+// simulate computes the outcome of a hold that grows to the share holdShare of the capacity
+// during the last growthS seconds before the begin.
 func (m *model) simulate(holdShare, growthS float64) (out outcome) {
 	lead := int(m.occurrence.Peak.Lead.Seconds() / stepS)
 	ordinary := m.newSimulation()
@@ -258,31 +262,33 @@
 	return out
 }
 
-// simulation is the sessions at one time.
+// simulation is the state of a simulation at one time.
 type simulation struct {
 	*model
 	cohorts            []cohort
-	sessions, arrivals []float64 // by class: that play, that come in the step
+	sessions, arrivals []float64 // by class: sessions that play, and those that come in the current step
 }
 
-// newSimulation is ordinary traffic that has long been as it is, levelled out over the room.
+// newSimulation returns a simulation that begins with ordinary traffic in a steady state, in
+// which all sessions have equal parts of the capacity.
 func (m *model) newSimulation() *simulation {
-	f := &simulation{model: m, sessions: make([]float64, len(m.classes)), arrivals: make([]float64, len(m.classes))}
+	s := &simulation{model: m, sessions: make([]float64, len(m.classes)), arrivals: make([]float64, len(m.classes))}
 	slots := m.slotsPerSession(m.capacitySlots, m.ordinarySessions)
 	for k, c := range m.classes {
-		f.cohorts = append(f.cohorts, cohort{startStep: math.MinInt32, class: k, sessions: m.ordinarySessions[k], slots: c.slotsAt(slots)})
+		s.cohorts = append(s.cohorts, cohort{startStep: math.MinInt32, class: k, sessions: m.ordinarySessions[k], slots: c.slotsAt(slots)})
 	}
-	return f
+	return s
 }
 
-func (f *simulation) clone() *simulation {
-	g := f.model.newSimulation()
-	g.cohorts = append(g.cohorts[:0], f.cohorts...)
-	return g
+// clone returns a copy that can be continued independently.
+func (s *simulation) clone() *simulation {
+	copied := s.model.newSimulation()
+	copied.cohorts = append(copied.cohorts[:0], s.cohorts...)
+	return copied
 }
 
-// slotsPerSession is the size in slots, over a class's own scale, at which so many sessions
-// fill a room.
+// slotsPerSession returns the slots per session at which the given sessions, by class, fill a
+// capacity. The limits of the classes are not applied.
 func (m *model) slotsPerSession(capacitySlots float64, sessions []float64) float64 {
 	sum := 0.0
 	for k := range m.classes {
@@ -294,12 +300,13 @@
 	return capacitySlots / sum
 }
 
-// slotsAt is the size that a session of a class is given for a level.
+// slotsAt limits slotsPerSession to the slots that a session of the class can take.
 func (c *Class) slotsAt(slotsPerSession float64) float64 {
 	return min(max(slotsPerSession, c.SlotsByRung[c.Floor]), c.SlotsByRung[c.Top])
 }
 
-// worthAt is what a session of a size earns, between the rungs in proportion.
+// worthAt returns the worth of a session that takes the given slots, with linear
+// interpolation between the rungs.
 func (c *Class) worthAt(slots float64) float64 {
 	for r := c.Floor; r < c.Top; r++ {
 		a, b := c.SlotsByRung[r], c.SlotsByRung[r+1]
@@ -313,11 +320,11 @@
 	return c.Worth[c.Top]
 }
 
-// remaining is the share of a cohort that still plays at step i.
+// remaining returns the share of a cohort that still plays at step i.
 func (m *model) remaining(c *cohort, i int) float64 {
 	s := m.classes[c.class].Survival
 	if c.startStep == math.MinInt32 {
-		// Those that played at the start: their ages are spread as the survival is.
+		// Sessions that played at the start: their ages are distributed like the survival.
 		return m.remainingAtStart(c.class, i)
 	}
 	if age := int(float64(i-c.startStep) * stepS); age < len(s) {
@@ -326,8 +333,8 @@
 	return 0
 }
 
-// remainingAtStart is the share of the sessions playing at the start that plays i steps
-// later, counted from the start of the lead.
+// remainingAtStart returns the share of the sessions playing at the start of the lead that
+// still plays at step i; step 0 is the begin of the peak.
 func (m *model) remainingAtStart(class, i int) float64 {
 	from := int(float64(i)*stepS) + int(m.occurrence.Peak.Lead.Seconds())
 	s, sum := m.classes[class].Survival, 0.0
@@ -337,15 +344,15 @@
 	return sum / max(m.meanLengthS[class], 1e-9)
 }
 
-// step lets one step's newcomers in, with the peak at a level, and returns what they
-// earn.
-func (f *simulation) step(i int, capacitySlots, peakLevel float64) float64 {
+// step simulates the arrivals of step i at a given level of the peak, and returns the worth
+// of the sessions that begin.
+func (s *simulation) step(i int, capacitySlots, peakLevel float64) float64 {
 	usedSlots := 0.0
-	sessions, arrivals := f.sessions, f.arrivals
+	sessions, arrivals := s.sessions, s.arrivals
 	clear(sessions)
-	kept := f.cohorts[:0]
-	for _, c := range f.cohorts {
-		remaining := f.remaining(&c, i) * c.sessions
+	kept := s.cohorts[:0]
+	for _, c := range s.cohorts {
+		remaining := s.remaining(&c, i) * c.sessions
 		if remaining < 1e-6 {
 			continue
 		}
@@ -353,19 +360,19 @@
 		sessions[c.class] += remaining
 		kept = append(kept, c)
 	}
-	f.cohorts = kept
+	s.cohorts = kept
 	floorSlots, wantedSlots := 0.0, 0.0
-	for k := range f.classes {
-		arrivals[k] = (f.classes[k].Rate + f.extraRate[k]*peakLevel) * stepS
+	for k := range s.classes {
+		arrivals[k] = (s.classes[k].Rate + s.extraRate[k]*peakLevel) * stepS
 		sessions[k] += arrivals[k]
 	}
-	fairSlots := f.slotsPerSession(capacitySlots, sessions)
-	for k := range f.classes {
-		floorSlots += arrivals[k] * f.classes[k].SlotsByRung[f.classes[k].Floor]
-		wantedSlots += arrivals[k] * f.classes[k].slotsAt(fairSlots)
+	fairSlots := s.slotsPerSession(capacitySlots, sessions)
+	for k := range s.classes {
+		floorSlots += arrivals[k] * s.classes[k].SlotsByRung[s.classes[k].Floor]
+		wantedSlots += arrivals[k] * s.classes[k].slotsAt(fairSlots)
 	}
 	freeSlots := max(capacitySlots-usedSlots, 0)
-	servedShare, aboveFloorShare := 1.0, 1.0 // share served; of what is wanted beyond the floors
+	servedShare, aboveFloorShare := 1.0, 1.0 // share of arrivals that are served, and share of the slots wanted above the floors that they get
 	switch {
 	case floorSlots > freeSlots:
 		servedShare, aboveFloorShare = freeSlots/floorSlots, 0
@@ -373,36 +380,36 @@
 		aboveFloorShare = (freeSlots - floorSlots) / (wantedSlots - floorSlots)
 	}
 	totalSessions, minSlots := 0.0, 0.0
-	for k := range f.classes {
+	for k := range s.classes {
 		totalSessions += sessions[k]
-		minSlots += sessions[k] * f.classes[k].SlotsByRung[f.classes[k].Floor]
+		minSlots += sessions[k] * s.classes[k].SlotsByRung[s.classes[k].Floor]
 	}
-	if totalSessions > 0 && minSlots > 0 { // what chance takes, were all on their lowest rungs
+	if totalSessions > 0 && minSlots > 0 { // blocked by chance, if all sessions were on their lowest rungs
 		servedShare = min(servedShare, 1-erlangLoss(capacitySlots*totalSessions/minSlots, totalSessions))
 	}
-	earned := 0.0
-	for k := range f.classes {
-		c := &f.classes[k]
+	worth := 0.0
+	for k := range s.classes {
+		c := &s.classes[k]
 		floor := c.SlotsByRung[c.Floor]
 		slots := floor + aboveFloorShare*(c.slotsAt(fairSlots)-floor)
 		if arrivals[k] > 0 {
-			f.cohorts = append(f.cohorts, cohort{startStep: i, class: k, sessions: arrivals[k] * servedShare, slots: slots})
+			s.cohorts = append(s.cohorts, cohort{startStep: i, class: k, sessions: arrivals[k] * servedShare, slots: slots})
 		}
-		earned += arrivals[k] * servedShare * c.worthAt(slots)
+		worth += arrivals[k] * servedShare * c.worthAt(slots)
 	}
-	return earned
+	return worth
 }
 
-// erlangLoss is the share lost of an offered load on a number of slots, which may
-// lie between two whole ones.
+// erlangLoss returns the share of an offered load in erlangs that is blocked on a number of
+// slots (the Erlang B formula), with linear interpolation for a fraction of a slot.
 func erlangLoss(slots, load float64) float64 {
 	if load <= 0 {
 		return 0
 	}
 	if slots > load+10*math.Sqrt(load) {
-		return 0 // improbable beyond measure, and long to work out
+		return 0 // the loss is negligible, and the computation would take long
 	}
-	if slots > 2000 { // scale down; the loss of many slots is less than this says
+	if slots > 2000 { // scaled down; this overestimates the loss, which is lower with more slots
 		load, slots = load*2000/slots, 2000
 	}
 	b, whole := 1.0, int(slots)
--- a/internal/peaks/plan_test.go
+++ b/internal/peaks/plan_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// testFleet is the classes of a site of 16 nodes whose ordinary traffic fills 45% of the
-// links at the middle rate, and its room in slots.
+// testFleet returns the capacity of 16 nodes in slots, and two classes whose ordinary traffic
+// would fill the share load of it at the middle rate.
 func testFleet(load float64) (float64, []Class) {
-	const room = 16 * 10.0
-	lasts := func(least, most float64) []float64 {
+	const capacitySlots = 16 * 10.0
+	uniformSurvival := func(least, most float64) []float64 {
 		s := make([]float64, 80)
 		for i := range s {
 			s[i] = min(max((most-float64(i))/(most-least), 0), 1)
@@ -27,33 +27,33 @@
 		return out
 	}
 	classes := []Class{
-		{Survival: lasts(26, 65), SlotsByRung: sizes, Worth: worth(2), Floor: 1, Top: 3},
-		{Survival: lasts(20, 50), SlotsByRung: sizes, Worth: worth(1), Floor: 0, Top: 3},
+		{Survival: uniformSurvival(26, 65), SlotsByRung: sizes, Worth: worth(2), Floor: 1, Top: 3},
+		{Survival: uniformSurvival(20, 50), SlotsByRung: sizes, Worth: worth(1), Floor: 0, Top: 3},
 	}
-	sessions := load * room
+	sessions := load * capacitySlots
 	for k, part := range []float64{0.35, 0.65} {
 		classes[k].Rate = sessions * part / (0.35*MeanLength(classes[0].Survival) + 0.65*MeanLength(classes[1].Survival))
 	}
-	return room, classes
+	return capacitySlots, classes
 }
 
-// doublingOccurrence is a peak that doubles both classes.
+// doublingOccurrence returns an occurrence of a peak that doubles both classes.
 func doublingOccurrence() Occurrence {
 	o := occurrence(0)
 	o.Peak.Classes, o.Peak.Factor, o.Peak.Probability, o.Peak.MaxHarm, o.Peak.Lead = []bool{true, true}, 2, 0.9, 0.3, 90*time.Second
 	return o
 }
 
-// A hold is made where it pays, and by more the surer the peak is; it never earns
-// less than none, and costs no more than the operator allows.
+// A hold is made where it pays. Its expected worth is never lower than without a hold, and it
+// costs no more than the operator allows.
 func TestMakePlan(t *testing.T) {
 	for name, e := range map[string]struct {
 		load   float64
 		change func(*Peak)
-		held   float64 // at least so much; negative: at most
+		held   float64 // minimum of the held share; if not positive, the negated maximum
 	}{
-		// Where sessions give way by their rungs, who leaves makes room for two who
-		// come, and next to nothing is to be gained.
+		// As long as rungs can be lowered, one session that ends makes room for two new
+		// ones, and a hold gains next to nothing.
 		"45 to 90":          {0.45, func(*Peak) {}, -0.02},
 		"90 to 180":         {0.9, func(*Peak) {}, -0.02},
 		"one class":         {0.45, func(p *Peak) { p.Classes = []bool{true, false} }, -0.02},
@@ -63,16 +63,16 @@
 		"one class, ten":    {0.45, func(p *Peak) { p.Classes, p.Factor = []bool{true, false}, 10 }, 0.05},
 		"rate, ten":         {0.45, func(p *Peak) { p.Factor, p.ExtraRate = 0, 18 }, 0.05},
 		"little harm":       {0.45, func(p *Peak) { p.Factor, p.MaxHarm = 10, 0.01 }, 0.01},
-		"no room needed":    {0.02, func(*Peak) {}, 0},
-		"not believed":      {0.45, func(p *Peak) { p.Factor, p.Probability = 10, 0 }, 0},
+		"enough capacity":   {0.02, func(*Peak) {}, 0},
+		"probability 0":     {0.45, func(p *Peak) { p.Factor, p.Probability = 10, 0 }, 0},
 		"no harm allowed":   {0.45, func(p *Peak) { p.Factor, p.MaxHarm = 10, 0 }, 0},
 		"no lead":           {0.45, func(p *Peak) { p.Factor, p.Lead = 10, 0 }, 0},
-		"nothing more":      {0.45, func(p *Peak) { p.Factor = 1 }, 0},
+		"factor 1":          {0.45, func(p *Peak) { p.Factor = 1 }, 0},
 	} {
-		room, classes := testFleet(e.load)
+		capacitySlots, classes := testFleet(e.load)
 		o := doublingOccurrence()
 		e.change(o.Peak)
-		p, err := MakePlan(o, room, classes)
+		p, err := MakePlan(o, capacitySlots, classes)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,9 +85,9 @@
 		}
 		from, _ := p.Window()
 		if e.held > 0 && sum < e.held || e.held <= 0 && sum > -e.held || p.ExpectedWorth < p.WorthWithoutHold || p.OrdinaryLoss > o.Peak.MaxHarm+0.001 || sum > maxHeldShare || p.From.Before(from) || p.From.After(p.Begin) {
-			t.Errorf("%s: held %.3f from %v, earned %.1f of %.1f, lost %.3f", name, p.HeldShares, p.Begin.Sub(p.From), p.ExpectedWorth, p.WorthWithoutHold, p.OrdinaryLoss)
+			t.Errorf("%s: held %.3f for %v, expected worth %.1f, without a hold %.1f, ordinary loss %.3f", name, p.HeldShares, p.Begin.Sub(p.From), p.ExpectedWorth, p.WorthWithoutHold, p.OrdinaryLoss)
 		}
-		t.Logf("%s: held %.3f for %v, expected %.1f, without %.1f (%+.2f%%), ordinary loses %.2f%%, short %.0f slots", name, p.HeldShares, p.Begin.Sub(p.From).Round(time.Second),
+		t.Logf("%s: held %.3f for %v, expected worth %.1f, without a hold %.1f (%+.2f%%), ordinary loss %.2f%%, short of %.0f slots", name, p.HeldShares, p.Begin.Sub(p.From).Round(time.Second),
 			p.ExpectedWorth, p.WorthWithoutHold, 100*(p.ExpectedWorth/p.WorthWithoutHold-1), 100*p.OrdinaryLoss, p.ShortSlots)
 	}
 	if _, err := MakePlan(doublingOccurrence(), 0, nil); err != ErrNoCapacity {
@@ -95,18 +95,19 @@
 	}
 }
 
-// What can't be met even on the lowest rungs is told with what is lacking.
+// ShortSlots is the number of slots that the peak lacks with all sessions on their lowest
+// rungs.
 func TestShortSlots(t *testing.T) {
-	room, classes := testFleet(0.45)
+	capacitySlots, classes := testFleet(0.45)
 	o := doublingOccurrence()
 	o.Peak.Factor = 10
-	p, err := MakePlan(o, room, classes)
+	p, err := MakePlan(o, capacitySlots, classes)
 	need := 0.0
 	for _, c := range classes {
 		need += 10 * c.Rate * MeanLength(c.Survival) * c.SlotsByRung[c.Floor]
 	}
-	if err != nil || math.Abs(p.ShortSlots-(need-room)) > 1e-6 || p.ShortSlots <= 0 {
-		t.Errorf("short %v, need %v of %v, %v", p.ShortSlots, need, room, err)
+	if err != nil || math.Abs(p.ShortSlots-(need-capacitySlots)) > 1e-6 || p.ShortSlots <= 0 {
+		t.Errorf("short of %v slots, needs %v of %v, error %v", p.ShortSlots, need, capacitySlots, err)
 	}
 }
 
@@ -117,12 +118,12 @@
 	}
 }
 
-// Nothing is held outside of an announcement's window, or before the plan's time.
+// Nothing is held outside the window of an occurrence, or before Plan.From.
 func TestHeldSharesAt(t *testing.T) {
-	room, classes := testFleet(0.45)
+	capacitySlots, classes := testFleet(0.45)
 	o := doublingOccurrence()
 	o.Peak.Factor = 10
-	p, err := MakePlan(o, room, classes)
+	p, err := MakePlan(o, capacitySlots, classes)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +135,8 @@
 	}
 }
 
-// The loss formula agrees with its known values and lies between whole slots.
+// erlangLoss agrees with known values of the formula, and is interpolated between whole
+// slots.
 func TestErlangLoss(t *testing.T) {
 	for _, e := range [][3]float64{{0, 5, 1}, {1, 1, 0.5}, {2, 1, 0.2}, {10, 5, 0.018385}, {1000, 10, 0}} {
 		if got := erlangLoss(e[0], e[1]); math.Abs(got-e[2]) > 1e-5 {
@@ -146,8 +148,8 @@
 	}
 }
 
-// BenchmarkPlan plans a day: the occurrences of 24 h of calendar, 4 classes, and
-// the room of so many nodes.
+// BenchmarkPlan plans all occurrences of a daily peak in 24 or 240 hours, for four classes
+// and various numbers of nodes.
 func BenchmarkPlan(b *testing.B) {
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		for _, hours := range []int{24, 240} {
--- a/internal/site/guide.go
+++ b/internal/site/guide.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Node is a media node as plans count it.
+// Node is a media node with the capacity that plans count on.
 type Node struct {
-	Site       int
-	Rack       int
-	LinkKB     float64 // that is to be filled, a second
+	Site       int     // index of its site
+	Rack       int     // number of its rack within the site
+	LinkKB     float64 // kB/s of its link that may be filled
 	MaxStreams float64
 }
 
-// BuildSites puts nodes together to sites. uplinkKB is what is to be filled of each rack's
-// uplink.
+// BuildSites groups nodes into sites and racks. uplinkKB is the part of each rack's uplink
+// that may be filled, in kB/s.
 func BuildSites(names []string, nodes []Node, uplinkKB float64) []Site {
 	type rack struct{ site, number int }
 	rackIndexes := map[rack]int{}
@@ -40,8 +40,8 @@
 	return sites
 }
 
-// SpreadDemand is the demand of classes that is spread over sites as their room is. tier ranks
-// a class at a site, as Demand has it.
+// SpreadDemand distributes the concurrent sessions of each class over the sites in proportion
+// to their capacity. tier returns the tier of a class at a site, as in Demand.
 func (f *Fleet) SpreadDemand(sessions []float64, tier func(site, class int) int) (all []Demand) {
 	totalKB := 0.0
 	for i := range f.Sites {
@@ -59,50 +59,55 @@
 	return all
 }
 
-// Figures of a Guide.
+// Parameters of a Guide.
 const (
-	planInterval = time.Second      // while a site is lost or comes back
-	rateWindow   = time.Minute      // over which arrivals are counted
-	recentWindow = 6 * time.Second  // over which they are for this manager's part of them
-	shareWindow  = 30 * time.Second // over which this manager's share is taken
-	sampleCount  = 8                // seconds before a loss is told whose figures count: what came after it is of no use
-	// priorArrivals are taken to have come at the rate before besides those that did.
+	planInterval = time.Second      // between plans while a site is lost or recovering
+	rateWindow   = time.Minute      // over which arrival rates are averaged
+	recentWindow = 6 * time.Second  // the same, for this manager's current share of all arrivals
+	shareWindow  = 30 * time.Second // over which this manager's share of sessions is averaged
+	// sampleCount is the number of samples kept, one per second. Plans use the oldest, since
+	// a loss is detected seconds after it began, and what was measured after it began is of
+	// no use.
+	sampleCount = 8
+	// priorArrivals is the number of assumed arrivals at the rate before the loss, which
+	// are added to those counted.
 	priorArrivals = 10
-	priorSessions = 2 // sessions of the mean length first told, as if they had been seen
-	// minRefusedShare is the part of a class that a plan refuses at the least for the class
-	// to be rationed. Under it what is measured is not as good as that.
+	priorSessions = 2 // assumed sessions of the expected mean length, added to those that have ended
+	// minRefusedShare is the minimum share of a class that a plan refuses for the class to
+	// be rationed. Smaller shares are below the accuracy of the measurements.
 	minRefusedShare = 0.02
-	// maxHalvings is how often a return that did not last halves the pace, at the most.
-	maxHalvings = 6
+	// maxRecoveryDoublings limits how often the time for which a returned site counts as recovering
+	// is doubled, as the session rate is halved for each return that did not last.
+	maxRecoveryDoublings = 6
 )
 
-// Rule is what a Guide knows of a site beforehand.
+// Rule holds the configured properties of a site.
 type Rule struct {
-	Tiers        []int         // by class
-	WarmUp       time.Duration // until a node that starts cold is warm
-	InitialShare float64       // of it that is warm at the start
+	Tiers        []int         // by class, see Demand.Tier
+	WarmUp       time.Duration // time until a node that starts cold is warm
+	InitialShare float64       // share of its capacity that a cold node has at once
 }
 
-// Ration is what one manager may do of a plan for the whole fleet.
+// Ration is one manager's part of a plan for the whole fleet.
 type Ration struct {
-	SessionLimit   []float64 // by class, sessions that it may hold at a time; under 0: any number
-	RetryIntervalS []float64 // by class, s between two refused viewers that come again; 0: not spread
-	MaxSessionRate []float64 // by site, sessions a second that it may send there; under 0: any number
-	// Rungs is, by class and rung, the part of what plays that does so on that rung or a
-	// lower one.
+	SessionLimit   []float64 // by class, the maximum of concurrent sessions; negative: no limit
+	RetryIntervalS []float64 // by class, seconds between the retries of two refused viewers; 0: retries are not spread
+	MaxSessionRate []float64 // by site, sessions per second that may be sent there; negative: no limit
+	// ByRung is, by class and rung, the share of accepted sessions that play on that rung or
+	// a lower one.
 	ByRung [][]float64
 }
 
-// Guide makes the plan for the sites that are lost, from what one manager measures, and
-// that manager's part of it. Managers need not talk: each measures its arrivals and its
-// share of the fleet, plans for the whole, and takes its share of the plan, so that the
-// parts add up to it as the shares do to one.
+// Guide makes the plan for lost and recovering sites from the measurements of one manager,
+// and derives that manager's ration from it. Managers need not communicate: each measures
+// its arrivals and its share of the fleet's sessions, plans for the whole fleet, and takes
+// its share of the plan. Since the shares add up to one, the rations add up to the plan.
 //
-// What all managers are asked for is taken from before the loss: after it, what each
-// holds says where nodes are left, and no more who asks for how much. A manager's share
-// of that follows its own arrivals, which grow where other managers are lost as well.
+// The demand on all managers is that from before the loss: after it, a manager's share of
+// the sessions depends on where nodes are left rather than on who asks for how much. Its
+// share of the demand then follows its arrivals, which grow if other managers are lost too.
 //
-// Times are arguments and must not step back.
+// Times are passed as arguments and must not go back.
 type Guide struct {
 	names         []string
 	rules         []Rule
@@ -111,34 +116,34 @@
 	uplinkKB      float64
 	nodes         map[uint64]Node
 	traffic       []classTraffic
-	share         float64     // of all managers' sessions, over shareTime; 0: not told yet
-	sampledAt     time.Time   // of its last sample
-	samples       []sample    // the last ones, a second apart, the oldest first
-	beforeLoss    *sample     // of the episode
-	returnedAt    []time.Time // by site, when it was heard of again; zero: long ago
-	returnCount   []int       // by site, of that return, within a minute
+	share         float64     // this manager's share of all sessions, averaged over shareWindow; 0: not known yet
+	sampledAt     time.Time   // when the last sample was taken
+	samples       []sample    // the last samples, one per second, the oldest first
+	beforeLoss    *sample     // the sample that the plans of this episode use; nil: no episode
+	returnedAt    []time.Time // by site, when it returned; zero: not since its last loss
+	returnCount   []int       // by site, returns within a minute up to that one
 	plan          *Plan
-	demands       []Demand // that it is for
-	plannedAt     time.Time
-	text          string
+	demands       []Demand  // demands of the plan
+	plannedAt     time.Time // when the plan was made; zero: it has to be made anew
+	text          string    // last argument of textIfChanged
 }
 
-// sample is what a manager measures of an ordinary second.
+// sample is a manager's measurement in a second without lost sites.
 type sample struct {
-	share float64
-	rates []float64 // by class, of this manager
+	share float64   // of all managers' sessions
+	rates []float64 // by class, arrivals per second at this manager
 }
 
-// classTraffic is what is measured of a class.
+// classTraffic holds the measurements of one class.
 type classTraffic struct {
-	arrivals, recentArrivals decayingCounter
-	firstArrival             time.Time // the first arrival
-	expected                 float64   // a second, over all managers
-	playedS                  float64   // s
-	ended                    float64
+	arrivals, recentArrivals decayingCounter // over rateWindow and recentWindow
+	firstArrival             time.Time       // zero: none yet
+	expected                 float64         // configured sessions per second at all managers; 0: unknown
+	playedS                  float64         // total length of the sessions that have ended
+	ended                    float64         // number of sessions that have ended
 }
 
-// decayingCounter counts what comes, each less by the time since.
+// decayingCounter counts events, whose weights decay exponentially with time.
 type decayingCounter struct {
 	count     float64
 	updatedAt time.Time
@@ -152,22 +157,23 @@
 	c.count, c.updatedAt = c.value(now, timeConstant)+1, now
 }
 
-// rate is what comes a second, of what has come since a time.
+// rate returns the events per second, if counting began at the time since.
 func (c *decayingCounter) rate(now, since time.Time, timeConstant time.Duration) float64 {
 	if since.IsZero() {
 		return 0
 	}
-	coverage := 1 - math.Exp(-float64(now.Sub(since))/float64(timeConstant)) // of what is counted in the long run
+	coverage := 1 - math.Exp(-float64(now.Sub(since))/float64(timeConstant)) // share of the long-run count that the time since then covers
 	return c.value(now, timeConstant) / timeConstant.Seconds() / max(coverage, 0.05)
 }
 
-// ExpectedLoad is what is taken to come of a class until it is measured.
+// ExpectedLoad is the load of a class that is assumed until it has been measured.
 type ExpectedLoad struct {
-	Rate       float64 // sessions a second over all managers; 0: not told
-	MeanLength time.Duration
+	Rate       float64       // sessions per second at all managers; 0: unknown
+	MeanLength time.Duration // of its sessions
 }
 
-// NewGuide returns a Guide.
+// NewGuide returns a Guide for the named sites. rules are by site, expected is by class;
+// crossSiteCost is as in Fleet, uplinkKB as in BuildSites.
 func NewGuide(names []string, rules []Rule, classes []Class, expected []ExpectedLoad, crossSiteCost, uplinkKB float64) *Guide {
 	g := &Guide{names: names, rules: rules, classes: classes, crossSiteCost: crossSiteCost, uplinkKB: uplinkKB, nodes: map[uint64]Node{},
 		traffic: make([]classTraffic, len(classes)), returnedAt: make([]time.Time, len(names)), returnCount: make([]int, len(names))}
@@ -179,7 +185,8 @@
 	return g
 }
 
-// UpdateNode tells of a node of the list. One that is not ready carries nothing new.
+// UpdateNode applies an entry of the list of nodes. A node that is not ready is left out of
+// plans, since it takes no new sessions.
 func (g *Guide) UpdateNode(id uint64, n Node, ready bool) {
 	if ready && n.Site >= 0 && n.Site < len(g.names) {
 		g.nodes[id] = n
@@ -188,8 +195,8 @@
 	}
 }
 
-// CountArrival tells of a viewer who asks for the first time. Those who come again are
-// counted already.
+// CountArrival counts the first request of a viewer. Repeated requests must not be passed,
+// since their viewers have been counted already.
 func (g *Guide) CountArrival(now time.Time, class int) {
 	t := &g.traffic[class]
 	if t.firstArrival.IsZero() {
@@ -199,11 +206,12 @@
 	t.recentArrivals.add(now, recentWindow)
 }
 
-// meanLengthS is a session's mean length in seconds.
+// meanLengthS returns the mean length of sessions in seconds.
 func (t *classTraffic) meanLengthS() float64 { return max(t.playedS/t.ended, 1) }
 
-// AddSessionLength tells of a session that played for a time. One that was broken off says nothing:
-// they come in crowds, when a site is lost, and would make all look longer.
+// AddSessionLength records the length of a session. Interrupted sessions are not counted:
+// many are interrupted at once when a site is lost, and would make sessions look longer than
+// they are.
 func (g *Guide) AddSessionLength(class int, played time.Duration, interrupted bool) {
 	if t := &g.traffic[class]; !interrupted {
 		t.playedS += max(played, 0).Seconds()
@@ -211,7 +219,8 @@
 	}
 }
 
-// ApplyNotice takes what a Watch says has changed.
+// ApplyNotice applies a notice of the Watch. returnCount is how often the site has returned
+// lately.
 func (g *Guide) ApplyNotice(now time.Time, n Notice, returnCount int) {
 	if n.Site < 0 {
 		return
@@ -222,25 +231,27 @@
 	case StateRecovering:
 		g.returnedAt[n.Site], g.returnCount[n.Site] = now, returnCount
 	}
-	g.plannedAt = time.Time{} // anew
+	g.plannedAt = time.Time{} // plan anew
 }
 
-// warmShare is the part of a site's room that counts, and whether it still comes back.
+// warmShare returns the share of a site's capacity that is warm, and whether the site is
+// still recovering.
 func (g *Guide) warmShare(now time.Time, i int) (float64, bool) {
 	r := &g.rules[i]
 	if g.returnedAt[i].IsZero() || r.WarmUp <= 0 {
 		return 1, false
 	}
 	share := Recovery{WarmUp: r.WarmUp, InitialShare: r.InitialShare}.WarmShare(now.Sub(g.returnedAt[i]))
-	if share >= 1 && now.Sub(g.returnedAt[i]) >= r.WarmUp<<min(max(g.returnCount[i]-1, 0), maxHalvings) {
+	if share >= 1 && now.Sub(g.returnedAt[i]) >= r.WarmUp<<min(max(g.returnCount[i]-1, 0), maxRecoveryDoublings) {
 		return 1, false
 	}
 	return share, true
 }
 
-// Tick returns this manager's ration while a site is lost or comes back, nil else, and
-// what has changed of it in words, or "". share is its part of the fleet's sessions.
-// A plan that can't be made leaves the last good one.
+// Tick returns this manager's ration while a site is lost or recovering. It returns nil
+// otherwise, and if this manager is isolated. It also returns a description of the ration if
+// that has changed, and "" otherwise. share is this manager's share of the fleet's sessions.
+// If no plan can be made, the last good one stays in force.
 func (g *Guide) Tick(now time.Time, w *Watch, share float64) (*Ration, string) {
 	var lost []int
 	anyRecovering := false
@@ -262,7 +273,7 @@
 		g.beforeLoss = &sample{min(max(share, 1e-6), 1), g.rates(now)}
 		if n := len(g.samples); n == sampleCount {
 			g.beforeLoss = &g.samples[0]
-		} else if n > 0 { // of a manager that has just begun the newest are the best
+		} else if n > 0 { // this manager has just started: its latest sample is the best
 			g.beforeLoss = &g.samples[n-1]
 		}
 	}
@@ -279,7 +290,7 @@
 	return g.ration(now, share)
 }
 
-// takeSample takes a sample of a time in which all sites are there.
+// takeSample records a sample while no site is lost or recovering.
 func (g *Guide) takeSample(now time.Time, share float64) {
 	g.plan, g.beforeLoss = nil, nil
 	if now.Sub(g.sampledAt) < time.Second {
@@ -291,17 +302,19 @@
 	g.share += (share - g.share) * min(float64(now.Sub(g.sampledAt))/float64(shareWindow), 1)
 	g.sampledAt = now
 	if len(g.samples) == sampleCount {
-		g.samples = append(g.samples[:0:0], g.samples[1:]...) // one may be kept as before
+		g.samples = append(g.samples[:0:0], g.samples[1:]...) // copied, since beforeLoss may point into it
 	}
 	g.samples = append(g.samples, sample{min(max(g.share, 1e-6), 1), g.rates(now)})
 }
 
+// rates returns the arrivals per second at this manager, by class. Until enough has been
+// measured, this manager's share of the expected rate is used in part.
 func (g *Guide) rates(now time.Time) (all []float64) {
 	for k := range g.traffic {
 		t := &g.traffic[k]
 		rate := t.arrivals.rate(now, t.firstArrival, rateWindow)
 		if t.expected > 0 {
-			unmeasured := 1.0 // the part of what is counted in the long run that has not been
+			unmeasured := 1.0 // share of the long-run count that has not been measured yet
 			if !t.firstArrival.IsZero() {
 				unmeasured = math.Exp(-float64(now.Sub(t.firstArrival)) / float64(rateWindow))
 			}
@@ -312,7 +325,7 @@
 	return all
 }
 
-// currentShare is this manager's share of what all are asked for now.
+// currentShare returns this manager's current share of the demand on all managers.
 func (g *Guide) currentShare(now time.Time) float64 {
 	currentRate, previousRate := 0.0, 0.0
 	for k := range g.traffic {
@@ -322,17 +335,18 @@
 	if previousRate <= 0 {
 		return g.beforeLoss.share
 	}
-	// Few arrivals say little: as if some more had come at the rate before.
+	// A few arrivals are subject to chance, so assumed arrivals at the former rate are added.
 	arrivals := currentRate * recentWindow.Seconds()
 	growth := (arrivals + priorArrivals) / (previousRate*recentWindow.Seconds() + priorArrivals)
 	return min(g.beforeLoss.share*growth, 1)
 }
 
-// fleet is all sites, of those that come back what is warm, and all managers' demand.
+// fleet returns all sites, with the warm part of recovering ones, and the demand on all
+// managers.
 func (g *Guide) fleet(now time.Time) *Fleet {
 	f := &Fleet{Classes: g.classes, CrossSiteCost: g.crossSiteCost}
 	nodes := make([]Node, 0, len(g.nodes))
-	for _, id := range slices.Sorted(maps.Keys(g.nodes)) { // the same plan each time
+	for _, id := range slices.Sorted(maps.Keys(g.nodes)) { // in a fixed order, so that the plan is reproducible
 		nodes = append(nodes, g.nodes[id])
 	}
 	f.Sites = BuildSites(g.names, nodes, g.uplinkKB)
@@ -348,6 +362,7 @@
 	return f
 }
 
+// ration derives this manager's ration from the plan, and describes it if it has changed.
 func (g *Guide) ration(now time.Time, share float64) (*Ration, string) {
 	p := g.plan
 	r := &Ration{SessionLimit: make([]float64, len(g.classes)), RetryIntervalS: make([]float64, len(g.classes)), MaxSessionRate: make([]float64, len(g.names))}
@@ -402,8 +417,9 @@
 	return r, text
 }
 
-// MeasuredDemand is what all managers are asked for, as this one measures it: by class, sessions
-// a second and how long they last in the mean. False: not measured yet.
+// MeasuredDemand returns this manager's estimate of the demand on all managers: by class,
+// the sessions per second and their mean length. It returns false if nothing has been
+// measured yet.
 func (g *Guide) MeasuredDemand(now time.Time) (rates []float64, meanLengths []time.Duration, ok bool) {
 	if g.share <= 0 {
 		return nil, nil, false
@@ -416,8 +432,9 @@
 	return rates, meanLengths, ok
 }
 
-// PlanBasis is what the plan rests on: by class, how many sessions all managers are asked
-// for at a time, and this manager's share of them before the loss.
+// PlanBasis returns the measurements on which the plan is based: by class, the concurrent
+// sessions that all managers are asked for, and this manager's share of them before the
+// loss.
 func (g *Guide) PlanBasis() (sessions []float64, share float64) {
 	if g.beforeLoss == nil {
 		return nil, 0
@@ -428,7 +445,8 @@
 	return sessions, g.beforeLoss.share
 }
 
-// textIfChanged returns a text once.
+// textIfChanged returns text if it differs from that of the last call, and "" otherwise. In
+// place of an empty text it returns that there is no ration any more.
 func (g *Guide) textIfChanged(text string) string {
 	if text == g.text {
 		return ""
--- a/internal/site/guide_test.go
+++ b/internal/site/guide_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// managerGroup is managers of two sites with a guide each, whose clock the test moves.
+// managerGroup is a group of managers, each with a Watch and a Guide over the same two sites.
+// The test advances their clock.
 type managerGroup struct {
 	now     time.Time
 	guides  []*Guide
@@ -32,15 +33,16 @@
 	return g
 }
 
-// advance lets time go by: each manager has so many arrivals a second of each class and
-// knows its share. down: the nodes of b fail.
+// advance runs the managers for a time. shares and rates are by manager: its share of the
+// fleet's sessions, and its arrivals per second of each class. If siteDown is set, the nodes
+// of site b fail. It returns the last ration of each manager.
 func (g *managerGroup) advance(d time.Duration, shares, rates []float64, siteDown bool) (rations []*Ration) {
 	rations = make([]*Ration, len(g.guides))
 	for end := g.now.Add(d); g.now.Before(end); {
 		g.now = g.now.Add(100 * time.Millisecond)
 		for i, guide := range g.guides {
 			for k := range 2 {
-				for n := rates[i] / 10; n > 0; n-- { // a tenth of a second's
+				for n := rates[i] / 10; n > 0; n-- { // the arrivals of 100 ms
 					if n >= 1 || math.Mod(float64(g.now.UnixMilli()/100), math.Round(1/n)) == 0 {
 						guide.CountArrival(g.now, k)
 					}
@@ -62,37 +64,39 @@
 	return rations
 }
 
-// Each manager takes its share of the plan, and the parts add up to what the rest of the
-// fleet carries: clip whole, on its lowest rung, and of feed what is left.
+// Each manager takes its share of the plan, and the rations add up to what the remaining site
+// carries: all clip sessions, on their lowest rung, and as many feed sessions as fit.
 func TestRationsAddUp(t *testing.T) {
 	g := newManagerGroup(4)
 	shares, rates := []float64{0.1, 0.2, 0.3, 0.4}, []float64{0.4, 0.8, 1.2, 1.6}
 	if r := g.advance(90*time.Second, shares, rates, false); r[0] != nil {
-		t.Fatalf("a ration while all is there: %+v", r[0])
+		t.Fatalf("ration without a lost site: %+v", r[0])
 	}
-	// 80 clip and 80 feed are asked for. On the lowest rungs that is 48,000 kB of 40,000.
+	// The demand is 80 clip and 80 feed sessions. On the lowest rungs they need 48,000 kB/s
+	// of 40,000.
 	var total [2]float64
-	// What managers hold once it is lost says nothing of their shares.
+	// The managers' shares of sessions after the loss must not affect the rations.
 	for i, r := range g.advance(10*time.Second, []float64{0.9, 0.9, 0, 0}, rates, true) {
 		if r == nil || r.SessionLimit[0] >= 0 && r.SessionLimit[0] < 1 || r.SessionLimit[1] < 0 {
 			t.Fatalf("manager %d: %+v", i, r)
 		}
 		if want := shares[i] * plannedFeed(g.guides[i]); math.Abs(r.SessionLimit[1]-want) > 0.25*want {
-			t.Errorf("manager %d: %.1f feed, its share is %.1f", i, r.SessionLimit[1], shares[i])
+			t.Errorf("manager %d: limit of %.1f feed sessions with a share of %.1f", i, r.SessionLimit[1], shares[i])
 		}
 		total[1] += r.SessionLimit[1]
 		if got := r.ByRung[0]; got[0] != 0 || got[1] != 1 {
-			t.Errorf("manager %d: clip by rung %v, want all on its lowest", i, got)
+			t.Errorf("manager %d: clip by rung %v, want all on the lowest", i, got)
 		}
 		if wait := r.RetryIntervalS[1] * r.SessionLimit[1]; math.Abs(wait-20) > 1 {
-			t.Errorf("manager %d: places get free each %.1f s, sessions last 20 s", i, r.RetryIntervalS[1])
+			t.Errorf("manager %d: retry interval %.1f s does not match sessions of 20 s", i, r.RetryIntervalS[1])
 		}
 	}
 	if feed := plannedFeed(g.guides[0]); math.Abs(total[1]-feed) > 0.15*feed {
-		t.Errorf("%.1f feed over all, the plan takes %.1f", total[1], feed)
+		t.Errorf("limits of %.1f feed sessions in total, the plan accepts %.1f", total[1], feed)
 	}
 }
 
+// plannedFeed returns the number of feed sessions that a guide's plan accepts.
 func plannedFeed(g *Guide) (n float64) {
 	for i, d := range g.demands {
 		if d.Class == 1 {
@@ -102,19 +106,20 @@
 	return n
 }
 
-// Where other managers are lost as well, a manager's part grows with its arrivals.
+// If other managers are lost with the site, a manager's ration grows with its arrivals.
 func TestShareGrowsWithArrivals(t *testing.T) {
 	g := newManagerGroup(1)
 	g.advance(90*time.Second, []float64{0.25}, []float64{5}, false)
 	before := g.advance(8*time.Second, []float64{0.25}, []float64{5}, true)[0].SessionLimit[1]
 	after := g.advance(20*time.Second, []float64{0.25}, []float64{10}, true)[0].SessionLimit[1]
 	if got := after / before; got < 1.7 || got > 2.2 {
-		t.Errorf("twice the arrivals: %.2f times the part", got)
+		t.Errorf("with twice the arrivals the limit is %.2f times as high, want 1.7 to 2.2", got)
 	}
 }
 
-// A site that is back is sent to by its warm-up, its room counts as it warms, and a
-// return that did not last halves the pace. All is over when it is warm.
+// The rate of sessions to a returned site is limited by its warm-up, its capacity counts as
+// it warms, and a return that did not last halves the rate. The ration ends when the site is
+// warm.
 func TestReturningSiteIsRateLimited(t *testing.T) {
 	g := newManagerGroup(1)
 	share, rate := []float64{0.5}, []float64{5}
@@ -129,19 +134,19 @@
 			}
 		}
 		if r := g.advance(3*time.Second, share, rate, false); r[0] == nil || r[0].MaxSessionRate[1] < first[i] || r[0].MaxSessionRate[0] >= 0 {
-			t.Errorf("return %d: %+v after 3 s", i, r[0])
+			t.Errorf("return %d: ration %+v after 3 s", i, r[0])
 		}
 	}
-	// 400 places in 4 s, a quarter of it warm, half of it this manager's.
+	// 400 streams over a warm-up of 4 s, a quarter of it warm, half of that for this manager.
 	if first[0] < 12 || first[0] > 15 || math.Abs(first[1]/first[0]-0.5) > 0.05 {
-		t.Errorf("paces %.2f a second", first)
+		t.Errorf("limits of %.2f sessions per second at the two returns, want 12 to 15 and half of that", first)
 	}
 	if r := g.advance(12*time.Second, share, rate, false); r[0] != nil {
-		t.Errorf("%+v once it is warm", r[0])
+		t.Errorf("ration %+v after the site is warm", r[0])
 	}
 }
 
-// A manager that hears nobody has no plan for the others' loss.
+// A manager that hears of no node has no ration, since it takes no site for lost.
 func TestIsolatedManagerHasNoRation(t *testing.T) {
 	g := newManagerGroup(1)
 	g.advance(30*time.Second, []float64{0.5}, []float64{5}, false)
@@ -154,12 +159,12 @@
 		g.watches[0].Tick(g.now)
 	}
 	if r, _ := g.guides[0].Tick(g.now, g.watches[0], 0.5); !g.watches[0].Isolated() || r != nil {
-		t.Errorf("alone %v: %+v", g.watches[0].Isolated(), r)
+		t.Errorf("isolated %v, ration %+v", g.watches[0].Isolated(), r)
 	}
 }
 
-// A site that nothing else is seen of is asked once a second, in turn, and faster in
-// doubt.
+// The nodes of a site without other signs are probed in turn, once a second, and more often
+// in doubt.
 func TestNodesToProbe(t *testing.T) {
 	w := NewWatch([]string{"a", "b"})
 	for n := range 8 {
@@ -169,7 +174,7 @@
 	probe := func(fails bool) (n int) {
 		for range 80 { // 8 s
 			now = now.Add(100 * time.Millisecond)
-			w.RecordSign(now, 0, SignHeard) // a is busy
+			w.RecordSign(now, 0, SignHeard) // site a has traffic
 			for _, node := range w.NodesToProbe(now) {
 				probes[node]++
 				n++
@@ -184,13 +189,13 @@
 		return n
 	}
 	if n := probe(false); n < 7 || n > 8 || probes[4] != 2 || probes[0] != 0 {
-		t.Errorf("%d asked: %v", n, probes)
+		t.Errorf("%d probes, by node: %v", n, probes)
 	}
 	clear(probes)
 	if probe(true); w.State(1) != StateLost || probes[7] < 2 {
-		t.Errorf("%v after asking %v", w.State(1), probes)
+		t.Errorf("state %v after the probes %v", w.State(1), probes)
 	}
 	if n := probe(true); n > 8 {
-		t.Errorf("%d asked of a site that is lost", n)
+		t.Errorf("%d probes in 8 s of a site that is lost, want at most 8", n)
 	}
 }
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,7 +1,9 @@
-// Package site plans for the loss of a whole site: whether the rest can carry its
-// load, at which rungs, what is refused first, and how fast the load may go back.
+// Package site plans for the loss of whole sites: whether the other sites can carry the
+// load, at which rungs, what is refused first, and how fast load may return to a recovered
+// site. It also detects such losses from the signs of nodes (Watch) and computes each
+// manager's part of a plan (Guide).
 //
-// It does no I/O and reads no clock.
+// The package does no I/O and reads no clock.
 package site
 
 import (
@@ -13,20 +15,20 @@
 	"time"
 )
 
-// Rack is nodes behind one uplink.
+// Rack is a group of nodes that share one uplink.
 type Rack struct {
-	LinksKB    float64 // of its nodes together, a second, as far as they are to be filled
-	UplinkKB   float64 // likewise; 0: not told
-	MaxStreams float64 // streams at most, of its nodes together
+	LinksKB    float64 // kB/s, total of its nodes' links, as far as they may be filled
+	UplinkKB   float64 // kB/s, as far as the uplink may be filled; 0: unknown
+	MaxStreams float64 // total of its nodes
 }
 
-// Site is what is lost together.
+// Site is a set of racks that can be lost together.
 type Site struct {
 	Name  string
 	Racks []Rack
 }
 
-// Capacity is what a site carries: kB a second, and streams.
+// Capacity returns how many kB/s and how many streams the site can carry.
 func (s *Site) Capacity() (kb, streams float64) {
 	for _, r := range s.Racks {
 		usableKB := r.LinksKB
@@ -38,33 +40,33 @@
 	return kb, streams
 }
 
-// Class is one class of session.
+// Class describes a class of sessions.
 type Class struct {
 	Name    string
 	Floor   int       // lowest rung that may play
-	Top     int       // highest rung of the class
-	RatesKB []float64 // by rung
-	Worth   []float64 // of a second, by rung
+	Top     int       // highest rung that may play
+	RatesKB []float64 // by rung, in kB/s
+	Worth   []float64 // by rung, of one second of play
 }
 
-// Demand is sessions that are alike.
+// Demand is a group of sessions that a plan need not tell apart.
 type Demand struct {
 	Class    int
-	HomeSite int     // site of its viewers
-	Sessions float64 // that would play at a time if all were taken
-	Top      int     // highest rung that its viewers can use
-	Tier     int     // of a higher tier all are taken, on their lowest rung, before any of a lower; 0: by worth alone
+	HomeSite int     // index of the site of its viewers
+	Sessions float64 // number of concurrent sessions if all are accepted
+	Top      int     // highest rung that its viewers can play
+	Tier     int     // priority: all sessions of a higher tier are accepted, on their lowest rung, before any of a lower one; 0: by worth alone
 }
 
-// Fleet is what a plan is made for.
+// Fleet holds the sites, classes and demands for which a plan is made.
 type Fleet struct {
 	Sites         []Site
 	Classes       []Class
 	Demands       []Demand
-	CrossSiteCost float64 // what a session that crosses sites costs, as a part of its worth on its top rung
+	CrossSiteCost float64 // cost of a session that plays at another site than its viewer's, as a share of its worth on its top rung
 }
 
-// Validate tells what can't be planned with.
+// Validate returns an error for each value with which no plan can be made.
 func (f *Fleet) Validate() error {
 	var errs []error
 	for i, c := range f.Classes {
@@ -87,8 +89,8 @@
 		}
 	}
 	for _, s := range f.Sites {
-		if kb, places := s.Capacity(); !(kb >= 0) || !(places >= 0) || math.IsInf(kb+places, 0) {
-			errs = append(errs, fmt.Errorf("site %s: room for %g kB a second and %g streams", s.Name, kb, places))
+		if kb, streams := s.Capacity(); !(kb >= 0) || !(streams >= 0) || math.IsInf(kb+streams, 0) {
+			errs = append(errs, fmt.Errorf("site %s: room for %g kB a second and %g streams", s.Name, kb, streams))
 		}
 	}
 	if !(f.CrossSiteCost >= 0) || math.IsInf(f.CrossSiteCost, 0) {
@@ -97,60 +99,63 @@
 	return errors.Join(errs...)
 }
 
-// Allocation is what becomes of one demand.
+// Allocation is the part of a plan that concerns one demand.
 type Allocation struct {
-	ByRung    []float64 // sessions by rung
-	Refused   float64   // sessions
-	CrossSite float64   // of those taken, how many play at another site than their viewers'
+	ByRung    []float64 // accepted sessions, by rung
+	Refused   float64   // refused sessions
+	CrossSite float64   // accepted sessions that play at another site than their viewers'
 }
 
-// Accepted is how many sessions play.
-func (t *Allocation) Accepted() (n float64) {
-	for _, s := range t.ByRung {
+// Accepted returns the number of accepted sessions.
+func (a *Allocation) Accepted() (n float64) {
+	for _, s := range a.ByRung {
 		n += s
 	}
 	return n
 }
 
-// DegradationStep is something that is given up as room shrinks.
+// DegradationStep is one step by which a demand is degraded as capacity shrinks: from one
+// rung to a lower one, or from its lowest rung to refusal.
 type DegradationStep struct {
 	Demand           int
-	FromRung, ToRung int // rungs; To under 0: refused
+	FromRung, ToRung int // ToRung is negative if the sessions are refused
 	WorthPerKB       float64
 }
 
-// Plan is what is to be done while some sites are lost.
+// Plan describes what is to be done while some sites are lost.
 type Plan struct {
 	LostSites        []int
-	WorthBefore      float64           // worth a second with all sites
-	Worth            float64           // worth a second without the lost ones
-	WorthBound       float64           // no plan earns more than this
+	WorthBefore      float64           // worth per second with all sites
+	Worth            float64           // worth per second without the lost sites
+	WorthBound       float64           // upper bound of Worth: no plan earns more
 	Allocations      []Allocation      // by demand
-	Utilization      []float64         // by site, the part of its kB a second that is asked for
-	MarginalWorth    float64           // worth of one kB a second more; 0: there is room for all
-	DegradationOrder []DegradationStep // what is given up, the first first
-	TieredRefused    float64           // sessions of a tier over 0 that are refused
+	Utilization      []float64         // by site, the share of its kB/s that the plan uses
+	MarginalWorth    float64           // worth that one more kB/s would add; 0: there is capacity for all sessions
+	DegradationOrder []DegradationStep // what is given up as capacity shrinks, in this order
+	TieredRefused    float64           // sessions of a tier above 0 that are refused
 }
 
-// MakePlan plans for the loss of some sites; with none it is the plan for an ordinary time.
+// MakePlan plans for the loss of the given sites; without any it makes the plan for normal
+// operation.
 //
-// It takes all sites that are left as one room first. Each demand offers its rungs, of
-// which those count that lie on the concave hull of worth over rate; room is given to
-// the step that earns most for a kB until there is none left. For one room that is the
-// optimum of the linear programme, the multiple-choice knapsack whose classes may be
-// split, and no plan for many rooms earns more: crossing only costs, and what is free
-// in one room is of use in no other. That is Bound. Where streams run out before links,
-// each session is charged for its stream, at the least price at which they suffice; the
-// optimum lies between the plans just over and just under that price, and is their mix.
+// It first treats the remaining sites as one pool. For each demand, only the rungs on the
+// concave hull of worth over rate are considered; capacity is given to the step with the
+// most worth per kB until none is left. For a single pool this is the optimum of the linear
+// program, a multiple-choice knapsack with divisible items. No plan for several sites earns
+// more, since sessions that cross sites only add costs, and capacity left over at one site
+// cannot be used at another. This optimum is WorthBound. Where streams run out before links
+// do, each session is charged for its stream, at the lowest price at which the streams
+// suffice. The optimum lies between the plans just above and just below that price, and is
+// a mixture of the two.
 //
-// Rungs are to go down before sessions are refused: the plan gives all lowest rungs
-// room before any upper one, also where that earns a little less for a kB, as it may for
-// a session that crosses. Bound knows no such rule.
+// Rungs are lowered before sessions are refused: the plan gives capacity to all lowest
+// rungs before any upper one, even where that earns slightly less per kB, as it may for a
+// session that crosses sites. WorthBound does not take this rule into account.
 //
-// Then each site takes its own viewers as far as it has room, and the others go where
-// room is left; and in turn each site chooses anew, the same way, among what plays there
-// and what is refused, until that earns no more. Worth is what comes of it, so that
-// Worth over Bound tells how good a plan is at least.
+// After that, each site accepts its own viewers as far as its capacity goes, and the others
+// are placed where capacity is left. Then each site in turn chooses again, in the same way,
+// among the sessions that play there and those that are refused, until that adds no more
+// worth. Worth is the result, so Worth/WorthBound is a lower bound of a plan's quality.
 func MakePlan(f *Fleet, lost ...int) (Plan, error) {
 	if err := f.Validate(); err != nil {
 		return Plan{}, fmt.Errorf("site: %w", err)
@@ -169,6 +174,7 @@
 	return p, nil
 }
 
+// makePlan makes a plan without WorthBefore for valid values, see MakePlan.
 func (f *Fleet) makePlan(lost []int) Plan {
 	p := Plan{LostSites: slices.Clone(lost)}
 	slices.Sort(p.LostSites)
@@ -202,25 +208,27 @@
 	return p
 }
 
-// maxReallocationRounds is how often each site chooses anew at most.
+// maxReallocationRounds is the maximum number of times that each site chooses its sessions
+// again.
 const maxReallocationRounds = 8
 
-// siteCapacity is what a site has.
+// siteCapacity is the capacity of a site, in kB/s and streams, or the part of it that is
+// still free.
 type siteCapacity struct{ kb, streams float64 }
 
-// knapsack is the demands as a plan fills a room with them.
+// knapsack is the problem of filling a given capacity with the sessions of all demands.
 type knapsack struct {
 	fleet        *Fleet
-	maxSessions  []float64 // by demand, sessions
-	rungRanges   [][2]int  // by demand, from and to; empty where to is under from
-	crossingCost []float64 // by demand, what each session costs because it has to cross
-	// strict has all lowest rungs come before any upper one: rungs go down before
-	// sessions are refused.
+	maxSessions  []float64 // by demand, the number of sessions that may be accepted
+	rungRanges   [][2]int  // by demand, the lowest and the highest rung; empty if the highest is below the lowest
+	crossingCost []float64 // by demand, what each session costs because it has to cross sites
+	// floorsFirst makes all lowest rungs come before any upper one, so that rungs are
+	// lowered before sessions are refused.
 	floorsFirst bool
 }
 
-// newKnapsack are those of all sessions, of which those have to cross whose home is one
-// that crosses tells.
+// newKnapsack returns the problem for all sessions. mustCross reports whether the sessions
+// of a home site have to cross sites.
 func (f *Fleet) newKnapsack(mustCross func(home int) bool) *knapsack {
 	ks := &knapsack{fleet: f}
 	for _, d := range f.Demands {
@@ -236,7 +244,8 @@
 	return ks
 }
 
-// sessionCrossingCost is what a session of a demand costs a second where it crosses.
+// sessionCrossingCost returns the cost per second of a session of a demand if it crosses
+// sites.
 func (f *Fleet) sessionCrossingCost(d Demand) float64 {
 	c := &f.Classes[d.Class]
 	top := min(c.Top, d.Top)
@@ -246,20 +255,21 @@
 	return f.CrossSiteCost * c.Worth[top]
 }
 
-// item is one step up of a demand: from nothing to a rung, or from rung to rung.
+// item is one step up for a demand: from refusal to a rung, or from one rung to a higher
+// one.
 type item struct {
 	demand           int
-	fromRung, toRung int // from under 0: nothing
+	fromRung, toRung int // fromRung is negative for the step from refusal
 	kb               float64
-	worthPerKB       float64 // worth for a kB
-	tier             int     // of a first step
+	worthPerKB       float64 // worth that the step adds per kB
+	tier             int     // of the demand, for a step from refusal; 0 for the others
 }
 
-// items are the steps of the hulls of all demands, with a charge for each stream, in
-// the order in which room is given to them.
+// items returns the steps along the concave hulls of all demands, with a charge for each
+// stream, in the order in which capacity is given to them.
 func (ks *knapsack) items(streamCharge float64) []item {
 	var all []item
-	lowestFirst := ks.floorsFirst && streamCharge == 0 // with a charge it is not rungs that want room
+	lowestFirst := ks.floorsFirst && streamCharge == 0 // with a charge, streams are scarce and lower rungs would not help
 	for i, d := range ks.fleet.Demands {
 		c := &ks.fleet.Classes[d.Class]
 		if ks.maxSessions[i] <= 0 {
@@ -268,7 +278,7 @@
 		low, high := ks.rungRanges[i][0], ks.rungRanges[i][1]
 		fromRung, kb, worth := -1, 0.0, 0.0
 		for fromRung < high {
-			// The next point of the hull is the one with the steepest way there.
+			// The next point of the hull is the one with the steepest slope.
 			best, worthPerKB := -1, math.Inf(-1)
 			for r := max(low, fromRung+1); r <= high; r++ {
 				w := c.Worth[r] - ks.crossingCost[i] - streamCharge
@@ -278,7 +288,7 @@
 			}
 			tier := 0
 			if fromRung < 0 && (d.Tier > 0 || lowestFirst) {
-				// Who is to be taken is so on the lowest rung, whatever that earns.
+				// Sessions that have to be accepted get the lowest rung, whatever they earn.
 				tier, best = d.Tier, low
 				worthPerKB = (c.Worth[low] - ks.crossingCost[i] - streamCharge) / c.RatesKB[low]
 			}
@@ -293,13 +303,13 @@
 		if order := cmp.Compare(b.tier, a.tier); order != 0 || !lowestFirst || (a.fromRung < 0) == (b.fromRung < 0) {
 			return cmp.Or(order, cmp.Compare(b.worthPerKB, a.worthPerKB))
 		}
-		return cmp.Compare(a.fromRung, b.fromRung) // nothing is less than any rung
+		return cmp.Compare(a.fromRung, b.fromRung) // a negative rung, that is refusal, sorts before all rungs
 	})
 	return all
 }
 
-// solve gives a room to the offers. It returns, by demand and rung, how many sessions
-// play, and what one more kB would earn.
+// solve distributes a capacity over the demands. It returns the number of accepted sessions
+// by demand and rung, and the worth that one more kB/s would add.
 func (ks *knapsack) solve(kb, maxStreams float64) ([][]float64, float64) {
 	uncharged, price, streams := ks.fillGreedily(kb, maxStreams, 0)
 	if streams <= maxStreams*(1+1e-9) {
@@ -320,8 +330,8 @@
 			high, under, underPrice, underStreams = mid, got, p, n
 		}
 	}
-	// Of two plans at one price, of which one takes a stream too many, the mix that
-	// takes all streams is the best there is.
+	// Of two plans at the same price, one of which uses too many streams, the mixture that
+	// uses exactly all streams is optimal.
 	overShare := 0.0
 	if overStreams > underStreams {
 		overShare = min((maxStreams-underStreams)/(overStreams-underStreams), 1)
@@ -337,8 +347,9 @@
 	return under, underPrice
 }
 
-// fillGreedily fills a room of kB at a charge for streams. Tiers over 0 pay none: they are cut
-// off only where they alone want more streams than there are.
+// fillGreedily distributes kb kB/s at a given charge for streams. Sessions of tiers above 0
+// are accepted whatever the charge: they are cut off only if they alone need more streams
+// than there are.
 func (ks *knapsack) fillGreedily(kb, maxStreams, streamCharge float64) (sessions [][]float64, price, streams float64) {
 	sessions = make([][]float64, len(ks.fleet.Demands))
 	for i, d := range ks.fleet.Demands {
@@ -347,7 +358,7 @@
 	for _, it := range ks.items(streamCharge) {
 		n := ks.maxSessions[it.demand]
 		if it.fromRung >= 0 {
-			n = sessions[it.demand][it.fromRung] // those that came so far
+			n = sessions[it.demand][it.fromRung] // those that got the step before
 		} else if it.tier > 0 {
 			n = min(n, max(maxStreams-streams, 0))
 		}
@@ -372,7 +383,7 @@
 	return sessions, price, streams
 }
 
-// totalWorth is what sessions earn a second.
+// totalWorth returns the worth per second of accepted sessions, less the costs of crossing.
 func (ks *knapsack) totalWorth(sessions [][]float64) (w float64) {
 	for i, d := range ks.fleet.Demands {
 		for r, n := range sessions[i] {
@@ -382,7 +393,7 @@
 	return w
 }
 
-// degradationOrder is what is given up as room shrinks: the steps up, backwards.
+// degradationOrder returns what is given up as capacity shrinks: the steps up in reverse.
 func (ks *knapsack) degradationOrder() (steps []DegradationStep) {
 	for _, it := range slices.Backward(ks.items(0)) {
 		steps = append(steps, DegradationStep{it.demand, it.toRung, it.fromRung, it.worthPerKB})
@@ -390,10 +401,10 @@
 	return steps
 }
 
-// placeSessions finds a place for each session that the plan takes. Those of whom a crossing
-// would cost most for their room stay at home first; of the others each site takes
-// what it has room for, the one with most room first. It returns, by site, demand and
-// rung, how many play.
+// placeSessions assigns the accepted sessions to sites. Sessions for which crossing would
+// cost most per kB are placed first at their home sites. The others are placed where there
+// is capacity, at the site with the most free capacity first. It returns the number of
+// sessions by site, demand and rung.
 func (f *Fleet) placeSessions(p *Plan, accepted [][]float64, capacities []siteCapacity) (bySite [][][]float64) {
 	type portion struct {
 		demand, rung int
@@ -448,7 +459,8 @@
 	return bySite
 }
 
-// reallocateSites has each site choose anew among what plays there and what is refused.
+// reallocateSites lets each site choose again among the sessions that play there and those
+// that are refused.
 func (f *Fleet) reallocateSites(p *Plan, bySite [][][]float64, capacities []siteCapacity) {
 	p.Worth = 0
 	for s := range f.Sites {
@@ -475,7 +487,7 @@
 	}
 }
 
-// summarize tells what a plan comes to.
+// summarize computes the totals of a plan from the sessions by site, demand and rung.
 func (f *Fleet) summarize(p *Plan, bySite [][][]float64, capacities []siteCapacity) {
 	p.Utilization = make([]float64, len(f.Sites))
 	p.Worth = 0
@@ -503,8 +515,8 @@
 	}
 }
 
-// PlanLosses plans for the loss of each site, and of each pair where there are more than
-// two.
+// PlanLosses makes a plan for the loss of each site, and of each pair of sites if there are
+// more than two.
 func PlanLosses(f *Fleet) ([]Plan, error) {
 	if err := f.Validate(); err != nil {
 		return nil, fmt.Errorf("site: %w", err)
@@ -529,19 +541,20 @@
 	return plans, nil
 }
 
-// Recovery is how a site that was lost takes its load back.
+// Recovery describes how load returns to a site that was lost.
 type Recovery struct {
-	WarmUp       time.Duration // until a node that starts cold is warm
-	InitialShare float64       // of its pace and links that is warm at the start
-	MaxStreams   float64       // streams of all nodes that come back
-	// Returns is how often the site has come back within the last minute, this time
-	// included. A site that comes and goes is trusted half as much each time.
+	WarmUp       time.Duration // time until a node that starts cold is warm
+	InitialShare float64       // share of its links and set-up rate that a cold node has at once
+	MaxStreams   float64       // total of the nodes that return
+	// ReturnCount is how often the site has returned within the last minute, this time
+	// included. For a site that comes and goes, the set-up rate is halved each time.
 	ReturnCount int
 }
 
-// MaxSessionRate is how many sessions a second all managers together may send to a site that
-// has been back for a time: no more than its places over its warm-up, times the share
-// that it has warmed.
+// MaxSessionRate returns how many sessions per second all managers together may send to a
+// site that returned the given time ago: at most its streams divided by its warm-up time,
+// times the share that is warm, halved for each earlier return. Without a warm-up time there
+// is no limit.
 func (r Recovery) MaxSessionRate(since time.Duration) float64 {
 	if r.WarmUp <= 0 {
 		return math.Inf(1)
@@ -549,7 +562,7 @@
 	return r.MaxStreams / r.WarmUp.Seconds() * r.WarmShare(since) * math.Pow(0.5, float64(max(r.ReturnCount-1, 0)))
 }
 
-// WarmShare is the part of the site's room that has warmed after a time.
+// WarmShare returns the share of the site's capacity that is warm after a time.
 func (r Recovery) WarmShare(since time.Duration) float64 {
 	if r.WarmUp <= 0 {
 		return 1
@@ -557,9 +570,10 @@
 	return min(r.InitialShare+(1-r.InitialShare)*float64(max(since, 0))/float64(r.WarmUp), 1)
 }
 
-// TimeToRestore tells how long it takes until a part of so many sessions plays at the site
-// again, where its viewers ask for them at a rate and they last so long in the mean.
-// What found a place elsewhere stays there. False: it never does.
+// TimeToRestore returns how long it takes until a share of the given sessions plays at the
+// site again, if its viewers request rate sessions per second of the given mean length.
+// Sessions that have been placed elsewhere stay there. It returns false if the share is not
+// reached within an hour.
 func (r Recovery) TimeToRestore(sessions, rate float64, meanLength time.Duration, share float64) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
 	playing := 0.0
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// testFleet is sites of racks, each of eight nodes, and the load that would fill a part of
-// their links at the middle rate.
+// testFleet returns sites with racks of eight nodes each, and a demand that would fill the
+// share load of their capacity at the rate of rung 2.
 func testFleet(sites, racks int, load float64) *Fleet {
 	f := &Fleet{Classes: testClasses(), CrossSiteCost: 0.021}
 	for i := range sites {
@@ -40,7 +40,7 @@
 	return f
 }
 
-// optimum is what the best plan earns, by a linear programme with a variable for each
+// optimum returns the worth of the best plan, from a linear program with a variable for each
 // demand, site and rung.
 func optimum(t *testing.T, f *Fleet, lost int) float64 {
 	t.Helper()
@@ -76,8 +76,8 @@
 	}
 	for s := range f.Sites {
 		if s != lost {
-			kb, places := f.Sites[s].Capacity()
-			b[len(f.Demands)+2*s], b[len(f.Demands)+2*s+1] = kb/1000, places
+			kb, streams := f.Sites[s].Capacity()
+			b[len(f.Demands)+2*s], b[len(f.Demands)+2*s+1] = kb/1000, streams
 		}
 	}
 	best, _, err := lp.Simplex(c, a, b, 1e-9, nil)
@@ -87,8 +87,9 @@
 	return -best
 }
 
-// No plan earns more than Bound, and none that is made asks for more than there is;
-// how far it stays below the optimum of the whole linear programme is bounded here.
+// The worth of a plan is at most the optimum of the whole linear program, which is at most
+// WorthBound; no plan exceeds the capacity; and plans stay below the optimum by 0.5% in the
+// mean and 10% in the worst case.
 func TestPlanAgainstLinearProgram(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	worst, sum, n := 0.0, 0.0, 0
@@ -96,7 +97,7 @@
 		f := testFleet(2+rng.IntN(2), 1, 0.2+1.5*rng.Float64())
 		for i := range f.Sites {
 			f.Sites[i].Racks[0].UplinkKB *= 0.4 + rng.Float64()
-			f.Sites[i].Racks[0].MaxStreams = math.Round(f.Sites[i].Racks[0].MaxStreams * (0.1 + rng.Float64())) // streams run out, too
+			f.Sites[i].Racks[0].MaxStreams = math.Round(f.Sites[i].Racks[0].MaxStreams * (0.1 + rng.Float64())) // in some fleets, streams run out first
 		}
 		for i := range f.Demands {
 			f.Demands[i].Sessions *= 2 * rng.Float64()
@@ -114,22 +115,22 @@
 		worst, sum, n = max(worst, gap), sum+gap, n+1
 		checkFeasible(t, f, &p)
 	}
-	t.Logf("below the optimum by %.3f%% in the mean of %d, %.2f%% at worst", 100*sum/float64(n), n, 100*worst)
+	t.Logf("below the optimum by %.3f%% in the mean of %d plans, %.2f%% at worst", 100*sum/float64(n), n, 100*worst)
 	if sum/float64(n) > 0.005 || worst > 0.1 {
 		t.Errorf("below the optimum by %.2f%% in the mean, %.2f%% at worst", 100*sum/float64(n), 100*worst)
 	}
 }
 
-// checkFeasible holds a plan against the room of the sites that are left.
+// checkFeasible checks a plan against the demands and the capacity of the remaining sites.
 func checkFeasible(t *testing.T, f *Fleet, p *Plan) {
 	t.Helper()
-	var kb, places, asked, streams float64
+	var capacityKB, maxStreams, usedKB, streams float64
 	for i := range f.Sites {
 		if k, n := f.Sites[i].Capacity(); !contains(p.LostSites, i) {
-			kb, places = kb+k, places+n
+			capacityKB, maxStreams = capacityKB+k, maxStreams+n
 		}
 		if p.Utilization[i] > 1+1e-9 || contains(p.LostSites, i) && p.Utilization[i] != 0 {
-			t.Errorf("site %d is used at %g", i, p.Utilization[i])
+			t.Errorf("site %d: utilization %g", i, p.Utilization[i])
 		}
 	}
 	for i, take := range p.Allocations {
@@ -139,17 +140,17 @@
 			if n > 0 && (r < c.Floor || r > min(c.Top, d.Top)) {
 				t.Errorf("%s plays on rung %d", c.Name, r)
 			}
-			asked, streams = asked+n*c.RatesKB[r], streams+n
+			usedKB, streams = usedKB+n*c.RatesKB[r], streams+n
 		}
 		if got := take.Accepted() + take.Refused; math.Abs(got-d.Sessions) > 1e-6*max(d.Sessions, 1) {
-			t.Errorf("of %g sessions %g are accounted for", d.Sessions, got)
+			t.Errorf("of %g sessions, %g are accepted or refused", d.Sessions, got)
 		}
 		if contains(p.LostSites, d.HomeSite) && math.Abs(take.CrossSite-take.Accepted()) > 1e-6 {
-			t.Error("sessions of a lost site play at home")
+			t.Error("sessions of a lost site play at their home site")
 		}
 	}
-	if asked > kb*(1+1e-9) || streams > places*(1+1e-9) {
-		t.Errorf("%g of %g kB and %g of %g streams are asked for", asked, kb, streams, places)
+	if usedKB > capacityKB*(1+1e-9) || streams > maxStreams*(1+1e-9) {
+		t.Errorf("plan uses %g of %g kB/s and %g of %g streams", usedKB, capacityKB, streams, maxStreams)
 	}
 }
 
@@ -162,13 +163,13 @@
 	return false
 }
 
-// What gives way, as room shrinks: upper rungs first, then the class that earns less
-// for a kB, and a tier over 0 last; clip never plays on the lowest rung.
+// As capacity shrinks, upper rungs are given up first, then the class with less worth per kB,
+// and a tier above 0 last; clip never plays below its floor, rung 1.
 func TestDegradationOrder(t *testing.T) {
 	f := testFleet(2, 1, 0.9)
 	for i := range f.Demands {
 		if f.Demands[i].Class == 1 && f.Demands[i].HomeSite == 0 {
-			f.Demands[i].Tier = 1 // what a contract guarantees, though it earns less
+			f.Demands[i].Tier = 1 // guaranteed by a contract, though it has less worth
 		}
 	}
 	p, err := MakePlan(f, 1)
@@ -183,18 +184,18 @@
 			refusedAt[name] = i
 		}
 		if f.Classes[d.Class].Name == "clip" && (s.ToRung == 0 || s.FromRung == 0) {
-			t.Error("clip on the lowest rung")
+			t.Error("clip below its floor")
 		}
 		if s.ToRung >= 0 && s.FromRung >= 2 {
 			if at, ok := refusedAt[name]; ok && at < i {
-				t.Errorf("%s is refused before its upper rungs go", name)
+				t.Errorf("%s is refused before its upper rungs are given up", name)
 			}
 		}
 	}
 	if !(refusedAt["feed tier 0"] < refusedAt["clip tier 0"] && refusedAt["clip tier 0"] < refusedAt["feed tier 1"]) {
-		t.Errorf("refused in the order %v", refusedAt)
+		t.Errorf("steps of the refusals: %v, want feed tier 0, clip tier 0, feed tier 1", refusedAt)
 	}
-	// As the room shrinks further the plans follow that order.
+	// As capacity shrinks further, the plans follow that order.
 	for _, part := range []float64{0.8, 0.3, 0.1, 0.04, 0.02} {
 		f.Sites[0].Racks[0].UplinkKB = 8 * 3500 * 2 * 0.7 * part
 		p, err := MakePlan(f, 1)
@@ -209,12 +210,12 @@
 			refused[name], taken[name] = refused[name]+take.Refused, taken[name]+take.Accepted()
 		}
 		if refused["clip tier 0"] > 1e-6 && taken["feed tier 0"] > 1e-6 || refused["feed tier 1"] > 1e-6 && taken["clip tier 0"] > 1e-6 {
-			t.Errorf("at %g: refused %v while %v play", part, refused, taken)
+			t.Errorf("capacity %g: refused %v while %v are accepted", part, refused, taken)
 		}
 	}
 }
 
-// Nothing is left, nothing is asked for, or what is told makes no sense.
+// Plans without any capacity or demand, and values that Validate refuses.
 func TestMakePlanEdgeCases(t *testing.T) {
 	f := testFleet(3, 1, 0.5)
 	p, err := MakePlan(f, 0, 1, 2)
@@ -223,7 +224,7 @@
 	}
 	for i, take := range p.Allocations {
 		if math.Abs(take.Refused-f.Demands[i].Sessions) > 1e-9 {
-			t.Error("not all are refused")
+			t.Error("all sites are lost and not all sessions refused")
 		}
 	}
 	if p, err := MakePlan(f, 0, 1); err != nil || !(p.Worth > 0) || p.Worth > p.WorthBound*(1+1e-9) {
@@ -231,10 +232,10 @@
 	}
 	empty := &Fleet{Sites: f.Sites, Classes: f.Classes}
 	if p, err := MakePlan(empty, 0); err != nil || p.Worth != 0 || p.MarginalWorth != 0 {
-		t.Errorf("%+v, %v", p, err)
+		t.Errorf("no demand: %+v, %v", p, err)
 	}
 	if _, err := MakePlan(f, 3); err == nil {
-		t.Error("a site that there isn't")
+		t.Error("no error for the loss of an unknown site")
 	}
 	for name, spoil := range map[string]func(f *Fleet){
 		"NaN sessions": func(f *Fleet) { f.Demands[0].Sessions = math.NaN() },
@@ -242,48 +243,48 @@
 		"rate 0":       func(f *Fleet) { f.Classes[0].RatesKB = []float64{0, 1, 2, 3} },
 		"home":         func(f *Fleet) { f.Demands[0].HomeSite = 7 },
 		"floor":        func(f *Fleet) { f.Classes[0].Floor = 9 },
-		"endless":      func(f *Fleet) { f.Sites[0].Racks[0].LinksKB, f.Sites[0].Racks[0].UplinkKB = math.Inf(1), 0 },
+		"no limit":     func(f *Fleet) { f.Sites[0].Racks[0].LinksKB, f.Sites[0].Racks[0].UplinkKB = math.Inf(1), 0 },
 		"crossing":     func(f *Fleet) { f.CrossSiteCost = -1 },
 	} {
 		f := testFleet(2, 1, 0.5)
 		if spoil(f); f.Validate() == nil {
-			t.Errorf("%s: no fault", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 	losses, err := PlanLosses(testFleet(5, 1, 0.5))
 	if err != nil || len(losses) != 5+10 {
-		t.Errorf("%d losses of 5 sites, %v", len(losses), err)
+		t.Errorf("%d plans for losses of 5 sites, want 15; %v", len(losses), err)
 	}
 	if losses, err = PlanLosses(testFleet(2, 1, 0.5)); err != nil || len(losses) != 2 {
-		t.Errorf("%d losses of 2 sites, %v", len(losses), err)
+		t.Errorf("%d plans for losses of 2 sites, want 2; %v", len(losses), err)
 	}
 }
 
-// The load goes back no faster than nodes warm, and slower to a site that comes and
-// goes.
+// Load returns to a site no faster than its nodes warm, and more slowly to a site that comes
+// and goes.
 func TestRecovery(t *testing.T) {
 	r := Recovery{WarmUp: 10 * time.Second, InitialShare: 0.2, MaxStreams: 100, ReturnCount: 1}
 	for since, want := range map[time.Duration]float64{0: 2, 5 * time.Second: 6, 10 * time.Second: 10, time.Hour: 10, -time.Second: 2} {
 		if got := r.MaxSessionRate(since); math.Abs(got-want) > 1e-9 {
-			t.Errorf("%g a second after %v, want %g", got, since, want)
+			t.Errorf("%g sessions per second after %v, want %g", got, since, want)
 		}
 	}
 	once, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.5)
 	if !ok {
-		t.Fatal("never back")
+		t.Fatal("half of the load is never restored")
 	}
 	r.ReturnCount = 3
 	if got := r.MaxSessionRate(10 * time.Second); got != 2.5 {
-		t.Errorf("the third time within a minute %g a second", got)
+		t.Errorf("%g sessions per second at the third return within a minute, want 2.5", got)
 	}
 	if thrice, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.5); !ok || thrice <= once {
-		t.Errorf("back after %v the first time, %v the third", once, thrice)
+		t.Errorf("restored after %v at the first return, %v at the third", once, thrice)
 	}
 	if _, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.95); ok {
-		t.Error("more play than come")
+		t.Error("95% of the load is restored, though at most 90 sessions can play")
 	}
 	if got := (Recovery{}).MaxSessionRate(0); !math.IsInf(got, 1) {
-		t.Errorf("with no warm-up %g a second", got)
+		t.Errorf("%g sessions per second without a warm-up, want no limit", got)
 	}
 }
 
--- a/internal/site/watch.go
+++ b/internal/site/watch.go
@@ -8,126 +8,135 @@
 	"time"
 )
 
-// State is what a manager takes a site for, by its own evidence.
+// State is the state of a site as one manager judges it by its own evidence.
 type State uint8
 
+// The states of a site.
 const (
-	StatePresent    State = iota
-	StateSlow             // it takes connections and leaves set-ups unanswered
-	StatePartial          // a part of its nodes can't be reached, others are heard of
-	StateLost             // none of its nodes is heard of, and others elsewhere are
-	StateRecovering       // it was lost, and is heard of again; not all of it yet
+	StatePresent    State = iota // no fault is known
+	StateSlow                    // nodes accept connections and leave set-ups unanswered
+	StatePartial                 // some nodes cannot be reached, others answer
+	StateLost                    // no node answers, while nodes of other sites do
+	StateRecovering              // the site was lost and some of its nodes answer again
 )
 
+// String returns the name of the state as it is logged.
 func (s State) String() string { return [...]string{"present", "slow", "thin", "lost", "back"}[s] }
 
-// Sign is something that a manager sees of a node.
+// Sign is what one exchange with a node says about whether the node can be reached.
 type Sign uint8
 
+// The signs of a node.
 const (
-	SignHeard          Sign = iota // the node itself said something, if only that it is full
-	SignUnreachable                // no connection came up, or it was refused
-	SignNoAnswer                   // a set-up got no answer
-	SignConnectionLost             // what stood or was open went down, and no new connection came up
+	SignHeard          Sign = iota // the node answered, if only that it is full
+	SignUnreachable                // no connection could be opened, or it was refused
+	SignNoAnswer                   // a set-up was not answered
+	SignConnectionLost             // an established session or open set-up was lost, and no new connection could be opened
 )
 
-// Figures of a Watch. What one node does, or a manager's own bad moment, tells nothing
-// of a site: it takes several nodes, more than one kind of word, and a word from
-// elsewhere.
+// Parameters of a Watch. The failures of one node, or a short fault of this manager itself,
+// say nothing about a site. A site is taken for lost only if several nodes fail, not by
+// missing answers alone, and if nodes of another site answer meanwhile.
 const (
-	// failureMaxAge is how long a failure counts. Managers meet a node seldom; what is older
-	// may have been mended.
+	// failureMaxAge is how long a failure counts. A manager exchanges messages with any one
+	// node rarely, and an older fault may have been repaired.
 	failureMaxAge = 6 * time.Second
-	// lostShare of a site's nodes, or enoughNodes of them, fail in a row before it is taken
-	// for lost: where half of it is, no row is as wide, or one in 4,096 is.
-	lostShare = 0.6
-	lostNodes = 12
-	// lostFailures is how many failures in a row it takes in any case.
-	lostFailures = 7
-	// minFailures is how many it takes for a site to be called slow or thin, or for this
-	// manager to be cut off.
+	// minLostShare is the share of a site's nodes, and lostNodes the number of its nodes, of
+	// which one suffices: so many have to fail in an uninterrupted run before the site is
+	// taken for lost. If half of a site's nodes are lost, a run cannot reach lostShare, and
+	// reaches lostNodes with a probability of 1 in 4,096.
+	minLostShare = 0.6
+	minLostNodes = 12
+	// minLostFailures is the minimum number of failures in that run.
+	minLostFailures = 7
+	// minFailures is the minimum number of failures for a site to be slow or partly
+	// unreachable, or for this manager to be cut off.
 	minFailures = 3
-	// isolationDelay is how old a word from anybody may be for this manager not to be the one
-	// that is cut off, and vouchTime how old one from another site may be for a failure
-	// to say something of this one.
+	// isolationDelay is the time without a sign of any node after which this manager may be
+	// the one that is cut off. vouchMaxAge is the maximum age of a sign of another site for
+	// a failure to count as vouched for: as a fault of its own site, not of this manager.
 	isolationDelay = 2 * time.Second
 	vouchMaxAge    = time.Second
-	// minVouched of the failures in a row are so.
+	// minVouched is the minimum number of failures in the run that are vouched for.
 	minVouched = 2
-	// partialShare of the nodes that were met lately fail in a thin site.
-	partialShare = 0.4
-	// quietPeriod without a failure ends slow and thin.
+	// minFailingShare is the minimum share of failing nodes among those contacted lately for a
+	// site to be slow or partly unreachable.
+	minFailingShare = 0.4
+	// quietPeriod is the time without failing nodes after which a site is no longer slow or
+	// partly unreachable.
 	quietPeriod = 5 * time.Second
-	// recoveredShare of its nodes are heard of again in a site that is whole.
-	recoveredShare = 0.5
-	// maxRecoveryTime ends the return at the latest, if nothing fails: nodes that nobody needs
-	// are not heard of.
+	// minRecoveredShare is the share of nodes that have to answer again for a site to be
+	// present after a loss.
+	minRecoveredShare = 0.5
+	// maxRecoveryTime ends a recovery at the latest if no node fails, since nodes that are
+	// not needed are not contacted.
 	maxRecoveryTime = 30 * time.Second
-	// probeInterval without any sign of a site has one node of it asked for a report, and in
-	// doubt, after a failure with no word since, doubtTime has the next one asked.
+	// probeInterval is the time without a sign of a site after which one of its nodes is
+	// probed. doubtProbeInterval replaces it after a failure that no answer has followed.
 	probeInterval      = time.Second
 	doubtProbeInterval = 200 * time.Millisecond
-	// unlistedTimeout is how long a lost site is on no list until it is no longer waited for.
+	// unlistedTimeout is how long a lost site without listed nodes stays lost.
 	unlistedTimeout = time.Minute
-	// returnWindow is how long a return is held against a site that is lost again.
+	// returnWindow is how long a return counts against a site that is lost again.
 	returnWindow = time.Minute
 )
 
-// Notice is a change that operators are told, and what it rests on.
+// Notice is a change of a site's state, or of this manager's isolation, with its evidence.
 type Notice struct {
-	Site     int // under 0: this manager itself
+	Site     int // index of the site; negative: this manager itself
 	State    State
-	Isolated bool // this manager hears nobody
-	Text     string
+	Isolated bool   // this manager is cut off; only if Site is negative
+	Text     string // the evidence, for operators
 }
 
-// Watch tells the loss of a site from what looks like it: a node, a rack, a slow site, a
-// rolling release, and this manager's own isolation. Times are arguments and must not
-// step back.
+// Watch detects the loss of sites, and tells it from the failure of a node or a rack, a slow
+// site, a rolling release and the isolation of this manager. Times are passed as arguments
+// and must not go back.
 type Watch struct {
 	sites    []watchedSite
 	isolated bool
 }
 
+// watchedSite holds the state of one site and the evidence for it.
 type watchedSite struct {
 	name        string
-	nodes       map[uint64]*nodeEvidence // that are on the list and don't drain
-	heard       time.Time                // when any of it was heard of last
-	failureRun  failureRun               // failures since
+	nodes       map[uint64]*nodeEvidence // listed nodes that don't drain
+	heard       time.Time                // when any node was last heard of
+	failureRun  failureRun               // failures since then
 	state       State
 	stateSince  time.Time
-	lostAt      time.Time   // when it was lost last
-	returnTimes []time.Time // within trustTime
-	lastSign    time.Time   // the last sign of any kind
-	probedAt    time.Time   // when one of its nodes was asked last, and which
-	lastProbed  uint64
-	listedAt    time.Time // when it had a node that is expected to be there
+	lostAt      time.Time   // when the site was last lost
+	returnTimes []time.Time // returns within returnWindow
+	lastSign    time.Time   // time of the last sign of any kind
+	probedAt    time.Time   // when a node was last probed
+	lastProbed  uint64      // the node that was last probed
+	listedAt    time.Time   // when the site last had a node that is listed and doesn't drain
 }
 
-// failureRun is the failures at a site with no word of it between them.
+// failureRun is a series of failures at a site in which none of its nodes was heard of.
 type failureRun struct {
-	first, last  time.Time
-	sufficientAt time.Time // when it became long and wide enough; zero: it has not
+	first, last  time.Time // times of the first and the last failure
+	sufficientAt time.Time // when the run first sufficed for the loss of the site; zero: it has not
 	failures     int
-	unconnected  int // of these, without a connection
-	vouched      int // of these, with a word from another site just before
-	nodes        map[uint64]bool
+	unconnected  int             // failures without a connection
+	vouched      int             // failures shortly after a sign of another site
+	nodes        map[uint64]bool // nodes that failed
 }
 
-// nodeEvidence is what has been seen of one node.
+// nodeEvidence holds the signs of one node.
 type nodeEvidence struct {
-	heard       time.Time
-	failedAt    time.Time // last, since it was heard of
+	heard       time.Time // when the node was last heard of
+	failedAt    time.Time // time of the last failure since then
 	failures    int       // failures since it was heard of
-	unconnected int       // of these, without a connection
+	unconnected int       // failures without a connection
 }
 
-// failing tells whether a node counts as one that can't be reached.
+// failing reports whether the node counts as one that cannot be reached.
 func (s *nodeEvidence) failing(now time.Time) bool {
 	return s.failures > 0 && now.Sub(s.failedAt) <= failureMaxAge
 }
 
-// NewWatch returns a Watch over sites, all present.
+// NewWatch returns a Watch over the named sites, all of which are present at first.
 func NewWatch(names []string) *Watch {
 	w := &Watch{}
 	for _, n := range names {
@@ -136,8 +145,8 @@
 	return w
 }
 
-// UpdateNode tells of a node of the list. One that drains or is gone is evidence of nothing:
-// it is expected to go.
+// UpdateNode applies an entry of the list of nodes. ready is false for a node that drains or
+// is gone: such a node is expected to disappear, so its signs are no evidence.
 func (w *Watch) UpdateNode(site int, node uint64, ready bool) {
 	if site < 0 || site >= len(w.sites) {
 		return
@@ -152,7 +161,7 @@
 	}
 }
 
-// RecordSign takes a sign of a node.
+// RecordSign records a sign of a node.
 func (w *Watch) RecordSign(now time.Time, node uint64, sign Sign) {
 	for i := range w.sites {
 		s := &w.sites[i]
@@ -177,28 +186,29 @@
 		r := &s.failureRun
 		r.last, r.failures, r.unconnected, r.nodes[node] = now, r.failures+1, r.unconnected+unconnectedCount, true
 		for k := range w.sites {
-			// A word from elsewhere since the row began, and just before: the way from here
-			// was open, and this failure is not this manager's.
+			// Another site was heard of since the run began and shortly before this failure,
+			// so this manager's own network connection was up.
 			if h := w.sites[k].heard; k != i && h.After(r.first) && now.Sub(h) <= vouchMaxAge {
 				r.vouched++
 				break
 			}
 		}
-		if r.sufficientAt.IsZero() && s.silent(now, lostFailures) {
+		if r.sufficientAt.IsZero() && s.silent(now, minLostFailures) {
 			r.sufficientAt = now
 		}
 		return
 	}
 }
 
-// ForgetFailures drops what has failed so far, as after a time in which this manager stood still:
-// what it then finds to have timed out says more of it than of anybody else.
+// ForgetFailures discards all failures. It is called after a process pause: what has timed
+// out meanwhile was caused by this manager rather than by the nodes.
 func (w *Watch) ForgetFailures() {
 	for i := range w.sites {
 		w.sites[i].forgetFailures()
 	}
 }
 
+// forgetFailures discards the failures at one site.
 func (s *watchedSite) forgetFailures() {
 	s.failureRun = failureRun{}
 	for _, n := range s.nodes {
@@ -206,26 +216,29 @@
 	}
 }
 
-// State is what a site is taken for.
+// State returns the state of a site.
 func (w *Watch) State(site int) State { return w.sites[site].state }
 
-// Isolated tells whether this manager hears nobody. Then it is taken to be the one that is
-// cut off: no site is given up for it.
+// Isolated reports whether this manager hears of no node at all. It is then taken to be cut
+// off itself, and no site becomes lost.
 func (w *Watch) Isolated() bool { return w.isolated }
 
-// ReturnCount is how often a site has come back within the last minute, for the pace of its
-// return.
+// ReturnCount returns how often a site has returned within the last minute, which limits the
+// rate of sessions that may be sent to it.
 func (w *Watch) ReturnCount(now time.Time, site int) int {
 	s := &w.sites[site]
 	s.returnTimes = slices.DeleteFunc(s.returnTimes, func(t time.Time) bool { return now.Sub(t) > returnWindow })
 	return len(s.returnTimes)
 }
 
-// evidence is a site's evidence at a moment.
+// evidence sums up the signs of a site's nodes at one time: listed nodes, nodes contacted
+// lately, failing nodes, their failures, those of them without a connection, and nodes heard
+// of since the site was lost.
 type evidence struct {
 	nodes, contacted, failing, failures, unconnected, heard int
 }
 
+// evidence sums up the signs of the site's nodes.
 func (s *watchedSite) evidence(now time.Time) (c evidence) {
 	c.nodes = len(s.nodes)
 	for _, n := range s.nodes {
@@ -242,18 +255,19 @@
 	return c
 }
 
-// silent tells whether a site looks lost from here: enough of its nodes have failed with
-// no word of any between, in some way that isn't only slowness.
+// silent reports whether the site looks lost from here: a run of at least the given number
+// of failures covers enough of its nodes, and not all of them are set-ups without an answer,
+// as at a site that is merely slow.
 func (s *watchedSite) silent(now time.Time, failures int) bool {
 	r := &s.failureRun
-	return r.failures >= failures && r.unconnected > 0 && len(r.nodes) >= min(lostNodes, int(math.Ceil(lostShare*float64(len(s.nodes))))) && now.Sub(r.last) <= failureMaxAge
+	return r.failures >= failures && r.unconnected > 0 && len(r.nodes) >= min(minLostNodes, int(math.Ceil(minLostShare*float64(len(s.nodes))))) && now.Sub(r.last) <= failureMaxAge
 }
 
-// Tick looks at all sites. It is to be called some times a second; each change is told
-// once.
+// Tick updates the states of all sites and returns the changes. It is to be called several
+// times a second.
 func (w *Watch) Tick(now time.Time) (notices []Notice) {
 	evidences := make([]evidence, len(w.sites))
-	var lastHeard time.Time // word from anybody
+	var lastHeard time.Time // when any node was last heard of
 	silent, listedSites, anySilent := 0, 0, false
 	for i := range w.sites {
 		s := &w.sites[i]
@@ -270,8 +284,9 @@
 		}
 		anySilent = anySilent || s.silent(now, minFailures)
 	}
-	// Where nobody at all is heard of, it is more likely this manager than all others.
-	// One that nobody asks for anything fails at nothing, and hears nothing either.
+	// If no node at all is heard of, this manager is more likely to be cut off than all sites
+	// to be lost. A manager without requests sees neither failures nor answers, so at least
+	// one run of failures is required.
 	if isolated := silent == listedSites && now.Sub(lastHeard) > isolationDelay && (anySilent || w.isolated); isolated != w.isolated && (isolated || now.Sub(lastHeard) <= isolationDelay) {
 		w.isolated = isolated
 		text := "somebody is heard of again"
@@ -281,7 +296,7 @@
 				text = "nobody has ever been heard of: this manager takes itself for cut off, and no site for lost"
 			}
 		} else {
-			w.ForgetFailures() // what failed meanwhile says nothing of anybody else
+			w.ForgetFailures() // failures during the isolation say nothing about the sites
 			for i := range w.sites {
 				evidences[i] = w.sites[i].evidence(now)
 			}
@@ -300,8 +315,8 @@
 			}
 			continue
 		}
-		// Guard: a word from elsewhere after all of that. A manager that is cut off has
-		// none, whatever failed by chance before.
+		// Guard: another site has to be heard of after the run of failures sufficed. A manager
+		// that is cut off hears of none, whatever failed by chance before.
 		othersHeard := slices.ContainsFunc(w.sites, func(o watchedSite) bool {
 			return o.name != s.name && !s.failureRun.sufficientAt.IsZero() && o.heard.After(s.failureRun.sufficientAt)
 		})
@@ -323,7 +338,8 @@
 	return notices
 }
 
-// nextState is the state that a site's evidence leads to.
+// nextState returns the state that follows from the site's evidence, and the reason for a
+// change in words.
 func (s *watchedSite) nextState(now time.Time, c *evidence, isolated, othersHeard bool) (State, string) {
 	switch {
 	case s.state == StateLost:
@@ -331,18 +347,18 @@
 			return StateRecovering, fmt.Sprintf("%d of %d nodes are heard of again", c.heard, c.nodes)
 		}
 		return StateLost, ""
-	case !isolated && othersHeard && s.failureRun.vouched >= minVouched && s.silent(now, lostFailures):
+	case !isolated && othersHeard && s.failureRun.vouched >= minVouched && s.silent(now, minLostFailures):
 		r := &s.failureRun
 		return StateLost, fmt.Sprintf("%d of %d nodes fail, %d signs in %v, %d without a connection, and no word of the site between them; other sites are heard of",
 			len(r.nodes), c.nodes, r.failures, r.last.Sub(r.first).Round(time.Millisecond), r.unconnected)
 	case s.state == StateRecovering:
-		if float64(c.heard) >= recoveredShare*float64(c.nodes) && c.failing == 0 || c.failing == 0 && now.Sub(s.stateSince) > maxRecoveryTime {
+		if float64(c.heard) >= minRecoveredShare*float64(c.nodes) && c.failing == 0 || c.failing == 0 && now.Sub(s.stateSince) > maxRecoveryTime {
 			return StatePresent, fmt.Sprintf("%d of %d nodes are heard of, and none fails", c.heard, c.nodes)
 		}
 		return StateRecovering, ""
-	case !isolated && c.failing >= 2 && c.unconnected == 0 && c.failures >= minFailures && float64(c.failing) >= partialShare*float64(c.contacted):
+	case !isolated && c.failing >= 2 && c.unconnected == 0 && c.failures >= minFailures && float64(c.failing) >= minFailingShare*float64(c.contacted):
 		return StateSlow, fmt.Sprintf("%d of %d nodes that were met lately leave set-ups unanswered and take connections", c.failing, c.contacted)
-	case !isolated && c.failing >= 2 && c.failing < c.contacted && c.unconnected > 0 && c.failures >= minFailures && float64(c.failing) >= partialShare*float64(c.contacted):
+	case !isolated && c.failing >= 2 && c.failing < c.contacted && c.unconnected > 0 && c.failures >= minFailures && float64(c.failing) >= minFailingShare*float64(c.contacted):
 		return StatePartial, fmt.Sprintf("%d of %d nodes that were met lately can't be reached, others can", c.failing, c.contacted)
 	case s.state != StatePresent && c.failing == 0 && now.Sub(s.stateSince) > quietPeriod:
 		return StatePresent, "no node fails any more"
@@ -350,10 +366,10 @@
 	return s.state, ""
 }
 
-// NodesToProbe returns nodes to be asked for a report, in turn, so that a site is watched that
-// this manager sends little to, as one that prefers another does, and so that the return
-// of one is seen to which nothing is sent. It is one node a second of a site that nothing
-// else is seen of, and five where there is doubt.
+// NodesToProbe returns the nodes to be probed now, in turn. Without probes, a manager that
+// prefers another site and so sends little to this one would not notice its loss, and the
+// return of a site to which nothing is sent would go unnoticed. A site without other signs
+// is probed once a second, and five times a second in doubt.
 func (w *Watch) NodesToProbe(now time.Time) (nodes []uint64) {
 	for i := range w.sites {
 		s := &w.sites[i]
@@ -383,7 +399,8 @@
 	return nodes
 }
 
-// UnreachableNodes are the nodes of a site that can't be reached at the moment, in order.
+// UnreachableNodes returns the nodes of a site that cannot be reached at the moment, in
+// ascending order.
 func (w *Watch) UnreachableNodes(now time.Time, site int) (failing []uint64) {
 	for _, id := range slices.Sorted(maps.Keys(w.sites[site].nodes)) {
 		if w.sites[site].nodes[id].failing(now) {
