--- a/cmd/millethinge/peaks.go
+++ b/cmd/millethinge/peaks.go
@@ -34,7 +34,7 @@
 			return fmt.Errorf("--from: %w", err)
 		}
 	}
-	classes, room := cfg.PlannedClasses()
+	classes, room := cfg.PeakClasses()
 	calendar := peaks.Calendar{Peaks: cfg.Operator.Peaks}
 	occurrences := calendar.Between(from, from.AddDate(0, 0, cmd.Days))
 	for _, o := range occurrences {
@@ -44,7 +44,7 @@
 			size = fmt.Sprintf("%g more a second", o.Peak.ExtraRate)
 		}
 		fmt.Fprintf(a.out, "%s %s to %s, %s of %s\n", o.Begin.Format("2006-01-02 15:04 MST"), o.Peak.Name, o.End.Format("15:04"), size,
-			strings.Join(selectNames(cfg.Classes, o.Peak.Classes), ", "))
+			strings.Join(selectNames(cfg.ClassNames, o.Peak.Classes), ", "))
 		if classes == nil {
 			continue
 		}
@@ -56,7 +56,7 @@
 		held := 0.0
 		for k, share := range plan.HeldShares {
 			if held += share; share > 0 {
-				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.Classes[k], share*room, 100*share)
+				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.ClassNames[k], share*room, 100*share)
 			}
 		}
 		if held == 0 {
--- a/cmd/millethinge/sites.go
+++ b/cmd/millethinge/sites.go
@@ -31,21 +31,21 @@
 			return fmt.Errorf("--record: %w", err)
 		}
 	}
-	sites, err := cfg.Sites()
+	sites, err := cfg.BuildSiteModel()
 	if err != nil {
 		return err
 	}
 	for i := range sites.Fleet.Sites {
 		kb, places := sites.Fleet.Sites[i].Capacity()
-		fmt.Fprintf(a.out, "%s: %d nodes, room for %.0f kB a second and %.0f streams\n", sites.Names[i], sites.Nodes[i], kb, places)
+		fmt.Fprintf(a.out, "%s: %d nodes, room for %.0f kB a second and %.0f streams\n", sites.SiteNames[i], sites.NodeCounts[i], kb, places)
 	}
 	var plans []site.Plan
 	if len(cmd.Lost) > 0 {
 		var lost []int
 		for _, name := range cmd.Lost {
-			i := slices.Index(sites.Names, name)
+			i := slices.Index(sites.SiteNames, name)
 			if i < 0 {
-				return fmt.Errorf("--lost: %q is no site; there are: %s", name, strings.Join(sites.Names, ", "))
+				return fmt.Errorf("--lost: %q is no site; there are: %s", name, strings.Join(sites.SiteNames, ", "))
 			}
 			lost = append(lost, i)
 		}
@@ -91,15 +91,15 @@
 		return fmt.Errorf("%s: %w", cmd.Record, lines.Err())
 	case !found:
 		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", cmd.Record, broker.DemandMessage)
-	case len(last.Rates) != len(cfg.Classes) || len(last.Lasts) != len(cfg.Classes):
-		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.Classes))
+	case len(last.Rates) != len(cfg.ClassNames) || len(last.Lasts) != len(cfg.ClassNames):
+		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.ClassNames))
 	}
-	cfg.Operator.Ordinary = nil
+	cfg.Operator.OrdinaryLoad = nil
 	for k := range last.Rates {
 		if !(last.Rates[k] >= 0) || !(last.Lasts[k] > 0) {
-			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", cmd.Record, cfg.Classes[k], last.Rates[k], last.Lasts[k])
+			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", cmd.Record, cfg.ClassNames[k], last.Rates[k], last.Lasts[k])
 		}
-		cfg.Operator.Ordinary = append(cfg.Operator.Ordinary, config.Ordinary{Rate: last.Rates[k], Lasts: config.Seconds(last.Lasts[k])})
+		cfg.Operator.OrdinaryLoad = append(cfg.Operator.OrdinaryLoad, config.OrdinaryLoad{Rate: last.Rates[k], MeanLength: config.Seconds(last.Lasts[k])})
 	}
 	return nil
 }
@@ -108,10 +108,10 @@
 const maxLogLine = 1 << 20
 
 // printPlan prints what the loss of one or more sites causes.
-func (cmd sitesCmd) printPlan(a *app, sites *config.SitePlan, plan *site.Plan) {
+func (cmd sitesCmd) printPlan(a *app, sites *config.SiteModel, plan *site.Plan) {
 	var names []string
 	for _, i := range plan.LostSites {
-		names = append(names, sites.Names[i])
+		names = append(names, sites.SiteNames[i])
 	}
 	kept := 0.0
 	if plan.WorthBefore > 0 {
@@ -159,7 +159,7 @@
 
 // degradationOrder describes by class, in order, what is given up first. Steps that differ
 // only in site or viewers are described once.
-func (sitesCmd) degradationOrder(sites *config.SitePlan, plan *site.Plan) (words []string) {
+func (sitesCmd) degradationOrder(sites *config.SiteModel, plan *site.Plan) (words []string) {
 	for _, step := range plan.DegradationOrder {
 		name := sites.Fleet.Classes[sites.Fleet.Demands[step.Demand].Class].Name
 		w := fmt.Sprintf("%s from rung %d to %d", name, step.FromRung, step.ToRung)
@@ -175,7 +175,7 @@
 
 // printRecovery prints how long a site that returns cold takes until 90% of its load plays
 // there again.
-func (sitesCmd) printRecovery(a *app, sites *config.SitePlan, i int) {
+func (sitesCmd) printRecovery(a *app, sites *config.SiteModel, i int) {
 	recovery := sites.Returns[i]
 	if recovery.WarmUp <= 0 || recovery.MaxStreams <= 0 {
 		return
@@ -184,13 +184,13 @@
 	for _, d := range sites.Fleet.Demands {
 		if d.HomeSite == i {
 			sessions += d.Sessions
-			rate += d.Sessions / sites.Lasts[d.Class].Seconds()
+			rate += d.Sessions / sites.MeanLength[d.Class].Seconds()
 		}
 	}
 	if rate > 0 {
 		lasts = sessions / rate
 	}
-	fmt.Fprintf(a.out, "    back cold, %s takes %.1f set-ups a second at once and %.1f after %v", sites.Names[i], recovery.MaxSessionRate(0), recovery.MaxSessionRate(recovery.WarmUp), recovery.WarmUp)
+	fmt.Fprintf(a.out, "    back cold, %s takes %.1f set-ups a second at once and %.1f after %v", sites.SiteNames[i], recovery.MaxSessionRate(0), recovery.MaxSessionRate(recovery.WarmUp), recovery.WarmUp)
 	if t, ok := recovery.TimeToRestore(sessions, rate, config.Seconds(lasts), 0.9); ok {
 		fmt.Fprintf(a.out, "; 90%% of its load plays there again after %.0f s", t.Seconds())
 	}
