--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -194,7 +194,7 @@
 func TestPeakBlock(t *testing.T) {
 	deployment := testDeployment
 	deployment.FleetSlots, deployment.PeakClasses = 100, []peaks.Class{
-		{Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.5, 1, 2}, Floor: 1, Top: 2}, {Sizes: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.2, 0.5, 1}, Top: 2}}
+		{SlotsByRung: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.5, 1, 2}, Floor: 1, Top: 2}, {SlotsByRung: []float64{0.3, 0.7, 1.4}, Worth: []float64{0.2, 0.5, 1}, Top: 2}}
 	valid := "ordinary {\n clip 0.5 40s\n feed 1 40s\n}\npeak q {\n days 15 last\n at 18:00\n zone America/Mexico_City\n length 3h\n factor 2\n}\n"
 	o, err := ParseOperator("op", []byte(valid), nil, deployment)
 	if err != nil || len(o.Peaks) != 1 || o.Peaks[0].At != 18*time.Hour || o.Peaks[0].Days.OfMonth[1] != 0 || o.Peaks[0].Lead != defaultPeakLead || !o.Peaks[0].Classes[1] || o.OrdinaryLoad[1].MeanLength != 40*time.Second {
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -36,7 +36,7 @@
 	for _, class := range settings.Classes {
 		peakClass := peaks.Class{Floor: class.FloorRung, Top: min(class.TopRung, len(settings.RatesKB)-1)}
 		for rung, rate := range settings.RatesKB {
-			peakClass.Sizes = append(peakClass.Sizes, rate*class.RateScale/middleRate)
+			peakClass.SlotsByRung = append(peakClass.SlotsByRung, rate*class.RateScale/middleRate)
 			peakClass.Worth = append(peakClass.Worth, class.Worth*settings.LadderWorth[rung])
 		}
 		classes = append(classes, peakClass)
@@ -81,7 +81,7 @@
 
 func peakBlock(l *loader) conf.Keyword {
 	return conf.Keyword{Name: "peak", Usage: "NAME { … }", Doc: "an announced peak, for which room is held", Repeatable: true, Apply: func(d *conf.Directive) {
-		peak := peaks.Peak{Name: d.Word("a name"), Zone: time.UTC, Lead: defaultPeakLead, Early: defaultPeakEarly, Sure: defaultPeakProbability, Harm: defaultPeakHarm}
+		peak := peaks.Peak{Name: d.Word("a name"), Zone: time.UTC, Lead: defaultPeakLead, Early: defaultPeakEarly, Probability: defaultPeakProbability, MaxHarm: defaultPeakHarm}
 		names := make([]string, len(l.Peaks))
 		for i := range l.Peaks {
 			names[i] = l.Peaks[i].Name
@@ -165,10 +165,10 @@
 				peak.Factor, increaseCount = d.Float("a factor over 1", 1, maxPeakFactor), increaseCount+1
 			}},
 			conf.Keyword{Name: "more", Usage: "N", Doc: "sessions a second, in place of a factor", Apply: func(d *conf.Directive) {
-				peak.Rate, increaseCount = d.Float("sessions a second", 0, maxSessionsPerS), increaseCount+1
+				peak.ExtraRate, increaseCount = d.Float("sessions a second", 0, maxSessionsPerS), increaseCount+1
 			}},
-			fractionKeyword("sure", "how likely it is to come; 0.9 if absent", &peak.Sure),
-			fractionKeyword("harm", "of the ordinary worth that a hold may cost; 0.05 if absent", &peak.Harm),
+			fractionKeyword("sure", "how likely it is to come; 0.9 if absent", &peak.Probability),
+			fractionKeyword("harm", "of the ordinary worth that a hold may cost; 0.05 if absent", &peak.MaxHarm),
 		)
 		switch {
 		case d.HasFault():
@@ -189,10 +189,10 @@
 	if d.HasFault() || classes == nil || l.deployment.FleetSlots <= 0 {
 		return
 	}
-	plan, err := peaks.Make(peaks.Occurrence{Peak: &peak}, l.deployment.FleetSlots, classes)
-	if err == nil && plan.Short > 0 {
+	plan, err := peaks.MakePlan(peaks.Occurrence{Peak: &peak}, l.deployment.FleetSlots, classes)
+	if err == nil && plan.ShortSlots > 0 {
 		d.ReportFault(0, "can't be met: on the lowest rungs it needs %.0f slots, and the fleet has %.0f: %.0f too few",
-			plan.Short+plan.Room, plan.Room, plan.Short)
+			plan.ShortSlots+plan.CapacitySlots, plan.CapacitySlots, plan.ShortSlots)
 	}
 }
 
@@ -206,7 +206,7 @@
 	for i, class := range deployment.PeakClasses {
 		if i < len(o.OrdinaryLoad) {
 			class.Rate = o.OrdinaryLoad[i].Rate
-			class.Survival = peaks.NewLengths(max(o.OrdinaryLoad[i].MeanLength, time.Second).Seconds()).Survival(nil)
+			class.Survival = peaks.NewLengthEstimator(max(o.OrdinaryLoad[i].MeanLength, time.Second).Seconds()).Survival(nil)
 		}
 		classes[i] = class
 	}
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -91,7 +91,7 @@
 	SiteNames  []string        // by site
 	MeanLength []time.Duration // of sessions, by class
 	Rates      []float64       // by class, sessions a second over all managers
-	Returns    []site.Return   // by site
+	Returns    []site.Recovery // by site
 	NodeCounts []int           // by site
 }
 
@@ -102,13 +102,13 @@
 	if c.Operator.OrdinaryLoad == nil {
 		return nil, fmt.Errorf("an ordinary block is wanted: it says how many sessions of each class come, and how long they last")
 	}
-	model := &SiteModel{Fleet: site.Fleet{Cross: settings.CrossZoneCost}}
+	model := &SiteModel{Fleet: site.Fleet{CrossSiteCost: settings.CrossZoneCost}}
 	sites, siteByZone := c.allSites()
 	model.NodeCounts = make([]int, len(sites))
 	for _, operatorSite := range sites {
 		model.SiteNames = append(model.SiteNames, operatorSite.Name)
 		warmUp := operatorSite.effectiveWarmUp(settings)
-		model.Returns = append(model.Returns, site.Return{Warm: warmUp, Share: settings.StartCapacityShare, Returns: 1})
+		model.Returns = append(model.Returns, site.Recovery{WarmUp: warmUp, InitialShare: settings.StartCapacityShare, ReturnCount: 1})
 	}
 	var entries []control.Entry
 	c.forEachReadyNode(func(entry control.Entry) { entries = append(entries, entry) })
@@ -120,12 +120,12 @@
 		node := broker.SiteNode(settings, entry, siteByZone[entry.Zone], len(entries))
 		nodes = append(nodes, node)
 		model.NodeCounts[node.Site]++
-		model.Returns[node.Site].Places += node.Places
+		model.Returns[node.Site].MaxStreams += node.MaxStreams
 	}
 	if len(nodes) == 0 {
 		return nil, fmt.Errorf("known: the list names no media node")
 	}
-	model.Fleet.Sites = site.Build(model.SiteNames, nodes, settings.RackUplinkKB*control.TargetUtilization)
+	model.Fleet.Sites = site.BuildSites(model.SiteNames, nodes, settings.RackUplinkKB*control.TargetUtilization)
 	model.Fleet.Classes = c.siteClasses()
 	sessions := make([]float64, len(settings.Classes))
 	for index := range settings.Classes {
@@ -136,8 +136,8 @@
 		model.MeanLength, model.Rates = append(model.MeanLength, load.MeanLength), append(model.Rates, load.Rate)
 		sessions[index] = load.Rate * load.MeanLength.Seconds()
 	}
-	model.Fleet.Demands = model.Fleet.Spread(sessions, func(i, class int) int { return sites[i].tier(class) })
-	return model, model.Fleet.Check()
+	model.Fleet.Demands = model.Fleet.SpreadDemand(sessions, func(i, class int) int { return sites[i].tier(class) })
+	return model, model.Fleet.Validate()
 }
 
 // siteClasses returns the classes as input to plans for the loss of sites.
@@ -178,17 +178,17 @@
 	settings := &c.Settings
 	for _, operatorSite := range sites {
 		siteConfig.Names = append(siteConfig.Names, operatorSite.Name)
-		rule := site.Rule{Warm: operatorSite.effectiveWarmUp(settings), Share: settings.StartCapacityShare}
+		rule := site.Rule{WarmUp: operatorSite.effectiveWarmUp(settings), InitialShare: settings.StartCapacityShare}
 		for class := range settings.Classes {
-			rule.Tier = append(rule.Tier, operatorSite.tier(class))
+			rule.Tiers = append(rule.Tiers, operatorSite.tier(class))
 		}
 		siteConfig.Rules = append(siteConfig.Rules, rule)
 	}
 	for class := range settings.Classes {
-		expected := site.Expect{Lasts: defaultMeanLength}
+		expected := site.ExpectedLoad{MeanLength: defaultMeanLength}
 		if class < len(c.Operator.OrdinaryLoad) {
 			expected.Rate = c.Operator.OrdinaryLoad[class].Rate
-			expected.Lasts = cmp.Or(c.Operator.OrdinaryLoad[class].MeanLength, defaultMeanLength)
+			expected.MeanLength = cmp.Or(c.Operator.OrdinaryLoad[class].MeanLength, defaultMeanLength)
 		}
 		siteConfig.Expected = append(siteConfig.Expected, expected)
 	}
@@ -239,7 +239,7 @@
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
-	plans, err := site.Losses(&model.Fleet)
+	plans, err := site.PlanLosses(&model.Fleet)
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
@@ -247,13 +247,13 @@
 		kept, refused := 0.0, 0.0
 		for i, demand := range model.Fleet.Demands {
 			operatorSites := c.Operator.Sites
-			if demand.Home < len(operatorSites) && demand.Class < len(operatorSites[demand.Home].KeepClasses) && operatorSites[demand.Home].KeepClasses[demand.Class] {
-				kept, refused = kept+demand.Sessions, refused+plan.Takes[i].Refused
+			if demand.HomeSite < len(operatorSites) && demand.Class < len(operatorSites[demand.HomeSite].KeepClasses) && operatorSites[demand.HomeSite].KeepClasses[demand.Class] {
+				kept, refused = kept+demand.Sessions, refused+plan.Allocations[i].Refused
 			}
 		}
-		if len(plan.Lost) == 1 && refused > 1e-6*kept {
+		if len(plan.LostSites) == 1 && refused > 1e-6*kept {
 			warnings = append(warnings, fmt.Sprintf("site %s: if it is lost, the rest can't carry %.1f of %.1f sessions that are to be kept (%.1f%%)",
-				model.SiteNames[plan.Lost[0]], refused, kept, 100*refused/kept))
+				model.SiteNames[plan.LostSites[0]], refused, kept, 100*refused/kept))
 		}
 	}
 	return warnings
