--- a/internal/agreed/burst_test.go
+++ b/internal/agreed/burst_test.go
@@ -32,9 +32,9 @@
 	for _, m := range w.managers[:2] {
 		for _, a := range m.told {
 			var (
-				s *Superseded
-				c *Conflict
-				g *Gap
+				s *SupersededError
+				c *VersionConflictError
+				g *VersionGapError
 			)
 			if told++; a.Err != nil && !errors.As(a.Err, &s) && !errors.As(a.Err, &c) && !errors.As(a.Err, &g) {
 				t.Errorf("version %d was told %v", a.Version, a.Err)
--- a/internal/agreed/careful.go
+++ b/internal/agreed/careful.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// UnsettledWait is how long a viewer is told to stay away whose route is unsettled.
-const UnsettledWait = 2 * time.Second
+// UnsettledRetryAfter is how long a viewer is told to stay away whose route is unsettled.
+const UnsettledRetryAfter = 2 * time.Second
 
-// Effective is what a manager may do: all of one version, or what every one of several
+// EffectiveConfig is what a manager may do: all of one version, or what every one of several
 // allows. It shares memory with the Documents that it was made from; nobody writes.
-type Effective struct {
+type EffectiveConfig struct {
 	Versions []uint64 // of all that it keeps to
 	// Alone is without a lease: there may be a version that this manager never heard
 	// of. A route to a class that must never be set up twice is then refused.
-	Alone     bool
-	Teams     map[string]Team // of limits the lower; Closed: refuse
-	Sites     map[string]Site // a site that is missing is taken zone by zone
-	Retire    map[string]Retirement
-	Peaks     map[string]Peak
-	Out       map[string]bool
-	LeastList uint64
+	NoLease         bool
+	Teams           map[string]Team // of limits the lower; Closed: refuse
+	Sites           map[string]Site // a site that is missing is taken zone by zone
+	Retirements     map[string]Retirement
+	Peaks           map[string]Peak
+	DisabledNodes   map[string]bool
+	MinListRevision uint64
 
 	documents []*Document
 }
 
-// Careful is the careful side of all the versions given.
-func Careful(a *Document, others ...*Document) Effective {
+// MostRestrictive is the careful side of all the versions given.
+func MostRestrictive(a *Document, others ...*Document) EffectiveConfig {
 	e := whole(a)
 	for _, d := range others {
 		e = e.with(d)
@@ -35,14 +35,14 @@
 	return e
 }
 
-func whole(d *Document) Effective {
-	e := Effective{
+func whole(d *Document) EffectiveConfig {
+	e := EffectiveConfig{
 		Versions: []uint64{d.Version}, Teams: byName(d.Teams, teamName), Sites: byName(d.Sites, siteName),
-		Retire: byName(d.Retire, retiring), Peaks: byName(d.Peaks, peakName), Out: map[string]bool{},
-		LeastList: d.LeastList, documents: []*Document{d},
+		Retirements: byName(d.Retirements, retiring), Peaks: byName(d.Peaks, peakName), DisabledNodes: map[string]bool{},
+		MinListRevision: d.MinListRevision, documents: []*Document{d},
 	}
-	for _, n := range d.Out {
-		e.Out[n] = true
+	for _, n := range d.DisabledNodes {
+		e.DisabledNodes[n] = true
 	}
 	return e
 }
@@ -56,27 +56,27 @@
 }
 
 // with keeps to d as well.
-func (e Effective) with(d *Document) Effective {
+func (e EffectiveConfig) with(d *Document) EffectiveConfig {
 	o := whole(d)
 	e.Versions = append(slices.Clip(e.Versions), d.Version)
 	e.documents = append(slices.Clip(e.documents), d)
-	e.LeastList = max(e.LeastList, d.LeastList)
-	maps.Copy(e.Out, o.Out)
+	e.MinListRevision = max(e.MinListRevision, d.MinListRevision)
+	maps.Copy(e.DisabledNodes, o.DisabledNodes)
 	// What one version only knows of is closed, for teams; held, for retirements; and
 	// not there, for sites and peaks.
 	merge(e.Teams, o.Teams, func(a, b Team) (Team, bool) {
-		a.Weight, a.Rate, a.Standing = min(a.Weight, b.Weight), lower(a.Rate, b.Rate), lower(a.Standing, b.Standing)
-		a.Closed = a.Closed || b.Closed
+		a.Weight, a.SessionsPerS, a.MaxEstablished = min(a.Weight, b.Weight), lower(a.SessionsPerS, b.SessionsPerS), lower(a.MaxEstablished, b.MaxEstablished)
+		a.RefuseAll = a.RefuseAll || b.RefuseAll
 		return a, true
-	}, func(t Team) (Team, bool) { t.Closed = true; return t, true })
-	merge(e.Retire, o.Retire, func(a, b Retirement) (Retirement, bool) {
-		a.Held = a.Held || b.Held || !slices.Equal(set(a.To), set(b.To))
-		a.Over, a.Until = max(a.Over, b.Over), max(a.Until, b.Until)
-		if a.Held {
-			a.To = both(a.To, b.To)
+	}, func(t Team) (Team, bool) { t.RefuseAll = true; return t, true })
+	merge(e.Retirements, o.Retirements, func(a, b Retirement) (Retirement, bool) {
+		a.Suspended = a.Suspended || b.Suspended || !slices.Equal(set(a.TargetSites), set(b.TargetSites))
+		a.Period, a.UntilUnixS = max(a.Period, b.Period), max(a.UntilUnixS, b.UntilUnixS)
+		if a.Suspended {
+			a.TargetSites = both(a.TargetSites, b.TargetSites)
 		}
 		return a, true
-	}, func(r Retirement) (Retirement, bool) { r.Held = true; return r, true })
+	}, func(r Retirement) (Retirement, bool) { r.Suspended = true; return r, true })
 	merge(e.Sites, o.Sites, func(a, b Site) (Site, bool) {
 		if !slices.Equal(a.Refuse, b.Refuse) {
 			a.Refuse = nil // by worth for each kB
@@ -85,7 +85,7 @@
 		return a, slices.Equal(set(a.Zones), set(b.Zones))
 	}, drop)
 	merge(e.Peaks, o.Peaks, func(a, b Peak) (Peak, bool) {
-		same := a.Text == b.Text && a.At == b.At
+		same := a.Spec == b.Spec && a.StartUnixS == b.StartUnixS
 		a.Factor, a.Length = min(a.Factor, b.Factor), min(a.Length, b.Length)
 		return a, same
 	}, drop)
@@ -136,7 +136,7 @@
 // Route gives the route of a request. first tells the first of d's routes that matches,
 // or -1; Route asks it of each version, and gives a route only if all agree in what
 // binds. found is false where none matches. The error is an *Unsettled.
-func (e Effective) Route(first func(d *Document) int) (r Route, found bool, err error) {
+func (e EffectiveConfig) Route(first func(d *Document) int) (r Route, found bool, err error) {
 	for i, d := range e.documents {
 		n := first(d)
 		var x Route
@@ -145,14 +145,14 @@
 		}
 		if i == 0 {
 			r, found = x, n >= 0
-		} else if found != (n >= 0) || r.Class != x.Class || r.Team != x.Team || r.Key != x.Key || r.Once != x.Once {
-			return Route{}, false, &Unsettled{Versions: e.Versions, Wait: UnsettledWait}
+		} else if found != (n >= 0) || r.Class != x.Class || r.Team != x.Team || r.Key != x.Key || r.AtMostOnce != x.AtMostOnce {
+			return Route{}, false, &UnsettledRouteError{Versions: e.Versions, RetryAfter: UnsettledRetryAfter}
 		}
 	}
 	// Guard: a version that nobody here has heard of may have taken this route away, and
 	// what is set up by it can't be taken back.
-	if e.Alone && r.Once {
-		return Route{}, false, &Unsettled{Versions: e.Versions, Alone: true, Wait: UnsettledWait}
+	if e.NoLease && r.AtMostOnce {
+		return Route{}, false, &UnsettledRouteError{Versions: e.Versions, NoLease: true, RetryAfter: UnsettledRetryAfter}
 	}
 	return r, found, nil
 }
--- a/internal/agreed/carry/carry.go
+++ b/internal/agreed/carry/carry.go
@@ -30,16 +30,16 @@
 
 // Config is what a Carrier is told at its start.
 type Config struct {
-	Agreed    agreed.Config
-	Listener  net.Listener      // closed by Run
-	Addresses map[string]string // of all managers, this one's too
-	Log       *zap.Logger
-	Changed   func(*agreed.Document)          // a version came into force; must not wait; may be nil
-	Told      func(version uint64, err error) // what became of a submission; must not wait; may be nil
+	Machine            agreed.Config
+	Listener           net.Listener      // closed by Run
+	Addresses          map[string]string // of all managers, this one's too
+	Log                *zap.Logger
+	OnInForce          func(*agreed.Document)          // a version came into force; must not wait; may be nil
+	OnSubmissionResult func(version uint64, err error) // what became of a submission; must not wait; may be nil
 }
 
-// A Carrier is one manager's actor. Decide and Submit are safe for any goroutine.
-type Carrier struct {
+// A Runner is one manager's actor. Decide and Submit are safe for any goroutine.
+type Runner struct {
 	c       Config
 	start   time.Time
 	machine *agreed.Machine
@@ -50,39 +50,39 @@
 }
 
 type standing struct {
-	effective agreed.Effective
+	effective agreed.EffectiveConfig
 	until     time.Duration
 }
 
 // New is a Carrier that has not started.
-func New(c Config) *Carrier {
-	k := &Carrier{c: c, start: time.Now(), events: mailbox.New[agreed.Event](mostEvents), peers: map[string]*mailbox.Box[[]byte]{}}
-	k.machine = agreed.New(0, c.Agreed)
+func New(c Config) *Runner {
+	k := &Runner{c: c, start: time.Now(), events: mailbox.New[agreed.Event](mostEvents), peers: map[string]*mailbox.Box[[]byte]{}}
+	k.machine = agreed.New(0, c.Machine)
 	return k
 }
 
-// Decide is what this manager may do now; ok is false before a version is in force. It
+// Effective is what this manager may do now; ok is false before a version is in force. It
 // is to be asked at each decision, and waits for nothing.
-func (k *Carrier) Decide() (e agreed.Effective, ok bool) {
+func (k *Runner) Effective() (e agreed.EffectiveConfig, ok bool) {
 	s := k.stands.Load()
 	if s == nil {
 		return e, false
 	}
 	e = s.effective
-	e.Alone = time.Since(k.start) >= s.until
+	e.NoLease = time.Since(k.start) >= s.until
 	return e, true
 }
 
 // Submit hands in a version. Told says what becomes of it.
-func (k *Carrier) Submit(d *agreed.Document) {
-	k.events.Force(agreed.Event{Kind: agreed.EvSubmit, Document: d})
+func (k *Runner) Submit(d *agreed.Document) {
+	k.events.Force(agreed.Event{Kind: agreed.EventSubmit, Document: d})
 }
 
-// Dropped counts the messages that were not sent, for want of a connection or of room.
-func (k *Carrier) Dropped() int64 { return k.dropped.Load() }
+// DroppedMessages counts the messages that were not sent, for want of a connection or of room.
+func (k *Runner) DroppedMessages() int64 { return k.dropped.Load() }
 
 // Run carries until ctx ends, or the listener fails.
-func (k *Carrier) Run(ctx context.Context) error {
+func (k *Runner) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
 		<-ctx.Done()
@@ -97,8 +97,8 @@
 }
 
 // act is the actor: it alone touches the machine.
-func (k *Carrier) act(ctx context.Context, g *errgroup.Group) error {
-	tick := time.NewTicker(k.c.Agreed.Tick())
+func (k *Runner) act(ctx context.Context, g *errgroup.Group) error {
+	tick := time.NewTicker(k.c.Machine.TickInterval())
 	defer tick.Stop()
 	var batch []agreed.Event
 	for worries := 0; ; {
@@ -107,7 +107,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			batch = append(batch, agreed.Event{Kind: agreed.EvTick})
+			batch = append(batch, agreed.Event{Kind: agreed.EventTick})
 		case <-k.events.Ready():
 			batch = k.events.Take(batch)
 		}
@@ -121,9 +121,9 @@
 				}
 				k.c.Log.Error("the agreement starts anew", zap.Error(err))
 				k.stands.Store(nil)
-				k.c.Agreed.Incarnation++
-				k.c.Agreed.Founders = nil
-				k.machine = agreed.New(time.Since(k.start), k.c.Agreed)
+				k.c.Machine.Incarnation++
+				k.c.Machine.InitialReplicas = nil
+				k.machine = agreed.New(time.Since(k.start), k.c.Machine)
 				break
 			}
 			k.do(ctx, g, acts)
@@ -131,7 +131,7 @@
 	}
 }
 
-func (k *Carrier) handle(e agreed.Event) (acts []agreed.Action, err error) {
+func (k *Runner) handle(e agreed.Event) (acts []agreed.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("the agreement's machine stopped: %v", p)
@@ -139,37 +139,37 @@
 	}()
 	now := time.Since(k.start)
 	acts = k.machine.Handle(now, e)
-	if e, ok := k.machine.Decide(now); ok {
-		k.stands.Store(&standing{e, k.machine.Until()})
+	if e, ok := k.machine.Effective(now); ok {
+		k.stands.Store(&standing{e, k.machine.LeaseExpiry()})
 	}
 	return acts, nil
 }
 
-func (k *Carrier) do(ctx context.Context, g *errgroup.Group, acts []agreed.Action) {
+func (k *Runner) do(ctx context.Context, g *errgroup.Group, acts []agreed.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case agreed.ActSend:
+		case agreed.ActionSend:
 			if !k.peer(ctx, g, a.To).Put(a.Bytes) {
 				k.dropped.Add(1)
 			}
-		case agreed.ActForce:
+		case agreed.ActionInForce:
 			k.c.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
-			if k.c.Changed != nil {
-				k.c.Changed(a.Document)
+			if k.c.OnInForce != nil {
+				k.c.OnInForce(a.Document)
 			}
-		case agreed.ActTold:
+		case agreed.ActionSubmissionResult:
 			k.c.Log.Info("version submitted", zap.Uint64("version", a.Version), zap.Error(a.Err))
-			if k.c.Told != nil {
-				k.c.Told(a.Version, a.Err)
+			if k.c.OnSubmissionResult != nil {
+				k.c.OnSubmissionResult(a.Version, a.Err)
 			}
-		case agreed.ActRemark:
+		case agreed.ActionLogError:
 			k.c.Log.Warn("agreement", zap.Error(a.Err))
 		}
 	}
 }
 
 // peer is the queue to another manager. Its goroutine starts with the first message.
-func (k *Carrier) peer(ctx context.Context, g *errgroup.Group, name string) *mailbox.Box[[]byte] {
+func (k *Runner) peer(ctx context.Context, g *errgroup.Group, name string) *mailbox.Box[[]byte] {
 	box := k.peers[name]
 	if box == nil {
 		box = mailbox.New[[]byte](mostFrames)
@@ -182,7 +182,7 @@
 }
 
 // call sends what comes into box, over one connection while that holds.
-func (k *Carrier) call(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
+func (k *Runner) call(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
 	var (
 		conn  net.Conn
 		batch [][]byte
@@ -208,7 +208,7 @@
 		var err error
 		if conn == nil {
 			if conn, err = dial.DialContext(ctx, "tcp4", address); err == nil {
-				out = frame(out, []byte(k.c.Agreed.Name))
+				out = frame(out, []byte(k.c.Machine.Name))
 			}
 		}
 		if err == nil {
--- a/internal/agreed/carry/carry_test.go
+++ b/internal/agreed/carry/carry_test.go
@@ -21,7 +21,7 @@
 	defer cancel()
 	names := []string{"a", "b", "c"}
 	base := Config{Addresses: map[string]string{}, Log: zap.NewNop()}
-	base.Agreed = agreed.Config{Voters: names, Within: time.Second}
+	base.Machine = agreed.Config{Voters: names, MaxDelay: time.Second}
 	listeners := map[string]net.Listener{}
 	for _, n := range names {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -29,13 +29,13 @@
 			t.Fatal(err)
 		}
 		listeners[n], base.Addresses[n] = l, l.Addr().String()
-		base.Agreed.Founders = append(base.Agreed.Founders, agreed.Member{Name: n, Incarnation: 1})
+		base.Machine.InitialReplicas = append(base.Machine.InitialReplicas, agreed.Replica{Name: n, Incarnation: 1})
 	}
-	carriers, stop := map[string]*Carrier{}, map[string]func(){}
-	start := func(n string, incarnation uint64, founders []agreed.Member, told chan error) {
+	carriers, stop := map[string]*Runner{}, map[string]func(){}
+	start := func(n string, incarnation uint64, founders []agreed.Replica, told chan error) {
 		c := base
-		c.Agreed.Name, c.Agreed.Incarnation, c.Agreed.Founders, c.Listener = n, incarnation, founders, listeners[n]
-		c.Told = func(_ uint64, err error) {
+		c.Machine.Name, c.Machine.Incarnation, c.Machine.InitialReplicas, c.Listener = n, incarnation, founders, listeners[n]
+		c.OnSubmissionResult = func(_ uint64, err error) {
 			if told != nil {
 				told <- err
 			}
@@ -53,14 +53,14 @@
 	}
 	told := make(chan error, 16)
 	for _, n := range names {
-		start(n, 1, base.Agreed.Founders, told)
+		start(n, 1, base.Machine.InitialReplicas, told)
 	}
 	wait := func(v uint64, of ...string) {
 		t.Helper()
 		for _, n := range of {
 			for {
-				e, ok := carriers[n].Decide()
-				if ok && !e.Alone && len(e.Versions) == 1 && e.Versions[0] == v {
+				e, ok := carriers[n].Effective()
+				if ok && !e.NoLease && len(e.Versions) == 1 && e.Versions[0] == v {
 					break
 				}
 				if ctx.Err() != nil {
@@ -71,7 +71,7 @@
 		}
 	}
 	for v := uint64(1); v <= 2; v++ {
-		carriers["a"].Submit(&agreed.Document{Version: v, Replaces: v - 1, Out: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
+		carriers["a"].Submit(&agreed.Document{Version: v, Replaces: v - 1, DisabledNodes: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
 		if err := <-told; err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agreed/carry/frame.go
+++ b/internal/agreed/carry/frame.go
@@ -18,19 +18,19 @@
 )
 
 // mostFrame bounds a frame: two documents and what stands round them.
-const mostFrame = 2*agreed.MostBytes + 64<<10
+const mostFrame = 2*agreed.MaxDocumentBytes + 64<<10
 
-// TooLong is a frame of more bytes than any message has. Its connection is closed.
-type TooLong struct{ Bytes, Most int }
+// FrameTooLongError is a frame of more bytes than any message has. Its connection is closed.
+type FrameTooLongError struct{ Bytes, Limit int }
 
-func (e *TooLong) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, where the most is %d", e.Bytes, e.Most)
+func (e *FrameTooLongError) Error() string {
+	return fmt.Sprintf("a frame of %d bytes, where the most is %d", e.Bytes, e.Limit)
 }
 
-// Stranger is a connection by a manager that the fleet does not name.
-type Stranger struct{ Name string }
+// UnknownManagerError is a connection by a manager that the fleet does not name.
+type UnknownManagerError struct{ Name string }
 
-func (e *Stranger) Error() string {
+func (e *UnknownManagerError) Error() string {
 	return fmt.Sprintf("%q is no manager of this fleet: name it in every manager's file", e.Name)
 }
 
@@ -46,7 +46,7 @@
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
 	if n > most {
-		return nil, &TooLong{n, most}
+		return nil, &FrameTooLongError{n, most}
 	}
 	b := make([]byte, n)
 	_, err := io.ReadFull(r, b)
@@ -54,7 +54,7 @@
 }
 
 // accept takes connections in, as many as the fleet can need.
-func (k *Carrier) accept(ctx context.Context, g *errgroup.Group) error {
+func (k *Runner) accept(ctx context.Context, g *errgroup.Group) error {
 	var open atomic.Int64
 	for {
 		conn, err := k.c.Listener.Accept()
@@ -88,7 +88,7 @@
 }
 
 // listen reads one manager's messages until its connection ends.
-func (k *Carrier) listen(ctx context.Context, conn net.Conn) error {
+func (k *Runner) listen(ctx context.Context, conn net.Conn) error {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
 	r := bufio.NewReader(conn)
@@ -98,8 +98,8 @@
 		return err
 	}
 	name := string(hello)
-	if _, ok := k.c.Addresses[name]; !ok || name == k.c.Agreed.Name {
-		return &Stranger{name}
+	if _, ok := k.c.Addresses[name]; !ok || name == k.c.Machine.Name {
+		return &UnknownManagerError{name}
 	}
 	conn.SetReadDeadline(time.Time{})
 	for {
@@ -107,7 +107,7 @@
 		if err != nil {
 			return err
 		}
-		if !k.events.Put(agreed.Event{Kind: agreed.EvMessage, From: name, Bytes: b}) {
+		if !k.events.Put(agreed.Event{Kind: agreed.EventMessage, From: name, Bytes: b}) {
 			k.dropped.Add(1)
 		}
 	}
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -23,13 +23,13 @@
 func drawn(t *rapid.T) *Document {
 	word := rapid.SampledFrom([]string{"a", "b", "c"})
 	names := func() []string { return set(rapid.SliceOfN(word, 0, 3).Draw(t, "names")) }
-	d := &Document{Version: 1, Out: names(), LeastList: rapid.Uint64Range(0, 2).Draw(t, "list")}
+	d := &Document{Version: 1, DisabledNodes: names(), MinListRevision: rapid.Uint64Range(0, 2).Draw(t, "list")}
 	for _, n := range names() {
-		d.Teams = append(d.Teams, Team{Name: n, Title: word.Draw(t, "title"), Rate: float64(rapid.IntRange(0, 2).Draw(t, "rate")), Standing: rapid.IntRange(0, 2).Draw(t, "standing")})
+		d.Teams = append(d.Teams, Team{Name: n, Title: word.Draw(t, "title"), SessionsPerS: float64(rapid.IntRange(0, 2).Draw(t, "rate")), MaxEstablished: rapid.IntRange(0, 2).Draw(t, "standing")})
 	}
 	for _, n := range names() {
 		d.Sites = append(d.Sites, Site{Name: n, Zones: names(), Keep: names(), Pace: time.Duration(rapid.IntRange(0, 1).Draw(t, "pace"))})
-		d.Retire = append(d.Retire, Retirement{Site: n, Note: word.Draw(t, "note"), Over: time.Duration(rapid.IntRange(1, 2).Draw(t, "over")), To: names()})
+		d.Retirements = append(d.Retirements, Retirement{Site: n, Note: word.Draw(t, "note"), Period: time.Duration(rapid.IntRange(1, 2).Draw(t, "over")), TargetSites: names()})
 		d.Peaks = append(d.Peaks, Peak{Name: n, Factor: float64(rapid.IntRange(1, 2).Draw(t, "factor"))})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "routes") {
@@ -47,25 +47,25 @@
 		for i := range b.Routes {
 			b.Routes[i].Name, b.Routes[i].Labels = "other", map[string]string{"l": "other"}
 		}
-		for i := range b.Retire {
-			b.Retire[i].Note = "other"
+		for i := range b.Retirements {
+			b.Retirements[i].Note = "other"
 		}
 		for i := range b.Teams {
 			b.Teams[i].Title = "other"
 		}
 		slices.Reverse(b.Teams)
-		slices.Reverse(b.Out)
-		if Contradict(a, b) || Contradict(b, a) {
+		slices.Reverse(b.DisabledNodes)
+		if Incompatible(a, b) || Incompatible(b, a) {
 			t.Fatal("a word contradicts")
 		}
 		bind := map[string]func(){
-			"out": func() { b.Out = append(b.Out, "z") }, "list": func() { b.LeastList++ }, "team": func() { b.Teams = append(b.Teams, Team{Name: "z"}) },
+			"out": func() { b.DisabledNodes = append(b.DisabledNodes, "z") }, "list": func() { b.MinListRevision++ }, "team": func() { b.Teams = append(b.Teams, Team{Name: "z"}) },
 			"route":  func() { b.Routes = append(b.Routes, Route{Class: "z"}) },
 			"site":   func() { b.Sites = append(b.Sites, Site{Name: "z"}) },
-			"retire": func() { b.Retire = append(b.Retire, Retirement{Site: "z"}) }, "define": func() { b.Defines = append(b.Defines, Define{Name: "z"}) },
+			"retire": func() { b.Retirements = append(b.Retirements, Retirement{Site: "z"}) }, "define": func() { b.Definitions = append(b.Definitions, Definition{Name: "z"}) },
 		}
 		kind := rapid.SampledFrom([]string{"out", "list", "team", "route", "site", "retire", "define"}).Draw(t, "kind")
-		if bind[kind](); !Contradict(a, b) || !Contradict(b, a) {
+		if bind[kind](); !Incompatible(a, b) || !Incompatible(b, a) {
 			t.Fatalf("%s: no contradiction", kind)
 		}
 	})
@@ -84,29 +84,29 @@
 func TestCareful(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawn(t), drawn(t)
-		e, back := Careful(a, b), Careful(b, a)
-		if again := Careful(a, a); !reflect.DeepEqual(again.Teams, whole(a).Teams) || !reflect.DeepEqual(again.Retire, whole(a).Retire) || !reflect.DeepEqual(again.Sites, whole(a).Sites) {
+		e, back := MostRestrictive(a, b), MostRestrictive(b, a)
+		if again := MostRestrictive(a, a); !reflect.DeepEqual(again.Teams, whole(a).Teams) || !reflect.DeepEqual(again.Retirements, whole(a).Retirements) || !reflect.DeepEqual(again.Sites, whole(a).Sites) {
 			t.Fatalf("of one version twice: %+v", again)
 		}
-		if !reflect.DeepEqual(e.Out, back.Out) || len(e.Sites) != len(back.Sites) || len(e.Teams) != len(back.Teams) || len(e.Peaks) != len(back.Peaks) {
+		if !reflect.DeepEqual(e.DisabledNodes, back.DisabledNodes) || len(e.Sites) != len(back.Sites) || len(e.Teams) != len(back.Teams) || len(e.Peaks) != len(back.Peaks) {
 			t.Fatalf("order counts: %+v, %+v", e, back)
 		}
 		for _, d := range []*Document{a, b} {
-			for _, n := range d.Out {
-				if !e.Out[n] {
+			for _, n := range d.DisabledNodes {
+				if !e.DisabledNodes[n] {
 					t.Fatalf("node %s is sent to", n)
 				}
 			}
 			w := whole(d)
 			for n, x := range e.Teams {
 				y, ok := w.Teams[n]
-				over := ok && (y.Rate != 0 && (x.Rate == 0 || x.Rate > y.Rate) || y.Standing != 0 && (x.Standing == 0 || x.Standing > y.Standing))
-				if over || !ok && !x.Closed || x.Closed != back.Teams[n].Closed {
+				over := ok && (y.SessionsPerS != 0 && (x.SessionsPerS == 0 || x.SessionsPerS > y.SessionsPerS) || y.MaxEstablished != 0 && (x.MaxEstablished == 0 || x.MaxEstablished > y.MaxEstablished))
+				if over || !ok && !x.RefuseAll || x.RefuseAll != back.Teams[n].RefuseAll {
 					t.Fatalf("team %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
-			for n, x := range e.Retire {
-				if y, ok := w.Retire[n]; !ok && !x.Held || ok && x.Over < y.Over {
+			for n, x := range e.Retirements {
+				if y, ok := w.Retirements[n]; !ok && !x.Suspended || ok && x.Period < y.Period {
 					t.Fatalf("retirement %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
@@ -115,7 +115,7 @@
 					t.Fatalf("site %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
-			if e.LeastList < d.LeastList {
+			if e.MinListRevision < d.MinListRevision {
 				t.Fatal("an older list is allowed")
 			}
 		}
@@ -126,7 +126,7 @@
 		ra, ina, _ := whole(a).Route(first)
 		rb, inb, _ := whole(b).Route(first)
 		r, found, err := e.Route(first)
-		var unsettled *Unsettled
+		var unsettled *UnsettledRouteError
 		same := ina == inb && ra.Class == rb.Class
 		if errors.As(err, &unsettled) == same || same && (found != ina || r.Class != ra.Class) {
 			t.Fatalf("%+v, %+v give %+v, %v", ra, rb, r, err)
@@ -136,11 +136,11 @@
 
 // Without a lease nothing is set up by a route that can't be taken back.
 func TestAlone(t *testing.T) {
-	e := Careful(&Document{Version: 3, Routes: []Route{{Class: "clip", Once: true}, {Class: "feed"}}})
-	e.Alone = true
+	e := MostRestrictive(&Document{Version: 3, Routes: []Route{{Class: "clip", AtMostOnce: true}, {Class: "feed"}}})
+	e.NoLease = true
 	_, _, err := e.Route(func(*Document) int { return 0 })
-	var unsettled *Unsettled
-	if !errors.As(err, &unsettled) || !unsettled.Alone || unsettled.Wait == 0 {
+	var unsettled *UnsettledRouteError
+	if !errors.As(err, &unsettled) || !unsettled.NoLease || unsettled.RetryAfter == 0 {
 		t.Errorf("a clip gave %v", err)
 	}
 	if r, found, err := e.Route(func(*Document) int { return 1 }); err != nil || !found || r.Class != "feed" {
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -23,14 +23,14 @@
 	asks    [3]uint64 // most by each
 }
 
-var versions = []*Document{nil, {Version: 1}, {Version: 2, Replaces: 1, Out: []string{"n"}}}
+var versions = []*Document{nil, {Version: 1}, {Version: 2, Replaces: 1, DisabledNodes: []string{"n"}}}
 
 func newWorld(f flaw, asks [3]uint64) world {
-	w := world{ledger: ledger{Force: versions[1], Hashes: map[uint64]uint64{1: 1}}, lessor: *newLessor(1, -1, f), faults: 2, asks: asks}
+	w := world{ledger: ledger{InForce: versions[1], Hashes: map[uint64]uint64{1: 1}}, lessor: *newLessor(1, -1, f), faults: 2, asks: asks}
 	for i := range w.holders {
 		h := holder{number: uint64(i), length: 1, force: versions[1], asked: map[uint64]time.Duration{}, flaw: f}
 		w.lessor.heard(0, "", h.renew(0))
-		h.granted(&grant{Holder: h.number, Seq: 1, Force: 1}, nil)
+		h.granted(&grant{HolderID: h.number, Seq: 1, InForce: 1}, nil)
 		w.holders[i] = h
 	}
 	return w
@@ -59,10 +59,10 @@
 		}
 		var s []string
 		for _, m := range w.flight {
-			if r := m.Renew; r != nil && r.Holder == h.number {
-				s = append(s, string([]byte{'r', byte(r.Seq), byte(r.Force), byte(r.Next)}))
-			} else if g := m.Grant; g != nil && g.Holder == h.number {
-				s = append(s, string([]byte{'g', byte(g.Seq), byte(g.Force), byte(g.Next)}))
+			if r := m.Renewal; r != nil && r.HolderID == h.number {
+				s = append(s, string([]byte{'r', byte(r.Seq), byte(r.InForce), byte(r.Pending)}))
+			} else if g := m.Grant; g != nil && g.HolderID == h.number {
+				s = append(s, string([]byte{'g', byte(g.Seq), byte(g.InForce), byte(g.Pending)}))
 			}
 		}
 		slices.Sort(s)
@@ -84,7 +84,7 @@
 	}
 	if w.ledger.last() == 1 {
 		next(func(w *world) { w.ledger.accept(versions[2]) })
-	} else if c := w.clone(); w.ledger.Next != nil && c.lessor.settled(w.now, 2) {
+	} else if c := w.clone(); w.ledger.Pending != nil && c.lessor.settled(w.now, 2) {
 		next(func(w *world) { w.ledger.enforce(2) })
 	}
 	if w.faults > 0 { // another leads, who knows of no lease
@@ -92,22 +92,22 @@
 	}
 	for i, h := range w.holders {
 		if most := w.asks[i]; h.seq < most {
-			next(func(w *world) { w.flight = append(w.flight, message{Renew: w.holders[i].renew(w.now)}) })
+			next(func(w *world) { w.flight = append(w.flight, message{Renewal: w.holders[i].renew(w.now)}) })
 		}
 	}
 	for i, m := range w.flight {
 		next(func(w *world) {
 			w.flight = slices.Delete(w.flight, i, i+1)
-			if r := m.Renew; r != nil {
+			if r := m.Renewal; r != nil {
 				w.lessor.heard(w.now, "", r)
-				g := &grant{Holder: r.Holder, Seq: r.Seq, Force: w.ledger.force()}
-				if w.ledger.Next != nil {
-					g.Next = 2
+				g := &grant{HolderID: r.HolderID, Seq: r.Seq, InForce: w.ledger.force()}
+				if w.ledger.Pending != nil {
+					g.Pending = 2
 				}
 				w.flight = append(w.flight, message{Grant: g})
 				return
 			}
-			w.holders[m.Grant.Holder].granted(m.Grant, versions[1:])
+			w.holders[m.Grant.HolderID].granted(m.Grant, versions[1:])
 		})
 	}
 	return out
--- a/internal/agreed/fleet_test.go
+++ b/internal/agreed/fleet_test.go
@@ -70,21 +70,21 @@
 		apart: map[[2]uint64]bool{}, leaders: map[uint64]map[uint64]bool{}, judged: true, conf: Config{Seed: seed, flaw: f}}
 	for i := range voters {
 		w.conf.Voters = append(w.conf.Voters, name(i))
-		w.conf.Founders = append(w.conf.Founders, Member{name(i), 1})
+		w.conf.InitialReplicas = append(w.conf.InitialReplicas, Replica{name(i), 1})
 	}
 	for i := range managers {
 		m := &manager{i: i, rate: 1 + 0.01*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.IntN(1e10)), life: 0}
 		w.managers = append(w.managers, m)
-		w.start(m, 1, w.conf.Founders)
+		w.start(m, 1, w.conf.InitialReplicas)
 	}
 	return w
 }
 
-func (w *fleet) start(m *manager, incarnation uint64, founders []Member) {
+func (w *fleet) start(m *manager, incarnation uint64, founders []Replica) {
 	c := w.conf
-	c.Name, c.Incarnation, c.Founders = name(m.i), incarnation, founders
-	c.Check = func(d *Document) error {
-		if slices.Contains(d.Out, "bad") {
+	c.Name, c.Incarnation, c.InitialReplicas = name(m.i), incarnation, founders
+	c.CheckDocument = func(d *Document) error {
+		if slices.Contains(d.DisabledNodes, "bad") {
 			return fmt.Errorf("bad")
 		}
 		return nil
@@ -95,11 +95,11 @@
 	var tick func()
 	tick = func() {
 		if m.life == life {
-			w.give(m, Event{Kind: EvTick})
-			w.after(time.Duration(float64(c.Tick())/m.rate), tick)
+			w.give(m, Event{Kind: EventTick})
+			w.after(time.Duration(float64(c.TickInterval())/m.rate), tick)
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(c.Tick()))), tick)
+	w.after(time.Duration(w.rng.Int64N(int64(c.TickInterval()))), tick)
 }
 
 func (m *manager) clock(now time.Duration) time.Duration {
@@ -135,23 +135,23 @@
 
 func (w *fleet) give(m *manager, e Event) {
 	if w.now < m.stopped {
-		if n := len(m.inbox); e.Kind != EvTick || n == 0 || m.inbox[n-1].Kind != EvTick {
+		if n := len(m.inbox); e.Kind != EventTick || n == 0 || m.inbox[n-1].Kind != EventTick {
 			m.inbox = append(m.inbox, e)
 		}
 		return
 	}
 	for _, a := range m.Handle(m.clock(w.now), e) {
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			w.send(m.i, slices.Index(w.names(), a.To), a.Bytes)
-		case ActForce:
+		case ActionInForce:
 			w.documents[a.Document.Version] = a.Document
 			for _, o := range m.writes {
 				if x := o.Input.(write); x.version == a.Document.Version && x.hash == a.Document.Hash() {
 					o.Return = int64(w.now)
 				}
 			}
-		case ActTold:
+		case ActionSubmissionResult:
 			m.told = append(m.told, a)
 		}
 	}
@@ -175,7 +175,7 @@
 	}
 	w.after(time.Millisecond+time.Duration(w.rng.ExpFloat64()*float64(4*time.Millisecond)), func() {
 		if !w.cut[[2]int{from, to}] {
-			w.give(w.managers[to], Event{Kind: EvMessage, From: name(from), Bytes: b})
+			w.give(w.managers[to], Event{Kind: EventMessage, From: name(from), Bytes: b})
 		}
 	})
 }
@@ -248,7 +248,7 @@
 	}
 	k := [2]uint64{min(u, v), max(u, v)}
 	if _, ok := w.apart[k]; !ok {
-		w.apart[k] = Contradict(w.documents[u], w.documents[v])
+		w.apart[k] = Incompatible(w.documents[u], w.documents[v])
 	}
 	return w.apart[k]
 }
@@ -258,14 +258,14 @@
 
 // submit gives m a new version over what it knows of, which takes other nodes out.
 func (w *fleet) submit(m *manager, nodes ...string) *Document {
-	d := &Document{Version: 1, Out: nodes}
+	d := &Document{Version: 1, DisabledNodes: nodes}
 	if n := m.holder.keeps(); len(n) > 0 {
 		d.Replaces = n[len(n)-1].Version
 		d.Version = d.Replaces + 1
 	}
 	o := &porcupine.Operation{ClientId: 100 + len(w.history), Input: write{d.Version, d.Replaces, d.Hash()}, Call: int64(w.now), Return: 1 << 62}
 	m.writes = append(m.writes, o)
-	w.give(m, Event{Kind: EvSubmit, Document: d})
+	w.give(m, Event{Kind: EventSubmit, Document: d})
 	return d
 }
 
--- a/internal/agreed/holder.go
+++ b/internal/agreed/holder.go
@@ -23,12 +23,12 @@
 			delete(h.asked, s) // what it would give has run out
 		}
 	}
-	r := &renewal{Holder: h.number, Seq: h.seq}
+	r := &renewal{HolderID: h.number, Seq: h.seq}
 	if h.force != nil {
-		r.Force = h.force.Version
+		r.InForce = h.force.Version
 	}
 	if h.next != nil {
-		r.Next = h.next.Version
+		r.Pending = h.next.Version
 	}
 	return r
 }
@@ -36,7 +36,7 @@
 // granted takes a grant in. news: it knows more than before, and should tell.
 func (h *holder) granted(g *grant, docs []*Document) (news bool) {
 	asked, ok := h.asked[g.Seq]
-	if g.Holder != h.number || !ok {
+	if g.HolderID != h.number || !ok {
 		return false
 	}
 	find := func(v uint64) *Document {
@@ -47,8 +47,8 @@
 		}
 		return nil
 	}
-	force, next := find(g.Force), find(g.Next)
-	if g.Force != 0 && force == nil || g.Next != 0 && next == nil {
+	force, next := find(g.InForce), find(g.Pending)
+	if g.InForce != 0 && force == nil || g.Pending != 0 && next == nil {
 		return false // Guard: no lease on what it has not got
 	}
 	if force != nil && (h.force == nil || h.force.Version < force.Version) {
--- a/internal/agreed/ledger.go
+++ b/internal/agreed/ledger.go
@@ -9,40 +9,40 @@
 // remembered bounds the numbers whose contents are told apart from a second form.
 const remembered = 256
 
-// A Member is a voter's life between two starts. One that starts again has forgotten
-// what it promised, so that it is a new Member with a higher Incarnation.
-type Member struct {
+// A Replica is a voter's life between two starts. One that starts again has forgotten
+// what it promised, so that it is a new Replica with a higher Incarnation.
+type Replica struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
 // id is the Member's name in the log's engine. It is never 0.
-func (m Member) id() uint64 { return xxhash.Sum64(encode(m)) | 1 }
+func (m Replica) id() uint64 { return xxhash.Sum64(encode(m)) | 1 }
 
 // ledger is what the log comes to: the same at every voter that has applied as much.
 type ledger struct {
-	Force   *Document         `cbor:"1,keyasint,omitempty"` // in force; nil: none yet
-	Next    *Document         `cbor:"2,keyasint,omitempty"` // accepted, and to come into force
-	Hashes  map[uint64]uint64 `cbor:"3,keyasint"`           // of the last numbers
-	Members map[uint64]Member `cbor:"4,keyasint"`           // voters and those that learn, by id
+	InForce  *Document          `cbor:"1,keyasint,omitempty"` // in force; nil: none yet
+	Pending  *Document          `cbor:"2,keyasint,omitempty"` // accepted, and to come into force
+	Hashes   map[uint64]uint64  `cbor:"3,keyasint"`           // of the last numbers
+	Replicas map[uint64]Replica `cbor:"4,keyasint"`           // voters and those that learn, by id
 }
 
 // entry is one line of the log; one field is set.
 type entry struct {
-	Doc     []byte `cbor:"1,keyasint,omitempty"` // accept it
-	Enforce uint64 `cbor:"2,keyasint,omitempty"` // this version is in force
+	EncodedDocument []byte `cbor:"1,keyasint,omitempty"` // accept it
+	Enforce         uint64 `cbor:"2,keyasint,omitempty"` // this version is in force
 }
 
 func (l *ledger) last() uint64 {
-	if l.Next != nil {
-		return l.Next.Version
+	if l.Pending != nil {
+		return l.Pending.Version
 	}
 	return l.force()
 }
 
 func (l *ledger) force() uint64 {
-	if l.Force != nil {
-		return l.Force.Version
+	if l.InForce != nil {
+		return l.InForce.Version
 	}
 	return 0
 }
@@ -55,9 +55,9 @@
 		return accepted, false
 	case ok || d.Version <= l.last():
 		return conflict, false
-	case d.Replaces == l.last() && l.Next == nil:
+	case d.Replaces == l.last() && l.Pending == nil:
 		return accepted, true
-	case l.Next != nil:
+	case l.Pending != nil:
 		return busy, false
 	}
 	return gap, false
@@ -75,16 +75,16 @@
 			delete(l.Hashes, v)
 		}
 	}
-	if l.Force != nil && !Contradict(l.Force, d) {
-		l.Force = d // both may be acted on at once: nobody waits
+	if l.InForce != nil && !Incompatible(l.InForce, d) {
+		l.InForce = d // both may be acted on at once: nobody waits
 		return
 	}
-	l.Next = d
+	l.Pending = d
 }
 
 func (l *ledger) enforce(v uint64) {
-	if l.Next != nil && l.Next.Version == v {
-		l.Force, l.Next = l.Next, nil
+	if l.Pending != nil && l.Pending.Version == v {
+		l.InForce, l.Pending = l.Pending, nil
 	}
 }
 
@@ -110,9 +110,9 @@
 // heard notes a renewal. A lease counts from when it was asked for, which was not
 // after it arrived here.
 func (s *lessor) heard(now time.Duration, name string, r *renewal) {
-	h := s.held[r.Holder]
-	h.name, h.until, h.keeps = name, now+s.length, max(h.keeps, r.Force, r.Next)
-	s.held[r.Holder] = h
+	h := s.held[r.HolderID]
+	h.name, h.until, h.keeps = name, now+s.length, max(h.keeps, r.InForce, r.Pending)
+	s.held[r.HolderID] = h
 }
 
 // settled tells whether nobody can act on what is in force without keeping to v.
--- a/internal/agreed/machine.go
+++ b/internal/agreed/machine.go
@@ -14,35 +14,35 @@
 
 // Config is what a manager is told at its start. It does not change.
 type Config struct {
-	Name        string        // this manager's
-	Incarnation uint64        // higher after each start, such as the time of the start
-	Voters      []string      // names of the 3 or 5 managers that decide
-	Founders    []Member      // at the founding of a fleet: all Voters; else nil
-	Within      time.Duration // T; 2 s if 0
-	Drift       float64       // most by which a clock runs fast or slow; 0.01 if 0
-	Seed        uint64
-	Check       func(*Document) error // whether a version can be acted on here; nil: all can
+	Name            string        // this manager's
+	Incarnation     uint64        // higher after each start, such as the time of the start
+	Voters          []string      // names of the 3 or 5 managers that decide
+	InitialReplicas []Replica     // at the founding of a fleet: all Voters; else nil
+	MaxDelay        time.Duration // T; 2 s if 0
+	MaxClockDrift   float64       // most by which a clock runs fast or slow; 0.01 if 0
+	Seed            uint64
+	CheckDocument   func(*Document) error // whether a version can be acted on here; nil: all can
 
 	flaw flaw
 }
 
-// Tick is how often a machine wants an EvTick.
-func (c *Config) Tick() time.Duration { return c.within() / 40 }
+// TickInterval is how often a machine wants an EvTick.
+func (c *Config) TickInterval() time.Duration { return c.within() / 40 }
 
 func (c *Config) within() time.Duration {
-	if c.Within == 0 {
+	if c.MaxDelay == 0 {
 		return 2 * time.Second
 	}
-	return c.Within
+	return c.MaxDelay
 }
 
 // EventKind says which fields of an Event are set.
 type EventKind int
 
 const (
-	EvTick    EventKind = iota // a Config.Tick has passed, or more
-	EvMessage                  // From, Bytes
-	EvSubmit                   // Document: an operator's new version
+	EventTick    EventKind = iota // a Config.Tick has passed, or more
+	EventMessage                  // From, Bytes
+	EventSubmit                   // Document: an operator's new version
 )
 
 // Event is one thing that a manager is told.
@@ -57,10 +57,10 @@
 type ActionKind int
 
 const (
-	ActSend   ActionKind = iota // To, Bytes; it may be lost, late or twice
-	ActForce                    // Document is in force, for all that this manager knows
-	ActTold                     // Version, Err: what became of a submission; nil: accepted
-	ActRemark                   // Err: for the log
+	ActionSend             ActionKind = iota // To, Bytes; it may be lost, late or twice
+	ActionInForce                            // Document is in force, for all that this manager knows
+	ActionSubmissionResult                   // Version, Err: what became of a submission; nil: accepted
+	ActionLogError                           // Err: for the log
 )
 
 // Action is one thing that a manager does.
@@ -88,7 +88,7 @@
 	to     string
 
 	made      [3]*Document // what effective was made of
-	effective Effective
+	effective EffectiveConfig
 
 	lead     string // who leads, as far as known
 	try      int    // the voter to ask while nobody is known to lead
@@ -116,17 +116,17 @@
 
 // New is a manager at its start.
 func New(now time.Duration, c Config) *Machine {
-	if c.Drift == 0 {
-		c.Drift = 0.01
+	if c.MaxClockDrift == 0 {
+		c.MaxClockDrift = 0.01
 	}
 	m := &Machine{c: c}
-	self := Member{c.Name, c.Incarnation}
+	self := Replica{c.Name, c.Incarnation}
 	// A lease is the holder's for less than the leader takes it for, by both drifts.
-	m.holder = holder{number: self.id(), length: time.Duration(float64(m.lease()) * (1 - c.Drift) / (1 + c.Drift)), asked: map[uint64]time.Duration{}, flaw: c.flaw}
+	m.holder = holder{number: self.id(), length: time.Duration(float64(m.lease()) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift)), asked: map[uint64]time.Duration{}, flaw: c.flaw}
 	m.try = int(self.id() % uint64(len(c.Voters)))
 	m.renewed, m.joined, m.answered = now-m.lease(), now-m.lease(), now
 	if slices.Contains(c.Voters, c.Name) {
-		m.voter = newVoter(now, c.Tick(), self, c.Founders, rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))))
+		m.voter = newVoter(now, c.TickInterval(), self, c.InitialReplicas, rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))))
 	}
 	return m
 }
@@ -135,41 +135,41 @@
 // leases to run out is in force within T.
 func (m *Machine) lease() time.Duration { return m.c.within() * 3 / 4 }
 
-// Decide is what this manager may do now. It is to be asked at each decision: one that
+// Effective is what this manager may do now. It is to be asked at each decision: one that
 // was stopped has no lease any more. ok is false where it knows of none in force yet.
-func (m *Machine) Decide(now time.Duration) (e Effective, ok bool) {
+func (m *Machine) Effective(now time.Duration) (e EffectiveConfig, ok bool) {
 	if m.holder.force == nil {
-		return Effective{}, false // what is to come is not in force
+		return EffectiveConfig{}, false // what is to come is not in force
 	}
 	if k := [3]*Document{m.holder.force, m.holder.next, m.good}; k != m.made {
 		keeps := m.holder.keeps()
 		if m.bad && m.good != nil {
 			keeps = append([]*Document{m.good}, keeps...)
 		}
-		m.made, m.effective = k, Careful(keeps[0], keeps[1:]...)
+		m.made, m.effective = k, MostRestrictive(keeps[0], keeps[1:]...)
 	}
 	e = m.effective
-	e.Alone = !m.holder.leased(now)
+	e.NoLease = !m.holder.leased(now)
 	return e, true
 }
 
-// Until is when the lease runs out by this manager's clock, if nothing is heard until then.
-func (m *Machine) Until() time.Duration { return m.holder.until }
+// LeaseExpiry is when the lease runs out by this manager's clock, if nothing is heard until then.
+func (m *Machine) LeaseExpiry() time.Duration { return m.holder.until }
 
 // Handle takes one event in. What it returns is to be done in this order.
 func (m *Machine) Handle(now time.Duration, e Event) []Action {
 	m.acts = nil
 	switch e.Kind {
-	case EvTick:
+	case EventTick:
 		m.turn(now)
-	case EvMessage:
+	case EventMessage:
 		msg, err := unpack(e.Bytes)
 		if err != nil {
 			m.remark(err)
 			break
 		}
 		m.take(now, e.From, msg)
-	case EvSubmit:
+	case EventSubmit:
 		m.submit(now, e.Document)
 	}
 	m.settle(now)
@@ -191,20 +191,20 @@
 	}
 }
 
-func (m *Machine) remark(err error) { m.acts = append(m.acts, Action{Kind: ActRemark, Err: err}) }
+func (m *Machine) remark(err error) { m.acts = append(m.acts, Action{Kind: ActionLogError, Err: err}) }
 
 func (m *Machine) send(to string, msg *message) {
 	if to == m.c.Name {
 		m.local = append(m.local, msg)
 		return
 	}
-	m.acts = append(m.acts, Action{Kind: ActSend, To: to, Bytes: pack(msg)})
+	m.acts = append(m.acts, Action{Kind: ActionSend, To: to, Bytes: pack(msg)})
 }
 
 func (m *Machine) turn(now time.Duration) {
 	if m.voter != nil {
 		m.voter.turn(now)
-		if !m.voter.votes() && now >= m.joined+5*m.c.Tick() {
+		if !m.voter.votes() && now >= m.joined+5*m.c.TickInterval() {
 			m.joined = now
 			for _, name := range m.c.Voters {
 				if name != m.c.Name {
@@ -230,20 +230,20 @@
 	if to == "" {
 		to = m.c.Voters[m.try%len(m.c.Voters)]
 	}
-	m.send(to, &message{Renew: m.holder.renew(now)})
+	m.send(to, &message{Renewal: m.holder.renew(now)})
 	if m.mine != nil && (to != m.to || now >= m.handed+m.lease()/3) {
 		m.handed, m.to = now, to
-		m.send(to, &message{Submit: &submission{Doc: encode(m.mine)}})
+		m.send(to, &message{Submission: &submission{EncodedDocument: encode(m.mine)}})
 	}
 }
 
 func (m *Machine) submit(now time.Duration, d *Document) {
 	if err := m.check(d); err != nil {
-		m.acts = append(m.acts, Action{Kind: ActTold, Version: d.Version, Err: err})
+		m.acts = append(m.acts, Action{Kind: ActionSubmissionResult, Version: d.Version, Err: err})
 		return
 	}
 	if m.mine != nil && m.hash != d.Hash() {
-		m.acts = append(m.acts, Action{Kind: ActTold, Version: m.mine.Version, Err: &Superseded{m.mine.Version, d.Version}})
+		m.acts = append(m.acts, Action{Kind: ActionSubmissionResult, Version: m.mine.Version, Err: &SupersededError{m.mine.Version, d.Version}})
 	}
 	m.mine, m.hash, m.to = d, d.Hash(), ""
 	m.ask(now)
@@ -251,13 +251,13 @@
 
 // check tells whether d can be acted on here: a *Bad, or nil.
 func (m *Machine) check(d *Document) error {
-	err := d.Form()
-	if err == nil && m.c.Check != nil {
-		err = m.c.Check(d)
+	err := d.Validate()
+	if err == nil && m.c.CheckDocument != nil {
+		err = m.c.CheckDocument(d)
 	}
-	var b *Bad
+	var b *InvalidVersionError
 	if err != nil && !errors.As(err, &b) {
-		err = &Bad{Version: d.Version, Reason: err.Error()}
+		err = &InvalidVersionError{Version: d.Version, Reason: err.Error()}
 	}
 	return err
 }
@@ -266,11 +266,11 @@
 	switch v := m.voter; {
 	case msg.Grant != nil:
 		m.granted(now, from, msg.Grant)
-	case msg.Told != nil:
-		m.told(msg.Told)
-	case msg.Poke != nil && msg.Poke.Lead != "":
-		m.lead, m.answered = msg.Poke.Lead, now
-	case msg.Poke != nil:
+	case msg.Result != nil:
+		m.told(msg.Result)
+	case msg.Notification != nil && msg.Notification.Leader != "":
+		m.lead, m.answered = msg.Notification.Leader, now
+	case msg.Notification != nil:
 		m.lead = from
 		m.ask(now)
 	case v == nil:
@@ -278,20 +278,20 @@
 		v.step(now, msg.Raft, from)
 	case msg.Join != nil && v.leads && msg.Join.Name == from && slices.Contains(m.c.Voters, from):
 		v.admit(*msg.Join)
-	case msg.Renew != nil || msg.Submit != nil:
+	case msg.Renewal != nil || msg.Submission != nil:
 		if m.lessor == nil {
 			if lead := v.names[v.node.BasicStatus().Lead]; lead != "" && lead != m.c.Name {
-				m.send(from, &message{Poke: &poke{Lead: lead}})
+				m.send(from, &message{Notification: &poke{Leader: lead}})
 			}
 			return
 		}
-		if msg.Renew != nil {
-			m.lessor.heard(now, from, msg.Renew)
+		if msg.Renewal != nil {
+			m.lessor.heard(now, from, msg.Renewal)
 		}
-		q := request{from: from, renew: msg.Renew, submit: msg.Submit}
-		if msg.Renew == nil {
+		q := request{from: from, renew: msg.Renewal, submit: msg.Submission}
+		if msg.Renewal == nil {
 			q.doc = new(Document)
-			if err := decoder.Unmarshal(msg.Submit.Doc, q.doc); err != nil {
+			if err := decoder.Unmarshal(msg.Submission.EncodedDocument, q.doc); err != nil {
 				m.remark(err)
 				return
 			}
@@ -303,7 +303,7 @@
 
 func (m *Machine) granted(now time.Duration, from string, g *grant) {
 	var docs []*Document
-	for _, b := range g.Docs {
+	for _, b := range g.EncodedDocuments {
 		d := new(Document)
 		if err := decoder.Unmarshal(b, d); err != nil {
 			m.remark(err)
@@ -322,7 +322,7 @@
 		} else {
 			m.bad, m.good = false, d
 		}
-		m.acts = append(m.acts, Action{Kind: ActForce, Document: d})
+		m.acts = append(m.acts, Action{Kind: ActionInForce, Document: d})
 	}
 	if news {
 		m.ask(now)
@@ -333,14 +333,14 @@
 	if m.mine == nil || t.Hash != m.hash {
 		return
 	}
-	a := Action{Kind: ActTold, Version: t.Version}
-	switch t.What {
+	a := Action{Kind: ActionSubmissionResult, Version: t.Version}
+	switch t.Outcome {
 	case bad:
-		a.Err = &Bad{t.Version, t.Reason}
+		a.Err = &InvalidVersionError{t.Version, t.Reason}
 	case conflict:
-		a.Err = &Conflict{t.Version, t.Last}
+		a.Err = &VersionConflictError{t.Version, t.LastVersion}
 	case gap:
-		a.Err = &Gap{t.Version, m.mine.Replaces, t.Last}
+		a.Err = &VersionGapError{t.Version, m.mine.Replaces, t.LastVersion}
 	}
 	m.mine = nil
 	m.acts = append(m.acts, a)
@@ -372,13 +372,13 @@
 			m.round, m.waiting = m.waiting, nil
 			v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, m.rounds))
 		}
-		if next := v.ledger.Next; next != nil && m.lessor.settled(now, next.Version) {
+		if next := v.ledger.Pending; next != nil && m.lessor.settled(now, next.Version) {
 			m.write(now, next.Version, &entry{Enforce: next.Version})
 		}
 		if news := [2]uint64{v.ledger.force(), v.ledger.last()}; news != m.poked {
 			m.poked = news
 			for _, h := range sorted(values(m.lessor.held), func(h holding) string { return h.name }) {
-				m.send(h.name, &message{Poke: &poke{}})
+				m.send(h.name, &message{Notification: &poke{}})
 			}
 		}
 		v.drain(now)
@@ -395,7 +395,7 @@
 
 // write adds an entry to the log, once in a while only: what is lost comes again.
 func (m *Machine) write(now time.Duration, name uint64, e *entry) {
-	if m.wrote == name && now < m.wroteAt+patience*m.c.Tick() {
+	if m.wrote == name && now < m.wroteAt+patience*m.c.TickInterval() {
 		return
 	}
 	m.wrote, m.wroteAt = name, now
@@ -409,32 +409,32 @@
 func (m *Machine) answer(now time.Duration, q request) {
 	l := &m.voter.ledger
 	if r := q.renew; r != nil {
-		g := &grant{Holder: r.Holder, Seq: r.Seq, Force: l.force()}
-		if l.Force != nil && r.Force != g.Force && r.Next != g.Force {
-			g.Docs = append(g.Docs, encode(l.Force))
+		g := &grant{HolderID: r.HolderID, Seq: r.Seq, InForce: l.force()}
+		if l.InForce != nil && r.InForce != g.InForce && r.Pending != g.InForce {
+			g.EncodedDocuments = append(g.EncodedDocuments, encode(l.InForce))
 		}
-		if l.Next != nil {
-			if g.Next = l.Next.Version; r.Next != g.Next {
-				g.Docs = append(g.Docs, encode(l.Next))
+		if l.Pending != nil {
+			if g.Pending = l.Pending.Version; r.Pending != g.Pending {
+				g.EncodedDocuments = append(g.EncodedDocuments, encode(l.Pending))
 			}
 		}
 		m.send(q.from, &message{Grant: g})
 		return
 	}
 	d := q.doc
-	t := &told{Version: d.Version, Hash: q.hash, Last: l.last()}
+	t := &told{Version: d.Version, Hash: q.hash, LastVersion: l.last()}
 	var fresh bool
-	if t.What, fresh = l.verdict(d, t.Hash); fresh {
-		var b *Bad
+	if t.Outcome, fresh = l.verdict(d, t.Hash); fresh {
+		var b *InvalidVersionError
 		if errors.As(m.check(d), &b) {
-			t.What, t.Reason = bad, b.Reason
+			t.Outcome, t.Reason = bad, b.Reason
 		} else {
-			m.write(now, t.Hash, &entry{Doc: q.submit.Doc})
+			m.write(now, t.Hash, &entry{EncodedDocument: q.submit.EncodedDocument})
 			m.waiting = append(m.waiting, q) // told once it is decided
 			return
 		}
 	}
-	if t.What != busy {
-		m.send(q.from, &message{Told: t})
+	if t.Outcome != busy {
+		m.send(q.from, &message{Result: t})
 	}
 }
--- a/internal/agreed/measure_test.go
+++ b/internal/agreed/measure_test.go
@@ -76,7 +76,7 @@
 		w.start(m, m.voter.self.Incarnation+1, nil)
 		w.run(3 * time.Second)
 		l := w.leader()
-		if l == nil || len(l.voter.ledger.Members) != 5 || len(l.voter.store.conf.Voters) != 5 || !m.voter.votes() {
+		if l == nil || len(l.voter.ledger.Replicas) != 5 || len(l.voter.store.conf.Voters) != 5 || !m.voter.votes() {
 			t.Fatalf("start %d: %d is not in the place of its earlier life", n, m.i)
 		}
 		if d := w.submit(m, fmt.Sprint(n)); w.inForce(d.Version, time.Second, w.managers...) < 0 {
@@ -101,9 +101,9 @@
 		w.run(2 * time.Second)
 		voted := w.managers[1-w.leader().i]
 		apart(voted.i, 2)
-		var first []Member
+		var first []Replica
 		if founders {
-			first = w.conf.Founders
+			first = w.conf.InitialReplicas
 		}
 		w.start(voted, incarnation, first)
 		w.run(3 * time.Second)
--- a/internal/agreed/message.go
+++ b/internal/agreed/message.go
@@ -18,13 +18,13 @@
 
 // A message has one of its parts set.
 type message struct {
-	Raft   *raftPart   `cbor:"1,keyasint,omitempty"`
-	Renew  *renewal    `cbor:"2,keyasint,omitempty"`
-	Grant  *grant      `cbor:"3,keyasint,omitempty"`
-	Submit *submission `cbor:"4,keyasint,omitempty"`
-	Told   *told       `cbor:"5,keyasint,omitempty"`
-	Join   *Member     `cbor:"6,keyasint,omitempty"`
-	Poke   *poke       `cbor:"7,keyasint,omitempty"`
+	Raft         *raftPart   `cbor:"1,keyasint,omitempty"`
+	Renewal      *renewal    `cbor:"2,keyasint,omitempty"`
+	Grant        *grant      `cbor:"3,keyasint,omitempty"`
+	Submission   *submission `cbor:"4,keyasint,omitempty"`
+	Result       *told       `cbor:"5,keyasint,omitempty"`
+	Join         *Replica    `cbor:"6,keyasint,omitempty"`
+	Notification *poke       `cbor:"7,keyasint,omitempty"`
 }
 
 // raftPart is a message of the log's engine.
@@ -36,32 +36,32 @@
 
 // renewal asks for a lease, and tells what the holder knows: it keeps to all of that.
 type renewal struct {
-	Holder uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
-	Seq    uint64 `cbor:"2,keyasint"`
-	Force  uint64 `cbor:"3,keyasint,omitempty"`
-	Next   uint64 `cbor:"4,keyasint,omitempty"`
+	HolderID uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
+	Seq      uint64 `cbor:"2,keyasint"`
+	InForce  uint64 `cbor:"3,keyasint,omitempty"`
+	Pending  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // grant is the answer: a lease on what is in force, and what is to come.
 type grant struct {
-	Holder uint64   `cbor:"1,keyasint"`
-	Seq    uint64   `cbor:"2,keyasint"`
-	Force  uint64   `cbor:"3,keyasint,omitempty"`
-	Next   uint64   `cbor:"4,keyasint,omitempty"`
-	Docs   [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
+	HolderID         uint64   `cbor:"1,keyasint"`
+	Seq              uint64   `cbor:"2,keyasint"`
+	InForce          uint64   `cbor:"3,keyasint,omitempty"`
+	Pending          uint64   `cbor:"4,keyasint,omitempty"`
+	EncodedDocuments [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
 }
 
 type submission struct {
-	Doc []byte `cbor:"1,keyasint"`
+	EncodedDocument []byte `cbor:"1,keyasint"`
 }
 
 // told is what became of a submission.
 type told struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Hash    uint64 `cbor:"2,keyasint"`
-	What    what   `cbor:"3,keyasint"`
-	Last    uint64 `cbor:"4,keyasint,omitempty"`
-	Reason  string `cbor:"5,keyasint,omitempty"`
+	Version     uint64 `cbor:"1,keyasint"`
+	Hash        uint64 `cbor:"2,keyasint"`
+	Outcome     what   `cbor:"3,keyasint"`
+	LastVersion uint64 `cbor:"4,keyasint,omitempty"`
+	Reason      string `cbor:"5,keyasint,omitempty"`
 }
 
 type what int
@@ -76,7 +76,7 @@
 
 // poke says that there is news, or, with Lead, who leads.
 type poke struct {
-	Lead string `cbor:"1,keyasint,omitempty"`
+	Leader string `cbor:"1,keyasint,omitempty"`
 }
 
 var errSpoilt = errors.New("a spoilt message")
--- a/internal/agreed/plays_test.go
+++ b/internal/agreed/plays_test.go
@@ -35,7 +35,7 @@
 			}
 			w.stop(m, time.Duration(w.rng.IntN(6000))*time.Millisecond)
 		case 6: // one that is in place only, lest a majority forgets
-			if !slices.ContainsFunc(w.managers, func(m *manager) bool { return !m.voter.votes() || len(m.voter.ledger.Members) != 5 }) {
+			if !slices.ContainsFunc(w.managers, func(m *manager) bool { return !m.voter.votes() || len(m.voter.ledger.Replicas) != 5 }) {
 				m.span = nil
 				w.start(m, m.voter.self.Incarnation+1, nil)
 			}
@@ -117,13 +117,13 @@
 	rest := slices.DeleteFunc(slices.Clone(w.managers), func(m *manager) bool { return m == off })
 	two := w.submit(rest[0], "n2")
 	w.run(500 * time.Millisecond)
-	if e, ok := rest[1].Decide(rest[1].clock(w.now)); !ok || e.Alone || !e.Out["n1"] || !e.Out["n2"] {
+	if e, ok := rest[1].Effective(rest[1].clock(w.now)); !ok || e.NoLease || !e.DisabledNodes["n1"] || !e.DisabledNodes["n2"] {
 		t.Errorf("a manager that can be reached does %+v", e)
 	}
 	if took := w.inForce(two.Version, 2*time.Second, rest...); took < 0 {
 		t.Error("one that is cut off holds up a version for over T")
 	}
-	if e, ok := off.Decide(off.clock(w.now)); !ok || !e.Alone || !e.Out["n1"] {
+	if e, ok := off.Effective(off.clock(w.now)); !ok || !e.NoLease || !e.DisabledNodes["n1"] {
 		t.Errorf("the one that is cut off does %+v", e)
 	}
 }
@@ -134,10 +134,10 @@
 	w.run(4 * time.Second)
 	w.inForce(w.submit(w.managers[0], "n").Version, time.Second, w.managers...)
 	m := w.managers[2]
-	if e, ok := m.Decide(m.clock(w.now)); !ok || e.Alone {
+	if e, ok := m.Effective(m.clock(w.now)); !ok || e.NoLease {
 		t.Errorf("before: %+v, %v", e, ok)
 	}
-	if e, ok := m.Decide(m.clock(w.now + 6*time.Second)); !ok || !e.Alone {
+	if e, ok := m.Effective(m.clock(w.now + 6*time.Second)); !ok || !e.NoLease {
 		t.Errorf("after 3 T: %+v, %v", e, ok)
 	}
 }
@@ -150,12 +150,12 @@
 	a, b := w.submit(w.managers[1], "a"), w.submit(w.managers[2], "b")
 	w.submit(w.managers[3], "bad")
 	w.run(3 * time.Second)
-	w.give(w.managers[4], Event{Kind: EvSubmit, Document: &Document{Version: 9, Replaces: 8}})
+	w.give(w.managers[4], Event{Kind: EventSubmit, Document: &Document{Version: 9, Replaces: 8}})
 	w.run(time.Second)
 	var (
-		clash *Conflict
-		wrong *Bad
-		hole  *Gap
+		clash *VersionConflictError
+		wrong *InvalidVersionError
+		hole  *VersionGapError
 	)
 	ta, tb := w.managers[1].told[0].Err, w.managers[2].told[0].Err
 	if a.Version != b.Version || (ta == nil) == (tb == nil) || !errors.As(errors.Join(ta, tb), &clash) {
@@ -164,7 +164,7 @@
 	if err := w.managers[3].told[0].Err; !errors.As(err, &wrong) || wrong.Reason != "bad" {
 		t.Errorf("a bad version was told %v", err)
 	}
-	if err := w.managers[4].told[0].Err; !errors.As(err, &hole) || hole.Last != 1 {
+	if err := w.managers[4].told[0].Err; !errors.As(err, &hole) || hole.LastVersion != 1 {
 		t.Errorf("version 9 over 8 was told %v", err)
 	}
 	if w.inForce(1, time.Second, w.managers...) < 0 {
--- a/internal/agreed/voter.go
+++ b/internal/agreed/voter.go
@@ -24,7 +24,7 @@
 // chance; here they come from the seed: a follower is never ticked, forgets its
 // leader after patience, and is told to campaign.
 type voter struct {
-	self    Member
+	self    Replica
 	node    *raft.RawNode
 	store   *store
 	ledger  ledger
@@ -59,13 +59,13 @@
 
 // newVoter is a Member at its start. founders are the first Members of all, the same
 // for each of them; without them it knows nothing and waits to be let in.
-func newVoter(now, tick time.Duration, self Member, founders []Member, chance *rand.Rand) *voter {
+func newVoter(now, tick time.Duration, self Replica, founders []Replica, chance *rand.Rand) *voter {
 	v := &voter{self: self, chance: chance, tick: tick, names: map[uint64]string{}, snaps: map[uint64]time.Duration{},
-		ledger: ledger{Hashes: map[uint64]uint64{}, Members: map[uint64]Member{}}}
+		ledger: ledger{Hashes: map[uint64]uint64{}, Replicas: map[uint64]Replica{}}}
 	v.store = &store{MemoryStorage: raft.NewMemoryStorage(), ledger: &v.ledger, conf: &raftpb.ConfState{}}
 	if founders != nil {
 		for _, m := range founders {
-			v.ledger.Members[m.id()] = m
+			v.ledger.Replicas[m.id()] = m
 			v.names[m.id()] = m.Name
 			v.store.conf.Voters = append(v.store.conf.Voters, m.id())
 		}
@@ -78,7 +78,7 @@
 	var err error
 	v.node, err = raft.NewRawNode(&raft.Config{
 		ID: self.id(), ElectionTick: patience, HeartbeatTick: 1, Storage: v.store, Applied: v.store.applied,
-		MaxSizePerMsg: MostBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: silent,
+		MaxSizePerMsg: MaxDocumentBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: silent,
 	})
 	must(err)
 	v.heard(now)
@@ -202,15 +202,15 @@
 			return
 		}
 		d := new(Document)
-		if decoder.Unmarshal(x.Doc, d) == nil {
+		if decoder.Unmarshal(x.EncodedDocument, d) == nil {
 			v.ledger.accept(d)
 		}
 	case raftpb.EntryType_EntryConfChangeV2:
 		c := new(raftpb.ConfChangeV2)
 		must(proto.Unmarshal(e.GetData(), c))
-		var m Member
+		var m Replica
 		if len(c.GetContext()) > 0 && decoder.Unmarshal(c.GetContext(), &m) == nil {
-			v.ledger.Members[m.id()] = m
+			v.ledger.Replicas[m.id()] = m
 		}
 		v.store.conf = v.node.ApplyConfChange(c)
 		v.know()
@@ -225,16 +225,16 @@
 			in[id] = true
 		}
 	}
-	for id, m := range v.ledger.Members {
+	for id, m := range v.ledger.Replicas {
 		if v.names[id] = m.Name; !in[id] {
-			delete(v.ledger.Members, id)
+			delete(v.ledger.Replicas, id)
 		}
 	}
 }
 
 // admit lets a new life of a voter in: first to learn, then in the place of all the
 // lives before it.
-func (v *voter) admit(m Member) {
+func (v *voter) admit(m Replica) {
 	c := &raftpb.ConfChangeV2{Context: encode(m)}
 	change := func(t raftpb.ConfChangeType, id uint64) {
 		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{Type: &t, NodeId: &id})
@@ -245,7 +245,7 @@
 	case len(v.store.conf.VotersOutgoing) > 0 || in && !p.IsLearner:
 		return // another change is under way, or it is in
 	case !in:
-		for _, o := range v.ledger.Members {
+		for _, o := range v.ledger.Replicas {
 			if o.Name == m.Name && o.Incarnation >= m.Incarnation {
 				return // Guard: of two lives the later one counts
 			}
@@ -253,7 +253,7 @@
 		change(raftpb.ConfChangeType_ConfChangeAddLearnerNode, m.id())
 	case p.Match >= status.GetCommit():
 		change(raftpb.ConfChangeType_ConfChangeAddNode, m.id())
-		for _, o := range sorted(values(v.ledger.Members), func(o Member) string { return string(encode(o)) }) {
+		for _, o := range sorted(values(v.ledger.Replicas), func(o Replica) string { return string(encode(o)) }) {
 			if o.Name == m.Name && o != m {
 				change(raftpb.ConfChangeType_ConfChangeRemoveNode, o.id())
 			}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -20,7 +20,7 @@
 	Listen  string // empty: nothing is sent, and all that are named count as there
 	Address string // at which the others reach this one; empty: Listen
 	Join    []string
-	Members []member.Named
+	Members []member.ConfiguredMember
 	At      map[string][2]string // where members are reached from here
 	Keys    [][]byte             // the first seals, all open
 	Voters  []string
@@ -35,7 +35,7 @@
 	return conf.Key{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Read: func(d *conf.Directive) {
 		f := &Fleet{At: map[string][2]string{}}
 		known := func(d *conf.Directive, name string) {
-			if !slices.ContainsFunc(f.Members, func(m member.Named) bool { return m.Name == name }) && !d.Bad() {
+			if !slices.ContainsFunc(f.Members, func(m member.ConfiguredMember) bool { return m.Name == name }) && !d.Bad() {
 				d.Fault(d.At(), "%q is none of the members; name them before", name)
 			}
 		}
@@ -43,8 +43,8 @@
 		d.Block(
 			conf.Key{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Many: true, Must: true, Read: func(d *conf.Directive) {
 				for first := true; (first || d.More()) && !d.Bad(); first = false {
-					m := member.Named{Name: fleetName(d, "a manager's name")}
-					if slices.ContainsFunc(f.Members, func(o member.Named) bool { return o.Name == m.Name }) && !d.Bad() {
+					m := member.ConfiguredMember{Name: fleetName(d, "a manager's name")}
+					if slices.ContainsFunc(f.Members, func(o member.ConfiguredMember) bool { return o.Name == m.Name }) && !d.Bad() {
 						d.Fault(d.At(), "%q is a member already", m.Name)
 					}
 					m.Site = fleetName(d, "the site of "+m.Name)
@@ -108,7 +108,7 @@
 
 // checkFleet tells what fits together in no line of the block.
 func (l *loader) checkFleet(d, listen *conf.Directive, f *Fleet) {
-	self := slices.IndexFunc(f.Members, func(m member.Named) bool { return m.Name == l.on.Name })
+	self := slices.IndexFunc(f.Members, func(m member.ConfiguredMember) bool { return m.Name == l.on.Name })
 	if self < 0 && len(f.Members) > 0 && l.on.Name != "" {
 		d.Fault(0, "%q, the name of this manager, is none of the members", l.on.Name)
 	}
@@ -206,7 +206,7 @@
 	if f == nil {
 		return m, false
 	}
-	m = member.Config{Self: member.Meta{Name: c.Name, Address: f.Address}, Named: f.Members, Join: f.Join, Listen: f.Listen, At: f.At, Keys: f.Keys}
+	m = member.Config{Self: member.Meta{Name: c.Name, Address: f.Address}, ConfiguredMembers: f.Members, JoinAddresses: f.Join, ListenAddress: f.Listen, AddressOverrides: f.At, EncryptionKeys: f.Keys}
 	for _, n := range f.Members {
 		if n.Name == c.Name {
 			m.Self.Site = n.Site
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -60,7 +60,7 @@
 		if strings.Contains(e.lines, "relay") && err == nil {
 			c := Config{Name: "m1", Operator: o}
 			m, ok := c.Membership()
-			if !ok || len(m.Keys) != 2 || len(m.Keys[0]) != 32 || m.At["m2"] != [2]string{"relay.example:70", "relay.example:71"} || m.Self.Site != "hall-a" || m.Self.Address != "10.0.0.1:7946" || len(m.Named) != 3 {
+			if !ok || len(m.EncryptionKeys) != 2 || len(m.EncryptionKeys[0]) != 32 || m.AddressOverrides["m2"] != [2]string{"relay.example:70", "relay.example:71"} || m.Self.Site != "hall-a" || m.Self.Address != "10.0.0.1:7946" || len(m.ConfiguredMembers) != 3 {
 				t.Errorf("%+v", m)
 			}
 		}
--- a/internal/member/book_test.go
+++ b/internal/member/book_test.go
@@ -10,24 +10,24 @@
 )
 
 func meta(name string, life int64, at string) Meta {
-	return Meta{Name: name, Address: at, Started: life}
+	return Meta{Name: name, Address: at, StartedUnixNano: life}
 }
 
-func five() []Named {
-	return []Named{{"m1", "a"}, {"m2", "a"}, {"m3", "b"}, {"m4", "b"}, {"m5", "b"}}
+func five() []ConfiguredMember {
+	return []ConfiguredMember{{"m1", "a"}, {"m2", "a"}, {"m3", "b"}, {"m4", "b"}, {"m5", "b"}}
 }
 
-func whats(events []Event) (all []What) {
+func whats(events []Event) (all []EventKind) {
 	for _, e := range events {
-		all = append(all, e.What)
+		all = append(all, e.Kind)
 	}
 	return all
 }
 
 func TestCourse(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := NewBook(meta("m1", 1, "1"), five(), now)
-	at := func(f func(time.Time) []Event, want ...What) {
+	b := NewTracker(meta("m1", 1, "1"), five(), now)
+	at := func(f func(time.Time) []Event, want ...EventKind) {
 		t.Helper()
 		before := b.view.Number
 		now = now.Add(100 * time.Millisecond)
@@ -39,39 +39,39 @@
 			t.Error("numbered without a change")
 		}
 	}
-	if v := b.View(); !v.Alone || v.InView != 1 || v.Number != 1 {
+	if v := b.View(); !v.NoQuorum || v.PresentCount != 1 || v.Number != 1 {
 		t.Errorf("at the start: %+v", v)
 	}
-	alive := func(m Meta) func(time.Time) []Event { return func(n time.Time) []Event { return b.Alive(m, n) } }
-	at(alive(meta("m2", 5, "2")), Joined)
+	alive := func(m Meta) func(time.Time) []Event { return func(n time.Time) []Event { return b.RecordAlive(m, n) } }
+	at(alive(meta("m2", 5, "2")), EventJoined)
 	at(alive(meta("m2", 5, "2")))
-	at(alive(meta("m3", 5, "3")), Joined, InCompany)
-	at(func(n time.Time) []Event { return b.Doubted("m3", n) }, Suspected)
+	at(alive(meta("m3", 5, "3")), EventJoined, EventQuorumRegained)
+	at(func(n time.Time) []Event { return b.RecordSuspicion("m3", n) }, EventSuspected)
 	at(alive(meta("m3", 5, "3"))) // hearsay
-	at(func(n time.Time) []Event { return b.Answered("m3", n) }, Cleared)
-	at(func(n time.Time) []Event { return b.Doubted("m3", n) }, Suspected)
-	at(func(n time.Time) []Event { return b.Ended("m3", n) }, WasLost, IsAlone)
-	at(func(n time.Time) []Event { return b.Ended("m3", n) })
-	at(alive(meta("m3", 5, "3")), Healed, InCompany)
-	at(alive(meta("m3", 9, "3")), Restarted)
+	at(func(n time.Time) []Event { return b.RecordAck("m3", n) }, EventSuspicionCleared)
+	at(func(n time.Time) []Event { return b.RecordSuspicion("m3", n) }, EventSuspected)
+	at(func(n time.Time) []Event { return b.RecordGone("m3", n) }, EventLost, EventQuorumLost)
+	at(func(n time.Time) []Event { return b.RecordGone("m3", n) })
+	at(alive(meta("m3", 5, "3")), EventRecovered, EventQuorumRegained)
+	at(alive(meta("m3", 9, "3")), EventRestarted)
 	leaving := meta("m3", 9, "3")
-	leaving.Leaves = true
-	at(alive(leaving), Departs, IsAlone)
-	at(func(n time.Time) []Event { return b.Ended("m3", n) }, Left)
-	at(alive(meta("m3", 11, "3")), Joined, InCompany)
-	at(alive(meta("x", 1, "9")), Stranger)
+	leaving.Leaving = true
+	at(alive(leaving), EventLeaving, EventQuorumLost)
+	at(func(n time.Time) []Event { return b.RecordGone("m3", n) }, EventLeft)
+	at(alive(meta("m3", 11, "3")), EventJoined, EventQuorumRegained)
+	at(alive(meta("x", 1, "9")), EventUnknownMember)
 	at(alive(meta("x", 1, "9")))
 	now = now.Add(5 * time.Second)
-	at(b.Tick, Stood)
+	at(b.Tick, EventProcessPaused)
 	if !b.View().Stale {
 		t.Error("not stale after a stand")
 	}
-	at(func(n time.Time) []Event { return b.Answered("m2", n) }, Fresh)
-	half := NewBook(meta("m1", 1, "1"), five()[:4], now) // two of four: either half may be the one cut off
-	if half.Alive(meta("m2", 5, "2"), now); !half.View().Alone {
+	at(func(n time.Time) []Event { return b.RecordAck("m2", n) }, EventViewRefreshed)
+	half := NewTracker(meta("m1", 1, "1"), five()[:4], now) // two of four: either half may be the one cut off
+	if half.RecordAlive(meta("m2", 5, "2"), now); !half.View().NoQuorum {
 		t.Error("a half is in company")
 	}
-	if half.Alive(meta("m3", 5, "3"), now); half.View().Alone {
+	if half.RecordAlive(meta("m3", 5, "3"), now); half.View().NoQuorum {
 		t.Error("three of four are alone")
 	}
 }
@@ -80,41 +80,41 @@
 	now := time.Unix(1000, 0)
 	elder, younger := meta("m2", 5, "2"), meta("m2", 7, "22")
 	for _, first := range []Meta{elder, younger} {
-		b := NewBook(meta("m1", 1, "1"), five(), now)
-		b.Alive(first, now)
+		b := NewTracker(meta("m1", 1, "1"), five(), now)
+		b.RecordAlive(first, now)
 		second := elder
 		if first == elder {
 			second = younger
 		}
-		if b.Admit(second) != (second == elder) {
+		if b.Admits(second) != (second == elder) {
 			t.Errorf("%v beside %v", second, first)
 		}
-		events := b.Alive(second, now)
-		if events[0].What != Twin || events[0].Member != elder || events[0].Other != younger {
+		events := b.RecordAlive(second, now)
+		if events[0].Kind != EventDuplicateName || events[0].Member != elder || events[0].Duplicate != younger {
 			t.Errorf("%v", events)
 		}
 		if got := b.view.Find("m2").Meta; got != elder {
 			t.Errorf("%v is in view", got)
 		}
-		b.Ended("m2", now) // an elder that is lost makes room
-		if !b.Admit(younger) || b.Alive(younger, now)[0].What != Restarted {
+		b.RecordGone("m2", now) // an elder that is lost makes room
+		if !b.Admits(younger) || b.RecordAlive(younger, now)[0].Kind != EventRestarted {
 			t.Error("refused after the elder's end")
 		}
 	}
 	// The two themselves: the elder is told, the younger is refused until it meets it no more.
-	b := NewBook(elder, five(), now)
-	if got := whats(b.Twins(elder, younger, now)); !slices.Equal(got, []What{Twin}) || b.View().Refused {
+	b := NewTracker(elder, five(), now)
+	if got := whats(b.RecordDuplicate(elder, younger, now)); !slices.Equal(got, []EventKind{EventDuplicateName}) || b.View().RefusedAsDuplicate {
 		t.Error("elder", got)
 	}
-	b = NewBook(younger, five(), now)
-	if got := whats(b.Twins(younger, elder, now)); !slices.Equal(got, []What{Twin, WasRefused}) || !b.View().Refused {
+	b = NewTracker(younger, five(), now)
+	if got := whats(b.RecordDuplicate(younger, elder, now)); !slices.Equal(got, []EventKind{EventDuplicateName, EventSelfRefused}) || !b.View().RefusedAsDuplicate {
 		t.Error("younger", got)
 	}
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		b.Tick(now)
 	}
-	if b.View().Refused {
+	if b.View().RefusedAsDuplicate {
 		t.Error("refused for good")
 	}
 }
@@ -126,59 +126,59 @@
 func TestBookHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		b := NewBook(meta("m1", 3, "1"), five(), now)
+		b := NewTracker(meta("m1", 3, "1"), five(), now)
 		seen := map[string]bool{"m1": true} // in view, by events alone
 		v := b.View()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 50, 700, 2000, 40000}).Draw(t, "ms")) * time.Millisecond)
 			name := fmt.Sprintf("m%d", rapid.IntRange(1, 6).Draw(t, "name"))
 			m := meta(name, int64(rapid.IntRange(1, 4).Draw(t, "life")), rapid.SampledFrom([]string{"1", "2"}).Draw(t, "at"))
-			m.Leaves = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
+			m.Leaving = rapid.IntRange(0, 5).Draw(t, "leaves") == 0
 			var events []Event
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				before := b.view.Find(name)
-				stays := before != nil && name != "m1" && before.Status.InView() && before.Address != m.Address && before.older(m)
+				stays := before != nil && name != "m1" && before.Status.Present() && before.Address != m.Address && before.older(m)
 				var was Meta
 				if before != nil {
 					was = before.Meta
 				}
-				admitted := b.Admit(m)
-				events = b.Alive(m, now)
+				admitted := b.Admits(m)
+				events = b.RecordAlive(m, now)
 				if stays && (b.view.Find(name).Meta != was || admitted) {
 					t.Fatalf("the younger %v took the place of %v", m, was)
 				}
 			case 2:
-				events = b.Doubted(name, now)
+				events = b.RecordSuspicion(name, now)
 			case 3:
-				events = b.Answered(name, now)
+				events = b.RecordAck(name, now)
 			case 4:
-				events = b.Ended(name, now)
+				events = b.RecordGone(name, now)
 			case 5:
 				events = b.Tick(now)
 			}
 			for _, e := range events {
-				switch e.What {
-				case Joined, Restarted, Healed:
+				switch e.Kind {
+				case EventJoined, EventRestarted, EventRecovered:
 					seen[e.Member.Name] = true
-				case WasLost, Departs, Left:
+				case EventLost, EventLeaving, EventLeft:
 					delete(seen, e.Member.Name)
-				case Suspected, Cleared:
+				case EventSuspected, EventSuspicionCleared:
 					if !seen[e.Member.Name] {
 						t.Fatalf("%v of one that is not in view", e)
 					}
 				}
 			}
 			next := b.View()
-			changed := next.Alone != v.Alone || next.Stale != v.Stale || next.Refused != v.Refused
+			changed := next.NoQuorum != v.NoQuorum || next.Stale != v.Stale || next.RefusedAsDuplicate != v.RefusedAsDuplicate
 			for i := range next.Members {
 				changed = changed || next.Members[i] != v.Members[i]
 			}
 			if next.Number != v.Number && next.Number != v.Number+1 || changed && next.Number == v.Number {
 				t.Fatalf("view %d after %d, changed: %v, %v", next.Number, v.Number, changed, events)
 			}
-			if n := len(seen); next.InView != n || next.Alone != (n <= 2) {
-				t.Fatalf("%d in view, alone %v; by events %v", next.InView, next.Alone, seen)
+			if n := len(seen); next.PresentCount != n || next.NoQuorum != (n <= 2) {
+				t.Fatalf("%d in view, alone %v; by events %v", next.PresentCount, next.NoQuorum, seen)
 			}
 			v = next
 		}
--- a/internal/member/sizes_test.go
+++ b/internal/member/sizes_test.go
@@ -23,28 +23,28 @@
 		t.Skip("with -sizes N only")
 	}
 	n := *sizes
-	var named []Named
+	var named []ConfiguredMember
 	for i := range n {
-		named = append(named, Named{fmt.Sprintf("m%03d", i), "s"})
+		named = append(named, ConfiguredMember{fmt.Sprintf("m%03d", i), "s"})
 	}
 	runtime.GC()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	fds := descriptors()
 	cfg := func(i int) Config {
-		return Config{Self: Meta{Name: named[i].Name, Site: "s"}, Named: named, Keys: [][]byte{[]byte(strings.Repeat("k", 16))}}
+		return Config{Self: Meta{Name: named[i].Name, Site: "s"}, ConfiguredMembers: named, EncryptionKeys: [][]byte{[]byte(strings.Repeat("k", 16))}}
 	}
 	began := time.Now()
 	all := []*heard{runs(t, cfg(0))}
 	for i := 1; i < n; i++ {
 		c := cfg(i)
-		c.Join = []string{all[0].Addr()}
+		c.JoinAddresses = []string{all[0].Addr()}
 		all = append(all, runs(t, c))
 	}
 	whole := func(want int, who []*heard) func() bool {
 		return func() bool {
 			for _, h := range who {
-				if h.View().InView != want {
+				if h.View().PresentCount != want {
 					return false
 				}
 			}
@@ -57,7 +57,7 @@
 	sent := func() (datagrams, bytes, streamed int64) {
 		for _, h := range all {
 			c := h.Traffic()
-			datagrams, bytes, streamed = datagrams+c.Packets.Load(), bytes+c.Sent.Load(), streamed+c.Streamed.Load()
+			datagrams, bytes, streamed = datagrams+c.DatagramsSent.Load(), bytes+c.DatagramBytesSent.Load(), streamed+c.ConnectionBytes.Load()
 		}
 		return
 	}
--- a/internal/member/swim.go
+++ b/internal/member/swim.go
@@ -43,7 +43,7 @@
 	once   sync.Once
 
 	mu        sync.Mutex // taken inside memberlist's own locks; nothing of it is called with mu held
-	book      *Book
+	book      *Tracker
 	transport *transport // bound, and not yet used
 	leaves    bool
 }
@@ -55,11 +55,11 @@
 
 // NewSwim binds the sockets of a member. The error is a *ListenError where that fails.
 func NewSwim(c Config) (*Swim, error) {
-	if len(c.Named) == 0 {
+	if len(c.ConfiguredMembers) == 0 {
 		return nil, errNoMembers
 	}
-	if c.Log == nil {
-		c.Log = func(string) {}
+	if c.LogLine == nil {
+		c.LogLine = func(string) {}
 	}
 	s := &Swim{config: c, told: mailbox.New[happened](1 << 16), leave: make(chan struct{})}
 	t, err := s.bind()
@@ -67,23 +67,23 @@
 		return nil, err
 	}
 	s.transport = t
-	_, port, err := net.SplitHostPort(s.config.Listen)
+	_, port, err := net.SplitHostPort(s.config.ListenAddress)
 	if err != nil || port == "0" {
-		host, _, _ := net.SplitHostPort(c.Listen)
-		s.config.Listen = net.JoinHostPort(host, strconv.Itoa(t.port))
+		host, _, _ := net.SplitHostPort(c.ListenAddress)
+		s.config.ListenAddress = net.JoinHostPort(host, strconv.Itoa(t.port))
 	}
 	if c.Self.Address == "" {
-		s.config.Self.Address = s.config.Listen
+		s.config.Self.Address = s.config.ListenAddress
 	}
-	if c.Self.Started == 0 {
-		s.config.Self.Started = time.Now().UnixNano()
+	if c.Self.StartedUnixNano == 0 {
+		s.config.Self.StartedUnixNano = time.Now().UnixNano()
 	}
-	s.book = NewBook(s.config.Self, c.Named, time.Now())
+	s.book = NewTracker(s.config.Self, c.ConfiguredMembers, time.Now())
 	return s, nil
 }
 
 // Addr is where it listens, TCP and UDP.
-func (s *Swim) Addr() string { return s.config.Listen }
+func (s *Swim) Addr() string { return s.config.ListenAddress }
 
 // Traffic is what it has sent and got.
 func (s *Swim) Traffic() *Traffic { return &s.count }
@@ -118,7 +118,7 @@
 			return err
 		}
 		if err != nil {
-			s.config.Log(err.Error())
+			s.config.LogLine(err.Error())
 		}
 		// Refused: its elder has the name. Out of all views it asks again, later.
 		for wait := time.After(refusedFor); wait != nil; {
@@ -126,7 +126,7 @@
 			case <-ctx.Done():
 				return nil
 			case <-tick.C:
-				s.note(func(b *Book, now time.Time) []Event { return b.Tick(now) })
+				s.note(func(b *Tracker, now time.Time) []Event { return b.Tick(now) })
 			case <-wait:
 				wait = nil
 			}
@@ -145,16 +145,16 @@
 		}
 		taken = s.told.Take(taken)
 		for _, h := range taken {
-			s.config.Told(h.view, h.events)
+			s.config.OnEvents(h.view, h.events)
 		}
 	}
 }
 
 // note has the book take a report. It may be called inside memberlist's locks.
-func (s *Swim) note(f func(*Book, time.Time) []Event) {
+func (s *Swim) note(f func(*Tracker, time.Time) []Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if events := f(s.book, time.Now()); len(events) > 0 && s.config.Told != nil {
+	if events := f(s.book, time.Now()); len(events) > 0 && s.config.OnEvents != nil {
 		// Guard: a full mailbox loses the word, never the view.
 		s.told.Put(happened{s.book.View(), events})
 	}
@@ -170,10 +170,10 @@
 	}
 	defer func() {
 		list.Shutdown()
-		s.note(func(b *Book, now time.Time) (all []Event) {
+		s.note(func(b *Tracker, now time.Time) (all []Event) {
 			if ctx.Err() == nil {
-				for _, n := range s.config.Named {
-					all = append(all, b.Ended(n.Name, now)...)
+				for _, n := range s.config.ConfiguredMembers {
+					all = append(all, b.RecordGone(n.Name, now)...)
 				}
 			}
 			return all
@@ -190,8 +190,8 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick:
-			s.note(func(b *Book, now time.Time) []Event { return b.Tick(now) })
-			if s.View().Refused {
+			s.note(func(b *Tracker, now time.Time) []Event { return b.Tick(now) })
+			if s.View().RefusedAsDuplicate {
 				return nil
 			}
 		}
@@ -228,8 +228,8 @@
 	d := &delegate{s}
 	c.Delegate, c.Events, c.Alive, c.Conflict, c.Ping = d, d, d, d, d
 	c.Logger = s.logger()
-	if len(s.config.Keys) > 0 {
-		if c.Keyring, err = memberlist.NewKeyring(s.config.Keys, s.config.Keys[0]); err != nil {
+	if len(s.config.EncryptionKeys) > 0 {
+		if c.Keyring, err = memberlist.NewKeyring(s.config.EncryptionKeys, s.config.EncryptionKeys[0]); err != nil {
 			t.Shutdown()
 			return nil, fmt.Errorf("fleet: key: %w", err)
 		}
@@ -247,7 +247,7 @@
 	for {
 		if at := s.missing(); at != "" {
 			if _, err := list.Join([]string{at}); err != nil {
-				s.config.Log(err.Error())
+				s.config.LogLine(err.Error())
 			}
 		}
 		select {
@@ -266,17 +266,17 @@
 	var at []string
 	whole := true
 	for _, m := range v.Members {
-		if m.Name == v.Self || m.Status.InView() && !v.Stale {
+		if m.Name == v.Self || m.Status.Present() && !v.Stale {
 			continue
 		}
-		whole = whole && m.Status.InView()
-		if a := cmp.Or(s.config.At[m.Name][0], m.Address); a != "" && m.Status != Departing {
+		whole = whole && m.Status.Present()
+		if a := cmp.Or(s.config.AddressOverrides[m.Name][0], m.Address); a != "" && m.Status != StatusLeaving {
 			at = append(at, m.Name+"/"+a)
 		}
 	}
 	if !whole {
-		for _, a := range s.config.Join {
-			if a != s.config.Self.Address && a != s.config.Listen {
+		for _, a := range s.config.JoinAddresses {
+			if a != s.config.Self.Address && a != s.config.ListenAddress {
 				at = append(at, a)
 			}
 		}
@@ -298,9 +298,9 @@
 	s.mu.Lock()
 	s.leaves = true
 	s.mu.Unlock()
-	s.note(func(b *Book, now time.Time) []Event { return b.Leaves(now) })
+	s.note(func(b *Tracker, now time.Time) []Event { return b.RecordOwnLeave(now) })
 	if err := list.UpdateNode(leaveFor); err != nil {
-		s.config.Log(err.Error())
+		s.config.LogLine(err.Error())
 	}
 	// The end must not overtake the word: gossip has a few rounds.
 	select {
@@ -308,7 +308,7 @@
 	case <-time.After(3 * gossipEvery):
 	}
 	if err := list.Leave(leaveFor); err != nil {
-		s.config.Log(err.Error())
+		s.config.LogLine(err.Error())
 	}
 }
 
@@ -322,10 +322,10 @@
 	line := string(bytes.TrimSpace(b))
 	if rest, ok := strings.CutPrefix(line, "[INFO] memberlist: Suspect "); ok {
 		if name, ok := strings.CutSuffix(rest, " has failed, no acks received"); ok {
-			l.s.note(func(b *Book, now time.Time) []Event { return b.Doubted(name, now) })
+			l.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordSuspicion(name, now) })
 		}
 	}
-	l.s.config.Log(line)
+	l.s.config.LogLine(line)
 	return len(b), nil
 }
 
@@ -338,21 +338,21 @@
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	m := d.s.config.Self
-	m.Leaves = d.s.leaves
+	m.Leaving = d.s.leaves
 	return m.encode()
 }
 
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
 	m := metaOf(n)
 	d.s.mu.Lock()
-	admitted := d.s.book.Admit(m)
+	admitted := d.s.book.Admits(m)
 	d.s.mu.Unlock()
-	if m.Started == 0 { // of another program, or of another form of this one
-		d.s.note(func(b *Book, now time.Time) []Event { return b.Strange(m, now) })
+	if m.StartedUnixNano == 0 { // of another program, or of another form of this one
+		d.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordUnknown(m, now) })
 		return errKeptOut
 	}
 	if own := m.Name == d.s.config.Self.Name; own || !admitted {
-		d.s.note(func(b *Book, now time.Time) []Event { return b.Alive(m, now) })
+		d.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordAlive(m, now) })
 		if own {
 			return nil
 		}
@@ -363,22 +363,22 @@
 
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	m := metaOf(n)
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Alive(m, now) })
+	d.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordAlive(m, now) })
 }
 
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Ended(n.Name, now) })
+	d.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordGone(n.Name, now) })
 }
 
 func (d *delegate) NotifyConflict(one, other *memberlist.Node) {
 	a, b := metaOf(one), metaOf(other)
-	d.s.note(func(book *Book, now time.Time) []Event { return book.Twins(a, b, now) })
+	d.s.note(func(book *Tracker, now time.Time) []Event { return book.RecordDuplicate(a, b, now) })
 }
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Answered(n.Name, now) })
+	d.s.note(func(b *Tracker, now time.Time) []Event { return b.RecordAck(n.Name, now) })
 }
 
 func (d *delegate) AckPayload() []byte              { return nil }
@@ -392,7 +392,7 @@
 
 // encode writes what the others are told beside the name, under 512 bytes.
 func (m Meta) encode() []byte {
-	return []byte(strings.Join([]string{form, m.Site, m.Address, strconv.FormatInt(m.Started, 36), strconv.FormatBool(m.Leaves)}, "\n"))
+	return []byte(strings.Join([]string{form, m.Site, m.Address, strconv.FormatInt(m.StartedUnixNano, 36), strconv.FormatBool(m.Leaving)}, "\n"))
 }
 
 // metaOf reads what a member tells of itself. Started is 0 if that can't be read.
@@ -402,15 +402,15 @@
 	if len(f) != 5 || f[0] != form {
 		return m
 	}
-	m.Site, m.Leaves = f[1], f[4] == "true"
-	m.Started, _ = strconv.ParseInt(f[3], 36, 64)
+	m.Site, m.Leaving = f[1], f[4] == "true"
+	m.StartedUnixNano, _ = strconv.ParseInt(f[3], 36, 64)
 	return m
 }
 
-// Names of a View's members that are counted upon, itself among them.
-func (v View) Names() (names []string) {
+// PresentNames of a View's members that are counted upon, itself among them.
+func (v View) PresentNames() (names []string) {
 	for _, m := range v.Members {
-		if m.Status.InView() || m.Name == v.Self {
+		if m.Status.Present() || m.Name == v.Self {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/member/swim_test.go
+++ b/internal/member/swim_test.go
@@ -27,17 +27,17 @@
 	events []Event
 }
 
-func (h *heard) saw(w What, of string) bool {
+func (h *heard) saw(w EventKind, of string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.ContainsFunc(h.events, func(e Event) bool { return e.What == w && e.Member.Name == of })
+	return slices.ContainsFunc(h.events, func(e Event) bool { return e.Kind == w && e.Member.Name == of })
 }
 
 func runs(t *testing.T, c Config) *heard {
 	t.Helper()
 	h := new(heard)
-	c.Listen = "127.0.0.1:0"
-	c.Told = func(_ View, events []Event) {
+	c.ListenAddress = "127.0.0.1:0"
+	c.OnEvents = func(_ View, events []Event) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.events = append(h.events, events...)
@@ -86,11 +86,11 @@
 }
 
 func linkedConfig(p *fleettest.Peers, names []string, i int) Config {
-	c := Config{Self: Meta{Name: names[i], Site: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1)}, Keys: [][]byte{bytes.Repeat([]byte{7}, 16)}, At: map[string][2]string{}}
+	c := Config{Self: Meta{Name: names[i], Site: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1)}, EncryptionKeys: [][]byte{bytes.Repeat([]byte{7}, 16)}, AddressOverrides: map[string][2]string{}}
 	for _, n := range names {
-		c.Named = append(c.Named, Named{n, "s"})
+		c.ConfiguredMembers = append(c.ConfiguredMembers, ConfiguredMember{n, "s"})
 		if n != names[i] {
-			c.At[n] = [2]string{p.TCP[names[i]][n].Addr(), p.UDP[names[i]][n].Addr()}
+			c.AddressOverrides[n] = [2]string{p.TCP[names[i]][n].Addr(), p.UDP[names[i]][n].Addr()}
 		}
 	}
 	return c
@@ -99,7 +99,7 @@
 func sees(all map[string]*heard, who []string, want ...string) func() bool {
 	return func() bool {
 		for _, n := range who {
-			if v := all[n].View(); !slices.Equal(v.Names(), want) {
+			if v := all[n].View(); !slices.Equal(v.PresentNames(), want) {
 				return false
 			}
 		}
@@ -113,30 +113,30 @@
 	names := []string{"m1", "m2", "m3", "m4", "m5"}
 	all, p := linked(t, names...)
 	until(t, "all in view", sees(all, names, names...))
-	if m := all["m1"].View().Find("m4"); m.Address != "127.0.0.1:4" || m.Site != "s" || m.Started == 0 {
+	if m := all["m1"].View().Find("m4"); m.Address != "127.0.0.1:4" || m.Site != "s" || m.StartedUnixNano == 0 {
 		t.Errorf("%+v", m)
 	}
 	two, three := names[:2], names[2:]
 	p.Cut(two, three, false)
 	until(t, "the two alone", sees(all, two, two...))
 	until(t, "the three", sees(all, three, three...))
-	if !all["m1"].View().Alone || all["m3"].View().Alone {
+	if !all["m1"].View().NoQuorum || all["m3"].View().NoQuorum {
 		t.Error("the smaller part is the one that may be cut off")
 	}
-	if !all["m1"].saw(Suspected, "m3") && !all["m1"].saw(Suspected, "m4") && !all["m1"].saw(Suspected, "m5") {
+	if !all["m1"].saw(EventSuspected, "m3") && !all["m1"].saw(EventSuspected, "m4") && !all["m1"].saw(EventSuspected, "m5") {
 		t.Error("nobody was suspected")
 	}
 	p.Heal(two, three)
 	until(t, "all in view again", sees(all, names, names...))
-	if !all["m1"].saw(Healed, "m5") || !all["m4"].saw(Healed, "m1") || all["m1"].View().Alone {
+	if !all["m1"].saw(EventRecovered, "m5") || !all["m4"].saw(EventRecovered, "m1") || all["m1"].View().NoQuorum {
 		t.Error("not healed")
 	}
 	all["m5"].Leave()
 	until(t, "without the one that left", sees(all, names[:4], names[:4]...))
-	until(t, "it left", func() bool { return all["m1"].saw(Left, "m5") && all["m4"].saw(Left, "m5") })
+	until(t, "it left", func() bool { return all["m1"].saw(EventLeft, "m5") && all["m4"].saw(EventLeft, "m5") })
 	all["m4"].stop()
 	until(t, "without the one that ended", sees(all, names[:3], names[:3]...))
-	if all["m1"].saw(Left, "m4") || !all["m1"].saw(WasLost, "m4") {
+	if all["m1"].saw(EventLeft, "m4") || !all["m1"].saw(EventLost, "m4") {
 		t.Error("an end without a word is a loss")
 	}
 }
@@ -146,23 +146,25 @@
 func TestKeptOut(t *testing.T) {
 	t.Parallel()
 	key := [][]byte{bytes.Repeat([]byte{7}, 16)}
-	named := []Named{{"m1", "a"}, {"m2", "a"}, {"m3", "b"}}
-	m1 := runs(t, Config{Self: Meta{Name: "m1"}, Named: named, Keys: key})
+	named := []ConfiguredMember{{"m1", "a"}, {"m2", "a"}, {"m3", "b"}}
+	m1 := runs(t, Config{Self: Meta{Name: "m1"}, ConfiguredMembers: named, EncryptionKeys: key})
 	join := []string{m1.Addr()}
-	m2 := runs(t, Config{Self: Meta{Name: "m2"}, Named: named, Keys: key, Join: join})
+	m2 := runs(t, Config{Self: Meta{Name: "m2"}, ConfiguredMembers: named, EncryptionKeys: key, JoinAddresses: join})
 	all := map[string]*heard{"m1": m1, "m2": m2}
 	until(t, "both in view", sees(all, []string{"m1", "m2"}, "m1", "m2"))
-	younger := runs(t, Config{Self: Meta{Name: "m2"}, Named: named, Keys: key, Join: join})
-	runs(t, Config{Self: Meta{Name: "x"}, Named: append(named, Named{"x", "a"}), Keys: key, Join: join})
-	keyless := runs(t, Config{Self: Meta{Name: "m3"}, Named: named, Keys: [][]byte{bytes.Repeat([]byte{8}, 16)}, Join: join})
-	until(t, "the younger is refused", func() bool { return younger.View().Refused })
-	until(t, "both are told", func() bool { return m1.saw(Twin, "m2") && younger.saw(Twin, "m2") })
-	until(t, "the stranger is told", func() bool { return m1.saw(Stranger, "x") })
-	if v := m1.View(); v.Find("m2").Address != m2.Addr() || keyless.View().InView != 1 || v.Find("m3").Status != Unheard {
+	younger := runs(t, Config{Self: Meta{Name: "m2"}, ConfiguredMembers: named, EncryptionKeys: key, JoinAddresses: join})
+	runs(t, Config{Self: Meta{Name: "x"}, ConfiguredMembers: append(named, ConfiguredMember{"x", "a"}), EncryptionKeys: key, JoinAddresses: join})
+	keyless := runs(t, Config{Self: Meta{Name: "m3"}, ConfiguredMembers: named, EncryptionKeys: [][]byte{bytes.Repeat([]byte{8}, 16)}, JoinAddresses: join})
+	until(t, "the younger is refused", func() bool { return younger.View().RefusedAsDuplicate })
+	until(t, "both are told", func() bool { return m1.saw(EventDuplicateName, "m2") && younger.saw(EventDuplicateName, "m2") })
+	until(t, "the stranger is told", func() bool { return m1.saw(EventUnknownMember, "x") })
+	if v := m1.View(); v.Find("m2").Address != m2.Addr() || keyless.View().PresentCount != 1 || v.Find("m3").Status != StatusUnheard {
 		t.Errorf("%+v", v)
 	}
 	m2.stop()
-	until(t, "the younger is let in", func() bool { return !younger.View().Refused && m1.View().Find("m2").Address == younger.Addr() })
+	until(t, "the younger is let in", func() bool {
+		return !younger.View().RefusedAsDuplicate && m1.View().Find("m2").Address == younger.Addr()
+	})
 }
 
 // A connection to one that never says a word is closed when the stay in the fleet ends.
@@ -172,7 +174,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s, err := NewSwim(Config{Self: Meta{Name: "m1"}, Named: five(), Listen: "127.0.0.1:0"})
+	s, err := NewSwim(Config{Self: Meta{Name: "m1"}, ConfiguredMembers: five(), ListenAddress: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -192,7 +194,7 @@
 
 func TestListenError(t *testing.T) {
 	for _, at := range []string{"here:1", "127.0.0.1", "[::1]:0"} {
-		_, err := NewSwim(Config{Self: Meta{Name: "a"}, Named: []Named{{"a", ""}}, Listen: at})
+		_, err := NewSwim(Config{Self: Meta{Name: "a"}, ConfiguredMembers: []ConfiguredMember{{"a", ""}}, ListenAddress: at})
 		var e *ListenError
 		if !errors.As(err, &e) || e.Address != at || !strings.Contains(err.Error(), "fleet.listen") {
 			t.Errorf("%s: %v", at, err)
@@ -202,14 +204,14 @@
 
 // A fleet of a file is there without a packet.
 func TestFixed(t *testing.T) {
-	f, err := NewFixed(Config{Self: meta("m1", 1, "1"), Named: five()})
+	f, err := NewStatic(Config{Self: meta("m1", 1, "1"), ConfiguredMembers: five()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v := f.View(); v.InView != 5 || v.Alone || v.Number != 1 || len(v.Names()) != 5 {
+	if v := f.View(); v.PresentCount != 5 || v.NoQuorum || v.Number != 1 || len(v.PresentNames()) != 5 {
 		t.Errorf("%+v", v)
 	}
-	if _, err := NewFixed(Config{}); err == nil {
+	if _, err := NewStatic(Config{}); err == nil {
 		t.Error("a fleet of none")
 	}
 }
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -14,7 +14,7 @@
 // bytes without the headers of IP, UDP and TCP. What one sends another gets: over a
 // fleet, Sent is all.
 type Traffic struct {
-	Packets, Sent, Streams, Streamed atomic.Int64
+	DatagramsSent, DatagramBytesSent, ConnectionsOpened, ConnectionBytes atomic.Int64
 }
 
 // transport is memberlist's, reaching members where the file says.
@@ -28,27 +28,27 @@
 
 func (s *Swim) bind() (*transport, error) {
 	if s.config.via != nil {
-		return &transport{s.config.via(), s.config.At, &s.count, 0, context.Background()}, nil
+		return &transport{s.config.via(), s.config.AddressOverrides, &s.count, 0, context.Background()}, nil
 	}
-	host, port, err := net.SplitHostPort(s.config.Listen)
+	host, port, err := net.SplitHostPort(s.config.ListenAddress)
 	if err != nil {
-		return nil, &ListenError{s.config.Listen, err}
+		return nil, &ListenError{s.config.ListenAddress, err}
 	}
 	n, err := strconv.Atoi(port)
 	if err == nil && net.ParseIP(host).To4() == nil {
 		err = net.InvalidAddrError("no IPv4 address")
 	}
 	if err != nil {
-		return nil, &ListenError{s.config.Listen, err}
+		return nil, &ListenError{s.config.ListenAddress, err}
 	}
 	for try := 0; ; try++ {
 		t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: s.logger()})
 		if err == nil {
-			return &transport{t, s.config.At, &s.count, t.GetAutoBindPort(), context.Background()}, nil
+			return &transport{t, s.config.AddressOverrides, &s.count, t.GetAutoBindPort(), context.Background()}, nil
 		}
 		// With port 0, the port that TCP was given may be in use for UDP.
 		if n != 0 || try == 10 {
-			return nil, &ListenError{s.config.Listen, err}
+			return nil, &ListenError{s.config.ListenAddress, err}
 		}
 	}
 }
@@ -63,8 +63,8 @@
 
 // WriteToAddress sends a datagram.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	t.count.Packets.Add(1)
-	t.count.Sent.Add(int64(len(b)))
+	t.count.DatagramsSent.Add(1)
+	t.count.DatagramBytesSent.Add(int64(len(b)))
 	return t.NodeAwareTransport.WriteToAddress(b, t.to(a, 1))
 }
 
@@ -88,7 +88,7 @@
 	}
 	// Guard: nobody's silence holds up the program's end.
 	stop := context.AfterFunc(t.ctx, func() { c.Close() })
-	t.count.Streams.Add(1)
+	t.count.ConnectionsOpened.Add(1)
 	return &counted{c, t.count, stop}, nil
 }
 
@@ -110,12 +110,12 @@
 
 func (c *counted) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.count.Streamed.Add(int64(n))
+	c.count.ConnectionBytes.Add(int64(n))
 	return n, err
 }
 
 func (c *counted) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.count.Streamed.Add(int64(n))
+	c.count.ConnectionBytes.Add(int64(n))
 	return n, err
 }
--- a/internal/member/virtual_test.go
+++ b/internal/member/virtual_test.go
@@ -82,18 +82,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		w := make(wire, n)
-		var named []Named
+		var named []ConfiguredMember
 		for i := range w {
 			w[i] = &plug{wire: &w, at: i + 1, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64)}
-			named = append(named, Named{fmt.Sprintf("m%04d", i), "s"})
+			named = append(named, ConfiguredMember{fmt.Sprintf("m%04d", i), "s"})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, n)
 		var all []*Swim
 		for i := range w {
-			c := Config{Self: Meta{Name: named[i].Name, Address: w[i].addr()}, Named: named, Listen: w[i].addr(), via: func() memberlist.NodeAwareTransport { return w[i] }}
+			c := Config{Self: Meta{Name: named[i].Name, Address: w[i].addr()}, ConfiguredMembers: named, ListenAddress: w[i].addr(), via: func() memberlist.NodeAwareTransport { return w[i] }}
 			if i > 0 {
-				c.Join = []string{w[i/8].addr()}
+				c.JoinAddresses = []string{w[i/8].addr()}
 			}
 			s, err := NewSwim(c)
 			if err != nil {
@@ -108,7 +108,7 @@
 				settled = true
 				for _, s := range who {
 					s.mu.Lock()
-					settled = settled && s.book.view.InView == want
+					settled = settled && s.book.view.PresentCount == want
 					s.mu.Unlock()
 				}
 				if time.Since(from) > 5*time.Minute {
@@ -121,7 +121,7 @@
 		settle("all in view", n, all)
 		sent := func() (packets, bytes, streamed int64) {
 			for _, s := range all {
-				packets, bytes, streamed = packets+s.Traffic().Packets.Load(), bytes+s.Traffic().Sent.Load(), streamed+s.Traffic().Streamed.Load()
+				packets, bytes, streamed = packets+s.Traffic().DatagramsSent.Load(), bytes+s.Traffic().DatagramBytesSent.Load(), streamed+s.Traffic().ConnectionBytes.Load()
 			}
 			return
 		}
