--- a/internal/agreed/document.go
+++ b/internal/agreed/document.go
@@ -94,7 +94,7 @@
 	Factor     float64       `cbor:"5,keyasint"`
 }
 
-var canonical = func() cbor.EncMode {
+var cborEncMode = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -103,7 +103,7 @@
 }()
 
 func encode(v any) []byte {
-	b, err := canonical.Marshal(v)
+	b, err := cborEncMode.Marshal(v)
 	if err != nil {
 		panic(err) // Guard: only types of this package come here, and all can be encoded
 	}
@@ -116,64 +116,64 @@
 // Incompatible tells whether two managers must not act on a and b at the same time. It
 // goes by the kinds, not by the numbers, and is an equivalence turned round: what
 // contradicts neither of two that agree contradicts no third one that agrees with them.
-func Incompatible(a, b *Document) bool { return !bytes.Equal(binding(a), binding(b)) }
+func Incompatible(a, b *Document) bool { return !bytes.Equal(bindingContents(a), bindingContents(b)) }
 
-// binding is the part of d that binds every manager, in one order.
-func binding(d *Document) []byte {
-	n := Document{Definitions: sorted(d.Definitions, func(x Definition) string { return x.Name }), MinListRevision: d.MinListRevision}
+// bindingContents is the part of d that binds every manager, in one order.
+func bindingContents(d *Document) []byte {
+	n := Document{Definitions: sortedByName(d.Definitions, func(x Definition) string { return x.Name }), MinListRevision: d.MinListRevision}
 	for _, r := range d.Routes {
 		r.Name, r.Labels = "", nil
 		n.Routes = append(n.Routes, r)
 	}
-	for _, t := range sorted(d.Teams, teamName) {
+	for _, t := range sortedByName(d.Teams, teamName) {
 		t.Title = ""
 		n.Teams = append(n.Teams, t)
 	}
-	for _, s := range sorted(d.Sites, siteName) {
-		s.Title, s.Zones, s.Keep = "", set(s.Zones), set(s.Keep)
+	for _, s := range sortedByName(d.Sites, siteName) {
+		s.Title, s.Zones, s.Keep = "", sortedUnique(s.Zones), sortedUnique(s.Keep)
 		n.Sites = append(n.Sites, s)
 	}
-	for _, r := range sorted(d.Retirements, retiring) {
-		r.Note, r.TargetSites = "", set(r.TargetSites)
+	for _, r := range sortedByName(d.Retirements, retirementSite) {
+		r.Note, r.TargetSites = "", sortedUnique(r.TargetSites)
 		n.Retirements = append(n.Retirements, r)
 	}
-	n.DisabledNodes = set(d.DisabledNodes)
+	n.DisabledNodes = sortedUnique(d.DisabledNodes)
 	return encode(&n)
 }
 
-func teamName(t Team) string       { return t.Name }
-func siteName(s Site) string       { return s.Name }
-func retiring(r Retirement) string { return r.Site }
-func peakName(p Peak) string       { return p.Name }
+func teamName(t Team) string             { return t.Name }
+func siteName(s Site) string             { return s.Name }
+func retirementSite(r Retirement) string { return r.Site }
+func peakName(p Peak) string             { return p.Name }
 
-func sorted[T any](s []T, name func(T) string) []T {
+func sortedByName[T any](s []T, name func(T) string) []T {
 	return slices.SortedFunc(slices.Values(s), func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
-// set sorts names and drops those that come twice.
-func set(s []string) []string { return slices.Compact(slices.Sorted(slices.Values(s))) }
+// sortedUnique sorts names and drops those that come twice.
+func sortedUnique(s []string) []string { return slices.Compact(slices.Sorted(slices.Values(s))) }
 
 // Validate tells what is wrong with the form of d, whatever its rules mean: a *Bad, or nil.
 func (d *Document) Validate() error {
-	bad := func(reason string) error { return &InvalidVersionError{Version: d.Version, Reason: reason} }
+	invalid := func(reason string) error { return &InvalidVersionError{Version: d.Version, Reason: reason} }
 	if d.Version == 0 || d.Replaces >= d.Version {
-		return bad("its number must be over the one that it replaces")
+		return invalid("its number must be over the one that it replaces")
 	}
 	for kind, names := range map[string][]string{
-		"definition": each(d.Definitions, func(x Definition) string { return x.Name }), "team": each(d.Teams, teamName),
-		"site": each(d.Sites, siteName), "retirement": each(d.Retirements, retiring), "peak": each(d.Peaks, peakName), "node": d.DisabledNodes,
+		"definition": namesOf(d.Definitions, func(x Definition) string { return x.Name }), "team": namesOf(d.Teams, teamName),
+		"site": namesOf(d.Sites, siteName), "retirement": namesOf(d.Retirements, retirementSite), "peak": namesOf(d.Peaks, peakName), "node": d.DisabledNodes,
 	} {
-		if len(set(names)) < len(names) {
-			return bad("a " + kind + " is named twice")
+		if len(sortedUnique(names)) < len(names) {
+			return invalid("a " + kind + " is named twice")
 		}
 	}
 	if n := len(encode(d)); n > MaxDocumentBytes {
-		return bad("it is larger than 2 MiB")
+		return invalid("it is larger than 2 MiB")
 	}
 	return nil
 }
 
-func each[T any](s []T, name func(T) string) (out []string) {
+func namesOf[T any](s []T, name func(T) string) (out []string) {
 	for _, x := range s {
 		out = append(out, name(x))
 	}
--- a/internal/member/book.go
+++ b/internal/member/book.go
@@ -10,12 +10,12 @@
 
 // Times of a Book.
 const (
-	// suspectFor is the longest that a suspicion lasts that is neither confirmed nor
+	// maxSuspicion is the longest that a suspicion lasts that is neither confirmed nor
 	// denied: by then the carrier has said that the member is lost, or it answered.
-	suspectFor = 30 * time.Second
-	// twinFor is how long one that met another of its name stays refused without
+	maxSuspicion = 30 * time.Second
+	// duplicateTimeout is how long one that met another of its name stays refused without
 	// meeting it again. It asks again each joinEvery.
-	twinFor = 3 * joinEvery
+	duplicateTimeout = 3 * joinInterval
 )
 
 // Status is what is known of a member.
@@ -49,14 +49,14 @@
 	Leaving         bool
 }
 
-// older tells whether a is the elder of two of one name.
-func (m Meta) older(o Meta) bool {
-	return cmp.Or(cmp.Compare(m.StartedUnixNano, o.StartedUnixNano), cmp.Compare(m.Address, o.Address)) < 0
+// startedBefore tells whether a is the elder of two of one name.
+func (m Meta) startedBefore(other Meta) bool {
+	return cmp.Or(cmp.Compare(m.StartedUnixNano, other.StartedUnixNano), cmp.Compare(m.Address, other.Address)) < 0
 }
 
-// same tells whether two are one life of one member.
-func (m Meta) same(o Meta) bool {
-	return m.Name == o.Name && m.StartedUnixNano == o.StartedUnixNano && m.Address == o.Address
+// sameIncarnation tells whether two are one life of one member.
+func (m Meta) sameIncarnation(other Meta) bool {
+	return m.Name == other.Name && m.StartedUnixNano == other.StartedUnixNano && m.Address == other.Address
 }
 
 // ConfiguredMember is a member that the file names.
@@ -129,24 +129,24 @@
 // clock: times are arguments, from one that goes on while the program stands. It is for
 // one goroutine.
 type Tracker struct {
-	self    Meta
-	view    View
-	copied  View              // of view, for others
-	twins   map[[2]int64]bool // told already, by both lives
-	strange map[string]bool
-	refused time.Time // when an elder was met last; zero: none
-	watch   stall.Detector
-	events  []Event
+	self               Meta
+	view               View
+	snapshot           View              // of view, for others
+	reportedDuplicates map[[2]int64]bool // told already, by both lives
+	reportedUnknown    map[string]bool
+	duplicateSeenAt    time.Time // when an elder was met last; zero: none
+	pauseDetector      stall.Detector
+	pendingEvents      []Event
 }
 
-// mostTold bounds how many strangers and twins are remembered as told.
-const mostTold = 1000
+// maxReported bounds how many strangers and twins are remembered as told.
+const maxReported = 1000
 
 // NewTracker returns the Book of a member at its start. named includes itself.
-func NewTracker(self Meta, named []ConfiguredMember, now time.Time) *Tracker {
-	b := &Tracker{self: self, twins: map[[2]int64]bool{}, strange: map[string]bool{}}
+func NewTracker(self Meta, configured []ConfiguredMember, now time.Time) *Tracker {
+	b := &Tracker{self: self, reportedDuplicates: map[[2]int64]bool{}, reportedUnknown: map[string]bool{}}
 	b.view = View{Number: 1, Self: self.Name}
-	for _, n := range named {
+	for _, n := range configured {
 		m := Member{Meta: Meta{Name: n.Name, Site: n.Site}, Since: now}
 		if n.Name == self.Name {
 			m.Meta, m.Status = self, StatusAlive
@@ -154,194 +154,196 @@
 		b.view.Members = append(b.view.Members, m)
 	}
 	slices.SortFunc(b.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	b.watch.Reset(now)
-	b.count()
+	b.pauseDetector.Reset(now)
+	b.recount()
 	return b
 }
 
 // View is the present view. Its members are not to be changed. It is made once for each
 // number: nothing of a view changes without a new one.
 func (b *Tracker) View() View {
-	if b.copied.Number != b.view.Number {
-		b.copied = b.view
-		b.copied.Members = slices.Clone(b.view.Members)
+	if b.snapshot.Number != b.view.Number {
+		b.snapshot = b.view
+		b.snapshot.Members = slices.Clone(b.view.Members)
 	}
-	return b.copied
+	return b.snapshot
 }
 
 // Admits tells whether a carrier is to let in a member that it hears of: the file names
 // it, and it is no younger twin. It is what Alive does, without a change.
 func (b *Tracker) Admits(m Meta) bool {
-	o := b.view.Find(m.Name)
-	return o != nil && !(o.Status.Present() && o.Address != m.Address && o.older(m))
+	known := b.view.Find(m.Name)
+	return known != nil && !(known.Status.Present() && known.Address != m.Address && known.startedBefore(m))
 }
 
 // RecordAlive reports that a carrier has a member among those that are there.
 func (b *Tracker) RecordAlive(m Meta, now time.Time) []Event {
-	o := b.view.Find(m.Name)
+	known := b.view.Find(m.Name)
 	switch {
-	case o == nil:
-		b.stranger(m)
-		return b.done(now)
+	case known == nil:
+		b.addUnknown(m)
+		return b.finishUpdate(now)
 	case m.Name == b.self.Name:
-		if !m.same(b.self) {
-			b.met(b.self, m, now)
+		if !m.sameIncarnation(b.self) {
+			b.addDuplicate(b.self, m, now)
 		}
-		return b.done(now)
-	case o.Status.Present() && !o.same(m) && o.Address != m.Address:
+		return b.finishUpdate(now)
+	case known.Status.Present() && !known.sameIncarnation(m) && known.Address != m.Address:
 		// The carrier has said nothing of an end of the one in view. If that is the
 		// younger one, the elder takes its place.
-		b.met(o.Meta, m, now)
-		if o.older(m) {
-			return b.done(now)
+		b.addDuplicate(known.Meta, m, now)
+		if known.startedBefore(m) {
+			return b.finishUpdate(now)
 		}
 	}
-	was, before := o.Status, o.Meta
-	o.Meta = m
-	to := StatusAlive
+	previousStatus, previous := known.Status, known.Meta
+	known.Meta = m
+	status := StatusAlive
 	switch {
 	case m.Leaving:
-		to = StatusLeaving
-	case was == StatusSuspect && before.same(m):
-		to = StatusSuspect // hearsay; what clears it is Answered
+		status = StatusLeaving
+	case previousStatus == StatusSuspect && previous.sameIncarnation(m):
+		status = StatusSuspect // hearsay; what clears it is Answered
 	}
-	if was != to || !before.same(m) {
-		o.Status, o.Since = to, now
+	if previousStatus != status || !previous.sameIncarnation(m) {
+		known.Status, known.Since = status, now
 		switch {
-		case to == StatusLeaving:
-			b.tell(EventLeaving, m)
-		case was == StatusUnheard || was == StatusLeft && !before.same(m):
-			b.tell(EventJoined, m)
-		case !before.same(m):
-			b.tell(EventRestarted, m)
+		case status == StatusLeaving:
+			b.addEvent(EventLeaving, m)
+		case previousStatus == StatusUnheard || previousStatus == StatusLeft && !previous.sameIncarnation(m):
+			b.addEvent(EventJoined, m)
+		case !previous.sameIncarnation(m):
+			b.addEvent(EventRestarted, m)
 		default:
-			b.tell(EventRecovered, m)
+			b.addEvent(EventRecovered, m)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // RecordAck reports that a member itself has answered just now.
 func (b *Tracker) RecordAck(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		b.fresh()
-		if o.Status == StatusSuspect {
-			o.Status, o.Since = StatusAlive, now
-			b.tell(EventSuspicionCleared, o.Meta)
+	if known := b.view.Find(name); known != nil && name != b.self.Name {
+		b.clearStale()
+		if known.Status == StatusSuspect {
+			known.Status, known.Since = StatusAlive, now
+			b.addEvent(EventSuspicionCleared, known.Meta)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // RecordSuspicion reports that a member doesn't answer.
 func (b *Tracker) RecordSuspicion(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name && o.Status == StatusAlive {
-		o.Status, o.Since = StatusSuspect, now
-		b.tell(EventSuspected, o.Meta)
+	if known := b.view.Find(name); known != nil && name != b.self.Name && known.Status == StatusAlive {
+		known.Status, known.Since = StatusSuspect, now
+		b.addEvent(EventSuspected, known.Meta)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // RecordGone reports that a carrier no longer has a member.
 func (b *Tracker) RecordGone(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		switch o.Status {
+	if known := b.view.Find(name); known != nil && name != b.self.Name {
+		switch known.Status {
 		case StatusAlive, StatusSuspect:
-			o.Status, o.Since = StatusLost, now
-			b.tell(EventLost, o.Meta)
+			known.Status, known.Since = StatusLost, now
+			b.addEvent(EventLost, known.Meta)
 		case StatusLeaving:
-			o.Status, o.Since = StatusLeft, now
-			b.tell(EventLeft, o.Meta)
+			known.Status, known.Since = StatusLeft, now
+			b.addEvent(EventLeft, known.Meta)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // RecordDuplicate reports that a carrier heard of two of one name.
-func (b *Tracker) RecordDuplicate(one, other Meta, now time.Time) []Event {
-	if b.view.Find(one.Name) == nil {
-		b.stranger(one)
+func (b *Tracker) RecordDuplicate(first, second Meta, now time.Time) []Event {
+	if b.view.Find(first.Name) == nil {
+		b.addUnknown(first)
 	} else {
-		b.met(one, other, now)
+		b.addDuplicate(first, second, now)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // RecordUnknown reports one that is not to be let in, whatever its name.
 func (b *Tracker) RecordUnknown(m Meta, now time.Time) []Event {
-	b.stranger(m)
-	return b.done(now)
+	b.addUnknown(m)
+	return b.finishUpdate(now)
 }
 
 // RecordOwnLeave notes that this member leaves.
 func (b *Tracker) RecordOwnLeave(now time.Time) []Event {
-	if o := b.view.Find(b.self.Name); o.Status != StatusLeaving {
-		b.self.Leaving, o.Leaving = true, true
-		o.Status, o.Since = StatusLeaving, now
-		b.tell(EventLeaving, o.Meta)
+	if own := b.view.Find(b.self.Name); own.Status != StatusLeaving {
+		b.self.Leaving, own.Leaving = true, true
+		own.Status, own.Since = StatusLeaving, now
+		b.addEvent(EventLeaving, own.Meta)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // Tick is to be called each 100 ms. It notices that the program stood still.
-func (b *Tracker) Tick(now time.Time) []Event { return b.done(now) }
+func (b *Tracker) Tick(now time.Time) []Event { return b.finishUpdate(now) }
 
-func (b *Tracker) met(one, other Meta, now time.Time) {
-	if !one.older(other) {
-		one, other = other, one
+func (b *Tracker) addDuplicate(first, second Meta, now time.Time) {
+	if !first.startedBefore(second) {
+		first, second = second, first
 	}
-	if other.same(b.self) {
-		b.refused = now
+	if second.sameIncarnation(b.self) {
+		b.duplicateSeenAt = now
 	}
-	if key := [2]int64{one.StartedUnixNano, other.StartedUnixNano}; !b.twins[key] && len(b.twins) < mostTold {
-		b.twins[key] = true
-		b.events = append(b.events, Event{Kind: EventDuplicateName, Member: one, Duplicate: other})
+	if key := [2]int64{first.StartedUnixNano, second.StartedUnixNano}; !b.reportedDuplicates[key] && len(b.reportedDuplicates) < maxReported {
+		b.reportedDuplicates[key] = true
+		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventDuplicateName, Member: first, Duplicate: second})
 	}
 }
 
-func (b *Tracker) stranger(m Meta) {
-	if key := m.Name + " " + m.Address; !b.strange[key] && len(b.strange) < mostTold {
-		b.strange[key] = true
-		b.events = append(b.events, Event{Kind: EventUnknownMember, Member: m})
+func (b *Tracker) addUnknown(m Meta) {
+	if key := m.Name + " " + m.Address; !b.reportedUnknown[key] && len(b.reportedUnknown) < maxReported {
+		b.reportedUnknown[key] = true
+		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventUnknownMember, Member: m})
 	}
 }
 
-func (b *Tracker) fresh() {
+func (b *Tracker) clearStale() {
 	if b.view.Stale {
 		b.view.Stale = false
-		b.tell(EventViewRefreshed, b.self)
+		b.addEvent(EventViewRefreshed, b.self)
 	}
 }
 
-func (b *Tracker) tell(w EventKind, m Meta) { b.events = append(b.events, Event{Kind: w, Member: m}) }
+func (b *Tracker) addEvent(kind EventKind, m Meta) {
+	b.pendingEvents = append(b.pendingEvents, Event{Kind: kind, Member: m})
+}
 
-// done draws what follows from a report, numbers the view if it has changed, and
+// finishUpdate draws what follows from a report, numbers the view if it has changed, and
 // returns what happened.
-func (b *Tracker) done(now time.Time) []Event {
-	if stood := b.watch.Heartbeat(now); stood > 0 {
-		b.tell(EventProcessPaused, b.self)
+func (b *Tracker) finishUpdate(now time.Time) []Event {
+	if paused := b.pauseDetector.Heartbeat(now); paused > 0 {
+		b.addEvent(EventProcessPaused, b.self)
 		b.view.Stale = len(b.view.Members) > 1
-		if !b.refused.IsZero() {
-			b.refused = now
+		if !b.duplicateSeenAt.IsZero() {
+			b.duplicateSeenAt = now
 		}
 	}
 	for i := range b.view.Members {
-		if m := &b.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > suspectFor {
+		if m := &b.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > maxSuspicion {
 			m.Status, m.Since = StatusAlive, now
-			b.tell(EventSuspicionCleared, m.Meta)
+			b.addEvent(EventSuspicionCleared, m.Meta)
 		}
 	}
-	if refused := !b.refused.IsZero() && now.Sub(b.refused) <= twinFor; refused != b.view.RefusedAsDuplicate {
+	if refused := !b.duplicateSeenAt.IsZero() && now.Sub(b.duplicateSeenAt) <= duplicateTimeout; refused != b.view.RefusedAsDuplicate {
 		b.view.RefusedAsDuplicate = refused
-		b.tell(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], b.self)
+		b.addEvent(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], b.self)
 	}
-	alone := b.view.NoQuorum
-	b.count()
-	if b.view.NoQuorum != alone {
-		b.tell(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[b.view.NoQuorum], b.self)
+	hadNoQuorum := b.view.NoQuorum
+	b.recount()
+	if b.view.NoQuorum != hadNoQuorum {
+		b.addEvent(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[b.view.NoQuorum], b.self)
 	}
-	events := b.events
-	b.events = nil
+	events := b.pendingEvents
+	b.pendingEvents = nil
 	// What changed nothing of who is there leads to no new view.
 	if slices.ContainsFunc(events, func(e Event) bool {
 		return e.Kind != EventDuplicateName && e.Kind != EventUnknownMember && e.Kind != EventProcessPaused || b.view.Stale && e.Kind == EventProcessPaused
@@ -354,7 +356,7 @@
 	return events
 }
 
-func (b *Tracker) count() {
+func (b *Tracker) recount() {
 	b.view.PresentCount = 0
 	for i := range b.view.Members {
 		m := &b.view.Members[i]
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -45,7 +45,7 @@
 	// Log takes what the carrier remarks, one line each.
 	LogLine func(string)
 
-	via func() memberlist.NodeAwareTransport // in the place of sockets, for tests
+	transportForTest func() memberlist.NodeAwareTransport // in the place of sockets, for tests
 }
 
 // ListenError is an address that a member can't listen at, or be reached at.
@@ -74,7 +74,7 @@
 	for i := range b.view.Members {
 		b.view.Members[i].Status = StatusAlive
 	}
-	b.count()
+	b.recount()
 	return &Static{b.view}, nil
 }
 
