--- a/internal/agreed/burst_test.go
+++ b/internal/agreed/burst_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Two hundred versions in a second at two managers, and one of 1 MB with a third of the
-// packets lost: each that is told accepted comes, all others are told why, and the fleet
-// goes on. The same seed gives the same play.
+// 200 versions are submitted at two managers within a second, then one of 1 MB while 30% of the
+// packets are lost. Each version that was reported as accepted must come into force, all others
+// must be reported with a reason, and the fleet must go on. The same seed must give the same run.
 func TestBurst(t *testing.T) {
 	runBurst := func() (*simulation, string) {
 		sim := newSimulation(5, 5, 6, faultNone)
@@ -23,7 +23,7 @@
 		sim.lossRate = 0.3
 		big := sim.submit(sim.managers[3], strings.Repeat("n", 1<<20))
 		if took := sim.timeToForce(big.Version, 5*time.Second, sim.managers...); took < 0 {
-			t.Error("1 MB does not come into force")
+			t.Error("the version of 1 MB does not come into force")
 		}
 		return sim, fmt.Sprint(sim.now, sim.messages, sim.bytes, sim.managers[0].results)
 	}
@@ -37,18 +37,18 @@
 				g *VersionGapError
 			)
 			if decided++; a.Err != nil && !errors.As(a.Err, &s) && !errors.As(a.Err, &c) && !errors.As(a.Err, &g) {
-				t.Errorf("version %d was told %v", a.Version, a.Err)
+				t.Errorf("version %d: unexpected result %v", a.Version, a.Err)
 			}
 			if a.Err == nil && sim.documents[a.Version] == nil {
-				t.Errorf("version %d was accepted and did not come", a.Version)
+				t.Errorf("version %d was accepted and did not come into force", a.Version)
 			}
 		}
 	}
 	if decided != 200 || sim.longestConflict > 0 || !sim.linearizable() {
-		t.Errorf("%d of 200 were told; overlap %v", decided, sim.longestConflict)
+		t.Errorf("results of %d of 200 submissions; incompatible versions were acted on for %v", decided, sim.longestConflict)
 	}
 	if _, again := runBurst(); again != trace {
-		t.Error("the same seed gave another play")
+		t.Error("the same seed gave a different run")
 	}
 	t.Logf("%d versions came into force", len(sim.documents))
 }
--- a/internal/agreed/careful.go
+++ b/internal/agreed/careful.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// UnsettledRetryAfter is how long a viewer is told to stay away whose route is unsettled.
+// UnsettledRetryAfter is after how long a viewer whose route is unsettled should retry.
 const UnsettledRetryAfter = 2 * time.Second
 
-// EffectiveConfig is what a manager may do: all of one version, or what every one of several
-// allows. It shares memory with the Documents that it was made from; nobody writes.
+// EffectiveConfig is what a manager may act on: one version, or what all of several versions
+// allow. It shares memory with the Documents that it was made from, so it must not be modified.
 type EffectiveConfig struct {
-	Versions []uint64 // of all that it keeps to
-	// Alone is without a lease: there may be a version that this manager never heard
-	// of. A route to a class that must never be set up twice is then refused.
+	Versions []uint64 // the versions that bind the manager
+	// NoLease is set while the manager holds no lease: there may be a version that it never
+	// heard of. Routes to a class that must never be set up twice are then refused.
 	NoLease         bool
-	Teams           map[string]Team // of limits the lower; Closed: refuse
-	Sites           map[string]Site // a site that is missing is taken zone by zone
+	Teams           map[string]Team // with the lower of each limit
+	Sites           map[string]Site // zones of a site that is missing here count one by one
 	Retirements     map[string]Retirement
 	Peaks           map[string]Peak
 	DisabledNodes   map[string]bool
@@ -26,7 +26,7 @@
 	documents []*Document
 }
 
-// MostRestrictive is the careful side of all the versions given.
+// MostRestrictive returns what all of the given versions allow.
 func MostRestrictive(a *Document, others ...*Document) EffectiveConfig {
 	e := fromDocument(a)
 	for _, d := range others {
@@ -55,15 +55,15 @@
 	return m
 }
 
-// restrictedBy keeps to d as well.
+// restrictedBy returns what both e and d allow.
 func (e EffectiveConfig) restrictedBy(d *Document) EffectiveConfig {
 	other := fromDocument(d)
 	e.Versions = append(slices.Clip(e.Versions), d.Version)
 	e.documents = append(slices.Clip(e.documents), d)
 	e.MinListRevision = max(e.MinListRevision, d.MinListRevision)
 	maps.Copy(e.DisabledNodes, other.DisabledNodes)
-	// What one version only knows of is closed, for teams; held, for retirements; and
-	// not there, for sites and peaks.
+	// Of what only one version has, teams are refused, retirements suspended, sites and peaks
+	// left out.
 	merge(e.Teams, other.Teams, func(a, b Team) (Team, bool) {
 		a.Weight, a.SessionsPerS, a.MaxEstablished = min(a.Weight, b.Weight), lowerLimit(a.SessionsPerS, b.SessionsPerS), lowerLimit(a.MaxEstablished, b.MaxEstablished)
 		a.RefuseAll = a.RefuseAll || b.RefuseAll
@@ -79,7 +79,7 @@
 	}, func(r Retirement) (Retirement, bool) { r.Suspended = true; return r, true })
 	merge(e.Sites, other.Sites, func(a, b Site) (Site, bool) {
 		if !slices.Equal(a.Refuse, b.Refuse) {
-			a.Refuse = nil // by worth for each kB
+			a.Refuse = nil // the default order: by worth per kB
 		}
 		a.Keep, a.Pace = intersection(a.Keep, b.Keep), max(a.Pace, b.Pace)
 		return a, slices.Equal(sortedUnique(a.Zones), sortedUnique(b.Zones))
@@ -94,7 +94,8 @@
 
 func omit[T any](x T) (T, bool) { return x, false }
 
-// merge leaves in a what two makes of names in both and one of names in one only.
+// merge merges b into a: mergeBoth is called for names in both, mergeSingle for names in one of
+// them. The name is removed if they return false.
 func merge[T any](a, b map[string]T, mergeBoth func(a, b T) (T, bool), mergeSingle func(T) (T, bool)) {
 	for name, x := range b {
 		if _, ok := a[name]; !ok {
@@ -125,7 +126,7 @@
 	return out
 }
 
-// lowerLimit is the lower of two limits, of which 0 is none.
+// lowerLimit returns the lower of two limits, where 0 means no limit.
 func lowerLimit[T int | float64](a, b T) T {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -133,9 +134,10 @@
 	return a
 }
 
-// Route gives the route of a request. first tells the first of d's routes that matches,
-// or -1; Route asks it of each version, and gives a route only if all agree in what
-// binds. found is false where none matches. The error is an *Unsettled.
+// Route returns the route of a request. firstMatch returns the index of the first of d's routes
+// that matches, or -1. Route calls it for each version, and returns a route only if all versions
+// agree on its binding fields. found is false if no route matches. The error is an
+// *UnsettledRouteError.
 func (e EffectiveConfig) Route(firstMatch func(d *Document) int) (r Route, found bool, err error) {
 	for i, d := range e.documents {
 		n := firstMatch(d)
@@ -149,8 +151,8 @@
 			return Route{}, false, &UnsettledRouteError{Versions: e.Versions, RetryAfter: UnsettledRetryAfter}
 		}
 	}
-	// Guard: a version that nobody here has heard of may have taken this route away, and
-	// what is set up by it can't be taken back.
+	// Guard: a version that this manager has not heard of may have removed this route, and a
+	// session that it sets up can't be undone.
 	if e.NoLease && r.AtMostOnce {
 		return Route{}, false, &UnsettledRouteError{Versions: e.Versions, NoLease: true, RetryAfter: UnsettledRetryAfter}
 	}
--- a/internal/agreed/carry/carry.go
+++ b/internal/agreed/carry/carry.go
@@ -1,6 +1,6 @@
-// Package carry takes the messages of the agreement between managers over TCP. It
-// decides nothing: agreed.Machine does. Whatever can't be sent at once is dropped, since
-// the agreement asks again.
+// Package carry runs an agreed.Machine and carries its messages between managers over TCP. All
+// decisions are made by agreed.Machine. Messages that can't be sent at once are dropped, since
+// the agreement repeats its requests.
 package carry
 
 import (
@@ -18,27 +18,28 @@
 )
 
 const (
-	maxQueuedEvents  = 4096 // that wait for the machine
-	maxQueuedFrames  = 256  // that wait for one other manager
+	maxQueuedEvents  = 4096 // events waiting for the machine
+	maxQueuedFrames  = 256  // frames waiting for one other manager
 	dialTimeout      = time.Second
 	writeTimeout     = time.Second
-	retryDelay       = 100 * time.Millisecond // after a call that failed
+	retryDelay       = 100 * time.Millisecond // after a connection or an accept that failed
 	helloTimeout     = 2 * time.Second
-	spareConnections = 16 // connections beyond two for each manager
-	maxRestarts      = 8  // machines that failed, until Run gives up
+	spareConnections = 16 // accepted beyond two for each manager
+	maxRestarts      = 8  // of a machine that failed, until Run returns
 )
 
-// Config is what a Carrier is told at its start.
+// Config is the configuration of a Runner.
 type Config struct {
 	Machine            agreed.Config
 	Listener           net.Listener      // closed by Run
-	Addresses          map[string]string // of all managers, this one's too
+	Addresses          map[string]string // of all managers by name, including this one
 	Log                *zap.Logger
-	OnInForce          func(*agreed.Document)          // a version came into force; must not wait; may be nil
-	OnSubmissionResult func(version uint64, err error) // what became of a submission; must not wait; may be nil
+	OnInForce          func(*agreed.Document)          // called when a version comes into force; must not block; may be nil
+	OnSubmissionResult func(version uint64, err error) // called with the result of a submission; must not block; may be nil
 }
 
-// A Runner is one manager's actor. Decide and Submit are safe for any goroutine.
+// A Runner runs the agreement of one manager. Effective, Submit and DroppedMessages are safe for
+// concurrent use.
 type Runner struct {
 	config          Config
 	startedAt       time.Time
@@ -49,56 +50,58 @@
 	droppedMessages atomic.Int64
 }
 
+// leasedConfig is an effective configuration with the expiry of its lease.
 type leasedConfig struct {
 	effective   agreed.EffectiveConfig
 	leaseExpiry time.Duration
 }
 
-// New is a Carrier that has not started.
+// New returns a Runner. Run starts it.
 func New(c Config) *Runner {
-	k := &Runner{config: c, startedAt: time.Now(), events: mailbox.New[agreed.Event](maxQueuedEvents), peerQueues: map[string]*mailbox.Box[[]byte]{}}
-	k.machine = agreed.New(0, c.Machine)
-	return k
+	r := &Runner{config: c, startedAt: time.Now(), events: mailbox.New[agreed.Event](maxQueuedEvents), peerQueues: map[string]*mailbox.Box[[]byte]{}}
+	r.machine = agreed.New(0, c.Machine)
+	return r
 }
 
-// Effective is what this manager may do now; ok is false before a version is in force. It
-// is to be asked at each decision, and waits for nothing.
-func (k *Runner) Effective() (e agreed.EffectiveConfig, ok bool) {
-	s := k.current.Load()
+// Effective returns what this manager may act on now; ok is false until a version is known to be
+// in force. It must be called for each decision. It does not block.
+func (r *Runner) Effective() (e agreed.EffectiveConfig, ok bool) {
+	s := r.current.Load()
 	if s == nil {
 		return e, false
 	}
 	e = s.effective
-	e.NoLease = time.Since(k.startedAt) >= s.leaseExpiry
+	e.NoLease = time.Since(r.startedAt) >= s.leaseExpiry
 	return e, true
 }
 
-// Submit hands in a version. Told says what becomes of it.
-func (k *Runner) Submit(d *agreed.Document) {
-	k.events.Force(agreed.Event{Kind: agreed.EventSubmit, Document: d})
+// Submit submits a version. Config.OnSubmissionResult is called with the result.
+func (r *Runner) Submit(d *agreed.Document) {
+	r.events.Force(agreed.Event{Kind: agreed.EventSubmit, Document: d})
 }
 
-// DroppedMessages counts the messages that were not sent, for want of a connection or of room.
-func (k *Runner) DroppedMessages() int64 { return k.droppedMessages.Load() }
+// DroppedMessages returns the number of messages that were dropped for lack of a connection or
+// because a queue was full.
+func (r *Runner) DroppedMessages() int64 { return r.droppedMessages.Load() }
 
-// Run carries until ctx ends, or the listener fails.
-func (k *Runner) Run(ctx context.Context) error {
+// Run runs the agreement until ctx ends, the listener fails, or the machine has failed too often.
+func (r *Runner) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		<-ctx.Done()
-		return k.config.Listener.Close()
+		return r.config.Listener.Close()
 	})
-	group.Go(func() error { return k.acceptConnections(ctx, group) })
-	group.Go(func() error { return k.runMachine(ctx, group) })
+	group.Go(func() error { return r.acceptConnections(ctx, group) })
+	group.Go(func() error { return r.runMachine(ctx, group) })
 	if err := group.Wait(); ctx.Err() == nil || err != context.Canceled {
 		return err
 	}
 	return nil
 }
 
-// runMachine is the actor: it alone touches the machine.
-func (k *Runner) runMachine(ctx context.Context, group *errgroup.Group) error {
-	tick := time.NewTicker(k.config.Machine.TickInterval())
+// runMachine is the only goroutine that uses the machine.
+func (r *Runner) runMachine(ctx context.Context, group *errgroup.Group) error {
+	tick := time.NewTicker(r.config.Machine.TickInterval())
 	defer tick.Stop()
 	var batch []agreed.Event
 	for restarts := 0; ; {
@@ -108,81 +111,83 @@
 			return ctx.Err()
 		case <-tick.C:
 			batch = append(batch, agreed.Event{Kind: agreed.EventTick})
-		case <-k.events.Ready():
-			batch = k.events.Take(batch)
+		case <-r.events.Ready():
+			batch = r.events.Take(batch)
 		}
 		for _, e := range batch {
-			actions, err := k.handle(e)
+			actions, err := r.handle(e)
 			if err != nil {
-				// Guard: the log's engine stops where a message can't come from a correct
-				// voter. This life of the voter is over; the next one forgets all of it.
+				// Guard: raft panics on a message that no correct voter sends. The machine
+				// starts again as a new incarnation, which forgets all state of this one.
 				if restarts++; restarts > maxRestarts {
 					return err
 				}
-				k.config.Log.Error("the agreement starts anew", zap.Error(err))
-				k.current.Store(nil)
-				k.config.Machine.Incarnation++
-				k.config.Machine.InitialReplicas = nil
-				k.machine = agreed.New(time.Since(k.startedAt), k.config.Machine)
+				r.config.Log.Error("agreement state machine failed; restarting it as a new incarnation", zap.Error(err))
+				r.current.Store(nil)
+				r.config.Machine.Incarnation++
+				r.config.Machine.InitialReplicas = nil
+				r.machine = agreed.New(time.Since(r.startedAt), r.config.Machine)
 				break
 			}
-			k.perform(ctx, group, actions)
+			r.perform(ctx, group, actions)
 		}
 	}
 }
 
-func (k *Runner) handle(e agreed.Event) (actions []agreed.Action, err error) {
+// handle passes an event to the machine. It returns a panic of the machine as an error.
+func (r *Runner) handle(e agreed.Event) (actions []agreed.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("the agreement's machine stopped: %v", p)
+			err = fmt.Errorf("agreement state machine panicked: %v", p)
 		}
 	}()
-	now := time.Since(k.startedAt)
-	actions = k.machine.Handle(now, e)
-	if e, ok := k.machine.Effective(now); ok {
-		k.current.Store(&leasedConfig{e, k.machine.LeaseExpiry()})
+	now := time.Since(r.startedAt)
+	actions = r.machine.Handle(now, e)
+	if e, ok := r.machine.Effective(now); ok {
+		r.current.Store(&leasedConfig{e, r.machine.LeaseExpiry()})
 	}
 	return actions, nil
 }
 
-func (k *Runner) perform(ctx context.Context, group *errgroup.Group, actions []agreed.Action) {
+func (r *Runner) perform(ctx context.Context, group *errgroup.Group, actions []agreed.Action) {
 	for _, a := range actions {
 		switch a.Kind {
 		case agreed.ActionSend:
-			if !k.peerQueue(ctx, group, a.To).Put(a.Bytes) {
-				k.droppedMessages.Add(1)
+			if !r.peerQueue(ctx, group, a.To).Put(a.Bytes) {
+				r.droppedMessages.Add(1)
 			}
 		case agreed.ActionInForce:
-			k.config.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
-			if k.config.OnInForce != nil {
-				k.config.OnInForce(a.Document)
+			r.config.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
+			if r.config.OnInForce != nil {
+				r.config.OnInForce(a.Document)
 			}
 		case agreed.ActionSubmissionResult:
-			k.config.Log.Info("version submitted", zap.Uint64("version", a.Version), zap.Error(a.Err))
-			if k.config.OnSubmissionResult != nil {
-				k.config.OnSubmissionResult(a.Version, a.Err)
+			r.config.Log.Info("submission result", zap.Uint64("version", a.Version), zap.Error(a.Err))
+			if r.config.OnSubmissionResult != nil {
+				r.config.OnSubmissionResult(a.Version, a.Err)
 			}
 		case agreed.ActionLogError:
-			k.config.Log.Warn("agreement", zap.Error(a.Err))
+			r.config.Log.Warn("agreement error", zap.Error(a.Err))
 		}
 	}
 }
 
-// peerQueue is the queue to another manager. Its goroutine starts with the first message.
-func (k *Runner) peerQueue(ctx context.Context, group *errgroup.Group, name string) *mailbox.Box[[]byte] {
-	box := k.peerQueues[name]
+// peerQueue returns the queue of messages to another manager. The goroutine that sends them is
+// started with the first message.
+func (r *Runner) peerQueue(ctx context.Context, group *errgroup.Group, name string) *mailbox.Box[[]byte] {
+	box := r.peerQueues[name]
 	if box == nil {
 		box = mailbox.New[[]byte](maxQueuedFrames)
-		k.peerQueues[name] = box
-		if address, ok := k.config.Addresses[name]; ok {
-			group.Go(func() error { return k.sendFrames(ctx, address, box) })
+		r.peerQueues[name] = box
+		if address, ok := r.config.Addresses[name]; ok {
+			group.Go(func() error { return r.sendFrames(ctx, address, box) })
 		}
 	}
 	return box
 }
 
-// sendFrames sends what comes into box, over one connection while that holds.
-func (k *Runner) sendFrames(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
+// sendFrames sends the messages of box, over one connection as long as it works.
+func (r *Runner) sendFrames(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
 	var (
 		conn  net.Conn
 		batch [][]byte
@@ -208,7 +213,7 @@
 		var err error
 		if conn == nil {
 			if conn, err = dial.DialContext(ctx, "tcp4", address); err == nil {
-				out = appendFrame(out, []byte(k.config.Machine.Name))
+				out = appendFrame(out, []byte(r.config.Machine.Name))
 			}
 		}
 		if err == nil {
@@ -221,12 +226,12 @@
 		if err == nil {
 			continue
 		}
-		k.droppedMessages.Add(int64(len(batch)))
+		r.droppedMessages.Add(int64(len(batch)))
 		if conn != nil {
 			conn.Close()
 			conn = nil
 		}
-		select { // what comes meanwhile waits, or is dropped
+		select { // messages that arrive meanwhile are queued, or dropped if the queue is full
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(retryDelay):
--- a/internal/agreed/carry/carry_test.go
+++ b/internal/agreed/carry/carry_test.go
@@ -14,10 +14,11 @@
 	"millethinge/internal/agreed"
 )
 
-// A fleet of three on loopback agrees on a version, also on one of 1 MB; without one of
-// its voters, whichever it is, the two that are left agree on another; and it comes back.
+// A fleet of three on loopback agrees on a version and on one of 1 MB. Without one of the voters
+// the other two agree on another version, and the voter learns of it after its restart. Connections
+// that break the protocol are closed.
 func TestCarry(t *testing.T) {
-	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second) // for a test that hangs
+	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Second) // ends a test that hangs
 	defer cancel()
 	names := []string{"a", "b", "c"}
 	base := Config{Addresses: map[string]string{}, Log: zap.NewNop()}
@@ -40,11 +41,11 @@
 				results <- err
 			}
 		}
-		k := New(c)
+		r := New(c)
 		ctx, cancel := context.WithCancel(ctx)
 		done := make(chan error)
-		go func() { done <- k.Run(ctx) }()
-		runners[n], stop[n] = k, func() {
+		go func() { done <- r.Run(ctx) }()
+		runners[n], stop[n] = r, func() {
 			cancel()
 			if err := <-done; err != nil && !errors.Is(err, net.ErrClosed) {
 				t.Errorf("%s ended with %v", n, err)
@@ -85,12 +86,12 @@
 	waitInForce(3, "a", "b")
 	l, err := net.Listen("tcp4", base.Addresses["c"])
 	if err != nil {
-		t.Skip("the port was taken meanwhile: ", err)
+		t.Skip("the port was taken by another process: ", err)
 	}
 	listeners["c"] = l
 	start("c", 2, nil, results)
 	waitInForce(3, "c")
-	// A stranger and a frame without end are shut out.
+	// Connections of an unknown manager, and with a frame that is too long, are closed.
 	for _, b := range [][]byte{appendFrame(nil, []byte("z")), append(appendFrame(nil, []byte("a")), 0xff, 0xff, 0xff, 0xff)} {
 		conn, err := net.Dial("tcp4", base.Addresses["c"])
 		if err != nil {
--- a/internal/agreed/carry/frame.go
+++ b/internal/agreed/carry/frame.go
@@ -17,24 +17,24 @@
 	"millethinge/internal/agreed"
 )
 
-// maxFrameBytes bounds a frame: two documents and what stands round them.
+// maxFrameBytes bounds a frame: two documents and the fields around them.
 const maxFrameBytes = 2*agreed.MaxDocumentBytes + 64<<10
 
-// FrameTooLongError is a frame of more bytes than any message has. Its connection is closed.
+// FrameTooLongError reports a frame that is longer than any message. Its connection is closed.
 type FrameTooLongError struct{ Bytes, Limit int }
 
 func (e *FrameTooLongError) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, where the most is %d", e.Bytes, e.Limit)
+	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d bytes", e.Bytes, e.Limit)
 }
 
-// UnknownManagerError is a connection by a manager that the fleet does not name.
+// UnknownManagerError reports a connection from a manager that is not configured.
 type UnknownManagerError struct{ Name string }
 
 func (e *UnknownManagerError) Error() string {
-	return fmt.Sprintf("%q is no manager of this fleet: name it in every manager's file", e.Name)
+	return fmt.Sprintf("%q is not a manager of this fleet: add it to every manager's file", e.Name)
 }
 
-// appendFrame appends b after its length, four bytes.
+// appendFrame appends a frame: the length of b in four bytes, and b.
 func appendFrame(out, b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(b))), b...)
 }
@@ -53,11 +53,11 @@
 	return b, err
 }
 
-// acceptConnections takes connections in, as many as the fleet can need.
-func (k *Runner) acceptConnections(ctx context.Context, group *errgroup.Group) error {
+// acceptConnections accepts at most as many connections as the fleet can need.
+func (r *Runner) acceptConnections(ctx context.Context, group *errgroup.Group) error {
 	var open atomic.Int64
 	for {
-		conn, err := k.config.Listener.Accept()
+		conn, err := r.config.Listener.Accept()
 		if ctx.Err() != nil {
 			if err == nil {
 				conn.Close()
@@ -68,27 +68,28 @@
 			return err
 		}
 		if err != nil {
-			k.config.Log.Warn("agreement: accept", zap.Error(err))
-			time.Sleep(retryDelay) // no descriptors, most likely: there may be some again
+			r.config.Log.Warn("agreement: accept failed", zap.Error(err))
+			time.Sleep(retryDelay) // most likely out of file descriptors, which may be temporary
 			continue
 		}
-		if open.Add(1) > int64(2*len(k.config.Addresses)+spareConnections) {
+		if open.Add(1) > int64(2*len(r.config.Addresses)+spareConnections) {
 			open.Add(-1)
 			conn.Close()
 			continue
 		}
 		group.Go(func() error {
 			defer open.Add(-1)
-			if err := k.receiveFrames(ctx, conn); ctx.Err() == nil && !errors.Is(err, io.EOF) {
-				k.config.Log.Warn("agreement: connection", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
+			if err := r.receiveFrames(ctx, conn); ctx.Err() == nil && !errors.Is(err, io.EOF) {
+				r.config.Log.Warn("agreement: connection failed", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
 			}
 			return nil
 		})
 	}
 }
 
-// receiveFrames reads one manager's messages until its connection ends.
-func (k *Runner) receiveFrames(ctx context.Context, conn net.Conn) error {
+// receiveFrames reads the messages of another manager until its connection ends. The first frame
+// is the manager's name.
+func (r *Runner) receiveFrames(ctx context.Context, conn net.Conn) error {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
@@ -98,7 +99,7 @@
 		return err
 	}
 	name := string(hello)
-	if _, ok := k.config.Addresses[name]; !ok || name == k.config.Machine.Name {
+	if _, ok := r.config.Addresses[name]; !ok || name == r.config.Machine.Name {
 		return &UnknownManagerError{name}
 	}
 	conn.SetReadDeadline(time.Time{})
@@ -107,8 +108,8 @@
 		if err != nil {
 			return err
 		}
-		if !k.events.Put(agreed.Event{Kind: agreed.EventMessage, From: name, Bytes: b}) {
-			k.droppedMessages.Add(1)
+		if !r.events.Put(agreed.Event{Kind: agreed.EventMessage, From: name, Bytes: b}) {
+			r.droppedMessages.Add(1)
 		}
 	}
 }
--- a/internal/agreed/document.go
+++ b/internal/agreed/document.go
@@ -1,7 +1,8 @@
-// Package agreed decides on which rules and lists a fleet of managers acts, so that
-// no two act on what contradicts. It has no I/O: time is an argument, and what it
-// wants sent is handed back. machine.go is its interface; docs/agreed-design.md gives
-// the reasons.
+// Package agreed decides on which version of its rules and lists a fleet of managers may act,
+// so that no two managers act on incompatible versions. Versions are accepted by a raft log of
+// a few voters, and managers act on them under leases. The package does no I/O: times are
+// arguments, and messages to send are returned. Machine is its interface;
+// docs/agreed-design.md gives the reasons.
 package agreed
 
 import (
@@ -14,82 +15,84 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDocumentBytes bounds an encoded Document.
+// MaxDocumentBytes is the maximum size of an encoded Document in bytes.
 const MaxDocumentBytes = 2 << 20
 
-// A Document is one version of all that a fleet agrees on. Its names are unique within
-// a kind. What is marked free is for people to read and contradicts nothing.
+// A Document is one version of all that a fleet agrees on. Names are unique within a kind.
+// Fields marked as descriptive are for people to read and make no versions incompatible.
 type Document struct {
-	Version  uint64 `cbor:"1,keyasint"` // from 1
-	Replaces uint64 `cbor:"2,keyasint"` // the version that its author had before him; 0: none
+	Version  uint64 `cbor:"1,keyasint"` // at least 1
+	Replaces uint64 `cbor:"2,keyasint"` // the version that the author edited; 0: none
 
 	Definitions   []Definition `cbor:"3,keyasint,omitempty"`
-	Routes        []Route      `cbor:"4,keyasint,omitempty"` // the first that matches counts
+	Routes        []Route      `cbor:"4,keyasint,omitempty"` // the first that matches applies
 	Teams         []Team       `cbor:"5,keyasint,omitempty"`
 	Sites         []Site       `cbor:"6,keyasint,omitempty"`
 	Retirements   []Retirement `cbor:"7,keyasint,omitempty"`
 	Peaks         []Peak       `cbor:"8,keyasint,omitempty"`
-	DisabledNodes []string     `cbor:"9,keyasint,omitempty"` // nodes that are sent nothing new
+	DisabledNodes []string     `cbor:"9,keyasint,omitempty"` // media nodes that get no new sessions
 
-	// LeastList is the least revision of the node list that may be acted on.
+	// MinListRevision is the lowest revision of the node list that managers may act on.
 	MinListRevision uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// A Definition is a definition, a table or a set of the rules, in their language.
+// A Definition is a definition, a table or a set in the rules' language.
 type Definition struct {
 	Name string `cbor:"1,keyasint"`
 	Text string `cbor:"2,keyasint"`
 }
 
-// A Route is a rule: a condition and what it sets, in the rules' language.
+// A Route is a rule in the rules' language: a condition and the values that it sets.
 type Route struct {
-	Name       string            `cbor:"1,keyasint"` // free
+	Name       string            `cbor:"1,keyasint"` // descriptive
 	When       string            `cbor:"2,keyasint"` // empty: always
 	Class      string            `cbor:"3,keyasint,omitempty"`
 	Team       string            `cbor:"4,keyasint,omitempty"`
 	Key        string            `cbor:"5,keyasint,omitempty"`
-	Labels     map[string]string `cbor:"6,keyasint,omitempty"` // free
-	AtMostOnce bool              `cbor:"7,keyasint,omitempty"` // sets a class that must never be set up twice
+	Labels     map[string]string `cbor:"6,keyasint,omitempty"` // descriptive
+	AtMostOnce bool              `cbor:"7,keyasint,omitempty"` // sessions of Class must never be set up twice
 }
 
-// A Team is a team's share and limits. A limit of 0 is none.
+// A Team is a team's share and limits. A limit of 0 means no limit.
 type Team struct {
 	Name           string  `cbor:"1,keyasint"`
-	Title          string  `cbor:"2,keyasint,omitempty"` // free
-	Weight         float64 `cbor:"3,keyasint,omitempty"` // of its share of slots
-	SessionsPerS   float64 `cbor:"4,keyasint,omitempty"` // sessions a second over all managers
-	MaxEstablished int     `cbor:"5,keyasint,omitempty"` // sessions at one manager
-	// Closed is set by Careful only: versions disagree on whether there is such a team.
+	Title          string  `cbor:"2,keyasint,omitempty"` // descriptive
+	Weight         float64 `cbor:"3,keyasint,omitempty"` // its share of slots is proportional to this
+	SessionsPerS   float64 `cbor:"4,keyasint,omitempty"` // new sessions a second, over all managers
+	MaxEstablished int     `cbor:"5,keyasint,omitempty"` // established sessions at each manager
+	// RefuseAll is set by MostRestrictive only, if the versions disagree on whether the team
+	// exists.
 	RefuseAll bool `cbor:"-"`
 }
 
-// A Site is zones that are lost together.
+// A Site is a set of zones that fail together.
 type Site struct {
 	Name   string        `cbor:"1,keyasint"`
-	Title  string        `cbor:"2,keyasint,omitempty"` // free
+	Title  string        `cbor:"2,keyasint,omitempty"` // descriptive
 	Zones  []string      `cbor:"3,keyasint"`
-	Keep   []string      `cbor:"4,keyasint,omitempty"`
-	Refuse []string      `cbor:"5,keyasint,omitempty"`
-	Pace   time.Duration `cbor:"6,keyasint,omitempty"`
+	Keep   []string      `cbor:"4,keyasint,omitempty"` // classes that are served before all others while the site is lost
+	Refuse []string      `cbor:"5,keyasint,omitempty"` // classes in the order in which they are refused; nil: by worth per kB
+	Pace   time.Duration `cbor:"6,keyasint,omitempty"` // until its nodes take their full load again
 }
 
 // A Retirement takes a site out of use step by step.
 type Retirement struct {
 	Site        string        `cbor:"1,keyasint"`
-	Note        string        `cbor:"2,keyasint,omitempty"` // free
-	Period      time.Duration `cbor:"3,keyasint"`
-	UntilUnixS  int64         `cbor:"4,keyasint,omitempty"` // Unix seconds; 0: not told
+	Note        string        `cbor:"2,keyasint,omitempty"` // descriptive
+	Period      time.Duration `cbor:"3,keyasint"`           // over which the steps are spread
+	UntilUnixS  int64         `cbor:"4,keyasint,omitempty"` // Unix time in seconds; 0: not known
 	TargetSites []string      `cbor:"5,keyasint,omitempty"`
-	// Held: no further step, neither on nor back. Careful sets it where versions differ.
+	// Suspended allows no further step, neither forward nor back. MostRestrictive sets it if
+	// versions differ.
 	Suspended bool `cbor:"6,keyasint,omitempty"`
 }
 
-// A Peak is an announced peak. Each manager holds its own part of the room, and
-// gives way without it: no two holds contradict.
+// A Peak is an announced peak of load. Each manager holds its own part of the capacity for it,
+// and may do without the hold, so peaks make no versions incompatible.
 type Peak struct {
 	Name       string        `cbor:"1,keyasint"`
-	Spec       string        `cbor:"2,keyasint"` // days and classes, as the file has them
-	StartUnixS int64         `cbor:"3,keyasint"` // Unix seconds
+	Spec       string        `cbor:"2,keyasint"` // days and classes, as written in the operator's file
+	StartUnixS int64         `cbor:"3,keyasint"` // Unix time in seconds
 	Length     time.Duration `cbor:"4,keyasint"`
 	Factor     float64       `cbor:"5,keyasint"`
 }
@@ -105,20 +108,20 @@
 func encode(v any) []byte {
 	b, err := cborEncMode.Marshal(v)
 	if err != nil {
-		panic(err) // Guard: only types of this package come here, and all can be encoded
+		panic(err) // Guard: only called with types of this package, all of which can be encoded
 	}
 	return b
 }
 
-// Hash names the whole contents, the number as well.
+// Hash returns a hash of the whole document, including its version number.
 func (d *Document) Hash() uint64 { return xxhash.Sum64(encode(d)) }
 
-// Incompatible tells whether two managers must not act on a and b at the same time. It
-// goes by the kinds, not by the numbers, and is an equivalence turned round: what
-// contradicts neither of two that agree contradicts no third one that agrees with them.
+// Incompatible reports whether two managers must not act on a and b at the same time. It
+// compares the contents, not the version numbers. Its negation is an equivalence relation: a
+// document that is compatible with one of several compatible documents is compatible with all.
 func Incompatible(a, b *Document) bool { return !bytes.Equal(bindingContents(a), bindingContents(b)) }
 
-// bindingContents is the part of d that binds every manager, in one order.
+// bindingContents encodes the part of d that binds every manager, in a canonical order.
 func bindingContents(d *Document) []byte {
 	n := Document{Definitions: sortedByName(d.Definitions, func(x Definition) string { return x.Name }), MinListRevision: d.MinListRevision}
 	for _, r := range d.Routes {
@@ -150,10 +153,11 @@
 	return slices.SortedFunc(slices.Values(s), func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
-// sortedUnique sorts names and drops those that come twice.
+// sortedUnique returns the names sorted and without duplicates.
 func sortedUnique(s []string) []string { return slices.Compact(slices.Sorted(slices.Values(s))) }
 
-// Validate tells what is wrong with the form of d, whatever its rules mean: a *Bad, or nil.
+// Validate checks the form of d, but not the meaning of its rules. It returns an
+// *InvalidVersionError or nil.
 func (d *Document) Validate() error {
 	invalid := func(reason string) error { return &InvalidVersionError{Version: d.Version, Reason: reason} }
 	if d.Version == 0 || d.Replaces >= d.Version {
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -19,7 +19,8 @@
 	}
 }
 
-// drawDocument is a random Document of few names, so that two have much in common.
+// drawDocument draws a random Document. It uses few names, so that two Documents have much in
+// common.
 func drawDocument(t *rapid.T) *Document {
 	word := rapid.SampledFrom([]string{"a", "b", "c"})
 	names := func() []string { return sortedUnique(rapid.SliceOfN(word, 0, 3).Draw(t, "names")) }
@@ -38,7 +39,8 @@
 	return d
 }
 
-// What is free contradicts nothing; all else does. Order counts for routes only.
+// Descriptive fields make no versions incompatible; all others but Peaks do. Order matters for
+// Routes only.
 func TestIncompatible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := drawDocument(t)
@@ -56,7 +58,7 @@
 		slices.Reverse(b.Teams)
 		slices.Reverse(b.DisabledNodes)
 		if Incompatible(a, b) || Incompatible(b, a) {
-			t.Fatal("a word contradicts")
+			t.Fatal("incompatible, with differences in descriptive fields and order only")
 		}
 		changes := map[string]func(){
 			"out": func() { b.DisabledNodes = append(b.DisabledNodes, "z") }, "list": func() { b.MinListRevision++ }, "team": func() { b.Teams = append(b.Teams, Team{Name: "z"}) },
@@ -66,7 +68,7 @@
 		}
 		kind := rapid.SampledFrom([]string{"out", "list", "team", "route", "site", "retire", "define"}).Draw(t, "kind")
 		if changes[kind](); !Incompatible(a, b) || !Incompatible(b, a) {
-			t.Fatalf("%s: no contradiction", kind)
+			t.Fatalf("%s: not incompatible", kind)
 		}
 	})
 }
@@ -79,22 +81,22 @@
 	return c
 }
 
-// The careful side allows nothing that one of the two does not, in either order, and of
-// one version alone it is that version.
+// MostRestrictive allows nothing that one of the two versions does not, in either order. Of one
+// version twice it is that version.
 func TestMostRestrictive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawDocument(t), drawDocument(t)
 		restricted, reversed := MostRestrictive(a, b), MostRestrictive(b, a)
 		if again := MostRestrictive(a, a); !reflect.DeepEqual(again.Teams, fromDocument(a).Teams) || !reflect.DeepEqual(again.Retirements, fromDocument(a).Retirements) || !reflect.DeepEqual(again.Sites, fromDocument(a).Sites) {
-			t.Fatalf("of one version twice: %+v", again)
+			t.Fatalf("of one version twice: %+v, want that version", again)
 		}
 		if !reflect.DeepEqual(restricted.DisabledNodes, reversed.DisabledNodes) || len(restricted.Sites) != len(reversed.Sites) || len(restricted.Teams) != len(reversed.Teams) || len(restricted.Peaks) != len(reversed.Peaks) {
-			t.Fatalf("order counts: %+v, %+v", restricted, reversed)
+			t.Fatalf("results differ by the order of the versions: %+v, %+v", restricted, reversed)
 		}
 		for _, d := range []*Document{a, b} {
 			for _, n := range d.DisabledNodes {
 				if !restricted.DisabledNodes[n] {
-					t.Fatalf("node %s is sent to", n)
+					t.Fatalf("disabled node %s is allowed", n)
 				}
 			}
 			w := fromDocument(d)
@@ -116,7 +118,7 @@
 				}
 			}
 			if restricted.MinListRevision < d.MinListRevision {
-				t.Fatal("an older list is allowed")
+				t.Fatal("an older node list is allowed")
 			}
 		}
 		request := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "request")
@@ -134,16 +136,16 @@
 	})
 }
 
-// Without a lease nothing is set up by a route that can't be taken back.
+// Without a lease, routes to a class that must never be set up twice are refused; others are not.
 func TestRouteWithoutLease(t *testing.T) {
 	e := MostRestrictive(&Document{Version: 3, Routes: []Route{{Class: "clip", AtMostOnce: true}, {Class: "feed"}}})
 	e.NoLease = true
 	_, _, err := e.Route(func(*Document) int { return 0 })
 	var unsettled *UnsettledRouteError
 	if !errors.As(err, &unsettled) || !unsettled.NoLease || unsettled.RetryAfter == 0 {
-		t.Errorf("a clip gave %v", err)
+		t.Errorf("route of class clip without a lease: %v, want an UnsettledRouteError", err)
 	}
 	if r, found, err := e.Route(func(*Document) int { return 1 }); err != nil || !found || r.Class != "feed" {
-		t.Errorf("a feed gave %v, %v", r, err)
+		t.Errorf("route of class feed without a lease: %v, %v", r, err)
 	}
 }
--- a/internal/agreed/errors.go
+++ b/internal/agreed/errors.go
@@ -5,49 +5,50 @@
 	"time"
 )
 
-// InvalidVersionError is a version that was turned down for its contents. The last good one stays.
+// InvalidVersionError reports a version that was rejected for its contents. The last valid
+// version stays in force.
 type InvalidVersionError struct {
 	Version uint64
 	Reason  string
 }
 
 func (e *InvalidVersionError) Error() string {
-	return fmt.Sprintf("version %d is turned down: %s; the last good one stays", e.Version, e.Reason)
+	return fmt.Sprintf("version %d was rejected: %s; the last valid version stays in force", e.Version, e.Reason)
 }
 
-// VersionConflictError is a number that was given to different contents before.
+// VersionConflictError reports a version number that is already in use for different contents.
 type VersionConflictError struct{ Version, LastVersion uint64 }
 
 func (e *VersionConflictError) Error() string {
-	return fmt.Sprintf("version %d is there already with different contents; read version %d and submit %d", e.Version, e.LastVersion, e.LastVersion+1)
+	return fmt.Sprintf("version %d already exists with different contents; read version %d and submit your changes as version %d", e.Version, e.LastVersion, e.LastVersion+1)
 }
 
-// VersionGapError is a version that replaces another than the last one.
+// VersionGapError reports a version that replaces another version than the last one.
 type VersionGapError struct{ Version, Replaces, LastVersion uint64 }
 
 func (e *VersionGapError) Error() string {
-	return fmt.Sprintf("version %d replaces %d, but the last one is %d; read that and submit anew", e.Version, e.Replaces, e.LastVersion)
+	return fmt.Sprintf("version %d replaces version %d, but the last version is %d; read that and submit again", e.Version, e.Replaces, e.LastVersion)
 }
 
-// SupersededError is a version that was given up here before the fleet had decided on it,
-// since another one was submitted at the same manager. It may still come into force.
+// SupersededError reports a version that was abandoned by this manager before the fleet had
+// decided on it, since another one was submitted here. It may still come into force.
 type SupersededError struct{ Version, SupersededBy uint64 }
 
 func (e *SupersededError) Error() string {
-	return fmt.Sprintf("version %d was not decided on when version %d was submitted here; it may still come", e.Version, e.SupersededBy)
+	return fmt.Sprintf("version %d was still undecided when version %d was submitted here; it may still come into force", e.Version, e.SupersededBy)
 }
 
-// UnsettledRouteError is a request that is refused since its route is not the same in all
-// versions that may be in force, or might not be.
+// UnsettledRouteError reports a request that is refused since its route is not, or may not be,
+// the same in all versions that may be in force.
 type UnsettledRouteError struct {
 	Versions   []uint64
-	NoLease    bool // this manager hears nothing of the fleet
+	NoLease    bool // this manager holds no lease
 	RetryAfter time.Duration
 }
 
 func (e *UnsettledRouteError) Error() string {
 	if e.NoLease {
-		return fmt.Sprintf("version %v may have been replaced, and this manager hears nothing of the fleet: come again in %v", e.Versions, e.RetryAfter)
+		return fmt.Sprintf("version %v may have been replaced, and this manager holds no lease: retry in %v", e.Versions, e.RetryAfter)
 	}
-	return fmt.Sprintf("versions %v give different routes, and which is in force is not settled: come again in %v", e.Versions, e.RetryAfter)
+	return fmt.Sprintf("versions %v give different routes, and it is not settled which is in force: retry in %v", e.Versions, e.RetryAfter)
 }
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -11,16 +11,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// modelState is three holders and a leader whose log takes no time, at one moment: the code
-// that runs, with all that the network holds. Times are whole steps; a lease is one.
+// modelState is a state of a model of three lease holders and a leader whose log takes no time.
+// It consists of the program's own types and the messages in flight. Times are whole steps; a
+// lease lasts one step.
 type modelState struct {
 	now           time.Duration
 	holders       [3]holder
 	ledger        ledger
 	lessor        lessor
-	inFlight      []message // in any order
-	leaderChanges int       // that may still come
-	maxRequests   [3]uint64 // most by each
+	inFlight      []message // may arrive in any order
+	leaderChanges int       // that may still happen
+	maxRequests   [3]uint64 // by each holder, including the first
 }
 
 var modelVersions = []*Document{nil, {Version: 1}, {Version: 2, Replaces: 1, DisabledNodes: []string{"n"}}}
@@ -44,8 +45,8 @@
 	return state
 }
 
-// key tells worlds apart. What is in flight has no order, and two managers that
-// may ask as often are alike.
+// key returns a hash that identifies the state. Messages in flight have no order, and the first
+// two holders are interchangeable if they may send the same number of requests.
 func (state *modelState) key() uint64 {
 	var each [3][]byte
 	for i, h := range state.holders {
@@ -75,8 +76,8 @@
 	return xxhash.Sum64(bytes.Join(append(each[:], k), []byte{0xff}))
 }
 
-// successors are all worlds that can come next. What is lost, late or stopped needs no step
-// of its own: whatever is in flight, or could be done, may stay undone for ever.
+// successors returns all states that can come next. Loss, delay and process pauses need no step
+// of their own, since each message in flight and each possible step may be left out forever.
 func (state modelState) successors() (out []modelState) {
 	add := func(do func(state *modelState)) { n := state.clone(); do(&n); out = append(out, n) }
 	if state.now < 2 {
@@ -87,7 +88,7 @@
 	} else if c := state.clone(); state.ledger.Pending != nil && c.lessor.allBoundBy(state.now, 2) {
 		add(func(state *modelState) { state.ledger.putInForce(2) })
 	}
-	if state.leaderChanges > 0 { // another leads, who knows of no lease
+	if state.leaderChanges > 0 { // a new leader, which knows of no lease
 		add(func(state *modelState) {
 			state.leaderChanges--
 			state.lessor = *newLessor(1, state.now, state.lessor.fault)
@@ -118,8 +119,9 @@
 	return out
 }
 
+// conflicting reports whether two holders act on incompatible versions.
 func (state *modelState) conflicting() bool {
-	var active [3]bool // on the first only, on the second only
+	var active [3]bool // by version: a holder acts on that version only
 	for _, h := range state.holders {
 		if h.hasLease(state.now) && h.pending == nil {
 			active[h.inForce.Version] = true
@@ -128,7 +130,8 @@
 	return active[1] && active[2]
 }
 
-// explore looks at all worlds that can come, and tells how many, and whether one is wrong.
+// explore visits all reachable states, but at most limit. It returns their number and whether one
+// is conflicting.
 func explore(injected protocolFault, maxRequests [3]uint64, limit int) (states int, conflict bool) {
 	seen, todo := map[uint64]bool{}, []modelState{newModelState(injected, maxRequests)}
 	for len(todo) > 0 && len(seen) < limit {
@@ -146,25 +149,26 @@
 	return len(seen), false
 }
 
-// In no order of all that three managers, two versions and two faults allow do two act
-// on what contradicts; without the lease or the wait there is one.
+// Explores all orders of events with three managers, two versions and two changes of leader. In
+// none of them may two managers act on incompatible versions. With the lease or the wait for
+// leases disabled, the exploration must find a conflict.
 func TestExplore(t *testing.T) {
-	requestLimits := [][3]uint64{{2, 2, 2}} // each has asked once, and asks once more
+	requestLimits := [][3]uint64{{2, 2, 2}} // each has sent one request, and sends one more
 	if *exhaustive {
 		requestLimits = append(requestLimits, [3]uint64{2, 2, 3}, [3]uint64{1, 2, 4})
 	}
 	for _, maxRequests := range requestLimits {
 		n, conflict := explore(faultNone, maxRequests, 1<<23)
 		if conflict || n == 1<<23 {
-			t.Errorf("%d worlds: wrong %v", n, conflict)
+			t.Errorf("%d states, conflict: %v", n, conflict)
 		}
-		t.Logf("%v: %d worlds", maxRequests, n)
+		t.Logf("request limits %v: %d states", maxRequests, n)
 	}
 	for _, fault := range []protocolFault{faultNoLease, faultNoWait} {
 		n, conflict := explore(fault, requestLimits[0], 1<<23)
 		if !conflict {
-			t.Errorf("flaw %d: not found in %d worlds", fault, n)
+			t.Errorf("fault %d: no conflict found in %d states", fault, n)
 		}
-		t.Logf("flaw %d: found after %d worlds", fault, n)
+		t.Logf("fault %d: conflict found after %d states", fault, n)
 	}
 }
--- a/internal/agreed/fleet_test.go
+++ b/internal/agreed/fleet_test.go
@@ -10,44 +10,45 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// simulation is managers in virtual time, with a network between them that loses, delays
-// and cuts. The first voters of them decide.
+// simulation runs managers in virtual time, with a network between them that loses and delays
+// messages and can be partitioned. The first managers are the voters.
 type simulation struct {
 	now             time.Duration
 	random          *rand.Rand
 	queue           eventQueue
 	scheduled       int
 	managers        []*simManager
-	blocked         map[[2]int]bool // from, to
+	blocked         map[[2]int]bool // by indexes of sender and receiver
 	lossRate        float64
 	config          Config
 	messages        int
 	bytes           int
-	documents       map[uint64]*Document // by number, all that came into force anywhere
-	seenHashes      map[uint64]bool      // hashes of what any manager was told of
+	documents       map[uint64]*Document // by version, all that came into force at any manager
+	seenHashes      map[uint64]bool      // of the versions that have bound any manager
 	hashOf          map[*Document]uint64
 	incompatible    map[[2]uint64]bool
-	conflictSince   time.Duration              // since when two act on what contradicts; -1: none do
-	longestConflict time.Duration              // 0: none ever did
-	leadersByTerm   map[uint64]map[uint64]bool // by term
+	conflictSince   time.Duration              // since when two managers act on incompatible versions; -1: none do
+	longestConflict time.Duration              // 0: there was none
+	leadersByTerm   map[uint64]map[uint64]bool // indexes of managers by term
 	history         []porcupine.Operation
-	checked         bool
+	checked         bool // check after each event
 }
 
-// simManager is one process. Its clock runs by rate and started at random.
+// simManager is a manager process. Its clock runs at clockRate from a random offset.
 type simManager struct {
 	*Machine
 	index       int
 	clockRate   float64
 	clockOffset time.Duration
-	pausedUntil time.Duration // until when
+	pausedUntil time.Duration // of a process pause
 	inbox       []Event
-	generation  int
+	generation  int // number of starts
 	results     []Action
-	openRead    *porcupine.Operation // reads of one version without a break
+	openRead    *porcupine.Operation // last of consecutive reads of the same version
 	writes      []*porcupine.Operation
 }
 
+// simEvent is a scheduled event. Events at the same time run in the order of scheduling.
 type simEvent struct {
 	at     time.Duration
 	order  int
@@ -180,7 +181,7 @@
 	})
 }
 
-// activeVersions are the versions of which m keeps to every one now; none without a lease.
+// activeVersions returns the versions that bind m now; none without a lease.
 func (sim *simulation) activeVersions(m *simManager) (out []uint64) {
 	if sim.now < m.pausedUntil || !m.holder.hasLease(m.clock(sim.now)) || m.holder.inForce == nil {
 		return nil
@@ -191,8 +192,8 @@
 	return out
 }
 
-// check looks whether two managers act on what contradicts, after what m has done.
-// It begins only by what one of them is told, so that it can't be missed.
+// check checks whether two managers act on incompatible versions, after m has handled an event.
+// Such a conflict can begin only with an event of one of the two, so none is missed.
 func (sim *simulation) check(m *simManager) {
 	now, conflict := int64(sim.now), false
 	for i, a := range sim.managers {
@@ -220,8 +221,8 @@
 		}
 		sim.leadersByTerm[term][uint64(m.index)] = true
 	}
-	// A manager that acts on one version alone reads the register: the first and the
-	// last of a row of equal reads are kept.
+	// A manager that acts on one version only reads the register: the first and the last of
+	// consecutive equal reads are recorded.
 	for _, d := range m.holder.boundBy() {
 		if sim.hashOf[d] == 0 {
 			sim.hashOf[d] = d.Hash()
@@ -253,10 +254,12 @@
 	return sim.incompatible[k]
 }
 
-// writeOp is a version submitted: it takes effect where what it replaces is in force.
+// writeOp is the submission of a version. It takes effect if the version that it replaces is in
+// force.
 type writeOp struct{ version, replaces, hash uint64 }
 
-// submit gives m a new version over what it knows of, which takes other nodes out.
+// submit submits at m a version that replaces the newest one that m knows, with other disabled
+// nodes.
 func (sim *simulation) submit(m *simManager, nodes ...string) *Document {
 	d := &Document{Version: 1, DisabledNodes: nodes}
 	if n := m.holder.boundBy(); len(n) > 0 {
@@ -269,13 +272,13 @@
 	return d
 }
 
-// linearizable tells whether the history is that of one register of versions.
+// linearizable reports whether the history is that of a single register of versions.
 func (sim *simulation) linearizable() bool {
 	history := slices.Clone(sim.history)
 	for _, m := range sim.managers {
 		for i, o := range m.writes {
 			o.ClientId = 1000*(m.index+1) + i
-			if sim.seenHashes[o.Input.(writeOp).hash] { // what nobody was ever told of took no effect
+			if sim.seenHashes[o.Input.(writeOp).hash] { // a version that never bound any manager took no effect
 				history = append(history, *o)
 			}
 		}
@@ -292,6 +295,8 @@
 	}, history)
 }
 
+// partition separates the managers of side from the others, or with oneWay blocks only the
+// messages from side.
 func (sim *simulation) partition(side []int, oneWay bool) {
 	clear(sim.blocked)
 	for i := range sim.managers {
@@ -312,7 +317,8 @@
 	return nil
 }
 
-// timeToForce waits until all managers of the list act on v alone: -1 if they don't.
+// timeToForce returns the time until all the given managers act on version v only, or -1 if they
+// do not within limit.
 func (sim *simulation) timeToForce(v uint64, limit time.Duration, managers ...*simManager) time.Duration {
 	for start := sim.now; sim.now < start+limit; sim.run(5 * time.Millisecond) {
 		if !slices.ContainsFunc(managers, func(m *simManager) bool { return !slices.Equal(sim.activeVersions(m), []uint64{v}) }) {
--- a/internal/agreed/holder.go
+++ b/internal/agreed/holder.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// holder is a manager's side: what it knows, and its lease.
+// holder is the lease holder's side of the protocol, at each manager: the versions that it knows
+// of, and its lease.
 type holder struct {
-	id          uint64        // another one after each start
-	leaseLength time.Duration // of a lease by its own clock
-	inForce     *Document     // the newest that it knows to be in force; nil: none
-	pending     *Document     // accepted; it keeps to this as well
-	leaseExpiry time.Duration // of the lease
-	seq         uint64
-	requestedAt map[uint64]time.Duration
+	id          uint64        // differs after each start
+	leaseLength time.Duration // by its own clock
+	inForce     *Document     // the newest version that it knows to be in force; nil: none
+	pending     *Document     // accepted, not yet in force; binds the manager as well; nil: none
+	leaseExpiry time.Duration
+	seq         uint64                   // of the last renewal
+	requestedAt map[uint64]time.Duration // by seq
 	fault       protocolFault
 }
 
-// nextRenewal is the next request for a lease.
+// nextRenewal returns the next request for a lease.
 func (h *holder) nextRenewal(now time.Duration) *renewal {
 	h.seq++
 	h.requestedAt[h.seq] = now
 	for s, at := range h.requestedAt {
 		if at+h.leaseLength < now {
-			delete(h.requestedAt, s) // what it would give has run out
+			delete(h.requestedAt, s) // a lease granted for it would have expired
 		}
 	}
 	r := &renewal{HolderID: h.id, Seq: h.seq}
@@ -33,7 +34,8 @@
 	return r
 }
 
-// applyGrant takes a grant in. news: it knows more than before, and should tell.
+// applyGrant applies a grant. changed means that the holder knows a newer version than before,
+// and should send a renewal that says so.
 func (h *holder) applyGrant(g *grant, documents []*Document) (changed bool) {
 	requestedAt, ok := h.requestedAt[g.Seq]
 	if g.HolderID != h.id || !ok {
@@ -49,7 +51,7 @@
 	}
 	inForce, pending := find(g.InForce), find(g.Pending)
 	if g.InForce != 0 && inForce == nil || g.Pending != 0 && pending == nil {
-		return false // Guard: no lease on what it has not got
+		return false // Guard: no lease on a version whose document is missing here
 	}
 	if inForce != nil && (h.inForce == nil || h.inForce.Version < inForce.Version) {
 		h.inForce, changed = inForce, true
@@ -57,8 +59,8 @@
 	if pending != nil && (h.pending == nil || h.pending.Version < pending.Version) {
 		h.pending, changed = pending, true
 	}
-	// Guard: a grant that comes late may be older than what is known. What is known to
-	// come is kept to until it is in force, whatever is said.
+	// Guard: a delayed grant may be older than what is known. A pending version binds the
+	// manager until it is in force, whatever later grants say.
 	if h.pending != nil && h.inForce != nil && h.pending.Version <= h.inForce.Version {
 		h.pending = nil
 	}
@@ -66,11 +68,12 @@
 	return changed
 }
 
+// hasLease reports whether the lease is still valid.
 func (h *holder) hasLease(now time.Duration) bool {
 	return now < h.leaseExpiry || h.fault == faultNoLease
 }
 
-// boundBy are the versions that it keeps to.
+// boundBy returns the versions that bind the manager.
 func (h *holder) boundBy() (out []*Document) {
 	for _, d := range []*Document{h.inForce, h.pending} {
 		if d != nil {
--- a/internal/agreed/ledger.go
+++ b/internal/agreed/ledger.go
@@ -6,31 +6,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxHashes bounds the numbers whose contents are told apart from a second form.
+// maxHashes is the number of last versions whose hashes are kept, to recognise a version number
+// that is submitted again with different contents.
 const maxHashes = 256
 
-// A Replica is a voter's life between two starts. One that starts again has forgotten
-// what it promised, so that it is a new Replica with a higher Incarnation.
+// A Replica is a voter between two starts. A voter that starts again has forgotten its votes
+// and log, so it is a new Replica with a higher Incarnation.
 type Replica struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// raftID is the Member's name in the log's engine. It is never 0.
+// raftID returns the Replica's ID in raft. It is never 0.
 func (m Replica) raftID() uint64 { return xxhash.Sum64(encode(m)) | 1 }
 
-// ledger is what the log comes to: the same at every voter that has applied as much.
+// ledger is the replicated state: it is the same at all voters that have applied the same
+// entries.
 type ledger struct {
-	InForce  *Document          `cbor:"1,keyasint,omitempty"` // in force; nil: none yet
-	Pending  *Document          `cbor:"2,keyasint,omitempty"` // accepted, and to come into force
-	Hashes   map[uint64]uint64  `cbor:"3,keyasint"`           // of the last numbers
-	Replicas map[uint64]Replica `cbor:"4,keyasint"`           // voters and those that learn, by id
+	InForce  *Document          `cbor:"1,keyasint,omitempty"` // nil: none yet
+	Pending  *Document          `cbor:"2,keyasint,omitempty"` // accepted, not yet in force; nil: none
+	Hashes   map[uint64]uint64  `cbor:"3,keyasint"`           // of the last maxHashes versions, by number
+	Replicas map[uint64]Replica `cbor:"4,keyasint"`           // voters and learners, by raftID
 }
 
-// logEntry is one line of the log; one field is set.
+// logEntry is an entry of the log. One field is set.
 type logEntry struct {
-	EncodedDocument []byte `cbor:"1,keyasint,omitempty"` // accept it
-	Enforce         uint64 `cbor:"2,keyasint,omitempty"` // this version is in force
+	EncodedDocument []byte `cbor:"1,keyasint,omitempty"` // accept this version
+	Enforce         uint64 `cbor:"2,keyasint,omitempty"` // put this version in force
 }
 
 func (l *ledger) lastVersion() uint64 {
@@ -47,8 +49,8 @@
 	return 0
 }
 
-// outcomeOf tells what becomes of a version that is submitted now. fresh: it may be
-// written to the log.
+// outcomeOf returns the outcome of a version that is submitted now. appendable means that it is
+// new and may be appended to the log.
 func (l *ledger) outcomeOf(d *Document, hash uint64) (result outcome, appendable bool) {
 	switch h, ok := l.Hashes[d.Version]; {
 	case ok && h == hash:
@@ -63,7 +65,8 @@
 	return outcomeGap, false
 }
 
-// accept applies a version. It decides again, since two may have been written at once.
+// accept applies an accepted version. It decides again, since two versions may have been
+// appended to the log at the same time.
 func (l *ledger) accept(d *Document) {
 	hash := d.Hash()
 	if _, appendable := l.outcomeOf(d, hash); !appendable {
@@ -76,7 +79,7 @@
 		}
 	}
 	if l.InForce != nil && !Incompatible(l.InForce, d) {
-		l.InForce = d // both may be acted on at once: nobody waits
+		l.InForce = d // both may be acted on at the same time, so there is no need to wait
 		return
 	}
 	l.Pending = d
@@ -88,39 +91,40 @@
 	}
 }
 
-// lessor is a leader's account of the leases that may be held. It knows nothing of
-// those that others gave before it led, and takes it that all managers hold one.
+// lessor is the leader's record of the leases that managers may hold. It does not know the
+// leases granted by earlier leaders, and assumes that every manager holds one.
 type lessor struct {
 	leaseLength time.Duration
-	leaderSince time.Duration // when it came to lead
-	leases      map[uint64]leaseRecord
+	leaderSince time.Duration          // when it became leader
+	leases      map[uint64]leaseRecord // by the holder's id
 	fault       protocolFault
 }
 
 type leaseRecord struct {
 	manager string
 	expiry  time.Duration
-	boundBy uint64 // it keeps to this version, and to what was in force before
+	boundBy uint64 // newest version that binds the holder; the version in force before binds it as well
 }
 
 func newLessor(leaseLength, now time.Duration, f protocolFault) *lessor {
 	return &lessor{leaseLength: leaseLength, leaderSince: now, leases: map[uint64]leaseRecord{}, fault: f}
 }
 
-// recordRenewal notes a renewal. A lease counts from when it was asked for, which was not
-// after it arrived here.
+// recordRenewal records a renewal. The holder counts its lease from the time of the request,
+// which is not later than its arrival here.
 func (s *lessor) recordRenewal(now time.Duration, managerName string, r *renewal) {
 	lease := s.leases[r.HolderID]
 	lease.manager, lease.expiry, lease.boundBy = managerName, now+s.leaseLength, max(lease.boundBy, r.InForce, r.Pending)
 	s.leases[r.HolderID] = lease
 }
 
-// allBoundBy tells whether nobody can act on what is in force without keeping to v.
+// allBoundBy reports whether no manager can act on the version in force without being bound by
+// the given version as well.
 func (s *lessor) allBoundBy(now time.Duration, version uint64) bool {
 	if s.fault == faultNoWait {
 		return true
 	}
-	// Guard: leases that an earlier leader gave were asked for before this one led.
+	// Guard: leases granted by an earlier leader were requested before this one led.
 	if now < s.leaderSince+s.leaseLength {
 		return false
 	}
@@ -134,7 +138,7 @@
 	return true
 }
 
-// protocolFault leaves out a part of the protocol, for tests that must find it missing.
+// protocolFault disables a part of the protocol, for tests that must detect its absence.
 type protocolFault int
 
 const (
--- a/internal/agreed/machine.go
+++ b/internal/agreed/machine.go
@@ -12,21 +12,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Config is what a manager is told at its start. It does not change.
+// Config is the configuration of a Machine. It must not change.
 type Config struct {
-	Name            string        // this manager's
-	Incarnation     uint64        // higher after each start, such as the time of the start
-	Voters          []string      // names of the 3 or 5 managers that decide
-	InitialReplicas []Replica     // at the founding of a fleet: all Voters; else nil
-	MaxDelay        time.Duration // T; 2 s if 0
-	MaxClockDrift   float64       // most by which a clock runs fast or slow; 0.01 if 0
+	Name            string        // of this manager
+	Incarnation     uint64        // must increase with each start, such as the start time
+	Voters          []string      // names of the 3 or 5 managers that vote
+	InitialReplicas []Replica     // all Voters when a fleet starts for the first time; else nil
+	MaxDelay        time.Duration // T, the time within which a version comes into force while the leader stays; 2 s if 0
+	MaxClockDrift   float64       // maximum relative error of a clock's rate; 0.01 if 0
 	Seed            uint64
-	CheckDocument   func(*Document) error // whether a version can be acted on here; nil: all can
+	CheckDocument   func(*Document) error // returns an error if this manager can't act on a version; nil: it can act on all
 
 	fault protocolFault
 }
 
-// TickInterval is how often a machine wants an EvTick.
+// TickInterval returns the interval at which a Machine needs an EventTick.
 func (c *Config) TickInterval() time.Duration { return c.maxDelay() / 40 }
 
 func (c *Config) maxDelay() time.Duration {
@@ -36,16 +36,17 @@
 	return c.MaxDelay
 }
 
-// EventKind says which fields of an Event are set.
+// EventKind is the kind of an Event. It determines which fields are set.
 type EventKind int
 
+// Kinds of events, and the fields that they set.
 const (
-	EventTick    EventKind = iota // a Config.Tick has passed, or more
+	EventTick    EventKind = iota // at least Config.TickInterval has passed
 	EventMessage                  // From, Bytes
 	EventSubmit                   // Document: an operator's new version
 )
 
-// Event is one thing that a manager is told.
+// Event is an input of a Machine.
 type Event struct {
 	Kind     EventKind
 	From     string
@@ -53,17 +54,18 @@
 	Document *Document
 }
 
-// ActionKind says which fields of an Action are set.
+// ActionKind is the kind of an Action. It determines which fields are set.
 type ActionKind int
 
+// Kinds of actions, and the fields that they set.
 const (
-	ActionSend             ActionKind = iota // To, Bytes; it may be lost, late or twice
-	ActionInForce                            // Document is in force, for all that this manager knows
-	ActionSubmissionResult                   // Version, Err: what became of a submission; nil: accepted
-	ActionLogError                           // Err: for the log
+	ActionSend             ActionKind = iota // To, Bytes: a message, which may be lost, delayed or duplicated
+	ActionInForce                            // Document is in force, as far as this manager knows
+	ActionSubmissionResult                   // Version, Err: the result of a submission; nil: accepted
+	ActionLogError                           // Err: to be logged
 )
 
-// Action is one thing that a manager does.
+// Action is an output of a Machine, to be carried out by the caller.
 type Action struct {
 	Kind     ActionKind
 	To       string
@@ -73,55 +75,55 @@
 	Err      error
 }
 
-// A Machine is one manager's part in the agreement. It has no I/O and starts nothing.
-// Times are by the manager's own monotonic clock, from any start; they never go back.
+// A Machine is one manager's state machine of the agreement. It does no I/O and starts no
+// goroutines. Times are readings of the manager's own monotonic clock, from any origin.
 type Machine struct {
 	config           Config
 	holder           holder
-	voter            *voter // nil: it only listens
-	lessor           *lessor
-	lastValid        *Document // the last in force that Check let pass
-	inForceInvalid   bool      // Check does not let pass what is in force
-	submitted        *Document // submitted here and not decided on
+	voter            *voter    // nil: this manager does not vote
+	lessor           *lessor   // nil: this manager does not lead
+	lastValid        *Document // the last version in force that CheckDocument accepted
+	inForceInvalid   bool      // CheckDocument rejects the version in force
+	submitted        *Document // the version submitted here that is not decided yet; nil: none
 	submittedHash    uint64
-	submissionSentAt time.Duration // when mine was last handed on, and to whom
+	submissionSentAt time.Duration // when submitted was last sent, and to whom
 	submissionSentTo string
 
-	effectiveSources [3]*Document // what effective was made of
+	effectiveSources [3]*Document // what effective was computed from
 	effective        EffectiveConfig
 
-	leader             string // who leads, as far as known
-	voterIndex         int    // the voter to ask while nobody is known to lead
+	leader             string // the leader's name; empty: not known
+	voterIndex         int    // of the voter to ask while the leader is not known, modulo their number
 	leaderHeardAt      time.Duration
 	renewalSentAt      time.Duration
 	joinSentAt         time.Duration
-	queuedRequests     []request // until the next round
-	confirmingRequests []request // the round that is out
+	queuedRequests     []request // for the next ReadIndex round
+	confirmingRequests []request // of the ReadIndex round that is under way
 	readIndexRound     uint64
-	proposedKey        uint64 // hash of what was last written, and when
+	proposedKey        uint64 // hash or version of the last proposal, and when it was made
 	proposedAt         time.Duration
-	notifiedVersions   [2]uint64
-	loopback           []*message
-	actions            []Action
+	notifiedVersions   [2]uint64  // in force and last, of which the holders were last notified
+	loopback           []*message // from this manager to itself
+	actions            []Action   // of the current Handle
 }
 
-// request is what the leader answers once a majority has confirmed that it leads.
+// request is a request that the leader answers once a majority has confirmed that it leads.
 type request struct {
 	from              string
 	leaseRenewal      *renewal
 	versionSubmission *submission
-	document          *Document // of submit
+	document          *Document // decoded from versionSubmission
 	hash              uint64
 }
 
-// New is a manager at its start.
+// New returns the Machine of a manager that has just started.
 func New(now time.Duration, c Config) *Machine {
 	if c.MaxClockDrift == 0 {
 		c.MaxClockDrift = 0.01
 	}
 	m := &Machine{config: c}
 	self := Replica{c.Name, c.Incarnation}
-	// A lease is the holder's for less than the leader takes it for, by both drifts.
+	// The holder counts its lease as shorter than the leader does, by the drift of both clocks.
 	m.holder = holder{id: self.raftID(), leaseLength: time.Duration(float64(m.grantedLeaseLength()) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift)), requestedAt: map[uint64]time.Duration{}, fault: c.fault}
 	m.voterIndex = int(self.raftID() % uint64(len(c.Voters)))
 	m.renewalSentAt, m.joinSentAt, m.leaderHeardAt = now-m.grantedLeaseLength(), now-m.grantedLeaseLength(), now
@@ -131,15 +133,16 @@
 	return m
 }
 
-// grantedLeaseLength is what the leader takes a lease for: less than T, so that what waits for
-// leases to run out is in force within T.
+// grantedLeaseLength returns the length of a lease by the leader's clock. It is less than MaxDelay,
+// so that a version that waits for leases to expire is in force within MaxDelay.
 func (m *Machine) grantedLeaseLength() time.Duration { return m.config.maxDelay() * 3 / 4 }
 
-// Effective is what this manager may do now. It is to be asked at each decision: one that
-// was stopped has no lease any more. ok is false where it knows of none in force yet.
+// Effective returns what this manager may act on now. It must be called for each decision, since
+// the lease may have expired in a process pause. ok is false until a version is known to be in
+// force.
 func (m *Machine) Effective(now time.Duration) (e EffectiveConfig, ok bool) {
 	if m.holder.inForce == nil {
-		return EffectiveConfig{}, false // what is to come is not in force
+		return EffectiveConfig{}, false // a pending version is not in force
 	}
 	if sources := [3]*Document{m.holder.inForce, m.holder.pending, m.lastValid}; sources != m.effectiveSources {
 		boundBy := m.holder.boundBy()
@@ -153,10 +156,10 @@
 	return e, true
 }
 
-// LeaseExpiry is when the lease runs out by this manager's clock, if nothing is heard until then.
+// LeaseExpiry returns when the lease expires by this manager's clock unless it is renewed.
 func (m *Machine) LeaseExpiry() time.Duration { return m.holder.leaseExpiry }
 
-// Handle takes one event in. What it returns is to be done in this order.
+// Handle processes an event. The caller must carry out the actions in the order returned.
 func (m *Machine) Handle(now time.Duration, e Event) []Action {
 	m.actions = nil
 	switch e.Kind {
@@ -176,7 +179,8 @@
 	return m.actions
 }
 
-// processPending does what follows from the event, until nothing does.
+// processPending runs the voter and delivers messages to this manager itself until none is
+// left.
 func (m *Machine) processPending(now time.Duration) {
 	for {
 		if m.voter != nil {
@@ -217,7 +221,7 @@
 	}
 	interval := m.grantedLeaseLength() / 6
 	if now >= m.renewalSentAt+interval {
-		if now >= m.leaderHeardAt+2*interval { // the next voter may know better
+		if now >= m.leaderHeardAt+2*interval { // the next voter may know the leader
 			m.leader = ""
 			m.voterIndex++
 		}
@@ -225,7 +229,7 @@
 	}
 }
 
-// sendRequests asks for a lease, and for the fate of what was submitted here.
+// sendRequests requests a lease, and sends the undecided submission again when it is due.
 func (m *Machine) sendRequests(now time.Duration) {
 	m.renewalSentAt = now
 	to := m.leader
@@ -251,7 +255,8 @@
 	m.sendRequests(now)
 }
 
-// checkDocument tells whether d can be acted on here: a *Bad, or nil.
+// checkDocument checks whether this manager can act on d. It returns an *InvalidVersionError or
+// nil.
 func (m *Machine) checkDocument(d *Document) error {
 	err := d.Validate()
 	if err == nil && m.config.CheckDocument != nil {
@@ -317,7 +322,8 @@
 	previous := m.holder.inForce
 	changed := m.holder.applyGrant(g, documents)
 	if d := m.holder.inForce; d != previous {
-		// Guard: what this manager can't act on, it keeps to as far as it can.
+		// Guard: a version that this manager can't act on still restricts it, as far as
+		// possible.
 		if err := m.checkDocument(d); err != nil {
 			m.inForceInvalid = true
 			m.logError(err)
@@ -348,8 +354,9 @@
 	m.actions = append(m.actions, a)
 }
 
-// runVoter does the voter's work: it takes in the log, answers what is confirmed, and, as
-// the leader, brings what is settled into force.
+// runVoter processes the log, and sends raft's messages. On the leader it also answers requests
+// whose ReadIndex round is confirmed, and puts the pending version in force once all lease
+// holders are bound by it.
 func (m *Machine) runVoter(now time.Duration) {
 	v := m.voter
 	v.processReady(now)
@@ -395,7 +402,8 @@
 	v.outgoing = nil
 }
 
-// propose adds an entry to the log, once in a while only: what is lost comes again.
+// propose proposes an entry to the log. The same entry is proposed again only after an election
+// time-out, in case the proposal was lost.
 func (m *Machine) propose(now time.Duration, key uint64, e *logEntry) {
 	if m.proposedKey == key && now < m.proposedAt+electionTicks*m.config.TickInterval() {
 		return
@@ -406,8 +414,8 @@
 	}
 }
 
-// answerRequest answers a request. A majority has confirmed since it came that this voter
-// leads, and all that was decided until then is applied.
+// answerRequest answers a request. Since the request arrived, a majority has confirmed that this
+// voter leads, and all entries committed until then have been applied.
 func (m *Machine) answerRequest(now time.Duration, q request) {
 	l := &m.voter.ledger
 	if r := q.leaseRenewal; r != nil {
@@ -432,7 +440,7 @@
 			result.Outcome, result.Reason = outcomeInvalid, b.Reason
 		} else {
 			m.propose(now, result.Hash, &logEntry{EncodedDocument: q.versionSubmission.EncodedDocument})
-			m.queuedRequests = append(m.queuedRequests, q) // told once it is decided
+			m.queuedRequests = append(m.queuedRequests, q) // answered once it is decided
 			return
 		}
 	}
--- a/internal/agreed/message.go
+++ b/internal/agreed/message.go
@@ -16,7 +16,7 @@
 	return m
 }()
 
-// A message has one of its parts set.
+// message is a message between managers. One field is set.
 type message struct {
 	Raft         *raftMessage      `cbor:"1,keyasint,omitempty"`
 	Renewal      *renewal          `cbor:"2,keyasint,omitempty"`
@@ -27,35 +27,36 @@
 	Notification *notification     `cbor:"7,keyasint,omitempty"`
 }
 
-// raftMessage is a message of the log's engine.
+// raftMessage carries a message of raft.
 type raftMessage struct {
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint"`
 }
 
-// renewal asks for a lease, and tells what the holder knows: it keeps to all of that.
+// renewal requests a lease. It has the versions that the holder knows of, which bind it.
 type renewal struct {
-	HolderID uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
+	HolderID uint64 `cbor:"1,keyasint"` // differs after each start of the holder
 	Seq      uint64 `cbor:"2,keyasint"`
 	InForce  uint64 `cbor:"3,keyasint,omitempty"`
 	Pending  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// grant is the answer: a lease on what is in force, and what is to come.
+// grant answers a renewal with a lease on the version in force, and the pending version.
 type grant struct {
 	HolderID         uint64   `cbor:"1,keyasint"`
 	Seq              uint64   `cbor:"2,keyasint"`
 	InForce          uint64   `cbor:"3,keyasint,omitempty"`
 	Pending          uint64   `cbor:"4,keyasint,omitempty"`
-	EncodedDocuments [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
+	EncodedDocuments [][]byte `cbor:"5,keyasint,omitempty"` // those of the two that the holder does not have
 }
 
+// submission submits a new version to the leader.
 type submission struct {
 	EncodedDocument []byte `cbor:"1,keyasint"`
 }
 
-// submissionResult is what became of a submission.
+// submissionResult answers a submission.
 type submissionResult struct {
 	Version     uint64  `cbor:"1,keyasint"`
 	Hash        uint64  `cbor:"2,keyasint"`
@@ -64,6 +65,7 @@
 	Reason      string  `cbor:"5,keyasint,omitempty"`
 }
 
+// outcome is the outcome of a submission.
 type outcome int
 
 const (
@@ -71,17 +73,19 @@
 	outcomeInvalid
 	outcomeConflict
 	outcomeGap
-	outcomeBusy // not sent: the manager asks again
+	outcomeBusy // not sent: the manager submits again
 )
 
-// notification says that there is news, or, with Lead, who leads.
+// notification tells that there is a new version to ask for or, if Leader is set, who the
+// leader is.
 type notification struct {
 	Leader string `cbor:"1,keyasint,omitempty"`
 }
 
-var errCorrupt = errors.New("a spoilt message")
+var errCorrupt = errors.New("message checksum mismatch")
 
-// marshalMessage is a message in bytes, after a sum of them: TCP's own lets one in 65,536 pass.
+// marshalMessage encodes a message behind a checksum of it: TCP's own checksum misses one error
+// in 65,536.
 func marshalMessage(m *message) []byte {
 	body := encode(m)
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), xxhash.Sum64(body)), body...)
--- a/internal/agreed/plays_test.go
+++ b/internal/agreed/plays_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-var exhaustive = flag.Bool("all", false, "1,000 random plays, and more orders")
+var exhaustive = flag.Bool("all", false, "run 1,000 random simulations, explore more orders of events, and measure larger fleets")
 
-// runRandom is 12 s of a fleet of five with faults from a seed, then 8 s without.
+// runRandom simulates a fleet of five for 3 s without faults, 12 s with random faults from a seed,
+// and 8 s without.
 func runRandom(seed uint64, fault protocolFault) *simulation {
 	sim := newSimulation(5, 5, seed, fault)
 	sim.run(3 * time.Second)
@@ -34,7 +35,7 @@
 				m = l
 			}
 			sim.pause(m, time.Duration(sim.random.IntN(6000))*time.Millisecond)
-		case 6: // one that is in place only, lest a majority forgets
+		case 6: // only while all replicas are voters, so that no majority loses its state
 			if !slices.ContainsFunc(sim.managers, func(m *simManager) bool { return !m.voter.isVoter() || len(m.voter.ledger.Replicas) != 5 }) {
 				m.openRead = nil
 				sim.startManager(m, m.voter.self.Incarnation+1, nil)
@@ -53,8 +54,8 @@
 	return sim
 }
 
-// In no play do two act on versions that contradict, at any time; what they act on is
-// one register; and all is in order again when the faults are over.
+// In no random run may two managers act on incompatible versions at any time. The versions acted
+// on must be linearizable as one register, and new versions must come into force after the faults.
 func TestRandomRuns(t *testing.T) {
 	runs, versions := uint64(40), uint64(0)
 	if *exhaustive {
@@ -63,10 +64,10 @@
 	for seed := range runs {
 		sim := runRandom(seed, faultNone)
 		if sim.longestConflict > 0 {
-			t.Errorf("seed %d: contradicting versions were acted on for %v", seed, sim.longestConflict)
+			t.Errorf("seed %d: incompatible versions were acted on for %v", seed, sim.longestConflict)
 		}
 		if !sim.linearizable() {
-			t.Errorf("seed %d: not one register: %v", seed, sim.history)
+			t.Errorf("seed %d: not linearizable: %v", seed, sim.history)
 		}
 		d := sim.submit(sim.managers[seed%5], "last")
 		if sim.timeToForce(d.Version, 2*time.Second, sim.managers...) < 0 {
@@ -79,10 +80,10 @@
 		}
 		versions += d.Version
 	}
-	t.Logf("%d plays, %d versions in force", runs, versions)
+	t.Logf("%d random runs, %d versions in force", runs, versions)
 }
 
-// The judge finds the fault where the lease or the wait is left out.
+// The checks must find the fault if the lease or the wait for leases is disabled.
 func TestRandomRunsFindFaults(t *testing.T) {
 	for _, fault := range []protocolFault{faultNoLease, faultNoWait} {
 		found, notLinearizable, longest := 0, 0, time.Duration(0)
@@ -97,20 +98,20 @@
 			}
 		}
 		if found == 0 || notLinearizable == 0 || fault == faultNoLease && longest < 2*time.Second {
-			t.Errorf("flaw %d: found in %d of 12 plays, longest %v", fault, found, longest)
+			t.Errorf("fault %d: found in %d of 12 runs, longest conflict %v", fault, found, longest)
 		}
-		t.Logf("flaw %d: found in %d of 12 plays, longest %v; no one register in %d", fault, found, longest, notLinearizable)
+		t.Logf("fault %d: found in %d of 12 runs, longest conflict %v; not linearizable in %d", fault, found, longest, notLinearizable)
 	}
 }
 
-// One that can't be reached delays a version by no more than T, and acts on the old one
-// no longer than that; one that can be reached keeps to both meanwhile.
+// An isolated manager delays a version by no more than T, and acts on the old one no longer than
+// that. Meanwhile the reachable managers are bound by both versions.
 func TestIsolatedManager(t *testing.T) {
 	sim := newSimulation(5, 5, 1, faultNone)
 	sim.run(4 * time.Second)
 	first := sim.submit(sim.managers[0], "n1")
 	if sim.timeToForce(first.Version, time.Second, sim.managers...) < 0 {
-		t.Fatal("the first version does not come")
+		t.Fatal("the first version does not come into force")
 	}
 	isolated := sim.managers[(sim.leader().index+1)%5]
 	sim.partition([]int{isolated.index}, false)
@@ -118,32 +119,33 @@
 	second := sim.submit(reachable[0], "n2")
 	sim.run(500 * time.Millisecond)
 	if e, ok := reachable[1].Effective(reachable[1].clock(sim.now)); !ok || e.NoLease || !e.DisabledNodes["n1"] || !e.DisabledNodes["n2"] {
-		t.Errorf("a manager that can be reached does %+v", e)
+		t.Errorf("effective at a reachable manager: %+v", e)
 	}
 	if took := sim.timeToForce(second.Version, 2*time.Second, reachable...); took < 0 {
-		t.Error("one that is cut off holds up a version for over T")
+		t.Error("an isolated manager delays a version by more than T")
 	}
 	if e, ok := isolated.Effective(isolated.clock(sim.now)); !ok || !e.NoLease || !e.DisabledNodes["n1"] {
-		t.Errorf("the one that is cut off does %+v", e)
+		t.Errorf("effective at the isolated manager: %+v", e)
 	}
 }
 
-// A manager that was stopped has no lease at its next decision, before it hears anything.
+// After a process pause a manager has no lease at its next decision, before it receives anything.
 func TestPausedManager(t *testing.T) {
 	sim := newSimulation(3, 3, 2, faultNone)
 	sim.run(4 * time.Second)
 	sim.timeToForce(sim.submit(sim.managers[0], "n").Version, time.Second, sim.managers...)
 	m := sim.managers[2]
 	if e, ok := m.Effective(m.clock(sim.now)); !ok || e.NoLease {
-		t.Errorf("before: %+v, %v", e, ok)
+		t.Errorf("effective before the pause: %+v, %v", e, ok)
 	}
 	if e, ok := m.Effective(m.clock(sim.now + 6*time.Second)); !ok || !e.NoLease {
-		t.Errorf("after 3 T: %+v, %v", e, ok)
+		t.Errorf("effective after a pause of 3 T: %+v, %v", e, ok)
 	}
 }
 
-// One number with two contents is a conflict that is told; a bad version and one that
-// replaces another than the last are turned down, and the last good one stays.
+// A version number with two different contents gives one of the authors a conflict. An invalid
+// version and one that does not replace the last one are rejected, and the last valid one stays in
+// force.
 func TestRejectedVersions(t *testing.T) {
 	sim := newSimulation(5, 5, 3, faultNone)
 	sim.run(4 * time.Second)
@@ -159,13 +161,13 @@
 	)
 	resultA, resultB := sim.managers[1].results[0].Err, sim.managers[2].results[0].Err
 	if a.Version != b.Version || (resultA == nil) == (resultB == nil) || !errors.As(errors.Join(resultA, resultB), &conflict) {
-		t.Errorf("two contents of version %d were told %v and %v", a.Version, resultA, resultB)
+		t.Errorf("results of two contents of version %d: %v and %v", a.Version, resultA, resultB)
 	}
 	if err := sim.managers[3].results[0].Err; !errors.As(err, &invalid) || invalid.Reason != "bad" {
-		t.Errorf("a bad version was told %v", err)
+		t.Errorf("result of an invalid version: %v", err)
 	}
 	if err := sim.managers[4].results[0].Err; !errors.As(err, &gap) || gap.LastVersion != 1 {
-		t.Errorf("version 9 over 8 was told %v", err)
+		t.Errorf("result of version 9 that replaces 8: %v", err)
 	}
 	if sim.timeToForce(1, time.Second, sim.managers...) < 0 {
 		t.Error("version 1 is not in force")
--- a/internal/agreed/voter.go
+++ b/internal/agreed/voter.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	electionTicks       = 10  // ticks without a leader until a voter stands for election, up to twice that
-	retainedEntries     = 32  // entries that are kept for a voter that is behind
-	compactionThreshold = 128 // entries after which the log is cut
+	electionTicks       = 10  // without a leader until a voter campaigns, up to twice that
+	retainedEntries     = 32  // kept when the log is compacted, for followers that lag
+	compactionThreshold = 128 // entries after which the log is compacted
 )
 
-// voter drives one Member of the replicated log. The engine's own timeouts are by
-// chance; here they come from the seed: a follower is never ticked, forgets its
-// leader after patience, and is told to campaign.
+// voter runs one Replica of the raft log. raft randomises its election time-outs itself, so
+// that they could not be reproduced; here they come from the seed: a follower's raft node is
+// never ticked, but told to forget its leader after electionTicks, and to campaign.
 type voter struct {
 	self           Replica
 	raftNode       *raft.RawNode
@@ -30,17 +30,17 @@
 	ledger         ledger
 	random         *rand.Rand
 	tickInterval   time.Duration
-	timerResetAt   time.Duration // when a leader was last heard of
-	campaignAt     time.Duration // when to stand for election
+	timerResetAt   time.Duration // when the election timer was last reset
+	campaignAt     time.Duration // when to campaign
 	isLeader       bool
-	managerNames   map[uint64]string        // of members, as far as known
-	snapshotSentAt map[uint64]time.Duration // when a snapshot was sent to whom
-	confirmedReads [][]byte                 // confirmed rounds
+	managerNames   map[uint64]string        // of Replicas by raftID, as far as known
+	snapshotSentAt map[uint64]time.Duration // by raftID of the recipient
+	confirmedReads [][]byte                 // contexts of confirmed ReadIndex rounds
 	outgoing       []*raftpb.Message
 }
 
-// storage is the log in memory. It makes a snapshot when one is asked for, so that it
-// names those who were let in last.
+// storage is the raft log in memory. It makes each snapshot on request, so that the snapshot
+// includes the replicas that were admitted last.
 type storage struct {
 	*raft.MemoryStorage
 	applied   uint64
@@ -48,6 +48,7 @@
 	ledger    *ledger
 }
 
+// Snapshot implements raft.Storage.
 func (s *storage) Snapshot() (*raftpb.Snapshot, error) {
 	if _, err := s.CreateSnapshot(s.applied, s.confState, encode(s.ledger)); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return nil, err
@@ -57,8 +58,9 @@
 
 var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
-// newVoter is a Member at its start. founders are the first Members of all, the same
-// for each of them; without them it knows nothing and waits to be let in.
+// newVoter returns a Replica that has just started. initial are the first Replicas of a new
+// fleet, the same for each of them; without them the Replica knows nothing and waits to be
+// admitted.
 func newVoter(now, tickInterval time.Duration, self Replica, initial []Replica, random *rand.Rand) *voter {
 	v := &voter{self: self, random: random, tickInterval: tickInterval, managerNames: map[uint64]string{}, snapshotSentAt: map[uint64]time.Duration{},
 		ledger: ledger{Hashes: map[uint64]uint64{}, Replicas: map[uint64]Replica{}}}
@@ -85,24 +87,25 @@
 	return v
 }
 
-// must is for what fails only if this package itself is wrong.
+// must panics on errors that only a bug in this package can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
+// resetElectionTimer delays the next campaign by one to two election time-outs.
 func (v *voter) resetElectionTimer(now time.Duration) {
 	v.timerResetAt = now
 	v.campaignAt = now + electionTicks*v.tickInterval + time.Duration(v.random.Int64N(int64(electionTicks*v.tickInterval)))
 }
 
-// handleTick is one tick.
+// handleTick is called every tickInterval.
 func (v *voter) handleTick(now time.Duration) {
 	if v.isLeader {
 		v.raftNode.Tick()
 		for _, id := range slices.Sorted(maps.Keys(v.snapshotSentAt)) {
-			if now >= v.snapshotSentAt[id]+electionTicks*v.tickInterval { // the engine waits for word of it, and it may be lost
+			if now >= v.snapshotSentAt[id]+electionTicks*v.tickInterval { // raft waits for a report of the snapshot, which may be lost
 				delete(v.snapshotSentAt, id)
 				v.raftNode.ReportSnapshot(id, raft.SnapshotFinish)
 			}
@@ -110,7 +113,7 @@
 		return
 	}
 	if now >= v.timerResetAt+electionTicks*v.tickInterval {
-		v.raftNode.ForgetLeader() // it may vote for another from now on
+		v.raftNode.ForgetLeader() // from now on it may vote for another candidate
 	}
 	if now >= v.campaignAt {
 		v.resetElectionTimer(now)
@@ -120,7 +123,7 @@
 	}
 }
 
-// isVoter tells whether it is let in as a voter, as far as it knows.
+// isVoter reports whether it is admitted as a voter, as far as it knows.
 func (v *voter) isVoter() bool {
 	for _, id := range v.storage.confState.Voters {
 		if id == v.self.raftID() {
@@ -132,7 +135,7 @@
 
 func (v *voter) step(now time.Duration, p *raftMessage, from string) {
 	m := new(raftpb.Message)
-	// Guard: what is meant for an earlier life of this name is not for this one.
+	// Guard: messages to an earlier incarnation of this voter must be ignored.
 	if p.To != v.self.raftID() || proto.Unmarshal(p.Body, m) != nil || m.GetFrom() != p.From || m.GetTo() != p.To {
 		return
 	}
@@ -146,7 +149,7 @@
 	v.raftNode.Step(m)
 }
 
-// processReady takes in what the engine has ready. Nothing of it waits for a disk.
+// processReady processes what raft has ready. Nothing is written to disk.
 func (v *voter) processReady(now time.Duration) {
 	for v.raftNode.HasReady() {
 		rd := v.raftNode.Ready()
@@ -217,7 +220,8 @@
 	}
 }
 
-// updateReplicas drops Members that are out, and learns the names of those that are in.
+// updateReplicas drops the Replicas that are no longer in the raft configuration, and records
+// the names of the others.
 func (v *voter) updateReplicas() {
 	in := map[uint64]bool{}
 	for _, ids := range [][]uint64{v.storage.confState.Voters, v.storage.confState.VotersOutgoing, v.storage.confState.Learners, v.storage.confState.LearnersNext} {
@@ -232,8 +236,8 @@
 	}
 }
 
-// admitReplica lets a new life of a voter in: first to learn, then in the place of all the
-// lives before it.
+// admitReplica admits a new incarnation of a voter: first as a learner, then as a voter that
+// replaces all its earlier incarnations.
 func (v *voter) admitReplica(m Replica) {
 	c := &raftpb.ConfChangeV2{Context: encode(m)}
 	change := func(t raftpb.ConfChangeType, id uint64) {
@@ -243,11 +247,11 @@
 	p, in := status.Progress[m.raftID()]
 	switch {
 	case len(v.storage.confState.VotersOutgoing) > 0 || in && !p.IsLearner:
-		return // another change is under way, or it is in
+		return // another change is under way, or it is a voter already
 	case !in:
 		for _, o := range v.ledger.Replicas {
 			if o.Name == m.Name && o.Incarnation >= m.Incarnation {
-				return // Guard: of two lives the later one counts
+				return // Guard: an older incarnation must not replace a newer one
 			}
 		}
 		change(raftpb.ConfChangeType_ConfChangeAddLearnerNode, m.raftID())
@@ -259,7 +263,7 @@
 			}
 		}
 	default:
-		return // it has not caught up
+		return // it has not caught up with the log
 	}
 	v.raftNode.ProposeConfChange(c)
 }
--- a/internal/member/book.go
+++ b/internal/member/book.go
@@ -8,84 +8,88 @@
 	"millethinge/internal/stall"
 )
 
-// Times of a Book.
+// Time-outs of a Tracker.
 const (
-	// maxSuspicion is the longest that a suspicion lasts that is neither confirmed nor
-	// denied: by then the carrier has said that the member is lost, or it answered.
+	// maxSuspicion bounds a suspicion that is neither confirmed nor cleared: by then the
+	// failure detector has declared the member lost, or the member has answered.
 	maxSuspicion = 30 * time.Second
-	// duplicateTimeout is how long one that met another of its name stays refused without
-	// meeting it again. It asks again each joinEvery.
+	// duplicateTimeout is how long a member stays refused after it last heard of the earlier
+	// started member of its name. While it participates, it contacts a member every
+	// joinInterval.
 	duplicateTimeout = 3 * joinInterval
 )
 
-// Status is what is known of a member.
+// Status is the state of a member as another member knows it.
 type Status int
 
+// The states of a member.
 const (
-	StatusUnheard Status = iota // named in the file, and never heard of
-	StatusAlive                 // in view
-	StatusSuspect               // in view, but it doesn't answer
-	StatusLost                  // it doesn't answer, and others say so, too, or can't be asked
-	StatusLeaving               // in view, and it has said that it leaves
-	StatusLeft                  // it left
+	StatusUnheard Status = iota // configured, and never heard of
+	StatusAlive                 // present
+	StatusSuspect               // present, but it does not answer probes
+	StatusLost                  // it does not answer, and other members confirm that or can't be asked
+	StatusLeaving               // still running, and it has announced that it leaves
+	StatusLeft                  // it announced that it leaves, and is gone
 )
 
 func (s Status) String() string {
 	return [...]string{"unheard", "here", "suspect", "lost", "departing", "left"}[s]
 }
 
-// Present tells whether a member of this status is counted upon.
+// Present reports whether a member of this status counts towards the quorum.
 func (s Status) Present() bool { return s == StatusAlive || s == StatusSuspect }
 
-// Meta is what a member tells of itself.
+// Meta is what a member announces about itself.
 type Meta struct {
 	Name    string
 	Site    string
-	Address string // at which it is reached
-	// Started names one life of a member: by the clock of its machine, ns since 1970.
-	// Of two under one name the one that started later is the younger; clocks that are
-	// apart may turn that round, but all take the same one for it.
+	Address string // at which other members reach it
+	// StartedUnixNano is the member's start time by the clock of its machine. It identifies an
+	// incarnation. Of two members with one name, the one that started later is refused; clock
+	// skew may reverse the order, but all members choose the same one.
 	StartedUnixNano int64
 	Leaving         bool
 }
 
-// startedBefore tells whether a is the elder of two of one name.
+// startedBefore reports whether m started before other, a member with the same name. The
+// address decides between equal start times.
 func (m Meta) startedBefore(other Meta) bool {
 	return cmp.Or(cmp.Compare(m.StartedUnixNano, other.StartedUnixNano), cmp.Compare(m.Address, other.Address)) < 0
 }
 
-// sameIncarnation tells whether two are one life of one member.
+// sameIncarnation reports whether m and other are the same incarnation of the same member.
 func (m Meta) sameIncarnation(other Meta) bool {
 	return m.Name == other.Name && m.StartedUnixNano == other.StartedUnixNano && m.Address == other.Address
 }
 
-// ConfiguredMember is a member that the file names.
+// ConfiguredMember is a member that the configuration names.
 type ConfiguredMember struct{ Name, Site string }
 
-// Member is one of a View.
+// Member is a member of the fleet in a View.
 type Member struct {
 	Meta
 	Status Status
-	Since  time.Time // of the status
+	Since  time.Time // when Status was reached
 }
 
-// View is who is there, as one member knows it. Views of one life are numbered from 1;
-// another member's numbers mean nothing beside these.
+// View is the membership of the fleet as one member knows it. The views of an incarnation are
+// numbered from 1; numbers of different members or incarnations are not comparable.
 type View struct {
 	Number       int64
 	Self         string
-	Members      []Member // all that are named, in the order of their names
-	PresentCount int      // how many of them are counted upon
-	// Alone: a majority of the named fleet is not in view, so that this may be the part
-	// that was cut off. Two halves of an even fleet are both alone.
+	Members      []Member // all configured members, sorted by name
+	PresentCount int      // how many of them are present, itself included
+	// NoQuorum is set while no majority of the configured members is present: this member may
+	// be in the smaller part of a network partition. Neither half of an even fleet has a quorum.
 	NoQuorum bool
-	// Stale: the program stood still, and nobody has been heard since.
+	// Stale is set after a process pause until another member answers.
 	Stale bool
-	// Refused: an elder of the same name is there; nobody has this one in view.
+	// RefusedAsDuplicate is set while a member of the same name that started earlier is
+	// present; no other member admits this one.
 	RefusedAsDuplicate bool
 }
 
-// Find returns the member of a name, or nil.
+// Find returns the member with the given name, or nil.
 func (v View) Find(name string) *Member {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, n string) int { return cmp.Compare(m.Name, n) })
 	if !ok {
@@ -94,106 +98,109 @@
 	return &v.Members[i]
 }
 
-// EventKind tells what has happened.
+// EventKind is the kind of an Event.
 type EventKind string
 
-// Events.
+// Kinds of events.
 const (
 	EventJoined           EventKind = "joined"
-	EventRestarted        EventKind = "restarted" // under its name, in another life
+	EventRestarted        EventKind = "restarted" // another incarnation of the member is present
 	EventSuspected        EventKind = "suspected"
-	EventSuspicionCleared EventKind = "cleared" // of suspicion
+	EventSuspicionCleared EventKind = "cleared" // a suspicion ended
 	EventLost             EventKind = "lost"
-	EventRecovered        EventKind = "healed" // it was lost, and is there again in the same life
+	EventRecovered        EventKind = "healed" // it was lost, and is present again in the same incarnation
 	EventLeaving          EventKind = "leaves"
 	EventLeft             EventKind = "left"
-	EventUnknownMember    EventKind = "stranger" // the file doesn't name it; it is not let in
-	EventDuplicateName    EventKind = "twin"     // two of one name: the younger is refused
+	EventUnknownMember    EventKind = "stranger" // not configured, or not readable; it is not admitted
+	EventDuplicateName    EventKind = "twin"     // two members with one name: the one that started later is refused
 	EventQuorumLost       EventKind = "alone"
 	EventQuorumRegained   EventKind = "in-company"
 	EventProcessPaused    EventKind = "stood-still"
 	EventViewRefreshed    EventKind = "heard-again"
-	EventSelfRefused      EventKind = "refused" // this one, for an elder of its name
-	EventSelfAdmitted     EventKind = "let-in"  // this one, after that
+	EventSelfRefused      EventKind = "refused" // this member, as a member of its name started earlier
+	EventSelfAdmitted     EventKind = "let-in"  // this member, after EventSelfRefused
 )
 
-// Event is a change of a View.
+// Event is a change of the membership, or a member that was not admitted.
 type Event struct {
 	Kind       EventKind
-	ViewNumber int64 // the number of the view that it led to
+	ViewNumber int64 // number of the view that resulted
 	Member     Meta
-	Duplicate  Meta // of a twin: the younger
+	Duplicate  Meta // of EventDuplicateName: the member that started later
 }
 
-// Tracker keeps who is there from what a carrier reports. It does no I/O and reads no
-// clock: times are arguments, from one that goes on while the program stands. It is for
-// one goroutine.
+// Tracker maintains the View from the reports of a membership protocol. It does no I/O and
+// reads no clock: times are arguments, from a clock that continues during a process pause. It
+// is not safe for concurrent use.
 type Tracker struct {
 	self               Meta
 	view               View
-	snapshot           View              // of view, for others
-	reportedDuplicates map[[2]int64]bool // told already, by both lives
+	snapshot           View              // copy of view for callers
+	reportedDuplicates map[[2]int64]bool // by the start times of both
 	reportedUnknown    map[string]bool
-	duplicateSeenAt    time.Time // when an elder was met last; zero: none
+	duplicateSeenAt    time.Time // when an earlier started member of its name was last heard of; zero: never
 	pauseDetector      stall.Detector
 	pendingEvents      []Event
 }
 
-// maxReported bounds how many strangers and twins are remembered as told.
+// maxReported bounds each of the sets of unknown members and duplicate names that have been
+// reported and are not reported again.
 const maxReported = 1000
 
-// NewTracker returns the Book of a member at its start. named includes itself.
+// NewTracker returns the Tracker of a member that has just started. The configured members
+// include the member itself.
 func NewTracker(self Meta, configured []ConfiguredMember, now time.Time) *Tracker {
-	b := &Tracker{self: self, reportedDuplicates: map[[2]int64]bool{}, reportedUnknown: map[string]bool{}}
-	b.view = View{Number: 1, Self: self.Name}
+	t := &Tracker{self: self, reportedDuplicates: map[[2]int64]bool{}, reportedUnknown: map[string]bool{}}
+	t.view = View{Number: 1, Self: self.Name}
 	for _, n := range configured {
 		m := Member{Meta: Meta{Name: n.Name, Site: n.Site}, Since: now}
 		if n.Name == self.Name {
 			m.Meta, m.Status = self, StatusAlive
 		}
-		b.view.Members = append(b.view.Members, m)
+		t.view.Members = append(t.view.Members, m)
 	}
-	slices.SortFunc(b.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	b.pauseDetector.Reset(now)
-	b.recount()
-	return b
+	slices.SortFunc(t.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	t.pauseDetector.Reset(now)
+	t.recount()
+	return t
 }
 
-// View is the present view. Its members are not to be changed. It is made once for each
-// number: nothing of a view changes without a new one.
-func (b *Tracker) View() View {
-	if b.snapshot.Number != b.view.Number {
-		b.snapshot = b.view
-		b.snapshot.Members = slices.Clone(b.view.Members)
+// View returns the current view. The caller must not modify its members. It is copied once
+// for each number, since a view never changes without a new number.
+func (t *Tracker) View() View {
+	if t.snapshot.Number != t.view.Number {
+		t.snapshot = t.view
+		t.snapshot.Members = slices.Clone(t.view.Members)
 	}
-	return b.snapshot
+	return t.snapshot
 }
 
-// Admits tells whether a carrier is to let in a member that it hears of: the file names
-// it, and it is no younger twin. It is what Alive does, without a change.
-func (b *Tracker) Admits(m Meta) bool {
-	known := b.view.Find(m.Name)
+// Admits reports whether the membership protocol may admit a member: it is configured, and no
+// member of its name that started earlier is present. It decides as RecordAlive does, and
+// changes nothing.
+func (t *Tracker) Admits(m Meta) bool {
+	known := t.view.Find(m.Name)
 	return known != nil && !(known.Status.Present() && known.Address != m.Address && known.startedBefore(m))
 }
 
-// RecordAlive reports that a carrier has a member among those that are there.
-func (b *Tracker) RecordAlive(m Meta, now time.Time) []Event {
-	known := b.view.Find(m.Name)
+// RecordAlive records that the membership protocol has m among the live members.
+func (t *Tracker) RecordAlive(m Meta, now time.Time) []Event {
+	known := t.view.Find(m.Name)
 	switch {
 	case known == nil:
-		b.addUnknown(m)
-		return b.finishUpdate(now)
-	case m.Name == b.self.Name:
-		if !m.sameIncarnation(b.self) {
-			b.addDuplicate(b.self, m, now)
+		t.addUnknown(m)
+		return t.finishUpdate(now)
+	case m.Name == t.self.Name:
+		if !m.sameIncarnation(t.self) {
+			t.addDuplicate(t.self, m, now)
 		}
-		return b.finishUpdate(now)
+		return t.finishUpdate(now)
 	case known.Status.Present() && !known.sameIncarnation(m) && known.Address != m.Address:
-		// The carrier has said nothing of an end of the one in view. If that is the
-		// younger one, the elder takes its place.
-		b.addDuplicate(known.Meta, m, now)
+		// The protocol has not reported the present member as gone. If that one started
+		// later, m takes its place.
+		t.addDuplicate(known.Meta, m, now)
 		if known.startedBefore(m) {
-			return b.finishUpdate(now)
+			return t.finishUpdate(now)
 		}
 	}
 	previousStatus, previous := known.Status, known.Meta
@@ -203,167 +210,167 @@
 	case m.Leaving:
 		status = StatusLeaving
 	case previousStatus == StatusSuspect && previous.sameIncarnation(m):
-		status = StatusSuspect // hearsay; what clears it is Answered
+		status = StatusSuspect // second-hand information; only RecordAck clears a suspicion
 	}
 	if previousStatus != status || !previous.sameIncarnation(m) {
 		known.Status, known.Since = status, now
 		switch {
 		case status == StatusLeaving:
-			b.addEvent(EventLeaving, m)
+			t.addEvent(EventLeaving, m)
 		case previousStatus == StatusUnheard || previousStatus == StatusLeft && !previous.sameIncarnation(m):
-			b.addEvent(EventJoined, m)
+			t.addEvent(EventJoined, m)
 		case !previous.sameIncarnation(m):
-			b.addEvent(EventRestarted, m)
+			t.addEvent(EventRestarted, m)
 		default:
-			b.addEvent(EventRecovered, m)
+			t.addEvent(EventRecovered, m)
 		}
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// RecordAck reports that a member itself has answered just now.
-func (b *Tracker) RecordAck(name string, now time.Time) []Event {
-	if known := b.view.Find(name); known != nil && name != b.self.Name {
-		b.clearStale()
+// RecordAck records that the member itself has answered at now.
+func (t *Tracker) RecordAck(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name {
+		t.clearStale()
 		if known.Status == StatusSuspect {
 			known.Status, known.Since = StatusAlive, now
-			b.addEvent(EventSuspicionCleared, known.Meta)
+			t.addEvent(EventSuspicionCleared, known.Meta)
 		}
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// RecordSuspicion reports that a member doesn't answer.
-func (b *Tracker) RecordSuspicion(name string, now time.Time) []Event {
-	if known := b.view.Find(name); known != nil && name != b.self.Name && known.Status == StatusAlive {
+// RecordSuspicion records that a member does not answer probes.
+func (t *Tracker) RecordSuspicion(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name && known.Status == StatusAlive {
 		known.Status, known.Since = StatusSuspect, now
-		b.addEvent(EventSuspected, known.Meta)
+		t.addEvent(EventSuspected, known.Meta)
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// RecordGone reports that a carrier no longer has a member.
-func (b *Tracker) RecordGone(name string, now time.Time) []Event {
-	if known := b.view.Find(name); known != nil && name != b.self.Name {
+// RecordGone records that the membership protocol has removed a member.
+func (t *Tracker) RecordGone(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name {
 		switch known.Status {
 		case StatusAlive, StatusSuspect:
 			known.Status, known.Since = StatusLost, now
-			b.addEvent(EventLost, known.Meta)
+			t.addEvent(EventLost, known.Meta)
 		case StatusLeaving:
 			known.Status, known.Since = StatusLeft, now
-			b.addEvent(EventLeft, known.Meta)
+			t.addEvent(EventLeft, known.Meta)
 		}
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// RecordDuplicate reports that a carrier heard of two of one name.
-func (b *Tracker) RecordDuplicate(first, second Meta, now time.Time) []Event {
-	if b.view.Find(first.Name) == nil {
-		b.addUnknown(first)
+// RecordDuplicate records that the membership protocol heard of two members with one name.
+func (t *Tracker) RecordDuplicate(first, second Meta, now time.Time) []Event {
+	if t.view.Find(first.Name) == nil {
+		t.addUnknown(first)
 	} else {
-		b.addDuplicate(first, second, now)
+		t.addDuplicate(first, second, now)
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// RecordUnknown reports one that is not to be let in, whatever its name.
-func (b *Tracker) RecordUnknown(m Meta, now time.Time) []Event {
-	b.addUnknown(m)
-	return b.finishUpdate(now)
+// RecordUnknown records a member that must not be admitted, whatever its name.
+func (t *Tracker) RecordUnknown(m Meta, now time.Time) []Event {
+	t.addUnknown(m)
+	return t.finishUpdate(now)
 }
 
-// RecordOwnLeave notes that this member leaves.
-func (b *Tracker) RecordOwnLeave(now time.Time) []Event {
-	if own := b.view.Find(b.self.Name); own.Status != StatusLeaving {
-		b.self.Leaving, own.Leaving = true, true
+// RecordOwnLeave records that this member is leaving.
+func (t *Tracker) RecordOwnLeave(now time.Time) []Event {
+	if own := t.view.Find(t.self.Name); own.Status != StatusLeaving {
+		t.self.Leaving, own.Leaving = true, true
 		own.Status, own.Since = StatusLeaving, now
-		b.addEvent(EventLeaving, own.Meta)
+		t.addEvent(EventLeaving, own.Meta)
 	}
-	return b.finishUpdate(now)
+	return t.finishUpdate(now)
 }
 
-// Tick is to be called each 100 ms. It notices that the program stood still.
-func (b *Tracker) Tick(now time.Time) []Event { return b.finishUpdate(now) }
+// Tick must be called every 100 ms. It detects process pauses and applies time-outs.
+func (t *Tracker) Tick(now time.Time) []Event { return t.finishUpdate(now) }
 
-func (b *Tracker) addDuplicate(first, second Meta, now time.Time) {
+func (t *Tracker) addDuplicate(first, second Meta, now time.Time) {
 	if !first.startedBefore(second) {
 		first, second = second, first
 	}
-	if second.sameIncarnation(b.self) {
-		b.duplicateSeenAt = now
+	if second.sameIncarnation(t.self) {
+		t.duplicateSeenAt = now
 	}
-	if key := [2]int64{first.StartedUnixNano, second.StartedUnixNano}; !b.reportedDuplicates[key] && len(b.reportedDuplicates) < maxReported {
-		b.reportedDuplicates[key] = true
-		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventDuplicateName, Member: first, Duplicate: second})
+	if key := [2]int64{first.StartedUnixNano, second.StartedUnixNano}; !t.reportedDuplicates[key] && len(t.reportedDuplicates) < maxReported {
+		t.reportedDuplicates[key] = true
+		t.pendingEvents = append(t.pendingEvents, Event{Kind: EventDuplicateName, Member: first, Duplicate: second})
 	}
 }
 
-func (b *Tracker) addUnknown(m Meta) {
-	if key := m.Name + " " + m.Address; !b.reportedUnknown[key] && len(b.reportedUnknown) < maxReported {
-		b.reportedUnknown[key] = true
-		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventUnknownMember, Member: m})
+func (t *Tracker) addUnknown(m Meta) {
+	if key := m.Name + " " + m.Address; !t.reportedUnknown[key] && len(t.reportedUnknown) < maxReported {
+		t.reportedUnknown[key] = true
+		t.pendingEvents = append(t.pendingEvents, Event{Kind: EventUnknownMember, Member: m})
 	}
 }
 
-func (b *Tracker) clearStale() {
-	if b.view.Stale {
-		b.view.Stale = false
-		b.addEvent(EventViewRefreshed, b.self)
+func (t *Tracker) clearStale() {
+	if t.view.Stale {
+		t.view.Stale = false
+		t.addEvent(EventViewRefreshed, t.self)
 	}
 }
 
-func (b *Tracker) addEvent(kind EventKind, m Meta) {
-	b.pendingEvents = append(b.pendingEvents, Event{Kind: kind, Member: m})
+func (t *Tracker) addEvent(kind EventKind, m Meta) {
+	t.pendingEvents = append(t.pendingEvents, Event{Kind: kind, Member: m})
 }
 
-// finishUpdate draws what follows from a report, numbers the view if it has changed, and
-// returns what happened.
-func (b *Tracker) finishUpdate(now time.Time) []Event {
-	if paused := b.pauseDetector.Heartbeat(now); paused > 0 {
-		b.addEvent(EventProcessPaused, b.self)
-		b.view.Stale = len(b.view.Members) > 1
-		if !b.duplicateSeenAt.IsZero() {
-			b.duplicateSeenAt = now
+// finishUpdate applies the consequences of a report, numbers the view if it has changed, and
+// returns the events.
+func (t *Tracker) finishUpdate(now time.Time) []Event {
+	if paused := t.pauseDetector.Heartbeat(now); paused > 0 {
+		t.addEvent(EventProcessPaused, t.self)
+		t.view.Stale = len(t.view.Members) > 1
+		if !t.duplicateSeenAt.IsZero() {
+			t.duplicateSeenAt = now
 		}
 	}
-	for i := range b.view.Members {
-		if m := &b.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > maxSuspicion {
+	for i := range t.view.Members {
+		if m := &t.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > maxSuspicion {
 			m.Status, m.Since = StatusAlive, now
-			b.addEvent(EventSuspicionCleared, m.Meta)
+			t.addEvent(EventSuspicionCleared, m.Meta)
 		}
 	}
-	if refused := !b.duplicateSeenAt.IsZero() && now.Sub(b.duplicateSeenAt) <= duplicateTimeout; refused != b.view.RefusedAsDuplicate {
-		b.view.RefusedAsDuplicate = refused
-		b.addEvent(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], b.self)
+	if refused := !t.duplicateSeenAt.IsZero() && now.Sub(t.duplicateSeenAt) <= duplicateTimeout; refused != t.view.RefusedAsDuplicate {
+		t.view.RefusedAsDuplicate = refused
+		t.addEvent(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], t.self)
 	}
-	hadNoQuorum := b.view.NoQuorum
-	b.recount()
-	if b.view.NoQuorum != hadNoQuorum {
-		b.addEvent(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[b.view.NoQuorum], b.self)
+	hadNoQuorum := t.view.NoQuorum
+	t.recount()
+	if t.view.NoQuorum != hadNoQuorum {
+		t.addEvent(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[t.view.NoQuorum], t.self)
 	}
-	events := b.pendingEvents
-	b.pendingEvents = nil
-	// What changed nothing of who is there leads to no new view.
+	events := t.pendingEvents
+	t.pendingEvents = nil
+	// Events that do not change the membership lead to no new view.
 	if slices.ContainsFunc(events, func(e Event) bool {
-		return e.Kind != EventDuplicateName && e.Kind != EventUnknownMember && e.Kind != EventProcessPaused || b.view.Stale && e.Kind == EventProcessPaused
+		return e.Kind != EventDuplicateName && e.Kind != EventUnknownMember && e.Kind != EventProcessPaused || t.view.Stale && e.Kind == EventProcessPaused
 	}) {
-		b.view.Number++
+		t.view.Number++
 	}
 	for i := range events {
-		events[i].ViewNumber = b.view.Number
+		events[i].ViewNumber = t.view.Number
 	}
 	return events
 }
 
-func (b *Tracker) recount() {
-	b.view.PresentCount = 0
-	for i := range b.view.Members {
-		m := &b.view.Members[i]
-		// One that leaves counts itself for as long as it is there.
-		if m.Status.Present() || m.Name == b.self.Name {
-			b.view.PresentCount++
+func (t *Tracker) recount() {
+	t.view.PresentCount = 0
+	for i := range t.view.Members {
+		m := &t.view.Members[i]
+		// A leaving member counts itself until it is gone.
+		if m.Status.Present() || m.Name == t.self.Name {
+			t.view.PresentCount++
 		}
 	}
-	b.view.NoQuorum = 2*b.view.PresentCount <= len(b.view.Members)
+	t.view.NoQuorum = 2*t.view.PresentCount <= len(t.view.Members)
 }
--- a/internal/member/book_test.go
+++ b/internal/member/book_test.go
@@ -33,14 +33,14 @@
 		now = now.Add(100 * time.Millisecond)
 		got := f(now)
 		if !slices.Equal(eventKinds(got), want) {
-			t.Errorf("%v, not %v", eventKinds(got), want)
+			t.Errorf("events %v, want %v", eventKinds(got), want)
 		}
 		if len(want) == 0 && tracker.view.Number != before {
-			t.Error("numbered without a change")
+			t.Error("new view number without an event")
 		}
 	}
 	if v := tracker.View(); !v.NoQuorum || v.PresentCount != 1 || v.Number != 1 {
-		t.Errorf("at the start: %+v", v)
+		t.Errorf("view at the start: %+v", v)
 	}
 	alive := func(m Meta) func(time.Time) []Event {
 		return func(n time.Time) []Event { return tracker.RecordAlive(m, n) }
@@ -49,7 +49,7 @@
 	expect(alive(newMeta("m2", 5, "2")))
 	expect(alive(newMeta("m3", 5, "3")), EventJoined, EventQuorumRegained)
 	expect(func(n time.Time) []Event { return tracker.RecordSuspicion("m3", n) }, EventSuspected)
-	expect(alive(newMeta("m3", 5, "3"))) // hearsay
+	expect(alive(newMeta("m3", 5, "3"))) // second-hand information does not clear a suspicion
 	expect(func(n time.Time) []Event { return tracker.RecordAck("m3", n) }, EventSuspicionCleared)
 	expect(func(n time.Time) []Event { return tracker.RecordSuspicion("m3", n) }, EventSuspected)
 	expect(func(n time.Time) []Event { return tracker.RecordGone("m3", n) }, EventLost, EventQuorumLost)
@@ -66,15 +66,15 @@
 	now = now.Add(5 * time.Second)
 	expect(tracker.Tick, EventProcessPaused)
 	if !tracker.View().Stale {
-		t.Error("not stale after a stand")
+		t.Error("view not stale after a process pause")
 	}
 	expect(func(n time.Time) []Event { return tracker.RecordAck("m2", n) }, EventViewRefreshed)
-	half := NewTracker(newMeta("m1", 1, "1"), fiveMembers()[:4], now) // two of four: either half may be the one cut off
+	half := NewTracker(newMeta("m1", 1, "1"), fiveMembers()[:4], now) // two of four: neither half of a network partition has a quorum
 	if half.RecordAlive(newMeta("m2", 5, "2"), now); !half.View().NoQuorum {
-		t.Error("a half is in company")
+		t.Error("two of four members have a quorum")
 	}
 	if half.RecordAlive(newMeta("m3", 5, "3"), now); half.View().NoQuorum {
-		t.Error("three of four are alone")
+		t.Error("three of four members have no quorum")
 	}
 }
 
@@ -89,47 +89,50 @@
 			second = later
 		}
 		if tracker.Admits(second) != (second == earlier) {
-			t.Errorf("%v beside %v", second, first)
+			t.Errorf("wrong answer of Admits for %v while %v is present", second, first)
 		}
 		events := tracker.RecordAlive(second, now)
 		if events[0].Kind != EventDuplicateName || events[0].Member != earlier || events[0].Duplicate != later {
-			t.Errorf("%v", events)
+			t.Errorf("wrong events for a duplicate name: %v", events)
 		}
 		if got := tracker.view.Find("m2").Meta; got != earlier {
-			t.Errorf("%v is in view", got)
+			t.Errorf("%v is present, want the member that started earlier", got)
 		}
-		tracker.RecordGone("m2", now) // an elder that is lost makes room
+		tracker.RecordGone("m2", now) // the name is free once the earlier member is lost
 		if !tracker.Admits(later) || tracker.RecordAlive(later, now)[0].Kind != EventRestarted {
-			t.Error("refused after the elder's end")
+			t.Error("refused after the earlier member was lost")
 		}
 	}
-	// The two themselves: the elder is told, the younger is refused until it meets it no more.
+	// At the two members themselves: the earlier one gets the event, the later one is refused until
+	// it has not heard of the other for duplicateTimeout.
 	tracker := NewTracker(earlier, fiveMembers(), now)
 	if got := eventKinds(tracker.RecordDuplicate(earlier, later, now)); !slices.Equal(got, []EventKind{EventDuplicateName}) || tracker.View().RefusedAsDuplicate {
-		t.Error("elder", got)
+		t.Error("at the earlier member:", got)
 	}
 	tracker = NewTracker(later, fiveMembers(), now)
 	if got := eventKinds(tracker.RecordDuplicate(later, earlier, now)); !slices.Equal(got, []EventKind{EventDuplicateName, EventSelfRefused}) || !tracker.View().RefusedAsDuplicate {
-		t.Error("younger", got)
+		t.Error("at the later member:", got)
 	}
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		tracker.Tick(now)
 	}
 	if tracker.View().RefusedAsDuplicate {
-		t.Error("refused for good")
+		t.Error("still refused after the time-out")
 	}
 }
 
-// Whatever is reported in whatever order: views are numbered by one for each change and
-// never without one; each member's course follows from its events; alone says what the
-// count says; of two that are heard of at once the elder stays; what two Books hear in
-// any order, without ends, leads to the same members.
+// Random reports in random order: each change of a view raises its number by one; which members
+// are present follows from the events; NoQuorum agrees with the count; of two members with one
+// name the one that started earlier stays. Not checked here: two Trackers that receive the same
+// reports, without RecordGone, in different orders have the same members.
+//
+// The test keeps its name since recorded inputs in testdata/rapid are found by it.
 func TestBookHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
 		tracker := NewTracker(newMeta("m1", 3, "1"), fiveMembers(), now)
-		present := map[string]bool{"m1": true} // in view, by events alone
+		present := map[string]bool{"m1": true} // by events alone
 		v := tracker.View()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.SampledFrom([]int{0, 50, 700, 2000, 40000}).Draw(t, "ms")) * time.Millisecond)
@@ -148,7 +151,7 @@
 				admitted := tracker.Admits(m)
 				events = tracker.RecordAlive(m, now)
 				if keepsEarlier && (tracker.view.Find(name).Meta != previous || admitted) {
-					t.Fatalf("the younger %v took the place of %v", m, previous)
+					t.Fatalf("%v, which started later, replaced %v", m, previous)
 				}
 			case 2:
 				events = tracker.RecordSuspicion(name, now)
@@ -167,7 +170,7 @@
 					delete(present, e.Member.Name)
 				case EventSuspected, EventSuspicionCleared:
 					if !present[e.Member.Name] {
-						t.Fatalf("%v of one that is not in view", e)
+						t.Fatalf("%v of a member that is not present", e)
 					}
 				}
 			}
@@ -180,7 +183,7 @@
 				t.Fatalf("view %d after %d, changed: %v, %v", next.Number, v.Number, changed, events)
 			}
 			if n := len(present); next.PresentCount != n || next.NoQuorum != (n <= 2) {
-				t.Fatalf("%d in view, alone %v; by events %v", next.PresentCount, next.NoQuorum, present)
+				t.Fatalf("%d present, no quorum: %v; present by events: %v", next.PresentCount, next.NoQuorum, present)
 			}
 			v = next
 		}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,10 +1,10 @@
-// Package member tells who of a fleet of managers is there.
+// Package member tracks which managers of a fleet are present.
 //
-// A Fleet is a small interface with two carriers: Swim asks the others by the SWIM
-// protocol (github.com/hashicorp/memberlist); Fixed sends nothing and takes all that the
-// operator's file names as there. What follows from what a carrier hears, numbering of
-// views, who is alone, which of two of one name is refused, is decided by Book, without
-// I/O.
+// Fleet has two implementations: Swim detects failures with the SWIM protocol
+// (github.com/hashicorp/memberlist); Static sends nothing and takes all members that the
+// operator's file names as present. Tracker derives the rest from the reports of the protocol,
+// without I/O: the numbering of views, the loss of the quorum, and which of two members with
+// one name is refused.
 package member
 
 import (
@@ -16,56 +16,56 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Fleet is who is there.
+// Fleet is one manager's membership in a fleet.
 type Fleet interface {
-	// View returns the present view, at once.
+	// View returns the current view without blocking.
 	View() View
-	// Leave tells the others that this member leaves. It returns at once.
+	// Leave makes this member announce to the others that it leaves. It does not block.
 	Leave()
-	// Run carries it until ctx ends.
+	// Run takes part in the fleet until ctx ends.
 	Run(ctx context.Context) error
 }
 
-// Config is what a member is told.
+// Config is the configuration of a Fleet.
 type Config struct {
-	Self              Meta               // Started is set at the start
-	ConfiguredMembers []ConfiguredMember // all, itself among them
-	JoinAddresses     []string
-	// Listen is the address of the sockets, TCP and UDP of one port.
+	Self              Meta               // NewSwim sets StartedUnixNano, and Address if empty
+	ConfiguredMembers []ConfiguredMember // all members of the fleet, itself included
+	JoinAddresses     []string           // HOST:PORT of members to contact while some are not present
+	// ListenAddress is HOST:PORT of the TCP and UDP sockets.
 	ListenAddress string
-	// At is where members are reached from here, by name, if not at the address that
-	// they tell of themselves: for connections, and for datagrams.
+	// AddressOverrides has, by member name, the addresses for TCP and for UDP at which this
+	// manager reaches a member, if they differ from the address that the member announces.
 	AddressOverrides map[string][2]string
-	// Keys for all that is sent, AES-128 to 256; the first seals, all open. None: what
-	// is sent is not sealed.
+	// EncryptionKeys are AES keys of 128 to 256 bits for all traffic. The first one encrypts,
+	// all decrypt. Without keys, traffic is not encrypted.
 	EncryptionKeys [][]byte
-	// Told, if not nil, is called with what happened and the view that it led to, from
-	// one goroutine. It must not block.
+	// OnEvents, if not nil, is called from one goroutine with events and the view that
+	// resulted. It must not block.
 	OnEvents func(View, []Event)
-	// Log takes what the carrier remarks, one line each.
+	// LogLine receives the log lines of the membership protocol. May be nil.
 	LogLine func(string)
 
-	transportForTest func() memberlist.NodeAwareTransport // in the place of sockets, for tests
+	transportForTest func() memberlist.NodeAwareTransport // replaces the sockets, for tests
 }
 
-// ListenError is an address that a member can't listen at, or be reached at.
+// ListenError reports an address that a member can't listen on, or that can't be announced.
 type ListenError struct {
 	Address string
 	Err     error
 }
 
 func (e *ListenError) Error() string {
-	return fmt.Sprintf("fleet: %s: %v; name an IPv4 address of this machine that is free, TCP and UDP, by fleet.listen", e.Address, e.Err)
+	return fmt.Sprintf("fleet: %s: %v; set fleet.listen to an IPv4 address of this machine with a port that is free for TCP and UDP", e.Address, e.Err)
 }
 
 func (e *ListenError) Unwrap() error { return e.Err }
 
-var errNoMembers = errors.New("fleet: no member is named; name all by fleet.members")
+var errNoMembers = errors.New("fleet: no members are configured; name all of them in fleet.members")
 
-// Static is a fleet that a file names, all of it taken as there. It sends nothing.
+// Static is a Fleet that takes all configured members as present. It sends nothing.
 type Static struct{ view View }
 
-// NewStatic returns the fleet of a file.
+// NewStatic returns a Static of the configured members.
 func NewStatic(c Config) (*Static, error) {
 	if len(c.ConfiguredMembers) == 0 {
 		return nil, errNoMembers
@@ -78,13 +78,13 @@
 	return &Static{b.view}, nil
 }
 
-// View returns the one view that there is.
+// View returns the view, which never changes.
 func (f *Static) View() View { return f.view }
 
-// Leave does nothing.
+// Leave implements Fleet. It does nothing.
 func (f *Static) Leave() {}
 
-// Run waits for ctx.
+// Run blocks until ctx ends.
 func (f *Static) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
--- a/internal/member/sizes_test.go
+++ b/internal/member/sizes_test.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-var fleetSize = flag.Int("sizes", 0, "measure a fleet of so many members in this process")
+var fleetSize = flag.Int("sizes", 0, "number of members of the fleet to measure in this process")
 
-// TestSizes measures what a fleet of members in one process costs each: bytes a second
-// sent, memory, descriptors, processor time, and how long the fleet takes to meet, to
-// notice that one is gone, and to know all of one that leaves. Its figures are the
-// machine's; it fails only where the fleet doesn't settle.
+// TestSizes measures the costs of each member of a fleet in one process: bytes sent a second,
+// memory, file descriptors and CPU time. It also measures how long it takes until all members
+// know of each other, of a lost member, and of a member that leaves. The figures depend on the
+// machine; the test fails only if the members do not reach the expected view.
 func TestSizes(t *testing.T) {
 	if *fleetSize == 0 {
-		t.Skip("with -sizes N only")
+		t.Skip("runs only with -sizes N")
 	}
 	n := *fleetSize
 	var configured []ConfiguredMember
@@ -51,9 +51,9 @@
 			return true
 		}
 	}
-	waitUntil(t, "all in view", allSee(n, all))
-	t.Logf("%d members met in %v", n, time.Since(began).Round(10*time.Millisecond))
-	time.Sleep(20 * time.Second) // what the start set off has been passed on
+	waitUntil(t, "all present", allSee(n, all))
+	t.Logf("%d members: all present after %v", n, time.Since(began).Round(10*time.Millisecond))
+	time.Sleep(20 * time.Second) // until the gossip that the start caused has ended
 	sent := func() (datagrams, bytes, streamed int64) {
 		for _, m := range all {
 			c := m.Traffic()
@@ -70,18 +70,18 @@
 	cpuSpent := cpuTime() - cpu
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("each, at rest: %.1f datagrams and %.0f bytes a second, and %.0f on connections; %.0f kB of heap and stacks; %.1f descriptors; %.2f%% of a processor; %d goroutines",
+	t.Logf("each member in steady state: %.1f datagrams and %.0f datagram bytes a second, %.0f connection bytes a second; %.0f kB of heap and stacks; %.1f file descriptors; %.2f%% of a CPU; %d goroutines",
 		perMemberS(p1-p0), perMemberS(b1-b0), perMemberS(s1-s0), float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/1024/float64(n),
 		float64(openDescriptors()-fds)/float64(n), 100*cpuSpent.Seconds()/measureS/float64(n), runtime.NumGoroutine()/n)
 	began = time.Now()
 	all[n-1].stop()
 	waitUntil(t, "one lost", allSee(n-1, all[:n-1]))
-	t.Logf("one lost: known to all after %v", time.Since(began).Round(10*time.Millisecond))
+	t.Logf("member lost: known to all after %v", time.Since(began).Round(10*time.Millisecond))
 	began = time.Now()
 	all[n-2].Leave()
 	waitUntil(t, "one left", allSee(n-2, all[:n-2]))
-	t.Logf("one left: known to all after %v", time.Since(began).Round(10*time.Millisecond))
-	var end sync.WaitGroup // side by side: one after the other each would be noticed
+	t.Logf("member left: known to all after %v", time.Since(began).Round(10*time.Millisecond))
+	var end sync.WaitGroup // concurrently: otherwise the others would detect each loss
 	for _, m := range all {
 		end.Go(m.stop)
 	}
--- a/internal/member/swim.go
+++ b/internal/member/swim.go
@@ -20,21 +20,21 @@
 	"millethinge/internal/mailbox"
 )
 
-// Times of Swim. One that doesn't answer is suspected after probeEvery by whoever asks
-// it next, and lost 4 to 8 times that later for up to ten members, 10 to 20 times for
-// three hundred.
+// Intervals and time-outs of Swim. A member that does not answer is suspected after
+// probeInterval by the member that probes it next. It is declared lost 4 to 8 probe intervals
+// later in a fleet of up to ten members, 10 to 20 intervals later in one of three hundred.
 const (
 	probeInterval  = 500 * time.Millisecond
 	probeTimeout   = 250 * time.Millisecond
-	joinInterval   = time.Second            // one of those that are not in view is asked so often
-	joinTimeout    = time.Second            // for its connection and its answer
-	rejoinDelay    = 4 * time.Second        // until a younger twin asks again
-	tickInterval   = 100 * time.Millisecond // less than what stall takes for a stand
-	leaveTimeout   = 400 * time.Millisecond // for each of the two words of a leave
+	joinInterval   = time.Second            // between attempts to reach a member that is not present
+	joinTimeout    = time.Second            // for the connection and the answer
+	rejoinDelay    = 4 * time.Second        // until a member that was refused as a duplicate tries again
+	tickInterval   = 100 * time.Millisecond // shorter than any gap that package stall takes for a process pause
+	leaveTimeout   = 400 * time.Millisecond // for each of the two messages of a leave
 	gossipInterval = 200 * time.Millisecond
 )
 
-// Swim is a Fleet that asks. It is safe for use by many goroutines.
+// Swim is a Fleet that runs the SWIM protocol. It is safe for concurrent use.
 type Swim struct {
 	config         Config
 	traffic        Traffic
@@ -42,18 +42,19 @@
 	leaveRequested chan struct{}
 	leaveOnce      sync.Once
 
-	mu             sync.Mutex // taken inside memberlist's own locks; nothing of it is called with mu held
+	mu             sync.Mutex // locked while memberlist holds its own locks, so memberlist must not be called with mu held
 	tracker        *Tracker
-	boundTransport *transport // bound, and not yet used
+	boundTransport *transport // bound by NewSwim, for the first start of memberlist; then nil
 	leaving        bool
 }
 
+// notification is one call of Config.OnEvents.
 type notification struct {
 	view   View
 	events []Event
 }
 
-// NewSwim binds the sockets of a member. The error is a *ListenError where that fails.
+// NewSwim binds the sockets of a member. It returns a *ListenError if that fails.
 func NewSwim(c Config) (*Swim, error) {
 	if len(c.ConfiguredMembers) == 0 {
 		return nil, errNoMembers
@@ -82,24 +83,24 @@
 	return s, nil
 }
 
-// Addr is where it listens, TCP and UDP.
+// Addr returns the address that it listens on, by TCP and UDP.
 func (s *Swim) Addr() string { return s.config.ListenAddress }
 
-// Traffic is what it has sent and got.
+// Traffic returns its traffic counters.
 func (s *Swim) Traffic() *Traffic { return &s.traffic }
 
-// View returns the present view.
+// View returns the current view.
 func (s *Swim) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tracker.View()
 }
 
-// Leave tells the others that this member leaves.
+// Leave makes this member announce to the others that it leaves.
 func (s *Swim) Leave() { s.leaveOnce.Do(func() { close(s.leaveRequested) }) }
 
-// Run asks and answers until ctx ends, without a word of leave; for that, Leave comes
-// first. A carrier that fails at its start is an error.
+// Run takes part in the protocol until ctx ends. It does not announce a leave: Leave must be
+// called before. It returns an error if the protocol can't be started for the first time.
 func (s *Swim) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
@@ -120,13 +121,14 @@
 		if err != nil {
 			s.config.LogLine(err.Error())
 		}
-		// Refused: its elder has the name. Out of all views it asks again, later.
+		// A member of this name that started earlier is present. Stay out of the fleet, and try
+		// again later.
 		for wait := time.After(rejoinDelay); wait != nil; {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-tick.C:
-				s.update(func(b *Tracker, now time.Time) []Event { return b.Tick(now) })
+				s.update(func(t *Tracker, now time.Time) []Event { return t.Tick(now) })
 			case <-wait:
 				wait = nil
 			}
@@ -134,7 +136,7 @@
 	}
 }
 
-// deliverEvents hands on what happened, in order.
+// deliverEvents calls OnEvents with the queued notifications in order.
 func (s *Swim) deliverEvents(ctx context.Context) {
 	var batch []notification
 	for {
@@ -150,17 +152,17 @@
 	}
 }
 
-// update has the book take a report. It may be called inside memberlist's locks.
+// update applies a report to the tracker. It may be called while memberlist holds its locks.
 func (s *Swim) update(record func(*Tracker, time.Time) []Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if events := record(s.tracker, time.Now()); len(events) > 0 && s.config.OnEvents != nil {
-		// Guard: a full mailbox loses the word, never the view.
+		// Guard: a full mailbox loses the notification, never the change of the view.
 		s.notifications.Put(notification{s.tracker.View(), events})
 	}
 }
 
-// participate is one stay in the fleet, until ctx ends or an elder of the name is met.
+// participate takes part in the fleet until ctx ends or this member is refused as a duplicate.
 func (s *Swim) participate(ctx context.Context, tick <-chan time.Time) error {
 	participation, endParticipation := context.WithCancel(ctx)
 	defer endParticipation()
@@ -170,16 +172,16 @@
 	}
 	defer func() {
 		list.Shutdown()
-		s.update(func(b *Tracker, now time.Time) (events []Event) {
+		s.update(func(t *Tracker, now time.Time) (events []Event) {
 			if ctx.Err() == nil {
 				for _, n := range s.config.ConfiguredMembers {
-					events = append(events, b.RecordGone(n.Name, now)...)
+					events = append(events, t.RecordGone(n.Name, now)...)
 				}
 			}
 			return events
 		})
 	}()
-	// What waits for a network has a goroutine of its own: one to ask, one to leave.
+	// Joining and leaving wait for the network, so each has a goroutine of its own.
 	var group sync.WaitGroup
 	defer group.Wait()
 	defer endParticipation()
@@ -190,7 +192,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-tick:
-			s.update(func(b *Tracker, now time.Time) []Event { return b.Tick(now) })
+			s.update(func(t *Tracker, now time.Time) []Event { return t.Tick(now) })
 			if s.View().RefusedAsDuplicate {
 				return nil
 			}
@@ -198,6 +200,7 @@
 	}
 }
 
+// createList starts memberlist.
 func (s *Swim) createList(ctx context.Context) (*memberlist.Memberlist, error) {
 	s.mu.Lock()
 	t := s.boundTransport
@@ -223,7 +226,7 @@
 	}
 	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = probeInterval, probeTimeout, joinTimeout
 	c.SuspicionMaxTimeoutMult, c.GossipInterval = 2, gossipInterval
-	c.DeadNodeReclaimTime = 1 // at once: whose address it is, Book decides
+	c.DeadNodeReclaimTime = 1 // 1 ns, at once: Tracker decides which address a name belongs to
 	c.EnableCompression = false
 	d := &delegate{s}
 	c.Delegate, c.Events, c.Alive, c.Conflict, c.Ping = d, d, d, d, d
@@ -242,7 +245,8 @@
 	return list, nil
 }
 
-// joinMissing asks those that are not in view, one at a time: memberlist forgets the lost.
+// joinMissing contacts the members that are not present, one at a time, since memberlist
+// forgets lost members.
 func (s *Swim) joinMissing(ctx context.Context, list *memberlist.Memberlist) {
 	for {
 		if address := s.joinTarget(); address != "" {
@@ -254,13 +258,14 @@
 		case <-ctx.Done():
 			return
 		case <-s.leaveRequested:
-			return // who leaves asks nobody
+			return // a leaving member joins nobody
 		case <-time.After(joinInterval*3/4 + rand.N(joinInterval/2)):
 		}
 	}
 }
 
-// joinTarget is the address of one that is not in view, or an empty one.
+// joinTarget returns the address of a random member that is not present, or an empty string.
+// While the view is stale, every other member is a candidate.
 func (s *Swim) joinTarget() string {
 	v := s.View()
 	var candidates []string
@@ -287,8 +292,8 @@
 	return candidates[rand.N(len(candidates))]
 }
 
-// leaveOnRequest says that this member leaves, once that is asked for: by what it tells of
-// itself, so that its end is told from a loss, and then by the end.
+// leaveOnRequest waits for a call of Leave. It then announces the leave in the member's
+// metadata, so that the others can tell a leave from a loss, and leaves memberlist.
 func (s *Swim) leaveOnRequest(ctx context.Context, list *memberlist.Memberlist) {
 	select {
 	case <-ctx.Done():
@@ -298,11 +303,11 @@
 	s.mu.Lock()
 	s.leaving = true
 	s.mu.Unlock()
-	s.update(func(b *Tracker, now time.Time) []Event { return b.RecordOwnLeave(now) })
+	s.update(func(t *Tracker, now time.Time) []Event { return t.RecordOwnLeave(now) })
 	if err := list.UpdateNode(leaveTimeout); err != nil {
 		s.config.LogLine(err.Error())
 	}
-	// The end must not overtake the word: gossip has a few rounds.
+	// The leave must not overtake the announcement: wait for a few rounds of gossip.
 	select {
 	case <-ctx.Done():
 	case <-time.After(3 * gossipInterval):
@@ -312,27 +317,28 @@
 	}
 }
 
-// logger reads what memberlist remarks. That a member is suspected it tells nowhere
-// else; TestSwim notices if the wording changes.
+// logger returns a logger that reads memberlist's log lines. memberlist reports suspicions
+// nowhere else; TestSwim fails if the wording changes.
 func (s *Swim) logger() *log.Logger { return log.New(logWriter{s}, "", 0) }
 
+// logWriter parses the log lines of memberlist and passes them on to Config.LogLine.
 type logWriter struct{ swim *Swim }
 
 func (l logWriter) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
 	if rest, ok := strings.CutPrefix(line, "[INFO] memberlist: Suspect "); ok {
 		if name, ok := strings.CutSuffix(rest, " has failed, no acks received"); ok {
-			l.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordSuspicion(name, now) })
+			l.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordSuspicion(name, now) })
 		}
 	}
 	l.swim.config.LogLine(line)
 	return len(b), nil
 }
 
-// delegate is what memberlist tells a Swim. It is called inside memberlist's locks.
+// delegate implements memberlist's delegates. memberlist calls it with its locks held.
 type delegate struct{ swim *Swim }
 
-var errNotAdmitted = errors.New("the file doesn't name it, or an elder has its name")
+var errNotAdmitted = errors.New("not configured, or a member with its name started earlier")
 
 func (d *delegate) NodeMeta(int) []byte {
 	d.swim.mu.Lock()
@@ -347,12 +353,12 @@
 	d.swim.mu.Lock()
 	admitted := d.swim.tracker.Admits(m)
 	d.swim.mu.Unlock()
-	if m.StartedUnixNano == 0 { // of another program, or of another form of this one
-		d.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordUnknown(m, now) })
+	if m.StartedUnixNano == 0 { // of another program, or of another metaVersion
+		d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordUnknown(m, now) })
 		return errNotAdmitted
 	}
 	if isSelf := m.Name == d.swim.config.Self.Name; isSelf || !admitted {
-		d.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordAlive(m, now) })
+		d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAlive(m, now) })
 		if isSelf {
 			return nil
 		}
@@ -363,22 +369,22 @@
 
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
 	m := metaFromNode(n)
-	d.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordAlive(m, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAlive(m, now) })
 }
 
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	d.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordGone(n.Name, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordGone(n.Name, now) })
 }
 
 func (d *delegate) NotifyConflict(one, other *memberlist.Node) {
 	a, b := metaFromNode(one), metaFromNode(other)
-	d.swim.update(func(book *Tracker, now time.Time) []Event { return book.RecordDuplicate(a, b, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordDuplicate(a, b, now) })
 }
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.swim.update(func(b *Tracker, now time.Time) []Event { return b.RecordAck(n.Name, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAck(n.Name, now) })
 }
 
 func (d *delegate) AckPayload() []byte              { return nil }
@@ -387,15 +393,17 @@
 func (d *delegate) LocalState(bool) []byte          { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool)   {}
 
-// metaVersion is the first field of an encoded Meta. A member of another form is kept out.
+// metaVersion is the first field of an encoded Meta. Members of another version are not
+// admitted.
 const metaVersion = "1"
 
-// encode writes what the others are told beside the name, under 512 bytes.
+// encode returns the metadata that the member announces beside its name. memberlist allows
+// 512 bytes.
 func (m Meta) encode() []byte {
 	return []byte(strings.Join([]string{metaVersion, m.Site, m.Address, strconv.FormatInt(m.StartedUnixNano, 36), strconv.FormatBool(m.Leaving)}, "\n"))
 }
 
-// metaFromNode reads what a member tells of itself. Started is 0 if that can't be read.
+// metaFromNode decodes a member's metadata. StartedUnixNano is 0 if it can't be decoded.
 func metaFromNode(n *memberlist.Node) Meta {
 	m := Meta{Name: n.Name, Address: net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}
 	fields := strings.Split(string(n.Meta), "\n")
@@ -407,7 +415,8 @@
 	return m
 }
 
-// PresentNames of a View's members that are counted upon, itself among them.
+// PresentNames returns the sorted names of the present members, including the member whose
+// view it is.
 func (v View) PresentNames() (names []string) {
 	for _, m := range v.Members {
 		if m.Status.Present() || m.Name == v.Self {
--- a/internal/member/swim_test.go
+++ b/internal/member/swim_test.go
@@ -15,10 +15,10 @@
 	"millethinge/internal/fleettest"
 )
 
-// testTimeout bounds what is waited for. Nothing passes by being faster.
+// testTimeout bounds each wait. It affects only how long a failing test takes.
 const testTimeout = 60 * time.Second
 
-// testMember is one running member with what it was told.
+// testMember is a running member with the events that it has reported.
 type testMember struct {
 	*Swim
 	stop func()
@@ -64,12 +64,12 @@
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not seen within %v", what, testTimeout)
+			t.Fatalf("%s: not reached within %v", what, testTimeout)
 		}
 	}
 }
 
-// startRelayed starts members whose links go through relays.
+// startRelayed starts members whose traffic to each other goes through relays.
 func startRelayed(t *testing.T, names ...string) (map[string]*testMember, *fleettest.Peers) {
 	t.Helper()
 	p, err := fleettest.NewPeers(names, 1)
@@ -107,42 +107,44 @@
 	}
 }
 
-// Five members, cut 2:3 and healed; one leaves, and one is lost.
+// Five members: a network partition into two and three, which then heals; then one member leaves,
+// and one is lost.
 func TestSwim(t *testing.T) {
 	t.Parallel()
 	names := []string{"m1", "m2", "m3", "m4", "m5"}
 	all, p := startRelayed(t, names...)
-	waitUntil(t, "all in view", presentExactly(all, names, names...))
+	waitUntil(t, "all present", presentExactly(all, names, names...))
 	if m := all["m1"].View().Find("m4"); m.Address != "127.0.0.1:4" || m.Site != "s" || m.StartedUnixNano == 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("m4 as seen by m1: %+v", m)
 	}
 	two, three := names[:2], names[2:]
 	p.Cut(two, three, false)
-	waitUntil(t, "the two alone", presentExactly(all, two, two...))
-	waitUntil(t, "the three", presentExactly(all, three, three...))
+	waitUntil(t, "the smaller part sees itself only", presentExactly(all, two, two...))
+	waitUntil(t, "the larger part sees itself only", presentExactly(all, three, three...))
 	if !all["m1"].View().NoQuorum || all["m3"].View().NoQuorum {
-		t.Error("the smaller part is the one that may be cut off")
+		t.Error("want no quorum in the smaller part and a quorum in the larger one")
 	}
 	if !all["m1"].sawEvent(EventSuspected, "m3") && !all["m1"].sawEvent(EventSuspected, "m4") && !all["m1"].sawEvent(EventSuspected, "m5") {
-		t.Error("nobody was suspected")
+		t.Error("no member was suspected")
 	}
 	p.Heal(two, three)
-	waitUntil(t, "all in view again", presentExactly(all, names, names...))
+	waitUntil(t, "all present again", presentExactly(all, names, names...))
 	if !all["m1"].sawEvent(EventRecovered, "m5") || !all["m4"].sawEvent(EventRecovered, "m1") || all["m1"].View().NoQuorum {
-		t.Error("not healed")
+		t.Error("no recovery after the partition")
 	}
 	all["m5"].Leave()
-	waitUntil(t, "without the one that left", presentExactly(all, names[:4], names[:4]...))
-	waitUntil(t, "it left", func() bool { return all["m1"].sawEvent(EventLeft, "m5") && all["m4"].sawEvent(EventLeft, "m5") })
+	waitUntil(t, "present without the member that left", presentExactly(all, names[:4], names[:4]...))
+	waitUntil(t, "the leave is reported", func() bool { return all["m1"].sawEvent(EventLeft, "m5") && all["m4"].sawEvent(EventLeft, "m5") })
 	all["m4"].stop()
-	waitUntil(t, "without the one that ended", presentExactly(all, names[:3], names[:3]...))
+	waitUntil(t, "present without the lost member", presentExactly(all, names[:3], names[:3]...))
 	if all["m1"].sawEvent(EventLeft, "m4") || !all["m1"].sawEvent(EventLost, "m4") {
-		t.Error("an end without a word is a loss")
+		t.Error("a member that stopped without leaving was not reported as lost")
 	}
 }
 
-// A younger one with a name that is taken is refused, by itself and by all, until its
-// elder is gone. One that the file doesn't name, and one without the key, stay out.
+// A member whose name is taken by one that started earlier is refused, by itself and by all
+// others, until the other one is gone. A member that is not configured and one with another key
+// are not admitted.
 func TestNotAdmitted(t *testing.T) {
 	t.Parallel()
 	key := [][]byte{bytes.Repeat([]byte{7}, 16)}
@@ -151,23 +153,23 @@
 	join := []string{m1.Addr()}
 	m2 := startMember(t, Config{Self: Meta{Name: "m2"}, ConfiguredMembers: configured, EncryptionKeys: key, JoinAddresses: join})
 	all := map[string]*testMember{"m1": m1, "m2": m2}
-	waitUntil(t, "both in view", presentExactly(all, []string{"m1", "m2"}, "m1", "m2"))
+	waitUntil(t, "both present", presentExactly(all, []string{"m1", "m2"}, "m1", "m2"))
 	later := startMember(t, Config{Self: Meta{Name: "m2"}, ConfiguredMembers: configured, EncryptionKeys: key, JoinAddresses: join})
 	startMember(t, Config{Self: Meta{Name: "x"}, ConfiguredMembers: append(configured, ConfiguredMember{"x", "a"}), EncryptionKeys: key, JoinAddresses: join})
 	wrongKey := startMember(t, Config{Self: Meta{Name: "m3"}, ConfiguredMembers: configured, EncryptionKeys: [][]byte{bytes.Repeat([]byte{8}, 16)}, JoinAddresses: join})
-	waitUntil(t, "the younger is refused", func() bool { return later.View().RefusedAsDuplicate })
-	waitUntil(t, "both are told", func() bool { return m1.sawEvent(EventDuplicateName, "m2") && later.sawEvent(EventDuplicateName, "m2") })
-	waitUntil(t, "the stranger is told", func() bool { return m1.sawEvent(EventUnknownMember, "x") })
+	waitUntil(t, "the later member is refused", func() bool { return later.View().RefusedAsDuplicate })
+	waitUntil(t, "the duplicate name is reported by both", func() bool { return m1.sawEvent(EventDuplicateName, "m2") && later.sawEvent(EventDuplicateName, "m2") })
+	waitUntil(t, "the unknown member is reported", func() bool { return m1.sawEvent(EventUnknownMember, "x") })
 	if v := m1.View(); v.Find("m2").Address != m2.Addr() || wrongKey.View().PresentCount != 1 || v.Find("m3").Status != StatusUnheard {
-		t.Errorf("%+v", v)
+		t.Errorf("view of m1: %+v", v)
 	}
 	m2.stop()
-	waitUntil(t, "the younger is let in", func() bool {
+	waitUntil(t, "the later member is admitted", func() bool {
 		return !later.View().RefusedAsDuplicate && m1.View().Find("m2").Address == later.Addr()
 	})
 }
 
-// A connection to one that never says a word is closed when the stay in the fleet ends.
+// A connection to a peer that never answers is closed when the participation in the fleet ends.
 func TestConnectionsCloseAtEnd(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -188,7 +190,7 @@
 	end()
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("%v, and not closed", err)
+		t.Errorf("read ended with %v, want a closed connection", err)
 	}
 }
 
@@ -202,16 +204,16 @@
 	}
 }
 
-// A fleet of a file is there without a packet.
+// A Static fleet has all members present without any traffic.
 func TestStatic(t *testing.T) {
 	f, err := NewStatic(Config{Self: newMeta("m1", 1, "1"), ConfiguredMembers: fiveMembers()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if v := f.View(); v.PresentCount != 5 || v.NoQuorum || v.Number != 1 || len(v.PresentNames()) != 5 {
-		t.Errorf("%+v", v)
+		t.Errorf("view: %+v", v)
 	}
 	if _, err := NewStatic(Config{}); err == nil {
-		t.Error("a fleet of none")
+		t.Error("no error for a fleet without members")
 	}
 }
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -10,22 +10,23 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Traffic counts what a member sends to others and gets on connections of its own, in
-// bytes without the headers of IP, UDP and TCP. What one sends another gets: over a
-// fleet, Sent is all.
+// Traffic counts the datagrams that a member sends, and both directions of the connections
+// that it opens. Bytes are counted without IP, UDP and TCP headers. Each datagram and each
+// connection is counted by one member only, so the sums over a fleet are its total traffic.
 type Traffic struct {
 	DatagramsSent, DatagramBytesSent, ConnectionsOpened, ConnectionBytes atomic.Int64
 }
 
-// transport is memberlist's, reaching members where the file says.
+// transport is memberlist's transport with address overrides and traffic counters.
 type transport struct {
 	memberlist.NodeAwareTransport
 	addressOverrides map[string][2]string
 	traffic          *Traffic
 	port             int
-	ctx              context.Context // of the stay in the fleet: its end breaks what is open
+	ctx              context.Context // of the participation in the fleet: its end closes open connections
 }
 
+// bindTransport opens the sockets.
 func (s *Swim) bindTransport() (*transport, error) {
 	if s.config.transportForTest != nil {
 		return &transport{s.config.transportForTest(), s.config.AddressOverrides, &s.traffic, 0, context.Background()}, nil
@@ -36,7 +37,7 @@
 	}
 	n, err := strconv.Atoi(port)
 	if err == nil && net.ParseIP(host).To4() == nil {
-		err = net.InvalidAddrError("no IPv4 address")
+		err = net.InvalidAddrError("not an IPv4 address")
 	}
 	if err != nil {
 		return nil, &ListenError{s.config.ListenAddress, err}
@@ -46,14 +47,14 @@
 		if err == nil {
 			return &transport{t, s.config.AddressOverrides, &s.traffic, t.GetAutoBindPort(), context.Background()}, nil
 		}
-		// With port 0, the port that TCP was given may be in use for UDP.
+		// With port 0, the port that was assigned for TCP may be in use for UDP.
 		if n != 0 || attempts == 10 {
 			return nil, &ListenError{s.config.ListenAddress, err}
 		}
 	}
 }
 
-// resolve is an address as the file has it, for connections or for datagrams.
+// resolve applies AddressOverrides to an address. protocol is 0 for TCP, 1 for UDP.
 func (t *transport) resolve(a memberlist.Address, protocol int) memberlist.Address {
 	if override, ok := t.addressOverrides[a.Name]; ok {
 		a.Addr = override[protocol]
@@ -61,19 +62,19 @@
 	return a
 }
 
-// WriteToAddress sends a datagram.
+// WriteToAddress implements memberlist.NodeAwareTransport: it sends a datagram.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
 	t.traffic.DatagramsSent.Add(1)
 	t.traffic.DatagramBytesSent.Add(int64(len(b)))
 	return t.NodeAwareTransport.WriteToAddress(b, t.resolve(a, 1))
 }
 
-// WriteTo sends a datagram to an address that has no name.
+// WriteTo sends a datagram to an address without a member name.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return t.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-// DialAddressTimeout opens a connection.
+// DialAddressTimeout implements memberlist.NodeAwareTransport: it opens a connection.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	var c net.Conn
 	var err error
@@ -86,17 +87,18 @@
 	if err != nil {
 		return nil, err
 	}
-	// Guard: nobody's silence holds up the program's end.
+	// Guard: a peer that does not answer must not delay the end of the program.
 	stopAutoClose := context.AfterFunc(t.ctx, func() { c.Close() })
 	t.traffic.ConnectionsOpened.Add(1)
 	return &countedConn{c, t.traffic, stopAutoClose}, nil
 }
 
-// DialTimeout opens a connection to an address that has no name.
+// DialTimeout opens a connection to an address without a member name.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
+// countedConn counts the bytes of a connection.
 type countedConn struct {
 	net.Conn
 	traffic       *Traffic
--- a/internal/member/virtual_test.go
+++ b/internal/member/virtual_test.go
@@ -13,10 +13,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memoryNetwork is a network in memory: a port is a place of a slice, from 1.
+// memoryNetwork is a network in memory. A transport's port is its index plus 1.
 type memoryNetwork []*memoryTransport
 
-// memoryTransport is a member's place at a wire. What doesn't fit into a queue is lost.
+// memoryTransport is a member's transport on a memoryNetwork. Datagrams and connections that do
+// not fit into a queue are lost.
 type memoryTransport struct {
 	network *memoryNetwork
 	port    int
@@ -74,8 +75,8 @@
 func (p *memoryTransport) StreamCh() <-chan net.Conn           { return p.streams }
 func (p *memoryTransport) Shutdown() error                     { p.down.Store(true); return nil }
 
-// TestVirtualTime measures a fleet of -sizes members in virtual time: what each sends, and
-// how long it takes to know of all, and of one that is lost. At 8 it always runs.
+// TestVirtualTime measures a fleet of -sizes members, at least 8, in virtual time: what each
+// sends, and how long it takes until all know of each other, and of a lost member. It always runs.
 func TestVirtualTime(t *testing.T) {
 	n := max(*fleetSize, 8)
 	began := time.Now()
@@ -112,13 +113,13 @@
 					s.mu.Unlock()
 				}
 				if time.Since(from) > 5*time.Minute {
-					t.Errorf("%s: not settled", what)
+					t.Errorf("%s: not reached", what)
 					return
 				}
 			}
 			t.Logf("%d members: %s after %v", n, what, time.Since(from))
 		}
-		waitForCount("all in view", n, all)
+		waitForCount("all present", n, all)
 		sent := func() (packets, bytes, streamed int64) {
 			for _, s := range all {
 				packets, bytes, streamed = packets+s.Traffic().DatagramsSent.Load(), bytes+s.Traffic().DatagramBytesSent.Load(), streamed+s.Traffic().ConnectionBytes.Load()
@@ -129,17 +130,17 @@
 		p, b, s := sent()
 		time.Sleep(30 * time.Second)
 		p2, b2, s2 := sent()
-		t.Logf("each, at rest: %.1f datagrams and %d bytes a second, and %d on connections", float64(p2-p)/30/float64(n), (b2-b)/30/int64(n), (s2-s)/30/int64(n))
+		t.Logf("each member in steady state: %.1f datagrams and %d datagram bytes a second, %d connection bytes a second", float64(p2-p)/30/float64(n), (b2-b)/30/int64(n), (s2-s)/30/int64(n))
 		transports[n-1].down.Store(true)
-		waitForCount("one lost", n-1, all[:n-1])
+		waitForCount("member lost", n-1, all[:n-1])
 		cancel()
 		for range all {
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
 		}
-		time.Sleep(time.Minute) // memberlist's goroutines end with their next act
-		t.Logf("%v of virtual time", time.Since(start))
+		time.Sleep(time.Minute) // memberlist's goroutines end only at their next timer
+		t.Logf("simulated %v of virtual time", time.Since(start))
 	})
-	t.Logf("played in %v", time.Since(began).Round(time.Millisecond))
+	t.Logf("took %v of real time", time.Since(began).Round(time.Millisecond))
 }
--- a/internal/sockaddr/sockaddr.go
+++ b/internal/sockaddr/sockaddr.go
@@ -1,7 +1,7 @@
-// Package sockaddr stands in for github.com/hashicorp/go-sockaddr, by a replace line of
-// the program's go.mod. memberlist needs three functions of it; the original starts
-// other programs to find a private address, which the platform's terms forbid, and its
-// linker can't leave that out. Here an address is always told, never looked for.
+// Package sockaddr replaces github.com/hashicorp/go-sockaddr, by a replace directive in the
+// program's go.mod. memberlist needs three of its functions. The original runs other programs
+// to find a private address, which the platform's terms forbid, and the linker can't
+// eliminate that code. Here the address is always configured, never discovered.
 package sockaddr
 
 import (
@@ -9,17 +9,17 @@
 	"net/netip"
 )
 
-// IfAddr is an address as memberlist hands it over.
+// IfAddr is an address as memberlist passes it.
 type IfAddr struct{ SockAddr any }
 
-// NewIPAddr reads an IP address.
+// NewIPAddr parses an IP address.
 func NewIPAddr(s string) (netip.Addr, error) { return netip.ParseAddr(s) }
 
-// IfByRFC parts the addresses that RFC 6890 keeps for special uses from public ones. It
-// knows no other RFC.
+// IfByRFC separates the addresses that RFC 6890 reserves for special purposes from public
+// ones. No other RFC is supported.
 func IfByRFC(rfc string, all []IfAddr) (special, public []IfAddr, err error) {
 	if rfc != "6890" {
-		return nil, nil, errors.New("sockaddr: only RFC 6890 is known")
+		return nil, nil, errors.New("sockaddr: only RFC 6890 is supported")
 	}
 	for _, a := range all {
 		ip, _ := a.SockAddr.(netip.Addr)
@@ -32,7 +32,7 @@
 	return special, public, nil
 }
 
-// GetPrivateIP fails: the address to be reached at is to be told.
+// GetPrivateIP always fails: the address to announce must be configured.
 func GetPrivateIP() (string, error) {
-	return "", errors.New("sockaddr: no address is looked for; name the one to be reached at")
+	return "", errors.New("sockaddr: finding a private address is not supported; configure the address to announce")
 }
