--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -95,39 +95,39 @@
 	if err != nil {
 		return err
 	}
-	teams := cfg.Teams()
+	teams := cfg.TeamNames()
 	explanation := rules.Explain(message.RouteRequest(&m, &request, origin))
-	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.Classes, request.Class), nameAt(teams, request.Team))
-	for i, s := range explanation.Steps {
-		if !s.Match && !cmd.All {
+	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.ClassNames, request.Class), nameAt(teams, request.Team))
+	for i, s := range explanation.RuleTraces {
+		if !s.Matched && !cmd.All {
 			continue
 		}
 		verdict := "does not match"
 		switch {
-		case s.Match:
+		case s.Matched:
 			verdict = "matches"
-		case s.Skips:
+		case s.Skipped:
 			verdict = "is for other classes"
 		}
 		fmt.Fprintf(out, "  step %d: %s %s (%d steps)\n", i+1, s.Rule, verdict, s.Cost)
-		if s.When != "" {
-			fmt.Fprintf(out, "    %s\n", s.When)
+		if s.Source != "" {
+			fmt.Fprintf(out, "    %s\n", s.Source)
 		}
 		for _, p := range s.Values {
-			fmt.Fprintf(out, "    %s = %s\n", p.Name, explanation.Show(p.Value))
+			fmt.Fprintf(out, "    %s = %s\n", p.Name, explanation.FormatValue(p.Value))
 		}
 	}
 	if explanation.Rule == "" {
-		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(explanation.Steps))
+		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(explanation.RuleTraces))
 	}
-	fmt.Fprintf(out, "  it is given class %s, team %s", nameAt(cfg.Classes, explanation.Class), nameAt(teams, explanation.Team))
-	if explanation.Key != "" {
-		fmt.Fprintf(out, ", budget key %q", explanation.Key)
+	fmt.Fprintf(out, "  it is given class %s, team %s", nameAt(cfg.ClassNames, explanation.Class), nameAt(teams, explanation.Team))
+	if explanation.BudgetKey != "" {
+		fmt.Fprintf(out, ", budget key %q", explanation.BudgetKey)
 	}
 	for _, l := range explanation.Labels {
 		fmt.Fprintf(out, ", label %s %q", l.Name, l.Value)
 	}
-	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", explanation.Cost, rules.Bound())
+	fmt.Fprintf(out, "\n  cost %d steps of at most %d\n", explanation.Cost, rules.MaxCost())
 	if explanation.Class < 0 {
 		return message.ErrNoClass
 	}
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -57,11 +57,11 @@
 
 // Parse reads a scenario. open reads what it includes; nil: nothing can be included. The
 // error is a *conf.Faults, which tells all that is wrong.
-func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
+func Parse(name string, text []byte, open conf.ReadFileFunc) (*Scenario, error) {
 	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultTerms,
 		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
 	faults := new(conf.Faults)
-	conf.Read(conf.Parse(name, text, open, faults), nil, faults, s.keys())
+	conf.Apply(conf.Parse(name, text, open, faults), nil, faults, s.keys())
 	for _, f := range s.check {
 		f()
 	}
@@ -74,30 +74,30 @@
 	return s, nil
 }
 
-func (s *Scenario) keys() []conf.Key {
+func (s *Scenario) keys() []conf.Keyword {
 	p := &s.Plan
-	return []conf.Key{
-		{Name: "seed", Usage: "N", Read: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Read: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, longest) }},
-		{Name: "level", Usage: "LEVEL", Read: func(d *conf.Directive) {
+	return []conf.Keyword{
+		{Name: "seed", Usage: "N", Apply: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
+		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, longest) }},
+		{Name: "level", Usage: "LEVEL", Apply: func(d *conf.Directive) {
 			p.Level = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
-		{Name: "sockets", Usage: "N", Read: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
-		{Name: "admin", Read: func(*conf.Directive) { p.Admin = true }},
-		{Name: "hall", Usage: "NAME { … }", Many: true, Must: true, Read: s.hall},
-		{Name: "absent", Usage: "NODE…", Many: true, Read: func(d *conf.Directive) {
+		{Name: "sockets", Usage: "N", Apply: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
+		{Name: "admin", Apply: func(*conf.Directive) { p.Admin = true }},
+		{Name: "hall", Usage: "NAME { … }", Repeatable: true, Required: true, Apply: s.hall},
+		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *conf.Directive) {
 			for first := true; first || d.More(); first = false {
 				p.Absent = append(p.Absent, d.Word("a node"))
 			}
 		}},
-		{Name: "operator", Usage: "LINE", Many: true, Read: func(d *conf.Directive) {
+		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *conf.Directive) {
 			line, _ := d.Rest()
 			p.Operator += strings.Trim(line, "`") + "\n"
 		}},
-		{Name: "load", Usage: "{ … }", Read: s.load},
-		{Name: "node", Usage: "{ … }", Read: s.node},
-		{Name: "act", Usage: "NAME { … }", Many: true, Read: s.act},
-		{Name: "expect", Usage: "WHAT …", Many: true, Read: s.expects},
+		{Name: "load", Usage: "{ … }", Apply: s.load},
+		{Name: "node", Usage: "{ … }", Apply: s.node},
+		{Name: "act", Usage: "NAME { … }", Repeatable: true, Apply: s.act},
+		{Name: "expect", Usage: "WHAT …", Repeatable: true, Apply: s.expects},
 	}
 }
 
@@ -110,19 +110,19 @@
 			}
 		}
 	}
-	d.Block(conf.Key{Name: "managers", Usage: "NAME…", Read: names(&h.Managers)}, conf.Key{Name: "nodes", Usage: "NAME…", Read: names(&h.Nodes)})
+	d.Block(conf.Keyword{Name: "managers", Usage: "NAME…", Apply: names(&h.Managers)}, conf.Keyword{Name: "nodes", Usage: "NAME…", Apply: names(&h.Nodes)})
 	s.Plan.Halls = append(s.Plan.Halls, h)
 }
 
 func (s *Scenario) load(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.Rate = d.Float("sessions a second", 0, 1000) }},
-		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "titles", Usage: "N", Read: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Key{Name: "left", Usage: "DURATION", Read: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, longest) }},
-		conf.Key{Name: "weight", Usage: "MANAGER N", Many: true, Read: func(d *conf.Directive) {
+		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.Rate = d.Float("sessions a second", 0, 1000) }},
+		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "titles", Usage: "N", Apply: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
+		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, longest) }},
+		conf.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *conf.Directive) {
 			m := d.Word("a manager")
 			l.Weight[m] = d.Float("a weight", 0, 1000)
 			s.names(d, 1, m)
@@ -139,14 +139,14 @@
 		}
 	}
 	d.Block(
-		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
-		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
-		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, longest) }},
-		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
-		conf.Key{Name: "idle", Usage: "DURATION", Read: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, longest) }},
-		conf.Key{Name: "streams", Usage: "N", Read: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Key{Name: "answer", Usage: "FROM TO", Read: two(&m.Answer)},
-		conf.Key{Name: "length", Usage: "FROM TO", Read: two(&m.Length)},
+		conf.Keyword{Name: "link", Usage: "KB", Apply: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
+		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
+		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, longest) }},
+		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
+		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, longest) }},
+		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
+		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.Answer)},
+		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.Length)},
 	)
 }
 
@@ -162,8 +162,8 @@
 				f.Nodes[n] = &Node{}
 			}
 		}
-		if _, err := f.Find(names...); err != nil && !d.Bad() {
-			d.Fault(argument, "%v", err)
+		if _, err := f.Find(names...); err != nil && !d.HasFault() {
+			d.ReportFault(argument, "%v", err)
 		}
 	})
 }
@@ -171,13 +171,13 @@
 func (s *Scenario) act(d *conf.Directive) {
 	a := act{name: d.Word("a name")}
 	d.Block(
-		conf.Key{Name: "when", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) {
+		conf.Keyword{Name: "when", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) {
 			if len(a.do) > 0 {
-				d.Fault(0, "comes after what is done: an act waits first, and then does")
+				d.ReportFault(0, "comes after what is done: an act waits first, and then does")
 			}
 			a.when = append(a.when, s.condition(d))
 		}},
-		conf.Key{Name: "do", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) { a.do = append(a.do, s.step(d)) }},
+		conf.Keyword{Name: "do", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) { a.do = append(a.do, s.step(d)) }},
 	)
 	s.acts = append(s.acts, a)
 }
@@ -245,7 +245,7 @@
 		return ""
 	}
 	name := d.Word("a name")
-	s.names(d, d.At(), name)
+	s.names(d, d.ArgumentIndex(), name)
 	return name
 }
 
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -182,7 +182,7 @@
 // operates reads what is done at a manager's address for calls.
 func (s *Scenario) operates(d *conf.Directive, word string) func(*run) error {
 	if !s.Plan.Admin {
-		d.Fault(0, "wants the keyword admin before it")
+		d.ReportFault(0, "wants the keyword admin before it")
 	}
 	switch word {
 	case "call":
@@ -244,7 +244,7 @@
 
 // rest reads names up to one of the stop words, and which one that was.
 func (s *Scenario) rest(d *conf.Directive, stops ...string) (names []string, stop string) {
-	first := d.At() + 1
+	first := d.ArgumentIndex() + 1
 	for d.More() {
 		w := d.Word("a name")
 		for _, x := range stops {
@@ -264,7 +264,7 @@
 func (s *Scenario) each(d *conf.Directive, do func(*run, Group) error) func(*run) error {
 	names, _ := s.rest(d)
 	if len(names) == 0 {
-		d.Fault(d.At()+1, "wants names")
+		d.ReportFault(d.ArgumentIndex()+1, "wants names")
 	}
 	return func(r *run) error {
 		g, err := r.Find(names...)
@@ -281,7 +281,7 @@
 	}
 	a, stop := s.rest(d, "from", "to")
 	if stop == "" || word == "delay" && stop != "to" {
-		d.Fault(d.At()+1, "wants A… from B…, or A… to B…")
+		d.ReportFault(d.ArgumentIndex()+1, "wants A… from B…, or A… to B…")
 		return nil
 	}
 	var b []string
--- a/internal/front/message/message.go
+++ b/internal/front/message/message.go
@@ -378,12 +378,12 @@
 // SetupDecoder decodes set-up messages into broker requests. It holds the deployment's names
 // and limits.
 type SetupDecoder struct {
-	Routes      *route.Live   // routing rules; nil, or without a set: requests keep the class and team they name
-	Classes     []string      // names, by class number
-	Teams       []string      // names, by team number; empty: any tenant is accepted, and gives no team
-	Cells       int           // number of cells
-	MaxRung     int           // highest rung of the rate ladder
-	MaxTimeLeft time.Duration // longest time that a viewer may give for an answer
+	Routes      *route.ActiveSet // routing rules; nil, or without a set: requests keep the class and team they name
+	Classes     []string         // names, by class number
+	Teams       []string         // names, by team number; empty: any tenant is accepted, and gives no team
+	Cells       int              // number of cells
+	MaxRung     int              // highest rung of the rate ladder
+	MaxTimeLeft time.Duration    // longest time that a viewer may give for an answer
 }
 
 // setupOverhead is how many bytes a set-up takes up beside its description when it is sent
@@ -429,9 +429,9 @@
 // RouteRequest returns a set-up in the form that routing rules evaluate.
 func RouteRequest(m *Message, r *broker.Request, from Origin) *route.Request {
 	return &route.Request{
-		Class: r.Class, Team: r.Team, Title: r.Title, Home: r.Home, Copies: r.Copies, Top: r.MaxRung, Left: r.TimeLeft,
-		Retry: string(m.Get("retry")) == "1", Again: string(m.Extra("again")) == "1",
-		Front: from.Front, Client: from.Client, Came: from.Received, Texts: m,
+		Class: r.Class, Team: r.Team, Title: r.Title, HomeCell: r.Home, Copies: r.Copies, TopRung: r.MaxRung, TimeLeft: r.TimeLeft,
+		Retry: string(m.Get("retry")) == "1", Returning: string(m.Extra("again")) == "1",
+		Front: from.Front, ClientAddr: from.Client, ReceivedAt: from.Received, Texts: m,
 	}
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -16,26 +16,26 @@
 	Teams:   []string{"north", "south"},
 }
 
-// read compiles rules, one a line, as NAME REST.
-func read(t testing.TB, on Deployment, lines ...string) (*Set, string) {
+// compileRules compiles rules, one a line, as NAME REST.
+func compileRules(t testing.TB, on Deployment, lines ...string) (*Set, string) {
 	t.Helper()
 	var faults []string
-	src := Source{Zone: time.LoadLocation, Local: "America/Mexico_City", Trace: true}
+	src := Source{LoadZone: time.LoadLocation, LocalZone: "America/Mexico_City", Trace: true}
 	for _, l := range lines {
 		name, text, _ := strings.Cut(l, " ")
-		src.Rules = append(src.Rules, rules.Rule{Name: name, Source: rules.Source{Text: text, Fault: func(at int, msg string) {
+		src.Rules = append(src.Rules, rules.Rule{Name: name, Source: rules.Source{Text: text, ReportError: func(at int, msg string) {
 			faults = append(faults, fmt.Sprintf("%s:%d: %s", name, at, msg))
 		}}})
 	}
 	return Compile(src, on), strings.Join(faults, "\n")
 }
 
-// texts are a message's.
-type texts map[string]string
+// textMap are a message's.
+type textMap map[string]string
 
-func (x texts) Field(name string) []byte { return x.get(name) }
-func (x texts) Extra(name string) []byte { return x.get("extra." + name) }
-func (x texts) get(name string) []byte {
+func (x textMap) Field(name string) []byte { return x.get(name) }
+func (x textMap) Extra(name string) []byte { return x.get("extra." + name) }
+func (x textMap) get(name string) []byte {
 	if v, ok := x[name]; ok {
 		return []byte(v)
 	}
@@ -44,14 +44,14 @@
 
 func request(class int) *Request {
 	return &Request{
-		Class: class, Team: -1, Title: 0x7f3a, Home: 3, Copies: 2, Top: 2.5, Left: 1500 * time.Millisecond, Front: "websocket",
-		Client: netip.MustParseAddr("10.4.7.9"), Came: time.Date(2026, 5, 16, 0, 30, 0, 0, time.UTC),
-		Texts: texts{"shop": "Norte-7", "extra.viewer": "00000000b4d65521"},
+		Class: class, Team: -1, Title: 0x7f3a, HomeCell: 3, Copies: 2, TopRung: 2.5, TimeLeft: 1500 * time.Millisecond, Front: "websocket",
+		ClientAddr: netip.MustParseAddr("10.4.7.9"), ReceivedAt: time.Date(2026, 5, 16, 0, 30, 0, 0, time.UTC),
+		Texts: textMap{"shop": "Norte-7", "extra.viewer": "00000000b4d65521"},
 	}
 }
 
 func TestRoute(t *testing.T) {
-	s, faults := read(t, deployment,
+	s, faults := compileRules(t, deployment,
 		`unnamed when class == none and starts(field("shop") ?? "", "Norte") set class = clip, team = north, key = lower(field("shop") ?? "")`,
 		`gilded when class == clip and again set class = gold`,
 		`payday when class == feed and quincena(today) and clock >= 18:00 and left < 2s and home == 3 and front == "websocket" set team = south, key = "payday", label.viewer = extra("viewer") ?? "", label.net = if client ?? 0.0.0.0 in 10.4.0.0/16 then "hall" else ""`,
@@ -67,12 +67,12 @@
 		if got := fmt.Sprintf("%+v", s.Route(request(class))); got != want {
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
-		if e := s.Explain(request(class)); fmt.Sprintf("%+v", e.Result) != want || e.Cost == 0 || e.Cost > s.Bound() || len(e.Steps) == 0 {
+		if e := s.Explain(request(class)); fmt.Sprintf("%+v", e.Result) != want || e.Cost == 0 || e.Cost > s.MaxCost() || len(e.RuleTraces) == 0 {
 			t.Errorf("explained: %+v", e)
 		}
 	}
 	r := request(0)
-	r.Again = true
+	r.Returning = true
 	if got := s.Route(r); got.Class != 2 {
 		t.Errorf("%+v", got)
 	}
@@ -84,7 +84,7 @@
 }
 
 // What a class may become goes by whether it is paid and by its floor.
-func TestBecomes(t *testing.T) {
+func TestClassChanges(t *testing.T) {
 	for rule, want := range map[string]string{
 		"when class == feed set class = clip":   "checked for a feed request: this may make it clip; clip is paid for at set-up and feed is not",
 		"when class == clip set class = feed":   "checked for a clip request: this may make it feed; clip is set up once only, and feed has no such protection",
@@ -93,58 +93,58 @@
 		"when class == clip set class = bronze": "bronze may play on rung 0, which is under the floor of clip, rung 1",
 		"when class == none set class = bronze": "",
 	} {
-		if s, faults := read(t, deployment, "r "+rule); (s == nil) != (want != "") || !strings.Contains(faults, want) {
+		if s, faults := compileRules(t, deployment, "r "+rule); (s == nil) != (want != "") || !strings.Contains(faults, want) {
 			t.Errorf("%s: %q, want %q", rule, faults, want)
 		}
 	}
 }
 
 // Should a rule ever get past the checks, a request keeps its class all the same.
-func TestGuardOfTheClass(t *testing.T) {
-	s, faults := read(t, deployment, "r when class == clip set class = gold, key = \"k\"")
+func TestRouteKeepsClassIfChangeNotAllowed(t *testing.T) {
+	s, faults := compileRules(t, deployment, "r when class == clip set class = gold, key = \"k\"")
 	if s == nil {
 		t.Fatal(faults)
 	}
-	s.may[0+1][2] = false
-	if got := s.Route(request(0)); got.Class != 0 || got.Key != "k" {
+	s.mayBecome[0+1][2] = false
+	if got := s.Route(request(0)); got.Class != 0 || got.BudgetKey != "k" {
 		t.Errorf("%+v", got)
 	}
 }
 
 // What a request was given stays when its bytes and the frame are used again.
-func TestResultsAreKept(t *testing.T) {
-	s, faults := read(t, deployment, `r set key = upper(field("shop") ?? ""), label.a = field("shop") ?? "", label.b = "fixed"`)
+func TestResultOutlivesRequest(t *testing.T) {
+	s, faults := compileRules(t, deployment, `r set key = upper(field("shop") ?? ""), label.a = field("shop") ?? "", label.b = "fixed"`)
 	if s == nil {
 		t.Fatal(faults)
 	}
 	shop := []byte("abc")
 	r := request(0)
-	r.Texts = shared{shop}
+	r.Texts = sharedText{shop}
 	first := s.Route(r)
 	copy(shop, "xyz")
 	second := s.Route(r)
-	if first.Key != "ABC" || first.Labels[0].Value != "abc" || second.Key != "XYZ" || second.Labels[0].Value != "xyz" {
+	if first.BudgetKey != "ABC" || first.Labels[0].Value != "abc" || second.BudgetKey != "XYZ" || second.Labels[0].Value != "xyz" {
 		t.Errorf("%+v, %+v", first, second)
 	}
 }
 
-type shared struct{ b []byte }
+type sharedText struct{ b []byte }
 
-func (s shared) Field(string) []byte { return s.b }
-func (s shared) Extra(string) []byte { return nil }
+func (s sharedText) Field(string) []byte { return s.b }
+func (s sharedText) Extra(string) []byte { return nil }
 
 // Each request sees one whole set, whatever is swapped meanwhile.
-func TestSwap(t *testing.T) {
+func TestReplaceDuringRouting(t *testing.T) {
 	var sets []*Set
 	for _, name := range []string{"north", "south"} {
-		s, faults := read(t, deployment, fmt.Sprintf(`%s when copies > 1 set team = %[1]s, key = lower("%[1]s") + field("shop") ?? "", label.a = "%[1]s"`, name))
+		s, faults := compileRules(t, deployment, fmt.Sprintf(`%s when copies > 1 set team = %[1]s, key = lower("%[1]s") + field("shop") ?? "", label.a = "%[1]s"`, name))
 		if s == nil {
 			t.Fatal(faults)
 		}
 		sets = append(sets, s)
 	}
-	var live Live
-	live.Swap(sets[0])
+	var live ActiveSet
+	live.Replace(sets[0])
 	stop := make(chan struct{})
 	var all, swapper sync.WaitGroup
 	seen := make([]map[string]int, 8)
@@ -154,7 +154,7 @@
 			for range 5000 {
 				got := live.Load().Route(request(1))
 				name := deployment.Teams[got.Team]
-				if got.Rule != name || got.Key != name+"Norte-7" || got.Labels[0].Value != name {
+				if got.Rule != name || got.BudgetKey != name+"Norte-7" || got.Labels[0].Value != name {
 					t.Errorf("%+v", got)
 					return
 				}
@@ -168,21 +168,21 @@
 			case <-stop:
 				return
 			default:
-				live.Swap(sets[i%2])
+				live.Replace(sets[i%2])
 			}
 		}
 	})
 	all.Wait()
 	close(stop)
 	swapper.Wait()
-	live.Swap(nil)
+	live.Replace(nil)
 	if live.Load() != nil {
 		t.Error("no set was put in use, and there is one")
 	}
 }
 
-// BenchmarkRoute is the whole routing of a request that names no class.
-func BenchmarkRoute(b *testing.B) {
+// BenchmarkRouteUnnamedClass is the whole routing of a request that names no class.
+func BenchmarkRouteUnnamedClass(b *testing.B) {
 	var lines []string
 	for i := range 199 {
 		lines = append(lines, []string{
@@ -191,12 +191,12 @@
 		}[i%4])
 		lines[i] = fmt.Sprintf(lines[i], i, i+100)
 	}
-	s, faults := read(b, deployment, append(lines, `last when class == none set class = clip, team = north, key = lower(field("shop") ?? "") + "/" + text(class)`)...)
+	s, faults := compileRules(b, deployment, append(lines, `last when class == none set class = clip, team = north, key = lower(field("shop") ?? "") + "/" + text(class)`)...)
 	if s == nil {
 		b.Fatal(faults)
 	}
 	r := request(-1)
-	r.Texts = shared{[]byte("Norte-7")}
+	r.Texts = sharedText{[]byte("Norte-7")}
 	b.ReportAllocs()
 	for b.Loop() {
 		if s.Route(r).Rule != "last" {
--- a/internal/rules/arith.go
+++ b/internal/rules/arith.go
@@ -10,77 +10,77 @@
 
 // Whole numbers stay at the ends of their range.
 
-func add(a, b int64) int64 {
+func saturatingAdd(a, b int64) int64 {
 	s := a + b
 	if a >= 0 == (b >= 0) && s >= 0 != (a >= 0) {
-		return limit(a >= 0)
+		return int64Limit(a >= 0)
 	}
 	return s
 }
 
-func sub(a, b int64) int64 {
+func saturatingSub(a, b int64) int64 {
 	d := a - b
 	if a >= 0 != (b >= 0) && d >= 0 != (a >= 0) {
-		return limit(a >= 0)
+		return int64Limit(a >= 0)
 	}
 	return d
 }
 
-func mul(a, b int64) int64 {
+func saturatingMul(a, b int64) int64 {
 	if a == 0 || b == 0 {
 		return 0
 	}
 	positive := a > 0 == (b > 0)
-	high, low := bits.Mul64(size(a), size(b))
+	high, low := bits.Mul64(magnitude(a), magnitude(b))
 	switch {
 	case high > 0 || low > 1<<63 || low == 1<<63 && positive:
-		return limit(positive)
+		return int64Limit(positive)
 	case positive:
 		return int64(low)
 	}
 	return -int64(low)
 }
 
-func div(a, b int64) int64 {
+func saturatingDiv(a, b int64) int64 {
 	switch {
 	case b == 0:
 		return 0
 	case b == -1:
-		return negate(a)
+		return saturatingNeg(a)
 	}
 	return a / b
 }
 
-func mod(a, b int64) int64 {
+func modOrZero(a, b int64) int64 {
 	if b == 0 || b == -1 {
 		return 0
 	}
 	return a % b
 }
 
-func negate(a int64) int64 {
+func saturatingNeg(a int64) int64 {
 	if a == math.MinInt64 {
 		return math.MaxInt64
 	}
 	return -a
 }
 
-func size(a int64) uint64 {
+func magnitude(a int64) uint64 {
 	if a < 0 {
 		return -uint64(a)
 	}
 	return uint64(a)
 }
 
-func limit(positive bool) int64 {
+func int64Limit(positive bool) int64 {
 	if positive {
 		return math.MaxInt64
 	}
 	return math.MinInt64
 }
 
-// finite gives a number for what is none: 0, or an end of the range.
-func finite(f float64) float64 {
+// clampFloat gives a number for what is none: 0, or an end of the range.
+func clampFloat(f float64) float64 {
 	switch {
 	case f != f:
 		return 0
@@ -92,8 +92,8 @@
 	return f
 }
 
-// truncate is the whole part of a number, at the ends of the range if need be.
-func truncate(f float64) int64 {
+// floatToInt is the whole part of a number, at the ends of the range if need be.
+func floatToInt(f float64) int64 {
 	switch {
 	case f != f:
 		return 0
@@ -105,26 +105,26 @@
 	return int64(f)
 }
 
-// onDate keeps a date within the years 1 to 9999.
-func onDate(n int64) int64 { return min(max(n, firstDay), lastDay) }
+// clampDate keeps a date within the years 1 to 9999.
+func clampDate(n int64) int64 { return min(max(n, firstDate), lastDate) }
 
-// arith calculates with whole numbers.
-func arith(o byte, a, b int64) int64 {
+// intArith calculates with whole numbers.
+func intArith(o byte, a, b int64) int64 {
 	switch o {
 	case '+':
-		return add(a, b)
+		return saturatingAdd(a, b)
 	case '-':
-		return sub(a, b)
+		return saturatingSub(a, b)
 	case '*':
-		return mul(a, b)
+		return saturatingMul(a, b)
 	case '/':
-		return div(a, b)
+		return saturatingDiv(a, b)
 	}
-	return mod(a, b)
+	return modOrZero(a, b)
 }
 
-// arithFloat calculates with numbers.
-func arithFloat(o byte, a, b float64) float64 {
+// floatArith calculates with numbers.
+func floatArith(o byte, a, b float64) float64 {
 	switch o {
 	case '+':
 		a += b
@@ -138,11 +138,11 @@
 		}
 		a /= b
 	}
-	return finite(a)
+	return clampFloat(a)
 }
 
-// atoi reads a whole number without the allocation of an error.
-func atoi(s string) (int64, bool) {
+// parseInt reads a whole number without the allocation of an error.
+func parseInt(s string) (int64, bool) {
 	negative := len(s) > 0 && s[0] == '-'
 	if negative {
 		s = s[1:]
@@ -172,8 +172,8 @@
 	return 0, false
 }
 
-// unhex reads a title.
-func unhex(s string) (int64, bool) {
+// parseHex reads a title.
+func parseHex(s string) (int64, bool) {
 	if len(s) == 0 || len(s) > 16 {
 		return 0, false
 	}
@@ -195,10 +195,10 @@
 	return int64(n), true
 }
 
-// plainNumber tells whether s is a short decimal number, with an exponent of up
+// isShortDecimal tells whether s is a short decimal number, with an exponent of up
 // to two digits: one whose value is always finite, and that is read without the
 // allocation of an error.
-func plainNumber(s string) bool {
+func isShortDecimal(s string) bool {
 	if len(s) > 24 {
 		return false
 	}
@@ -234,9 +234,9 @@
 	return i == len(s)
 }
 
-// plainAddr tells whether s consists of what an address is written with, so that
+// hasAddrForm tells whether s consists of what an address is written with, so that
 // the library is not asked to make errors of whatever a client sends.
-func plainAddr(s string) bool {
+func hasAddrForm(s string) bool {
 	if len(s) < 2 || len(s) > 45 {
 		return false
 	}
@@ -255,14 +255,14 @@
 	return dots == 3 || colons >= 2
 }
 
-// parseAddr is addr(STRING). Only what looks like an address and is none makes
+// compileAddrCall is addr(STRING). Only what looks like an address and is none makes
 // the library allocate an error.
-func parseAddr(k *compiler, n *node) opt[addr] {
-	s := k.text(n.kids[0])
+func compileAddrCall(k *compiler, n *node) optEvaluator[addr] {
+	s := k.compileString(n.children[0])
 	return func(f *Frame) (addr, bool) {
 		v := s(f)
 		f.cost += 12
-		if !plainAddr(v) {
+		if !hasAddrForm(v) {
 			return addr{}, false
 		}
 		a, err := netip.ParseAddr(v)
@@ -270,9 +270,9 @@
 	}
 }
 
-// glob matches with * for any bytes and ? for one. On a mismatch it goes back to
+// matchGlob matches with * for any bytes and ? for one. On a mismatch it goes back to
 // the last star only, so that its time is at most that of both lengths multiplied.
-func glob(s, p string) bool {
+func matchGlob(s, p string) bool {
 	i, j, star, mark := 0, 0, -1, 0
 	for i < len(s) {
 		switch {
@@ -295,9 +295,9 @@
 	return j == len(p)
 }
 
-// civil is the year, month and day of a date. The years begin in March, so that
+// civilDate is the year, month and day of a date. The years begin in March, so that
 // the odd day of a leap year comes last, and go by periods of 400 years.
-func civil(days int64) (year, month, day int64) {
+func civilDate(days int64) (year, month, day int64) {
 	days += 719468 // from 0000-03-01
 	era := days / 146097
 	if days < 0 {
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// realistic is a set as a till screen platform would have it: rules by class,
+// realisticSet is a set as a till screen platform would have it: rules by class,
 // team, title, hour, address and viewer, with three tables.
-func realistic(t testing.TB, n int) *Set {
-	_, s, told := read(testEnv(), func(t *told) []Table {
+func realisticSet(t testing.TB, n int) *Set {
+	_, s, told := compileRules(testEnv(), func(t *diagnostics) []Table {
 		var owners, shops, ranks []string
 		for i := range 5_000 {
 			owners = append(owners, fmt.Sprintf("%x=%s", i, []string{"north", "south"}[i%2]))
@@ -23,7 +23,7 @@
 		`evening = between(clock, 18:00, 22:00)`, `payday = quincena(today) and evening`, `home = shop[client ?? 0.0.0.0]`, `who = if team == none then owner[key] else team`,
 	}, realisticRules(n)...)
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(told.errors)
 	}
 	return s
 }
@@ -48,37 +48,37 @@
 // BenchmarkEvaluate evaluates 200 rules of which the last matches: the dearest
 // case of a set.
 func BenchmarkEvaluate(b *testing.B) {
-	s := realistic(b, 200)
+	s := realisticSet(b, 200)
 	f := request(s)
 	if rule := s.Evaluate(f); rule != 200 {
 		b.Fatal(rule)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Begin(quincena)
+		f.Reset(requestTime)
 		for i := range f.vars {
 			f.vars[i] = benchVars[i]
 		}
 		s.Evaluate(f)
 	}
 	b.ReportMetric(float64(f.Cost()), "steps")
-	b.ReportMetric(float64(s.Bound()), "bound")
+	b.ReportMetric(float64(s.MaxCost()), "bound")
 }
 
-var benchVars = func() []Cell {
-	_, s, _ := read(testEnv(), nil, nil, "when true")
+var benchVars = func() []RawValue {
+	_, s, _ := compileRules(testEnv(), nil, nil, "when true")
 	f := request(s)
 	return f.vars
 }()
 
 func BenchmarkCompile(b *testing.B) {
 	for b.Loop() {
-		realistic(b, 200)
+		realisticSet(b, 200)
 	}
 }
 
 // A set of 1,000 rules and three tables stays under 4 MB.
-func TestMemory(t *testing.T) {
+func TestSetMemory(t *testing.T) {
 	heap := func() uint64 {
 		var m runtime.MemStats
 		for range 3 {
@@ -87,22 +87,22 @@
 		runtime.ReadMemStats(&m)
 		return m.HeapAlloc
 	}
-	realistic(t, 1) // what is built once
+	realisticSet(t, 1) // what is built once
 	before := heap()
-	s := realistic(t, 1000)
+	s := realisticSet(t, 1000)
 	used := heap() - before
 	if runtime.KeepAlive(s); used > 4<<20 {
 		t.Errorf("%d bytes", used)
 	}
-	t.Logf("%d bytes, bound %d steps", used, s.Bound())
+	t.Logf("%d bytes, bound %d steps", used, s.MaxCost())
 }
 
 // Evaluation allocates nothing.
-func TestNoAllocations(t *testing.T) {
-	s := realistic(t, 200)
+func TestEvaluateDoesNotAllocate(t *testing.T) {
+	s := realisticSet(t, 200)
 	f := request(s)
 	if n := testing.AllocsPerRun(100, func() {
-		f.Begin(quincena)
+		f.Reset(requestTime)
 		copy(f.vars, benchVars)
 		s.Evaluate(f)
 	}); n != 0 {
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -12,77 +12,77 @@
 	"millethinge/internal/spell"
 )
 
-// builder reads the sources of one set.
-type builder struct {
-	env    *Env
-	faulty bool
-	lines  int // of all tables
-	tables map[string]*table
-	defs   map[string]*def
-	texts  []TextRef
-	zones  []*zone
-	slots  int
-	shared map[string]int   // the slots of what several conditions work out, by its key
-	res    map[string]*node // regular expressions that are compiled, by pattern
-
-	checking  bool // nothing may be evaluated
-	evaluated int  // constants that were
-}
-
-// def is a named expression while a set is read.
-type def struct {
+// setBuilder reads the sources of one set.
+type setBuilder struct {
+	env         *Env
+	failed      bool
+	tableLines  int // of all tables
+	tables      map[string]*table
+	definitions map[string]*checkedDef
+	texts       []TextRef
+	zones       []*timeZone
+	slots       int
+	sharedSlots map[string]int   // the slots of what several conditions work out, by its key
+	patterns    map[string]*node // regular expressions that are compiled, by pattern
+
+	checkOnly    bool // nothing may be evaluated
+	foldedConsts int  // constants that were
+}
+
+// checkedDef is a named expression while a set is read.
+type checkedDef struct {
 	Definition
-	tree *gExpr
-	node *node // opDef
-	busy bool  // it is being checked: who refers to it now goes round in a circle
-	done bool
+	tree       *gExpr
+	node       *node // opDef
+	inProgress bool  // it is being checked: who refers to it now goes round in a circle
+	done       bool
 }
 
-func (b *builder) failTable(t Table, format string, args ...any) {
-	b.faulty = true
-	t.Fault(fmt.Sprintf(format, args...))
+func (b *setBuilder) tableErrorf(t Table, format string, args ...any) {
+	b.failed = true
+	t.ReportError(fmt.Sprintf(format, args...))
 }
 
-func (b *builder) failLine(l Line, argument int, msg string) {
-	b.faulty = true
-	l.Fault(argument, msg)
+func (b *setBuilder) lineError(l TableLine, argument int, msg string) {
+	b.failed = true
+	l.ReportError(argument, msg)
 }
 
 // checker gives the nodes of one expression their types.
 type checker struct {
-	*builder
-	src    Source
-	locals []local
-	trail  []string // the definitions that led here
+	*setBuilder
+	source         Source
+	locals         []localVar
+	definitionPath []string // the definitions that led here
 }
 
-type local struct {
+type localVar struct {
 	name string
 	node *node // opLocal
 }
 
-// fail tells a fault and returns nil, the node of what is faulty. Checking goes
+// errorf tells a fault and returns nil, the node of what is faulty. Checking goes
 // on elsewhere.
-func (c *checker) fail(at int, format string, args ...any) *node {
-	c.faulty = true
-	c.src.Fault(at, fmt.Sprintf(format, args...))
+func (c *checker) errorf(at int, format string, args ...any) *node {
+	c.failed = true
+	c.source.ReportError(at, fmt.Sprintf(format, args...))
 	return nil
 }
 
-func (c *checker) remark(at int, format string, args ...any) {
-	if c.src.Remark != nil {
-		c.src.Remark(at, fmt.Sprintf(format, args...))
+func (c *checker) warnf(at int, format string, args ...any) {
+	if c.source.ReportWarning != nil {
+		c.source.ReportWarning(at, fmt.Sprintf(format, args...))
 	}
 }
 
-// made finishes a node and holds it against the bounds.
-func (c *checker) made(n *node) *node {
+// finishNode finishes a node and holds it against the bounds.
+func (c *checker) finishNode(n *node) *node {
 	n.finish()
 	switch {
-	case n.depth > maxDepth:
-		return c.fail(n.at, "nested %d deep; at most %d is", n.depth, maxDepth)
-	case n.most > maxString:
-		return c.fail(n.at, "this may become a string of %d bytes; at most %d are made", n.most, maxString)
+	case n.depth > maxTreeDepth:
+		return c.errorf(n.pos, "nested %d deep; at most %d is", n.depth, maxTreeDepth)
+	case n.maxBytes > maxStringBytes:
+		return c.errorf(n.pos, "this may become a string of %d bytes; at most %d are made", n.maxBytes, maxStringBytes)
 	}
 	return n
 }
@@ -90,112 +90,112 @@
 func (c *checker) expr(g *gExpr) *node {
 	switch {
 	case g.Let != nil:
-		return c.let(g)
+		return c.letExpr(g)
 	case g.If != nil:
-		return c.branch(g)
+		return c.ifExpr(g)
 	}
-	return c.or(g.Or)
+	return c.orExpr(g.Or)
 }
 
-func (c *checker) let(g *gExpr) *node {
+func (c *checker) letExpr(g *gExpr) *node {
 	l := g.Let
-	if why := c.taken(l.Name); why != "" {
-		return c.fail(g.Pos.Offset, "%s is %s already", l.Name, why)
+	if why := c.existingUse(l.Name); why != "" {
+		return c.errorf(g.Pos.Offset, "%s is %s already", l.Name, why)
 	}
 	init := c.expr(l.Init)
 	if init == nil {
 		return nil
 	}
-	if init.typ.Kind == nothing {
-		return c.fail(init.at, "none of what? write class(\"none\") or team(\"none\")")
+	if init.typ.Kind == untypedNone {
+		return c.errorf(init.pos, "none of what? write class(\"none\") or team(\"none\")")
 	}
 	c.slots++
-	bound := c.made(&node{op: opLocal, typ: init.typ, at: g.Pos.Offset, idx: c.slots - 1, most: init.most})
-	c.locals = append(c.locals, local{l.Name, bound})
+	bound := c.finishNode(&node{op: opLocal, typ: init.typ, pos: g.Pos.Offset, idx: c.slots - 1, maxBytes: init.maxBytes})
+	c.locals = append(c.locals, localVar{l.Name, bound})
 	body := c.expr(l.Body)
 	c.locals = c.locals[:len(c.locals)-1]
 	if body == nil {
 		return nil
 	}
-	return c.made(&node{op: opLet, typ: body.typ, at: g.Pos.Offset, idx: bound.idx, kids: []*node{init, body}, most: body.most})
+	return c.finishNode(&node{op: opLet, typ: body.typ, pos: g.Pos.Offset, idx: bound.idx, children: []*node{init, body}, maxBytes: body.maxBytes})
 }
 
-func (c *checker) branch(g *gExpr) *node {
+func (c *checker) ifExpr(g *gExpr) *node {
 	cond, then, other := c.expr(g.If.Cond), c.expr(g.If.Then), c.expr(g.If.Else)
 	if cond == nil || then == nil || other == nil {
 		return nil
 	}
-	if cond = c.boolean(cond); cond == nil {
+	if cond = c.requireBool(cond); cond == nil {
 		return nil
 	}
-	if then, other = c.alike(g.Pos.Offset, then, other); then == nil {
+	if then, other = c.unify(g.Pos.Offset, then, other); then == nil {
 		return nil
 	}
 	if then.typ.Optional || other.typ.Optional {
-		return c.fail(g.Pos.Offset, "one of the two may be absent; give it a default with ??")
+		return c.errorf(g.Pos.Offset, "one of the two may be absent; give it a default with ??")
 	}
 	if then.typ.Kind == Prefix {
-		return c.fail(g.Pos.Offset, "a prefix can't be chosen by if; choose the condition instead")
+		return c.errorf(g.Pos.Offset, "a prefix can't be chosen by if; choose the condition instead")
 	}
-	return c.made(&node{op: opIf, typ: then.typ, at: g.Pos.Offset, kids: []*node{cond, then, other}, most: max(then.most, other.most)})
+	return c.finishNode(&node{op: opIf, typ: then.typ, pos: g.Pos.Offset, children: []*node{cond, then, other}, maxBytes: max(then.maxBytes, other.maxBytes)})
 }
 
-// boolean wants n to be a condition.
-func (c *checker) boolean(n *node) *node {
+// requireBool wants n to be a condition.
+func (c *checker) requireBool(n *node) *node {
 	if n.typ != (Type{Kind: Bool}) {
 		if n.typ.Optional {
-			return c.fail(n.at, "a condition is wanted, and this is %v; use has() or ??", n.typ)
+			return c.errorf(n.pos, "a condition is wanted, and this is %v; use has() or ??", n.typ)
 		}
-		return c.fail(n.at, "a condition is wanted, and this is %v", n.typ)
+		return c.errorf(n.pos, "a condition is wanted, and this is %v", n.typ)
 	}
 	return n
 }
 
-// present wants n not to be optional.
-func (c *checker) present(n *node) *node {
+// requirePresent wants n not to be optional.
+func (c *checker) requirePresent(n *node) *node {
 	if n.typ.Optional {
-		return c.fail(n.at, "this may be absent; give it a default with ??")
+		return c.errorf(n.pos, "this may be absent; give it a default with ??")
 	}
 	return n
 }
 
-// alike brings two values to one kind: none becomes what the other is, and a
+// unify brings two values to one kind: none becomes what the other is, and a
 // whole number a number.
-func (c *checker) alike(at int, a, b *node) (*node, *node) {
-	a, b = c.as(a, b.typ.Kind), c.as(b, a.typ.Kind)
+func (c *checker) unify(at int, a, b *node) (*node, *node) {
+	a, b = c.convert(a, b.typ.Kind), c.convert(b, a.typ.Kind)
 	if a.typ.Kind != b.typ.Kind {
-		return c.fail(at, "%v and %v don't go together", a.typ, b.typ), nil
+		return c.errorf(at, "%v and %v don't go together", a.typ, b.typ), nil
 	}
-	if a.typ.Kind == nothing {
-		return c.fail(at, "none of what?"), nil
+	if a.typ.Kind == untypedNone {
+		return c.errorf(at, "none of what?"), nil
 	}
 	return a, b
 }
 
-// as converts n to a kind where that can't be misunderstood.
-func (c *checker) as(n *node, k Kind) *node {
+// convert converts n to a kind where that can't be misunderstood.
+func (c *checker) convert(n *node, k Kind) *node {
 	switch {
-	case n.typ.Kind == nothing && (k == Class || k == Team):
-		return constant(Value{Kind: k, Cell: Cell{N: -1}}, n.at)
+	case n.typ.Kind == untypedNone && (k == Class || k == Team):
+		return newConst(Value{Kind: k, RawValue: RawValue{Integer: -1}}, n.pos)
 	case n.typ.Kind == Int && k == Float && !n.typ.Optional:
 		if n.isConst() {
-			return constant(Value{Kind: Float, Cell: Cell{F: float64(n.val.N)}}, n.at)
+			return newConst(Value{Kind: Float, RawValue: RawValue{Float64: float64(n.constValue.Integer)}}, n.pos)
 		}
 		f := functions["float"]
-		return (&node{op: opCall, fn: f, typ: Type{Kind: Float}, at: n.at, kids: []*node{n}}).finish()
+		return (&node{op: opCall, callee: f, typ: Type{Kind: Float}, pos: n.pos, children: []*node{n}}).finish()
 	}
 	return n
 }
 
-func (c *checker) or(g *gOr) *node {
-	return c.chain(opOr, len(g.Terms), func(i int) *node { return c.and(g.Terms[i]) })
+func (c *checker) orExpr(g *gOr) *node {
+	return c.logicalExpr(opOr, len(g.Terms), func(i int) *node { return c.andExpr(g.Terms[i]) })
 }
 
-func (c *checker) and(g *gAnd) *node {
-	return c.chain(opAnd, len(g.Terms), func(i int) *node { return c.not(g.Terms[i]) })
+func (c *checker) andExpr(g *gAnd) *node {
+	return c.logicalExpr(opAnd, len(g.Terms), func(i int) *node { return c.notExpr(g.Terms[i]) })
 }
 
-func (c *checker) chain(o op, n int, term func(int) *node) *node {
+func (c *checker) logicalExpr(o op, n int, term func(int) *node) *node {
 	if n == 1 {
 		return term(0)
 	}
@@ -203,103 +203,103 @@
 	for i := range n {
 		k := term(i)
 		if k != nil {
-			k = c.boolean(k)
+			k = c.requireBool(k)
 		}
 		kids = append(kids, k)
 	}
 	if slices.Contains(kids, nil) {
 		return nil
 	}
-	return c.made(&node{op: o, typ: Type{Kind: Bool}, at: kids[0].at, kids: kids})
+	return c.finishNode(&node{op: o, typ: Type{Kind: Bool}, pos: kids[0].pos, children: kids})
 }
 
-func (c *checker) not(g *gNot) *node {
-	n := c.compare(g.Cmp)
+func (c *checker) notExpr(g *gNot) *node {
+	n := c.compareExpr(g.Cmp)
 	if n == nil || len(g.Nots) == 0 {
 		return n
 	}
-	if n = c.boolean(n); n == nil || len(g.Nots)%2 == 0 {
+	if n = c.requireBool(n); n == nil || len(g.Nots)%2 == 0 {
 		return n
 	}
-	return c.made(&node{op: opNot, typ: Type{Kind: Bool}, at: g.Pos.Offset, kids: []*node{n}})
+	return c.finishNode(&node{op: opNot, typ: Type{Kind: Bool}, pos: g.Pos.Offset, children: []*node{n}})
 }
 
-var comparisons = map[string]byte{"==": '=', "!=": '!', "<": '<', "<=": 'l', ">": '>', ">=": 'g'}
+var comparisonSymbols = map[string]byte{"==": '=', "!=": '!', "<": '<', "<=": 'l', ">": '>', ">=": 'g'}
 
-func (c *checker) compare(g *gCmp) *node {
-	left := c.sum(g.Left)
+func (c *checker) compareExpr(g *gCmp) *node {
+	left := c.sumExpr(g.Left)
 	if g.Right == nil {
 		return left
 	}
 	at := g.Pos.Offset
 	if g.Op == "in" || g.NotIn {
-		n := c.in(at, left, g.Right)
+		n := c.memberExpr(at, left, g.Right)
 		if n == nil || !g.NotIn {
 			return n
 		}
-		return c.made(&node{op: opNot, typ: Type{Kind: Bool}, at: at, kids: []*node{n}})
+		return c.finishNode(&node{op: opNot, typ: Type{Kind: Bool}, pos: at, children: []*node{n}})
 	}
-	right := c.sum(g.Right)
+	right := c.sumExpr(g.Right)
 	if left == nil || right == nil {
 		return nil
 	}
-	if left, right = c.present(left), c.present(right); left == nil || right == nil {
+	if left, right = c.requirePresent(left), c.requirePresent(right); left == nil || right == nil {
 		return nil
 	}
-	if left, right = c.alike(at, left, right); left == nil {
+	if left, right = c.unify(at, left, right); left == nil {
 		return nil
 	}
 	switch k := left.typ.Kind; {
 	case k == Prefix:
-		return c.fail(at, "prefixes are not compared; use in")
+		return c.errorf(at, "prefixes are not compared; use in")
 	case g.Op == "==" || g.Op == "!=":
 	case k == Bool || k == Class || k == Team || k == Title || k == Addr:
-		return c.fail(at, "%v has no order; only == and != compare it", k)
+		return c.errorf(at, "%v has no order; only == and != compare it", k)
 	}
-	return c.made(&node{op: opCompare, cmp: comparisons[g.Op], typ: Type{Kind: Bool}, at: at, kids: []*node{left, right}})
+	return c.finishNode(&node{op: opCompare, symbol: comparisonSymbols[g.Op], typ: Type{Kind: Bool}, pos: at, children: []*node{left, right}})
 }
 
-// in is membership: of a list, a set, a table's keys or a prefix.
-func (c *checker) in(at int, left *node, g *gSum) *node {
+// memberExpr is membership: of a list, a set, a table's keys or a prefix.
+func (c *checker) memberExpr(at int, left *node, g *gSum) *node {
 	// What stands on the right is looked at before left is known to be good, so
 	// that faults on both sides are told.
-	if p := lone(g); p != nil && p.List != nil {
-		return c.inList(at, left, p.List)
+	if p := solePrimary(g); p != nil && p.List != nil {
+		return c.listMemberExpr(at, left, p.List)
 	} else if p != nil && p.Name != "" && c.tables[p.Name] != nil {
 		t := c.tables[p.Name]
 		if left == nil {
 			return nil
 		}
-		if left = c.present(c.as(left, t.key())); left == nil {
+		if left = c.requirePresent(c.convert(left, t.lookupKind())); left == nil {
 			return nil
 		}
-		if left.typ.Kind != t.key() {
-			return c.fail(at, "%s has %v for its keys, and this is %v", t.Name, t.key(), left.typ)
+		if left.typ.Kind != t.lookupKind() {
+			return c.errorf(at, "%s has %v for its keys, and this is %v", t.Name, t.lookupKind(), left.typ)
 		}
-		return c.made(&node{op: opIn, typ: Type{Kind: Bool}, at: at, kids: []*node{left}, keys: t.index})
+		return c.finishNode(&node{op: opIn, typ: Type{Kind: Bool}, pos: at, children: []*node{left}, members: t.keyIndex})
 	}
-	right := c.sum(g)
+	right := c.sumExpr(g)
 	if left == nil || right == nil {
 		return nil
 	}
-	if left = c.present(left); left == nil {
+	if left = c.requirePresent(left); left == nil {
 		return nil
 	}
 	if right.typ.Kind != Prefix || left.typ.Kind != Addr {
-		return c.fail(right.at, "in wants a list in brackets, a set, a table or (for an address) a prefix on its right")
+		return c.errorf(right.pos, "in wants a list in brackets, a set, a table or (for an address) a prefix on its right")
 	}
-	return c.made(&node{op: opInside, typ: Type{Kind: Bool}, at: at, kids: []*node{left}, val: right.val})
+	return c.finishNode(&node{op: opInPrefix, typ: Type{Kind: Bool}, pos: at, children: []*node{left}, constValue: right.constValue})
 }
 
-// lone returns the primary that a sum consists of, if it does.
-func lone(g *gSum) *gPrimary {
+// solePrimary returns the primary that a sum consists of, if it does.
+func solePrimary(g *gSum) *gPrimary {
 	if len(g.Right) > 0 || len(g.Left.Right) > 0 || len(g.Left.Left.Terms) > 1 || len(g.Left.Left.Terms[0].Minuses) > 0 {
 		return nil
 	}
-	return g.Left.Left.Terms[0].Of
+	return g.Left.Left.Terms[0].Operand
 }
 
-func (c *checker) inList(at int, left *node, g *gList) *node {
+func (c *checker) listMemberExpr(at int, left *node, g *gList) *node {
 	var items []*node
 	for _, e := range g.Items {
 		items = append(items, c.expr(e))
@@ -307,82 +307,82 @@
 	if left == nil || slices.Contains(items, nil) {
 		return nil
 	}
-	if left = c.present(left); left == nil {
+	if left = c.requirePresent(left); left == nil {
 		return nil
 	}
 	if len(items) == 0 {
-		return c.fail(at, "nothing is in an empty list")
+		return c.errorf(at, "nothing is in an empty list")
 	}
 	kind := left.typ.Kind
 	switch kind {
 	case Bool, Float:
-		return c.fail(at, "%v is not looked for in lists", kind)
+		return c.errorf(at, "%v is not looked for in lists", kind)
 	case Addr:
 		kind = Prefix
-	case nothing:
-		return c.fail(at, "none of what?")
+	case untypedNone:
+		return c.errorf(at, "none of what?")
 	}
-	keys := newIndex(kind, len(items))
+	keys := newKeyIndex(kind, len(items))
 	for i, item := range items {
-		item = c.as(item, kind)
+		item = c.convert(item, kind)
 		if kind == Prefix && item.typ.Kind == Addr && item.isConst() { // one address
-			a := item.val.A
+			a := item.constValue.IP
 			if p, err := a.Prefix(a.BitLen()); err == nil {
-				item = constant(Value{Kind: Prefix, P: p}, item.at)
+				item = newConst(Value{Kind: Prefix, Network: p}, item.pos)
 			}
 		}
 		if !item.isConst() || item.typ.Kind != kind {
-			return c.fail(item.at, "a list in which %v is looked for has constants of that kind, and this is %v", left.typ, item.typ)
+			return c.errorf(item.pos, "a list in which %v is looked for has constants of that kind, and this is %v", left.typ, item.typ)
 		}
-		if !keys.add(item.val, int32(i)) {
-			c.remark(item.at, "stands twice in the list")
+		if !keys.add(item.constValue, int32(i)) {
+			c.warnf(item.pos, "stands twice in the list")
 		}
 	}
-	return c.made(&node{op: opIn, typ: Type{Kind: Bool}, at: at, kids: []*node{left}, keys: keys})
+	return c.finishNode(&node{op: opIn, typ: Type{Kind: Bool}, pos: at, children: []*node{left}, members: keys})
 }
 
-func (c *checker) sum(g *gSum) *node {
-	n := c.product(g.Left)
+func (c *checker) sumExpr(g *gSum) *node {
+	n := c.productExpr(g.Left)
 	for _, r := range g.Right {
-		n = c.arith(r.Pos.Offset, r.Op[0], n, c.product(r.Right))
+		n = c.arithExpr(r.Pos.Offset, r.Op[0], n, c.productExpr(r.Right))
 	}
 	return n
 }
 
-func (c *checker) product(g *gProduct) *node {
-	n := c.otherwise(g.Left)
+func (c *checker) productExpr(g *gProduct) *node {
+	n := c.defaultExpr(g.Left)
 	for _, r := range g.Right {
-		n = c.arith(r.Pos.Offset, r.Op[0], n, c.otherwise(r.Right))
+		n = c.arithExpr(r.Pos.Offset, r.Op[0], n, c.defaultExpr(r.Right))
 	}
 	return n
 }
 
-// arith is one of + - * / %.
-func (c *checker) arith(at int, o byte, a, b *node) *node {
+// arithExpr is one of + - * / %.
+func (c *checker) arithExpr(at int, o byte, a, b *node) *node {
 	if a == nil || b == nil {
 		return nil
 	}
-	if a, b = c.present(a), c.present(b); a == nil || b == nil {
+	if a, b = c.requirePresent(a), c.requirePresent(b); a == nil || b == nil {
 		return nil
 	}
 	if a.typ.Kind == String && b.typ.Kind == String && o == '+' {
 		kids := []*node{a, b}
 		if a.op == opConcat { // a chain is one node
-			kids = append(slices.Clone(a.kids), b)
+			kids = append(slices.Clone(a.children), b)
 		}
 		c.slots += len(kids) // where the parts are kept until all are there
-		return c.made(&node{op: opConcat, typ: Type{Kind: String}, at: a.at, idx: c.slots - len(kids), kids: kids, most: a.most + b.most})
+		return c.finishNode(&node{op: opConcat, typ: Type{Kind: String}, pos: a.pos, idx: c.slots - len(kids), children: kids, maxBytes: a.maxBytes + b.maxBytes})
 	}
 	ka, kb := a.typ.Kind, b.typ.Kind
 	if ka == Float || kb == Float {
-		a, b = c.as(a, kb), c.as(b, ka)
+		a, b = c.convert(a, kb), c.convert(b, ka)
 		ka, kb = a.typ.Kind, b.typ.Kind
 	}
 	out := ka
 	switch {
 	case ka == kb && (ka == Int || ka == Float):
 		if ka == Float && o == '%' {
-			return c.fail(at, "%% is for whole numbers")
+			return c.errorf(at, "%% is for whole numbers")
 		}
 	case ka == Duration && kb == Duration && (o == '+' || o == '-' || o == '%'):
 	case ka == Duration && kb == Duration && o == '/':
@@ -394,84 +394,84 @@
 		out = Int
 	case ka == Date && kb == Int && (o == '+' || o == '-'):
 	default:
-		return c.fail(at, "%v %c %v is not defined", a.typ, o, b.typ)
+		return c.errorf(at, "%v %c %v is not defined", a.typ, o, b.typ)
 	}
 	if o == '/' || o == '%' {
 		switch {
 		case !b.isConst():
-			c.remark(at, "where the divisor is 0 the result is 0")
-		case b.val.N == 0 && b.val.F == 0:
-			return c.fail(b.at, "division by zero")
+			c.warnf(at, "where the divisor is 0 the result is 0")
+		case b.constValue.Integer == 0 && b.constValue.Float64 == 0:
+			return c.errorf(b.pos, "division by zero")
 		}
 	}
-	return c.made(&node{op: opSum, cmp: o, typ: Type{Kind: out}, at: a.at, kids: []*node{a, b}})
+	return c.finishNode(&node{op: opArith, symbol: o, typ: Type{Kind: out}, pos: a.pos, children: []*node{a, b}})
 }
 
-func (c *checker) otherwise(g *gElse) *node {
-	n := c.unary(g.Terms[0])
+func (c *checker) defaultExpr(g *gElse) *node {
+	n := c.unaryExpr(g.Terms[0])
 	for _, t := range g.Terms[1:] {
-		d := c.unary(t)
+		d := c.unaryExpr(t)
 		if n == nil || d == nil {
 			n = nil
 			continue
 		}
 		if !n.typ.Optional {
-			return c.fail(n.at, "this is never absent, and needs no default")
+			return c.errorf(n.pos, "this is never absent, and needs no default")
 		}
-		d = c.as(d, n.typ.Kind)
+		d = c.convert(d, n.typ.Kind)
 		if d.typ.Kind != n.typ.Kind {
-			return c.fail(d.at, "the default of %v is %v", n.typ, d.typ)
+			return c.errorf(d.pos, "the default of %v is %v", n.typ, d.typ)
 		}
-		n = c.made(&node{op: opElse, typ: d.typ, at: n.at, kids: []*node{n, d}, most: max(n.most, d.most)})
+		n = c.finishNode(&node{op: opDefault, typ: d.typ, pos: n.pos, children: []*node{n, d}, maxBytes: max(n.maxBytes, d.maxBytes)})
 	}
 	return n
 }
 
-func (c *checker) unary(g *gUnary) *node {
-	n := c.primary(g.Of)
+func (c *checker) unaryExpr(g *gUnary) *node {
+	n := c.primaryExpr(g.Operand)
 	if n == nil || len(g.Minuses) == 0 {
 		return n
 	}
-	if n = c.present(n); n == nil {
+	if n = c.requirePresent(n); n == nil {
 		return nil
 	}
 	switch n.typ.Kind {
 	case Int, Float, Duration:
 	default:
-		return c.fail(g.Pos.Offset, "%v has no negative", n.typ)
+		return c.errorf(g.Pos.Offset, "%v has no negative", n.typ)
 	}
 	if len(g.Minuses)%2 == 0 {
 		return n
 	}
 	if n.isConst() {
-		v := n.val
-		v.N, v.F = negate(v.N), -v.F
-		return c.made(constant(v, g.Pos.Offset))
+		v := n.constValue
+		v.Integer, v.Float64 = saturatingNeg(v.Integer), -v.Float64
+		return c.finishNode(newConst(v, g.Pos.Offset))
 	}
-	return c.made(&node{op: opNeg, typ: n.typ, at: g.Pos.Offset, kids: []*node{n}})
+	return c.finishNode(&node{op: opNeg, typ: n.typ, pos: g.Pos.Offset, children: []*node{n}})
 }
 
-func (c *checker) primary(g *gPrimary) *node {
+func (c *checker) primaryExpr(g *gPrimary) *node {
 	at := g.Pos.Offset
 	switch {
 	case g.Literal != nil:
-		return c.literal(at, g.Literal)
+		return c.literalExpr(at, g.Literal)
 	case g.Call != nil:
-		return c.call(at, g.Call)
+		return c.callExpr(at, g.Call)
 	case g.Index != nil:
-		return c.lookUp(at, g.Index)
-	case g.Sub != nil:
-		return c.expr(g.Sub)
+		return c.tableExpr(at, g.Index)
+	case g.Group != nil:
+		return c.expr(g.Group)
 	case g.List != nil:
 		for _, e := range g.List.Items {
 			c.expr(e)
 		}
-		return c.fail(at, "a list stands only on the right of in")
+		return c.errorf(at, "a list stands only on the right of in")
 	}
-	return c.name(at, g.Name)
+	return c.nameExpr(at, g.Name)
 }
 
-func (c *checker) literal(at int, g *gLiteral) *node {
+func (c *checker) literalExpr(at int, g *gLiteral) *node {
 	for _, l := range []struct {
 		text string
 		kind Kind
@@ -479,24 +479,24 @@
 		if l.text == "" {
 			continue
 		}
-		v, err := c.env.read(l.kind, l.text)
+		v, err := c.env.parseValue(l.kind, l.text)
 		if err != nil {
-			return c.fail(at, "%v", err)
+			return c.errorf(at, "%v", err)
 		}
-		return c.made(constant(v, at))
+		return c.finishNode(newConst(v, at))
 	}
 	text := strings.Trim(g.Raw, "`")
 	if g.String != "" {
 		var err error
 		if text, err = strconv.Unquote(g.String); err != nil {
-			return c.fail(at, "a string with an escape that stands for nothing; write it between backquotes to have none")
+			return c.errorf(at, "a string with an escape that stands for nothing; write it between backquotes to have none")
 		}
 	}
-	return c.made(constant(Value{Kind: String, Cell: Cell{S: text}}, at))
+	return c.finishNode(newConst(Value{Kind: String, RawValue: RawValue{Str: text}}, at))
 }
 
-// taken tells what a name is already, or "".
-func (b *builder) taken(name string) string {
+// existingUse tells what a name is already, or "".
+func (b *setBuilder) existingUse(name string) string {
 	switch {
 	case name == "true" || name == "false" || name == "none":
 		return "a constant"
@@ -504,7 +504,7 @@
 		return "a function"
 	case b.tables[name] != nil:
 		return "a table"
-	case b.defs[name] != nil:
+	case b.definitions[name] != nil:
 		return "a definition"
 	case slices.Contains(b.env.Classes, name):
 		return "a class"
@@ -512,52 +512,52 @@
 		return "a team"
 	case slices.ContainsFunc(b.env.Vars, func(v Var) bool { return v.Name == name }):
 		return "a part of the request"
-	case slices.ContainsFunc(b.env.Texts, func(v TextVar) bool { return v.Name == name }):
+	case slices.ContainsFunc(b.env.TextFamilies, func(v TextFamily) bool { return v.Name == name }):
 		return "a part of the request"
 	}
 	return ""
 }
 
-func (c *checker) name(at int, name string) *node {
+func (c *checker) nameExpr(at int, name string) *node {
 	for _, l := range slices.Backward(c.locals) {
 		if l.name == name {
 			return l.node
 		}
 	}
-	if d := c.defs[name]; d != nil {
-		return c.use(at, d)
+	if d := c.definitions[name]; d != nil {
+		return c.definitionRef(at, d)
 	}
 	for i, v := range c.env.Vars {
 		if v.Name == name {
-			return c.made(&node{op: opVar, typ: Type{v.Kind, v.Optional}, at: at, idx: i, most: v.Most, text: name})
+			return c.finishNode(&node{op: opVar, typ: Type{v.Kind, v.Optional}, pos: at, idx: i, maxBytes: v.MaxBytes, ident: name})
 		}
 	}
 	switch name {
 	case "true", "false":
-		return c.made(constant(Value{Kind: Bool, Cell: Cell{B: name == "true"}}, at))
+		return c.finishNode(newConst(Value{Kind: Bool, RawValue: RawValue{IsTrue: name == "true"}}, at))
 	case "none":
-		return c.made(constant(Value{Kind: nothing}, at))
+		return c.finishNode(newConst(Value{Kind: untypedNone}, at))
 	case "clock", "today":
-		return c.zoned(at, name, c.env.Local)
+		return c.zoneExpr(at, name, c.env.LocalZone)
 	}
 	class, team := slices.Index(c.env.Classes, name), slices.Index(c.env.Teams, name)
 	switch {
 	case class >= 0 && team >= 0:
-		return c.fail(at, "%s is a class and a team; write class(%[1]q) or team(%[1]q)", name)
+		return c.errorf(at, "%s is a class and a team; write class(%[1]q) or team(%[1]q)", name)
 	case class >= 0:
-		return c.made(constant(Value{Kind: Class, Cell: Cell{N: int64(class)}}, at))
+		return c.finishNode(newConst(Value{Kind: Class, RawValue: RawValue{Integer: int64(class)}}, at))
 	case team >= 0:
-		return c.made(constant(Value{Kind: Team, Cell: Cell{N: int64(team)}}, at))
+		return c.finishNode(newConst(Value{Kind: Team, RawValue: RawValue{Integer: int64(team)}}, at))
 	case c.tables[name] != nil:
-		return c.fail(at, "%s is a table; write %s[KEY], or KEY in %s", name, name, name)
+		return c.errorf(at, "%s is a table; write %s[KEY], or KEY in %s", name, name, name)
 	case functions[name] != nil:
-		return c.fail(at, "%s is a function; write %s(…)", name, name)
+		return c.errorf(at, "%s is a function; write %s(…)", name, name)
 	}
-	return c.fail(at, "unknown name %q%s", name, spell.Suggest(name, c.names()))
+	return c.errorf(at, "unknown name %q%s", name, spell.Suggest(name, c.knownNames()))
 }
 
-// names are all that a name may be.
-func (c *checker) names() []string {
+// knownNames are all that a name may be.
+func (c *checker) knownNames() []string {
 	names := slices.Concat([]string{"true", "false", "none", "clock", "today"}, c.env.Classes, c.env.Teams)
 	for _, v := range c.env.Vars {
 		names = append(names, v.Name)
@@ -565,7 +565,7 @@
 	for _, l := range c.locals {
 		names = append(names, l.name)
 	}
-	for n := range c.defs {
+	for n := range c.definitions {
 		names = append(names, n)
 	}
 	for n := range c.tables {
@@ -575,36 +575,36 @@
 	return names
 }
 
-// use refers to a definition, which is checked when it is first referred to.
-func (c *checker) use(at int, d *def) *node {
-	if d.busy {
-		from := max(slices.Index(c.trail, d.Name), 0)
-		return c.fail(at, "%s is defined by itself: %s", d.Name, strings.Join(append(slices.Clone(c.trail[from:]), d.Name), " uses "))
+// definitionRef refers to a definition, which is checked when it is first referred to.
+func (c *checker) definitionRef(at int, d *checkedDef) *node {
+	if d.inProgress {
+		from := max(slices.Index(c.definitionPath, d.Name), 0)
+		return c.errorf(at, "%s is defined by itself: %s", d.Name, strings.Join(append(slices.Clone(c.definitionPath[from:]), d.Name), " uses "))
 	}
-	if len(c.trail) >= maxChain {
-		return c.fail(at, "definitions use each other more than %d deep", maxChain)
+	if len(c.definitionPath) >= maxDefinitionChain {
+		return c.errorf(at, "definitions use each other more than %d deep", maxDefinitionChain)
 	}
-	c.define(d, c.trail)
+	c.checkDefinition(d, c.definitionPath)
 	return d.node
 }
 
-// define checks a definition once.
-func (b *builder) define(d *def, trail []string) {
-	if d.done || d.busy {
+// checkDefinition checks a definition once.
+func (b *setBuilder) checkDefinition(d *checkedDef, trail []string) {
+	if d.done || d.inProgress {
 		return
 	}
-	d.busy = true
-	defer func() { d.busy, d.done = false, true }()
+	d.inProgress = true
+	defer func() { d.inProgress, d.done = false, true }()
 	if d.tree == nil {
 		return // what was wrong with it has been told
 	}
-	c := &checker{builder: b, src: d.Source, trail: append(slices.Clone(trail), d.Name)}
+	c := &checker{setBuilder: b, source: d.Source, definitionPath: append(slices.Clone(trail), d.Name)}
 	n := c.expr(d.tree)
 	if n == nil {
 		return
 	}
-	if n.typ.Kind == nothing {
-		c.fail(n.at, "none of what? write class(\"none\") or team(\"none\")")
+	if n.typ.Kind == untypedNone {
+		c.errorf(n.pos, "none of what? write class(\"none\") or team(\"none\")")
 		return
 	}
 	if n.typ.Kind == Prefix {
@@ -612,10 +612,10 @@
 		return
 	}
 	b.slots++
-	d.node = (&node{op: opDef, typ: n.typ, at: n.at, idx: b.slots - 1, kids: []*node{n}, most: n.most, text: d.Name}).finish()
+	d.node = (&node{op: opDef, typ: n.typ, pos: n.pos, idx: b.slots - 1, children: []*node{n}, maxBytes: n.maxBytes, ident: d.Name}).finish()
 }
 
-func (c *checker) lookUp(at int, g *gIndex) *node {
+func (c *checker) tableExpr(at int, g *gIndex) *node {
 	key := c.expr(g.Key)
 	t := c.tables[g.Name]
 	switch {
@@ -625,86 +625,86 @@
 			names = append(names, n)
 		}
 		slices.Sort(names)
-		return c.fail(at, "no table %q%s", g.Name, spell.Suggest(g.Name, names))
-	case t.Value == 0:
-		return c.fail(at, "%s is a set and has no values; write KEY in %s", t.Name, t.Name)
+		return c.errorf(at, "no table %q%s", g.Name, spell.Suggest(g.Name, names))
+	case t.ValueKind == 0:
+		return c.errorf(at, "%s is a set and has no values; write KEY in %s", t.Name, t.Name)
 	case key == nil:
 		return nil
 	}
-	if key = c.present(c.as(key, t.key())); key == nil {
+	if key = c.requirePresent(c.convert(key, t.lookupKind())); key == nil {
 		return nil
 	}
-	if key.typ.Kind != t.key() {
-		return c.fail(key.at, "%s is looked up by %v, and this is %v", t.Name, t.key(), key.typ)
+	if key.typ.Kind != t.lookupKind() {
+		return c.errorf(key.pos, "%s is looked up by %v, and this is %v", t.Name, t.lookupKind(), key.typ)
 	}
-	return c.made(&node{op: opTable, typ: Type{Kind: t.Value}, at: at, tab: t, kids: []*node{key}, most: t.most, text: t.Name})
+	return c.finishNode(&node{op: opTable, typ: Type{Kind: t.ValueKind}, pos: at, tableRef: t, children: []*node{key}, maxBytes: t.maxBytes, ident: t.Name})
 }
 
-// zone is a place whose clock a set looks at.
-type zone struct {
+// timeZone is a place whose clock a set looks at.
+type timeZone struct {
 	name string
 	loc  *time.Location
 }
 
-// zoned is the time of day or the date at a place.
-func (c *checker) zoned(at int, what, name string) *node {
-	i := slices.IndexFunc(c.zones, func(z *zone) bool { return z.name == name })
+// zoneExpr is the time of day or the date at a place.
+func (c *checker) zoneExpr(at int, what, name string) *node {
+	i := slices.IndexFunc(c.zones, func(z *timeZone) bool { return z.name == name })
 	if i < 0 {
 		if len(c.zones) >= maxZones {
-			return c.fail(at, "more than %d time zones", maxZones)
+			return c.errorf(at, "more than %d time zones", maxZones)
 		}
 		loc, err := time.UTC, error(nil)
 		if name != "" && name != "UTC" {
-			if c.env.Zone == nil {
-				return c.fail(at, "no time zone but UTC is known here")
+			if c.env.LoadZone == nil {
+				return c.errorf(at, "no time zone but UTC is known here")
 			}
-			loc, err = c.env.Zone(name)
+			loc, err = c.env.LoadZone(name)
 		}
 		if err != nil {
-			return c.fail(at, "time zone %q: %v", name, err)
+			return c.errorf(at, "time zone %q: %v", name, err)
 		}
 		i = len(c.zones)
-		c.zones = append(c.zones, &zone{name, loc})
+		c.zones = append(c.zones, &timeZone{name, loc})
 	}
-	n := &node{op: opClock, typ: Type{Kind: Clock}, at: at, idx: i, text: what}
+	n := &node{op: opClock, typ: Type{Kind: Clock}, pos: at, idx: i, ident: what}
 	if what == "today" {
 		n.op, n.typ.Kind = opToday, Date
 	}
-	return c.made(n)
+	return c.finishNode(n)
 }
 
-// pattern compiles a regular expression, if it stays within its bounds. Its cost
+// compilePattern compiles a regular expression, if it stays within its bounds. Its cost
 // is that of the standard library's engine: a step for each instruction and byte.
-func (c *checker) pattern(at int, text string) (*regexp.Regexp, int) {
-	if n := c.res[text]; n != nil {
-		return n.re, n.insts
+func (c *checker) compilePattern(at int, text string) (*regexp.Regexp, int) {
+	if n := c.patterns[text]; n != nil {
+		return n.re, n.reInsts
 	}
-	if len(text) > maxPattern {
-		c.fail(at, "a pattern of %d bytes; at most %d are read", len(text), maxPattern)
+	if len(text) > maxPatternBytes {
+		c.errorf(at, "a pattern of %d bytes; at most %d are read", len(text), maxPatternBytes)
 		return nil, 0
 	}
 	tree, err := syntax.Parse(text, syntax.Perl)
 	if err != nil {
-		c.fail(at, "%v", err)
+		c.errorf(at, "%v", err)
 		return nil, 0
 	}
 	prog, err := syntax.Compile(tree.Simplify())
 	if err != nil {
-		c.fail(at, "%v", err)
+		c.errorf(at, "%v", err)
 		return nil, 0
 	}
-	if len(prog.Inst) > maxProgram {
-		c.fail(at, "the pattern compiles to %d instructions; at most %d are run", len(prog.Inst), maxProgram)
+	if len(prog.Inst) > maxPatternInsts {
+		c.errorf(at, "the pattern compiles to %d instructions; at most %d are run", len(prog.Inst), maxPatternInsts)
 		return nil, 0
 	}
 	re, err := regexp.Compile(text)
 	if err != nil {
-		c.fail(at, "%v", err)
+		c.errorf(at, "%v", err)
 		return nil, 0
 	}
-	if c.res == nil {
-		c.res = make(map[string]*node)
+	if c.patterns == nil {
+		c.patterns = make(map[string]*node)
 	}
-	c.res[text] = &node{re: re, insts: len(prog.Inst)}
+	c.patterns[text] = &node{re: re, reInsts: len(prog.Inst)}
 	return re, len(prog.Inst)
 }
--- a/internal/rules/compile.go
+++ b/internal/rules/compile.go
@@ -1,121 +1,121 @@
 package rules
 
-// fn evaluates to a T; opt to one that may be absent.
+// evaluator evaluates to a T; opt to one that may be absent.
 type (
-	fn[T any]  func(*Frame) T
-	opt[T any] func(*Frame) (T, bool)
+	evaluator[T any]    func(*Frame) T
+	optEvaluator[T any] func(*Frame) (T, bool)
 )
 
 // compiler turns checked nodes into functions. What nodes share is compiled once.
 type compiler struct {
-	env    *Env
-	bools  map[*node]fn[bool]
-	nums   map[*node]fn[int64]
-	floats map[*node]fn[float64]
-	texts  map[*node]fn[string]
-	addrs  map[*node]fn[addr]
+	env              *Env
+	boolEvaluators   map[*node]evaluator[bool]
+	intEvaluators    map[*node]evaluator[int64]
+	floatEvaluators  map[*node]evaluator[float64]
+	stringEvaluators map[*node]evaluator[string]
+	addrEvaluators   map[*node]evaluator[addr]
 }
 
 func newCompiler(env *Env) *compiler {
 	return &compiler{
-		env: env, bools: make(map[*node]fn[bool]), nums: make(map[*node]fn[int64]), floats: make(map[*node]fn[float64]),
-		texts: make(map[*node]fn[string]), addrs: make(map[*node]fn[addr]),
+		env: env, boolEvaluators: make(map[*node]evaluator[bool]), intEvaluators: make(map[*node]evaluator[int64]), floatEvaluators: make(map[*node]evaluator[float64]),
+		stringEvaluators: make(map[*node]evaluator[string]), addrEvaluators: make(map[*node]evaluator[addr]),
 	}
 }
 
-// shape is how values of one form are kept in cells, and what is peculiar to it.
-type shape[T any] struct {
-	get     func(*Cell) T
-	put     func(*Cell, T)
-	seen    func(*compiler) map[*node]fn[T]
-	own     func(*compiler, *node) fn[T] // operators that only this form has
-	call    func(*function) func(*compiler, *node) fn[T]
-	callOpt func(*function) func(*compiler, *node) opt[T]
+// valueOps is how values of one form are kept in cells, and what is peculiar to it.
+type valueOps[T any] struct {
+	load            func(*RawValue) T
+	store           func(*RawValue, T)
+	cache           func(*compiler) map[*node]evaluator[T]
+	compileOp       func(*compiler, *node) evaluator[T] // operators that only this form has
+	callCompiler    func(*function) func(*compiler, *node) evaluator[T]
+	optCallCompiler func(*function) func(*compiler, *node) optEvaluator[T]
 }
 
 var (
-	boolShape  *shape[bool]
-	numShape   *shape[int64]
-	floatShape *shape[float64]
-	textShape  *shape[string]
-	addrShape  *shape[addr]
+	boolOps   *valueOps[bool]
+	intOps    *valueOps[int64]
+	floatOps  *valueOps[float64]
+	stringOps *valueOps[string]
+	addrOps   *valueOps[addr]
 )
 
 func init() {
-	boolShape = &shape[bool]{
-		func(c *Cell) bool { return c.B }, func(c *Cell, v bool) { c.B = v },
-		func(k *compiler) map[*node]fn[bool] { return k.bools }, compileBool,
-		func(f *function) func(*compiler, *node) fn[bool] { return f.boolean },
-		func(*function) func(*compiler, *node) opt[bool] { return nil },
+	boolOps = &valueOps[bool]{
+		func(c *RawValue) bool { return c.IsTrue }, func(c *RawValue, v bool) { c.IsTrue = v },
+		func(k *compiler) map[*node]evaluator[bool] { return k.boolEvaluators }, compileBoolOp,
+		func(f *function) func(*compiler, *node) evaluator[bool] { return f.compileBool },
+		func(*function) func(*compiler, *node) optEvaluator[bool] { return nil },
 	}
-	numShape = &shape[int64]{
-		func(c *Cell) int64 { return c.N }, func(c *Cell, v int64) { c.N = v },
-		func(k *compiler) map[*node]fn[int64] { return k.nums }, compileNum,
-		func(f *function) func(*compiler, *node) fn[int64] { return f.num },
-		func(f *function) func(*compiler, *node) opt[int64] { return f.optNum },
+	intOps = &valueOps[int64]{
+		func(c *RawValue) int64 { return c.Integer }, func(c *RawValue, v int64) { c.Integer = v },
+		func(k *compiler) map[*node]evaluator[int64] { return k.intEvaluators }, compileIntOp,
+		func(f *function) func(*compiler, *node) evaluator[int64] { return f.compileInt },
+		func(f *function) func(*compiler, *node) optEvaluator[int64] { return f.compileOptInt },
 	}
-	floatShape = &shape[float64]{
-		func(c *Cell) float64 { return c.F }, func(c *Cell, v float64) { c.F = v },
-		func(k *compiler) map[*node]fn[float64] { return k.floats }, compileFloat,
-		func(f *function) func(*compiler, *node) fn[float64] { return f.float },
-		func(f *function) func(*compiler, *node) opt[float64] { return f.optFlt },
+	floatOps = &valueOps[float64]{
+		func(c *RawValue) float64 { return c.Float64 }, func(c *RawValue, v float64) { c.Float64 = v },
+		func(k *compiler) map[*node]evaluator[float64] { return k.floatEvaluators }, compileFloatOp,
+		func(f *function) func(*compiler, *node) evaluator[float64] { return f.compileFloat },
+		func(f *function) func(*compiler, *node) optEvaluator[float64] { return f.compileOptFloat },
 	}
-	textShape = &shape[string]{
-		func(c *Cell) string { return c.S }, func(c *Cell, v string) { c.S = v },
-		func(k *compiler) map[*node]fn[string] { return k.texts }, compileText,
-		func(f *function) func(*compiler, *node) fn[string] { return f.text },
-		func(f *function) func(*compiler, *node) opt[string] { return f.optText },
+	stringOps = &valueOps[string]{
+		func(c *RawValue) string { return c.Str }, func(c *RawValue, v string) { c.Str = v },
+		func(k *compiler) map[*node]evaluator[string] { return k.stringEvaluators }, compileConcat,
+		func(f *function) func(*compiler, *node) evaluator[string] { return f.compileString },
+		func(f *function) func(*compiler, *node) optEvaluator[string] { return f.compileOptString },
 	}
-	addrShape = &shape[addr]{
-		func(c *Cell) addr { return c.A }, func(c *Cell, v addr) { c.A = v },
-		func(k *compiler) map[*node]fn[addr] { return k.addrs }, nil,
-		func(*function) func(*compiler, *node) fn[addr] { return nil },
-		func(f *function) func(*compiler, *node) opt[addr] { return f.optAddr },
+	addrOps = &valueOps[addr]{
+		func(c *RawValue) addr { return c.IP }, func(c *RawValue, v addr) { c.IP = v },
+		func(k *compiler) map[*node]evaluator[addr] { return k.addrEvaluators }, nil,
+		func(*function) func(*compiler, *node) evaluator[addr] { return nil },
+		func(f *function) func(*compiler, *node) optEvaluator[addr] { return f.compileOptAddr },
 	}
 }
 
-func (k *compiler) boolean(n *node) fn[bool]  { return compile(k, boolShape, n) }
-func (k *compiler) num(n *node) fn[int64]     { return compile(k, numShape, n) }
-func (k *compiler) float(n *node) fn[float64] { return compile(k, floatShape, n) }
-func (k *compiler) text(n *node) fn[string]   { return compile(k, textShape, n) }
-func (k *compiler) addr(n *node) fn[addr]     { return compile(k, addrShape, n) }
+func (k *compiler) compileBool(n *node) evaluator[bool]     { return compile(k, boolOps, n) }
+func (k *compiler) compileInt(n *node) evaluator[int64]     { return compile(k, intOps, n) }
+func (k *compiler) compileFloat(n *node) evaluator[float64] { return compile(k, floatOps, n) }
+func (k *compiler) compileString(n *node) evaluator[string] { return compile(k, stringOps, n) }
+func (k *compiler) compileAddr(n *node) evaluator[addr]     { return compile(k, addrOps, n) }
 
 // compile makes the function of a node that is never absent.
-func compile[T any](k *compiler, s *shape[T], n *node) fn[T] {
-	seen := s.seen(k)
+func compile[T any](k *compiler, s *valueOps[T], n *node) evaluator[T] {
+	seen := s.cache(k)
 	if f := seen[n]; f != nil {
 		return f
 	}
-	f := compileNew(k, s, n)
+	f := compileUncached(k, s, n)
 	seen[n] = f
 	return f
 }
 
-func compileNew[T any](k *compiler, s *shape[T], n *node) fn[T] {
-	i, get, put := n.idx, s.get, s.put
+func compileUncached[T any](k *compiler, s *valueOps[T], n *node) evaluator[T] {
+	i, get, put := n.idx, s.load, s.store
 	switch n.op {
 	case opConst:
-		v := get(&n.val.Cell)
+		v := get(&n.constValue.RawValue)
 		return func(*Frame) T { return v }
 	case opVar:
 		return func(f *Frame) T { f.cost++; return get(&f.vars[i]) }
 	case opLocal:
 		return func(f *Frame) T { f.cost++; return get(&f.slots[i]) }
 	case opLet:
-		bind, body := k.bind(n.kids[0], i), compile(k, s, n.kids[1])
+		bind, body := k.compileBinding(n.children[0], i), compile(k, s, n.children[1])
 		return func(f *Frame) T { f.cost++; bind(f); return body(f) }
 	case opDef:
-		body := compile(k, s, n.kids[0])
+		body := compile(k, s, n.children[0])
 		return func(f *Frame) T {
 			f.cost++
-			if f.turns[i] != f.turn {
+			if f.slotGenerations[i] != f.generation {
 				put(&f.slots[i], body(f))
-				f.turns[i] = f.turn
+				f.slotGenerations[i] = f.generation
 			}
 			return get(&f.slots[i])
 		}
 	case opIf:
-		cond, then, other := k.boolean(n.kids[0]), compile(k, s, n.kids[1]), compile(k, s, n.kids[2])
+		cond, then, other := k.compileBool(n.children[0]), compile(k, s, n.children[1]), compile(k, s, n.children[2])
 		return func(f *Frame) T {
 			f.cost++
 			if cond(f) {
@@ -123,8 +123,8 @@
 			}
 			return other(f)
 		}
-	case opElse:
-		value, other := compileOpt(k, s, n.kids[0]), compile(k, s, n.kids[1])
+	case opDefault:
+		value, other := compileOptional(k, s, n.children[0]), compile(k, s, n.children[1])
 		return func(f *Frame) T {
 			f.cost++
 			if v, ok := value(f); ok {
@@ -133,46 +133,46 @@
 			return other(f)
 		}
 	case opTable:
-		row, t := k.row(n.tab.index, n.kids[0], n.cost), n.tab
-		return func(f *Frame) T { return get(&t.at(row(f)).Cell) }
+		row, t := k.compileRow(n.tableRef.keyIndex, n.children[0], n.cost), n.tableRef
+		return func(f *Frame) T { return get(&t.valueAt(row(f)).RawValue) }
 	case opCall:
-		return s.call(n.fn)(k, n)
+		return s.callCompiler(n.callee)(k, n)
 	}
-	return s.own(k, n)
+	return s.compileOp(k, n)
 }
 
-// compileOpt makes the function of a node that may be absent.
-func compileOpt[T any](k *compiler, s *shape[T], n *node) opt[T] {
-	i, get, put := n.idx, s.get, s.put
+// compileOptional makes the function of a node that may be absent.
+func compileOptional[T any](k *compiler, s *valueOps[T], n *node) optEvaluator[T] {
+	i, get, put := n.idx, s.load, s.store
 	if !n.typ.Optional { // a default that is never absent
 		f := compile(k, s, n)
 		return func(fr *Frame) (T, bool) { return f(fr), true }
 	}
 	switch n.op {
 	case opVar:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.vars[i]; return get(c), c.OK }
-	case opText:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.texts[i]; return get(c), c.OK }
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.vars[i]; return get(c), c.Present }
+	case opTextRef:
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.texts[i]; return get(c), c.Present }
 	case opLocal:
-		return func(f *Frame) (T, bool) { f.cost++; c := &f.slots[i]; return get(c), c.OK }
+		return func(f *Frame) (T, bool) { f.cost++; c := &f.slots[i]; return get(c), c.Present }
 	case opLet:
-		bind, body := k.bind(n.kids[0], i), compileOpt(k, s, n.kids[1])
+		bind, body := k.compileBinding(n.children[0], i), compileOptional(k, s, n.children[1])
 		return func(f *Frame) (T, bool) { f.cost++; bind(f); return body(f) }
 	case opDef:
-		body := compileOpt(k, s, n.kids[0])
+		body := compileOptional(k, s, n.children[0])
 		return func(f *Frame) (T, bool) {
 			f.cost++
 			c := &f.slots[i]
-			if f.turns[i] != f.turn {
+			if f.slotGenerations[i] != f.generation {
 				v, ok := body(f)
 				put(c, v)
-				c.OK = ok
-				f.turns[i] = f.turn
+				c.Present = ok
+				f.slotGenerations[i] = f.generation
 			}
-			return get(c), c.OK
+			return get(c), c.Present
 		}
-	case opElse:
-		value, other := compileOpt(k, s, n.kids[0]), compileOpt(k, s, n.kids[1])
+	case opDefault:
+		value, other := compileOptional(k, s, n.children[0]), compileOptional(k, s, n.children[1])
 		return func(f *Frame) (T, bool) {
 			f.cost++
 			if v, ok := value(f); ok {
@@ -181,94 +181,94 @@
 			return other(f)
 		}
 	}
-	return s.callOpt(n.fn)(k, n)
+	return s.optCallCompiler(n.callee)(k, n)
 }
 
-// bind makes the function that puts a value, absent or not, into a slot.
-func (k *compiler) bind(n *node, slot int) func(*Frame) {
-	switch n.typ.Kind.form() {
-	case asBool:
-		return bind(k, boolShape, n, slot)
-	case asFloat:
-		return bind(k, floatShape, n, slot)
-	case asText:
-		return bind(k, textShape, n, slot)
-	case asAddr:
-		return bind(k, addrShape, n, slot)
+// compileBinding makes the function that puts a value, absent or not, into a slot.
+func (k *compiler) compileBinding(n *node, slot int) func(*Frame) {
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		return compileBinding(k, boolOps, n, slot)
+	case reprFloat:
+		return compileBinding(k, floatOps, n, slot)
+	case reprString:
+		return compileBinding(k, stringOps, n, slot)
+	case reprAddr:
+		return compileBinding(k, addrOps, n, slot)
 	}
-	return bind(k, numShape, n, slot)
+	return compileBinding(k, intOps, n, slot)
 }
 
-func bind[T any](k *compiler, s *shape[T], n *node, slot int) func(*Frame) {
-	put := s.put
-	value := compileOpt(k, s, n)
+func compileBinding[T any](k *compiler, s *valueOps[T], n *node, slot int) func(*Frame) {
+	put := s.store
+	value := compileOptional(k, s, n)
 	return func(f *Frame) {
 		v, ok := value(f)
 		c := &f.slots[slot]
 		put(c, v)
-		c.OK = ok
+		c.Present = ok
 	}
 }
 
-// present makes the function that tells whether a value is there.
-func (k *compiler) present(n *node) fn[bool] {
-	switch n.typ.Kind.form() {
-	case asBool:
-		return present(compileOpt(k, boolShape, n))
-	case asFloat:
-		return present(compileOpt(k, floatShape, n))
-	case asText:
-		return present(compileOpt(k, textShape, n))
-	case asAddr:
-		return present(compileOpt(k, addrShape, n))
+// presenceTest makes the function that tells whether a value is there.
+func (k *compiler) presenceTest(n *node) evaluator[bool] {
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		return presenceTest(compileOptional(k, boolOps, n))
+	case reprFloat:
+		return presenceTest(compileOptional(k, floatOps, n))
+	case reprString:
+		return presenceTest(compileOptional(k, stringOps, n))
+	case reprAddr:
+		return presenceTest(compileOptional(k, addrOps, n))
 	}
-	return present(compileOpt(k, numShape, n))
+	return presenceTest(compileOptional(k, intOps, n))
 }
 
-func present[T any](value opt[T]) fn[bool] {
+func presenceTest[T any](value optEvaluator[T]) evaluator[bool] {
 	return func(f *Frame) bool { f.cost++; _, ok := value(f); return ok }
 }
 
-// row makes the function that finds a key's row.
-func (k *compiler) row(x *index, key *node, cost int64) fn[int32] {
+// compileRow makes the function that finds a key's row.
+func (k *compiler) compileRow(x *keyIndex, key *node, cost int64) evaluator[int32] {
 	switch x.kind {
 	case String:
-		s := k.text(key)
-		return func(f *Frame) int32 { v := s(f); f.cost += 6 + textCost(len(v)); return x.str(v) }
+		s := k.compileString(key)
+		return func(f *Frame) int32 { v := s(f); f.cost += 6 + scanCost(len(v)); return x.findString(v) }
 	case Prefix:
-		a := k.addr(key)
-		return func(f *Frame) int32 { f.cost += cost; return x.addr(a(f)) }
+		a := k.compileAddr(key)
+		return func(f *Frame) int32 { f.cost += cost; return x.findAddr(a(f)) }
 	}
-	v := k.num(key)
-	return func(f *Frame) int32 { f.cost += cost; return x.num(v(f)) }
+	v := k.compileInt(key)
+	return func(f *Frame) int32 { f.cost += cost; return x.findInt(v(f)) }
 }
 
-func compileBool(k *compiler, n *node) fn[bool] {
+func compileBoolOp(k *compiler, n *node) evaluator[bool] {
 	switch n.op {
 	case opNot:
-		v := k.boolean(n.kids[0])
+		v := k.compileBool(n.children[0])
 		return func(f *Frame) bool { f.cost++; return !v(f) }
 	case opAnd:
-		return chain(k, n.kids, true)
+		return compileLogical(k, n.children, true)
 	case opOr:
-		return chain(k, n.kids, false)
+		return compileLogical(k, n.children, false)
 	case opHas:
-		return k.present(n.kids[0])
+		return k.presenceTest(n.children[0])
 	case opIn:
-		row := k.row(n.keys, n.kids[0], n.cost)
+		row := k.compileRow(n.members, n.children[0], n.cost)
 		return func(f *Frame) bool { return row(f) >= 0 }
-	case opInside:
-		a, p := k.addr(n.kids[0]), n.val.P
+	case opInPrefix:
+		a, p := k.compileAddr(n.children[0]), n.constValue.Network
 		return func(f *Frame) bool { f.cost++; return p.Contains(a(f).WithZone("")) }
 	}
-	return k.compare(n)
+	return k.compileCompare(n)
 }
 
-// chain is and, whose terms are evaluated while they are true, or or.
-func chain(k *compiler, kids []*node, while bool) fn[bool] {
-	terms := make([]fn[bool], len(kids))
+// compileLogical is and, whose terms are evaluated while they are true, or or.
+func compileLogical(k *compiler, kids []*node, while bool) evaluator[bool] {
+	terms := make([]evaluator[bool], len(kids))
 	for i, kid := range kids {
-		terms[i] = k.boolean(kid)
+		terms[i] = k.compileBool(kid)
 	}
 	if len(terms) == 2 {
 		a, b := terms[0], terms[1]
@@ -292,48 +292,48 @@
 	}
 }
 
-func (k *compiler) compare(n *node) fn[bool] {
-	a, b := n.kids[0], n.kids[1]
-	switch a.typ.Kind.form() {
-	case asBool:
-		x, y, same := k.boolean(a), k.boolean(b), n.cmp == '='
+func (k *compiler) compileCompare(n *node) evaluator[bool] {
+	a, b := n.children[0], n.children[1]
+	switch a.typ.Kind.representation() {
+	case reprBool:
+		x, y, same := k.compileBool(a), k.compileBool(b), n.symbol == '='
 		return func(f *Frame) bool { f.cost++; return (x(f) == y(f)) == same }
-	case asAddr:
-		x, y, same := k.addr(a), k.addr(b), n.cmp == '='
+	case reprAddr:
+		x, y, same := k.compileAddr(a), k.compileAddr(b), n.symbol == '='
 		return func(f *Frame) bool { f.cost++; return (x(f) == y(f)) == same }
-	case asFloat:
-		return ordered(n.cmp, k.float(a), k.float(b), n.cost)
-	case asText:
-		return ordered(n.cmp, k.text(a), k.text(b), n.cost)
+	case reprFloat:
+		return compileOrdered(n.symbol, k.compileFloat(a), k.compileFloat(b), n.cost)
+	case reprString:
+		return compileOrdered(n.symbol, k.compileString(a), k.compileString(b), n.cost)
 	}
 	if b.isConst() && a.op == opVar { // many conditions are this
-		return varCompare(n.cmp, a.idx, b.val.N)
+		return compareVar(n.symbol, a.idx, b.constValue.Integer)
 	}
-	if b.isConst() && (n.cmp == '=' || n.cmp == '!') {
-		x, v, same := k.num(a), b.val.N, n.cmp == '='
+	if b.isConst() && (n.symbol == '=' || n.symbol == '!') {
+		x, v, same := k.compileInt(a), b.constValue.Integer, n.symbol == '='
 		return func(f *Frame) bool { f.cost++; return (x(f) == v) == same }
 	}
-	return ordered(n.cmp, k.num(a), k.num(b), n.cost)
+	return compileOrdered(n.symbol, k.compileInt(a), k.compileInt(b), n.cost)
 }
 
-// varCompare holds a variable against a constant.
-func varCompare(cmp byte, i int, v int64) fn[bool] {
+// compareVar holds a variable against a constant.
+func compareVar(cmp byte, i int, v int64) evaluator[bool] {
 	switch cmp {
 	case '=':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N == v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer == v }
 	case '!':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N != v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer != v }
 	case '<':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N < v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer < v }
 	case 'l':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N <= v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer <= v }
 	case '>':
-		return func(f *Frame) bool { f.cost += 2; return f.vars[i].N > v }
+		return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer > v }
 	}
-	return func(f *Frame) bool { f.cost += 2; return f.vars[i].N >= v }
+	return func(f *Frame) bool { f.cost += 2; return f.vars[i].Integer >= v }
 }
 
-func ordered[T int64 | float64 | string](cmp byte, a, b fn[T], cost int64) fn[bool] {
+func compileOrdered[T int64 | float64 | string](cmp byte, a, b evaluator[T], cost int64) evaluator[bool] {
 	switch cmp {
 	case '=':
 		return func(f *Frame) bool { f.cost += cost; return a(f) == b(f) }
@@ -349,62 +349,62 @@
 	return func(f *Frame) bool { f.cost += cost; return a(f) >= b(f) }
 }
 
-func compileNum(k *compiler, n *node) fn[int64] {
+func compileIntOp(k *compiler, n *node) evaluator[int64] {
 	i := n.idx
 	switch n.op {
 	case opNeg:
-		v := k.num(n.kids[0])
-		return func(f *Frame) int64 { f.cost++; return negate(v(f)) }
+		v := k.compileInt(n.children[0])
+		return func(f *Frame) int64 { f.cost++; return saturatingNeg(v(f)) }
 	case opClock:
 		return func(f *Frame) int64 {
-			if f.zones[i].turn != f.turn {
+			if f.zones[i].generation != f.generation {
 				f.cost += 40
 			}
-			return f.zone(i).clock
+			return f.localTime(i).clock
 		}
 	case opToday:
 		return func(f *Frame) int64 {
-			if f.zones[i].turn != f.turn {
+			if f.zones[i].generation != f.generation {
 				f.cost += 40
 			}
-			return f.zone(i).date
+			return f.localTime(i).date
 		}
 	}
-	a, b, o := k.num(n.kids[0]), k.num(n.kids[1]), n.cmp
+	a, b, o := k.compileInt(n.children[0]), k.compileInt(n.children[1]), n.symbol
 	if n.typ.Kind == Date {
-		return func(f *Frame) int64 { f.cost++; return onDate(arith(o, a(f), b(f))) }
+		return func(f *Frame) int64 { f.cost++; return clampDate(intArith(o, a(f), b(f))) }
 	}
-	return func(f *Frame) int64 { f.cost++; return arith(o, a(f), b(f)) }
+	return func(f *Frame) int64 { f.cost++; return intArith(o, a(f), b(f)) }
 }
 
-func compileFloat(k *compiler, n *node) fn[float64] {
+func compileFloatOp(k *compiler, n *node) evaluator[float64] {
 	if n.op == opNeg {
-		v := k.float(n.kids[0])
+		v := k.compileFloat(n.children[0])
 		return func(f *Frame) float64 { f.cost++; return -v(f) }
 	}
-	a, b, o := k.float(n.kids[0]), k.float(n.kids[1]), n.cmp
-	return func(f *Frame) float64 { f.cost++; return arithFloat(o, a(f), b(f)) }
+	a, b, o := k.compileFloat(n.children[0]), k.compileFloat(n.children[1]), n.symbol
+	return func(f *Frame) float64 { f.cost++; return floatArith(o, a(f), b(f)) }
 }
 
-// compileText is concatenation. The parts are worked out first: one that makes a
+// compileConcat is concatenation. The parts are worked out first: one that makes a
 // string of its own would stand amid the whole.
-func compileText(k *compiler, n *node) fn[string] {
-	parts, base := make([]fn[string], len(n.kids)), n.idx
-	for i, kid := range n.kids {
-		parts[i] = k.text(kid)
+func compileConcat(k *compiler, n *node) evaluator[string] {
+	parts, base := make([]evaluator[string], len(n.children)), n.idx
+	for i, kid := range n.children {
+		parts[i] = k.compileString(kid)
 	}
 	return func(f *Frame) string {
 		size := 0
 		for i, p := range parts {
 			s := p(f)
-			f.slots[base+i].S = s
+			f.slots[base+i].Str = s
 			size += len(s)
 		}
-		f.cost += textCost(size) + int64(len(parts))
+		f.cost += scanCost(size) + int64(len(parts))
 		at := len(f.buf)
 		for i := range parts {
-			f.buf = append(f.buf, f.slots[base+i].S...)
+			f.buf = append(f.buf, f.slots[base+i].Str...)
 		}
-		return f.since(at)
+		return f.builtString(at)
 	}
 }
--- a/internal/rules/explain.go
+++ b/internal/rules/explain.go
@@ -1,73 +1,73 @@
 package rules
 
-// Step is what happened at one rule.
-type Step struct {
-	Rule   string
-	When   string // its condition, as it was written
-	Skips  bool   // it can't match a request of this class, and was not looked at
-	Match  bool
-	Cost   int64 // steps, with definitions where they were first used
-	Values []Named
+// RuleTrace is what happened at one rule.
+type RuleTrace struct {
+	Rule    string
+	Source  string // its condition, as it was written
+	Skipped bool   // it can't match a request of this class, and was not looked at
+	Matched bool
+	Cost    int64 // steps, with definitions where they were first used
+	Values  []NamedValue
 }
 
-// Named is a part of a condition with what it came to.
-type Named struct {
+// NamedValue is a part of a condition with what it came to.
+type NamedValue struct {
 	Name  string
 	Value Value
 }
 
-// traced is what Explain needs of a rule.
-type traced struct {
+// tracedRule is what Explain needs of a rule.
+type tracedRule struct {
 	source Source
-	parts  []part
+	values []tracedValue
 }
 
-// part is something of a condition that depends on the request.
-type part struct {
+// tracedValue is something of a condition that depends on the request.
+type tracedValue struct {
 	name string
 	kind Kind
-	read func(*Frame) Cell
+	read func(*Frame) RawValue
 }
 
-// traced keeps the parts of each rule's condition.
-func (b *builder) traced(list []*checked, k *compiler) []traced {
-	var all []traced
+// traceRules keeps the parts of each rule's condition.
+func (b *setBuilder) traceRules(list []*checkedRule, k *compiler) []tracedRule {
+	var all []tracedRule
 	for _, r := range list {
-		t := traced{source: r.Source}
+		t := tracedRule{source: r.Source}
 		seen := make(map[string]bool)
 		var walk func(n *node)
 		walk = func(n *node) {
 			if n == nil {
 				return
 			}
-			name := n.text
+			name := n.ident
 			switch n.op {
-			case opVar, opText, opDef:
+			case opVar, opTextRef, opDef:
 			case opTable:
 				name += "[…]"
 			case opClock, opToday:
-				if n.idx > 0 || b.zones[n.idx].name != b.env.Local {
+				if n.idx > 0 || b.zones[n.idx].name != b.env.LocalZone {
 					name += "(\"" + b.zones[n.idx].name + "\")"
 				}
 			default:
 				name = ""
 			}
-			if name != "" && !seen[name] && !n.bound() {
+			if name != "" && !seen[name] && !n.hasFreeLocal() {
 				seen[name] = true
-				t.parts = append(t.parts, part{name, n.typ.Kind, k.reader(n)})
+				t.values = append(t.values, tracedValue{name, n.typ.Kind, k.valueReader(n)})
 			}
-			for _, kid := range n.kids {
+			for _, kid := range n.children {
 				walk(kid)
 			}
 		}
-		walk(r.when)
+		walk(r.condition)
 		all = append(all, t)
 	}
 	return all
 }
 
-// bound tells whether n refers to a let that is outside of it.
-func (n *node) bound() bool {
+// hasFreeLocal tells whether n refers to a let that is outside of it.
+func (n *node) hasFreeLocal() bool {
 	var free func(n *node, own map[int]bool) bool
 	free = func(n *node, own map[int]bool) bool {
 		switch n.op {
@@ -76,7 +76,7 @@
 		case opLet:
 			own[n.idx] = true
 		}
-		for _, k := range n.kids {
+		for _, k := range n.children {
 			if free(k, own) {
 				return true
 			}
@@ -86,60 +86,60 @@
 	return free(n, make(map[int]bool))
 }
 
-// reader makes the function that reads a value of any kind.
-func (k *compiler) reader(n *node) func(*Frame) Cell {
-	switch n.typ.Kind.form() {
-	case asBool:
-		return reader(compileOpt(k, boolShape, n), boolShape)
-	case asFloat:
-		return reader(compileOpt(k, floatShape, n), floatShape)
-	case asText:
-		return reader(compileOpt(k, textShape, n), textShape)
-	case asAddr:
-		return reader(compileOpt(k, addrShape, n), addrShape)
+// valueReader makes the function that reads a value of any kind.
+func (k *compiler) valueReader(n *node) func(*Frame) RawValue {
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		return valueReader(compileOptional(k, boolOps, n), boolOps)
+	case reprFloat:
+		return valueReader(compileOptional(k, floatOps, n), floatOps)
+	case reprString:
+		return valueReader(compileOptional(k, stringOps, n), stringOps)
+	case reprAddr:
+		return valueReader(compileOptional(k, addrOps, n), addrOps)
 	}
-	return reader(compileOpt(k, numShape, n), numShape)
+	return valueReader(compileOptional(k, intOps, n), intOps)
 }
 
-func reader[T any](value opt[T], s *shape[T]) func(*Frame) Cell {
-	return func(f *Frame) (c Cell) {
+func valueReader[T any](value optEvaluator[T], s *valueOps[T]) func(*Frame) RawValue {
+	return func(f *Frame) (c RawValue) {
 		v, ok := value(f)
-		s.put(&c, v)
-		c.OK = ok
+		s.store(&c, v)
+		c.Present = ok
 		return c
 	}
 }
 
 // Explain evaluates as Evaluate does, and tells of each rule up to the one that
 // matches. The set must have been compiled with Env.Trace.
-func (s *Set) Explain(f *Frame) (rule int, steps []Step) {
+func (s *Set) Explain(f *Frame) (rule int, steps []RuleTrace) {
 	rule = s.Evaluate(f)
-	settings, cost := f.out, f.cost
-	f.forget() // definitions are worked out again, each where it is first used
+	settings, cost := f.assignments, f.cost
+	f.nextGeneration() // definitions are worked out again, each where it is first used
 	p := &s.programs[0]
-	if v := s.env.Class; v >= 0 {
-		p = &s.programs[f.vars[v].N+1]
+	if v := s.env.ClassVar; v >= 0 {
+		p = &s.programs[f.vars[v].Integer+1]
 	}
 	at, quick := 0, 0
-	for i, t := range s.trace {
+	for i, t := range s.tracedRules {
 		if rule >= 0 && i > rule {
 			break
 		}
-		one := Step{Rule: s.names[i], When: t.source.Text}
-		if at < len(p.steps) && int(p.steps[at].rule) == i {
+		one := RuleTrace{Rule: s.ruleNames[i], Source: t.source.Text}
+		if at < len(p.entries) && int(p.entries[at].rule) == i {
 			f.cost = 0
-			one.Match = p.matches(f, at, quick)
+			one.Matched = p.matches(f, at, quick)
 			one.Cost = f.cost
-			quick += int(p.steps[at].quick)
+			quick += int(p.entries[at].inline)
 			at++
 		} else {
-			one.Skips = true
+			one.Skipped = true
 		}
-		for _, part := range t.parts {
-			one.Values = append(one.Values, Named{part.name, Value{Kind: part.kind, Cell: part.read(f)}})
+		for _, traced := range t.values {
+			one.Values = append(one.Values, NamedValue{traced.name, Value{Kind: traced.kind, RawValue: traced.read(f)}})
 		}
 		steps = append(steps, one)
 	}
-	f.out, f.cost = settings, cost
+	f.assignments, f.cost = settings, cost
 	return rule, steps
 }
--- a/internal/rules/grammar.go
+++ b/internal/rules/grammar.go
@@ -19,10 +19,10 @@
 }
 
 type gAssign struct {
-	Pos    lexer.Position
-	Target string `parser:"@Ident"`
-	Sub    string `parser:"( '.' @Ident )?"`
-	Value  *gExpr `parser:"'=' @@"`
+	Pos     lexer.Position
+	Target  string `parser:"@Ident"`
+	Subname string `parser:"( '.' @Ident )?"`
+	Value   *gExpr `parser:"'=' @@"`
 }
 
 type gExpr struct {
@@ -98,7 +98,7 @@
 type gUnary struct {
 	Pos     lexer.Position
 	Minuses []string  `parser:"@'-'*"`
-	Of      *gPrimary `parser:"@@"`
+	Operand *gPrimary `parser:"@@"`
 }
 
 type gPrimary struct {
@@ -107,7 +107,7 @@
 	Call    *gCall    `parser:"| @@"`
 	Index   *gIndex   `parser:"| @@"`
 	Name    string    `parser:"| @Ident"`
-	Sub     *gExpr    `parser:"| '(' @@ ')'"`
+	Group   *gExpr    `parser:"| '(' @@ ')'"`
 	List    *gList    `parser:"| @@"`
 }
 
@@ -137,7 +137,7 @@
 	Items []*gExpr `parser:"'[' ( @@ ( ',' @@ )* )? ']'"`
 }
 
-var lexicon = []lexer.SimpleRule{
+var lexerRules = []lexer.SimpleRule{
 	{Name: "space", Pattern: `(?:[ \t\r\n]|\\\r?\n)+`},
 	{Name: "String", Pattern: `"(?:\\.|[^"\\\n])*"`},
 	{Name: "Raw", Pattern: "`[^`\n]*`"},
@@ -153,24 +153,24 @@
 	{Name: "Op", Pattern: `==|!=|<=|>=|\?\?|[-+*/%<>=(),;.\[\]]`},
 }
 
-type parsers struct {
+type parserPair struct {
 	rule *participle.Parser[gRule]
 	expr *participle.Parser[gExpr]
 }
 
-// grammars are built when the first set is read: a program without rules does
+// sharedParsers are built when the first set is read: a program without rules does
 // without.
-var grammars = sync.OnceValue(func() parsers {
+var sharedParsers = sync.OnceValue(func() parserPair {
 	options := []participle.Option{
-		participle.Lexer(lexer.MustSimple(lexicon)), participle.Elide("space"), participle.UseLookahead(2),
+		participle.Lexer(lexer.MustSimple(lexerRules)), participle.Elide("space"), participle.UseLookahead(2),
 	}
-	return parsers{participle.MustBuild[gRule](options...), participle.MustBuild[gExpr](options...)}
+	return parserPair{participle.MustBuild[gRule](options...), participle.MustBuild[gExpr](options...)}
 })
 
-// parse reads a text after its bounds have been checked.
-func parse[G any](p *participle.Parser[G], src Source) *G {
-	if at, msg := bounds(src.Text); msg != "" {
-		src.Fault(at, msg)
+// parseSource reads a text after its bounds have been checked.
+func parseSource[G any](p *participle.Parser[G], src Source) *G {
+	if at, msg := checkLimits(src.Text); msg != "" {
+		src.ReportError(at, msg)
 		return nil
 	}
 	tree, err := p.ParseString("", src.Text)
@@ -189,18 +189,18 @@
 			msg = "the quote that begins here has no end"
 		}
 	}
-	src.Fault(at, msg)
+	src.ReportError(at, msg)
 	return nil
 }
 
-// bounds checks the length and the nesting of a text before the parser sees it,
+// checkLimits checks the length and the nesting of a text before the parser sees it,
 // so that no text can exhaust the stack. It knows quotes and nothing else of the
 // language, and counts no less than there is.
-func bounds(text string) (int, string) {
-	if len(text) > maxText {
-		return 0, fmt.Sprintf("an expression of %d bytes; at most %d are read", len(text), maxText)
+func checkLimits(text string) (int, string) {
+	if len(text) > maxExprBytes {
+		return 0, fmt.Sprintf("an expression of %d bytes; at most %d are read", len(text), maxExprBytes)
 	}
-	open, words := 0, 0
+	openBrackets, keywords := 0, 0
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; c {
 		case '"', '`':
@@ -210,17 +210,17 @@
 				}
 			}
 		case '(', '[':
-			if open++; open+words > maxNesting {
+			if openBrackets++; openBrackets+keywords > maxNesting {
 				return i, fmt.Sprintf("nested more than %d deep", maxNesting)
 			}
 		case ')', ']':
-			open = max(open-1, 0)
+			openBrackets = max(openBrackets-1, 0)
 		case 'i', 'l': // if and let nest without a closing bracket
 			for _, w := range [...]string{"if", "let"} {
-				if !strings.HasPrefix(text[i:], w) || i > 0 && isWord(text[i-1]) || i+len(w) < len(text) && isWord(text[i+len(w)]) {
+				if !strings.HasPrefix(text[i:], w) || i > 0 && isIdentByte(text[i-1]) || i+len(w) < len(text) && isIdentByte(text[i+len(w)]) {
 					continue
 				}
-				if words++; open+words > maxNesting {
+				if keywords++; openBrackets+keywords > maxNesting {
 					return i, fmt.Sprintf("nested more than %d deep", maxNesting)
 				}
 			}
@@ -229,6 +229,6 @@
 	return 0, ""
 }
 
-func isWord(c byte) bool {
+func isIdentByte(c byte) bool {
 	return c == '_' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z'
 }
--- a/internal/rules/property_test.go
+++ b/internal/rules/property_test.go
@@ -33,13 +33,13 @@
 	os.Exit(m.Run())
 }
 
-// gen writes a random expression of a kind that the checker takes. lets are the
+// randomExpr writes a random expression of a kind that the checker takes. lets are the
 // names that are bound, with their kinds.
-func gen(t *rapid.T, k Kind, depth int, lets []string) string {
+func randomExpr(t *rapid.T, k Kind, depth int, lets []string) string {
 	pick := func(options ...string) string { return rapid.SampledFrom(options).Draw(t, "pick") }
-	sub := func(k Kind) string { return gen(t, k, depth-1, lets) }
+	sub := func(k Kind) string { return randomExpr(t, k, depth-1, lets) }
 	if depth <= 0 {
-		return leaf(t, k)
+		return randomLeaf(t, k)
 	}
 	for _, l := range lets {
 		if kind, name, _ := strings.Cut(l, " "); kind == k.String() && rapid.IntRange(0, 3).Draw(t, "let") == 0 {
@@ -48,13 +48,13 @@
 	}
 	switch rapid.IntRange(0, 9).Draw(t, "form") {
 	case 0:
-		return leaf(t, k)
+		return randomLeaf(t, k)
 	case 1:
 		return fmt.Sprintf("(if %s then %s else %s)", sub(Bool), sub(k), sub(k))
 	case 2:
 		bound := rapid.SampledFrom([]Kind{Bool, Int, Float, String, Class, Addr}).Draw(t, "bound")
 		name := fmt.Sprint("x", len(lets))
-		return fmt.Sprintf("(let %s = %s; %s)", name, sub(bound), gen(t, k, depth-1, append(slices.Clone(lets), bound.String()+" "+name)))
+		return fmt.Sprintf("(let %s = %s; %s)", name, sub(bound), randomExpr(t, k, depth-1, append(slices.Clone(lets), bound.String()+" "+name)))
 	}
 	switch k {
 	case Bool:
@@ -120,10 +120,10 @@
 	case Addr:
 		return "(addr((field(\"x\") ?? " + sub(String) + ")) ?? " + sub(Addr) + ")"
 	}
-	return leaf(t, k)
+	return randomLeaf(t, k)
 }
 
-func leaf(t *rapid.T, k Kind) string {
+func randomLeaf(t *rapid.T, k Kind) string {
 	return rapid.SampledFrom(map[Kind][]string{
 		Bool: {"true", "false", "retry", "shared"}, Int: {"0", "1", "7", "copies", "9223372036854775807", "sum", "(today - 2026-05-01)"}, Float: {"0.5", "top", "1e308", "0.0"},
 		String: {`""`, `"a"`, `"a;7f3a;x"`, `"12"`, `"10.4.0.1"`, `viewer ?? ""`, `(field("x") ?? "b")`, "name"}, Duration: {"0s", "1500ms", "left", "2000000h"},
@@ -132,27 +132,27 @@
 	}[k]).Draw(t, k.String())
 }
 
-var propertyDefs = []string{`shared = retry or class == clip`, `sum = copies + rank[viewer ?? ""]`, `name = lower(viewer ?? "?") + text(class)`}
+var propertyDefinitions = []string{`shared = retry or class == clip`, `sum = copies + rank[viewer ?? ""]`, `name = lower(viewer ?? "?") + text(class)`}
 
-// TestCompiledAgrees holds the compiled form of random expressions against a
+// TestCompiledMatchesReference holds the compiled form of random expressions against a
 // plain evaluator of the tree that the checker made, and its cost against the
 // bound, for each class.
-func TestCompiledAgrees(t *testing.T) {
+func TestCompiledMatchesReference(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
 	var evaluated, matched int
 	rapid.Check(t, func(t *rapid.T) {
 		depth := rapid.IntRange(1, 4).Draw(t, "depth")
-		when, also, text := gen(t, Bool, depth, nil), gen(t, Bool, depth-1, nil), gen(t, String, depth, nil)
+		when, also, text := randomExpr(t, Bool, depth, nil), randomExpr(t, Bool, depth-1, nil), randomExpr(t, String, depth, nil)
 		env := testEnv()
-		env.Targets[3].Most = maxString
-		env.Budget = MostBudget
-		told := new(told)
-		b := newBuilder(env)
+		env.Targets[3].MaxBytes = maxStringBytes
+		env.StepBudget = MaxStepBudget
+		told := new(diagnostics)
+		b := newSetBuilder(env)
 		b.readTables(testTables(told))
 		var defs []Definition
-		for _, d := range propertyDefs {
+		for _, d := range propertyDefinitions {
 			name, text, _ := strings.Cut(d, " = ")
 			defs = append(defs, Definition{name, told.source(name, text)})
 		}
@@ -162,43 +162,43 @@
 			rules = append(rules, Rule{"r", told.source("r", "when "+w+" set label.a = "+text)})
 		}
 		list := b.readRules(rules)
-		for _, d := range b.ordered(defs) {
-			b.define(d, nil)
+		for _, d := range b.inSourceOrder(defs) {
+			b.checkDefinition(d, nil)
 		}
-		if !b.faulty {
+		if !b.failed {
 			b.assemble(list, true)
 		}
-		if b.faulty {
-			for _, f := range told.faults {
+		if b.failed {
+			for _, f := range told.errors {
 				if !strings.Contains(f, "may become a string of") && !strings.Contains(f, "at most 8192 are read") && !strings.Contains(f, "nested more than") && !strings.Contains(f, "steps for class") {
-					t.Fatalf("%s\n%v", when, told.faults)
+					t.Fatalf("%s\n%v", when, told.errors)
 				}
 			}
 			t.Skip("too much")
 		}
 		s := b.assemble(list, false)
 		f := s.NewFrame()
-		f.Begin(time.Date(2026, 5, 15, 0, 0, 0, 0, time.UTC).Add(time.Duration(rapid.Int64Range(0, 1e18).Draw(t, "now"))))
-		f.SetNum(vClass, int64(rapid.IntRange(-1, 2).Draw(t, "class")))
-		f.SetNum(vTeam, int64(rapid.IntRange(-1, 2).Draw(t, "team")))
-		f.SetNum(vTitle, rapid.SampledFrom([]int64{0x7f3a, 1, 8, -1}).Draw(t, "title"))
-		f.SetNum(vCopies, rapid.Int64Range(-2, 5).Draw(t, "copies"))
-		f.SetFloat(vTop, rapid.SampledFrom([]float64{0, -2.5, 1e300}).Draw(t, "top"))
-		f.SetNum(vLeft, rapid.SampledFrom([]int64{0, 1e9, math.MaxInt64}).Draw(t, "left"))
-		f.SetBool(vRetry, rapid.Bool().Draw(t, "retry"))
+		f.Reset(time.Date(2026, 5, 15, 0, 0, 0, 0, time.UTC).Add(time.Duration(rapid.Int64Range(0, 1e18).Draw(t, "now"))))
+		f.SetInt(varClass, int64(rapid.IntRange(-1, 2).Draw(t, "class")))
+		f.SetInt(varTeam, int64(rapid.IntRange(-1, 2).Draw(t, "team")))
+		f.SetInt(varTitle, rapid.SampledFrom([]int64{0x7f3a, 1, 8, -1}).Draw(t, "title"))
+		f.SetInt(varCopies, rapid.Int64Range(-2, 5).Draw(t, "copies"))
+		f.SetFloat(varTop, rapid.SampledFrom([]float64{0, -2.5, 1e300}).Draw(t, "top"))
+		f.SetInt(varLeft, rapid.SampledFrom([]int64{0, 1e9, math.MaxInt64}).Draw(t, "left"))
+		f.SetBool(varRetry, rapid.Bool().Draw(t, "retry"))
 		if rapid.Bool().Draw(t, "viewer") {
-			f.SetString(vViewer, rapid.SampledFrom([]string{"Till;7f3a", "a", "b"}).Draw(t, "name"))
+			f.SetString(varViewer, rapid.SampledFrom([]string{"Till;7f3a", "a", "b"}).Draw(t, "name"))
 		}
 		if rapid.Bool().Draw(t, "client") {
-			f.SetAddr(vClient, netip.MustParseAddr("10.4.7.9"))
+			f.SetAddr(varClient, netip.MustParseAddr("10.4.7.9"))
 		}
-		for i := range s.Texts() {
+		for i := range s.TextRefs() {
 			if rapid.Bool().Draw(t, "x") {
 				f.SetText(i, []byte(rapid.SampledFrom([]string{"", "a1b2", "-5"}).Draw(t, "text")))
 			}
 		}
-		w := &walker{set: s, f: f, b: b, locals: make(map[int]Value)}
-		want := slices.IndexFunc(list, func(r *checked) bool { return w.walk(r.when).B })
+		w := &referenceEvaluator{set: s, f: f, b: b, locals: make(map[int]Value)}
+		want := slices.IndexFunc(list, func(r *checkedRule) bool { return w.eval(r.condition).IsTrue })
 		rule := s.Evaluate(f)
 		evaluated++
 		if rule != want {
@@ -206,12 +206,12 @@
 		}
 		if want >= 0 {
 			matched++
-			if got, want := f.Settings()[0].S, w.walk(list[want].settings[0].value).S; got != want {
+			if got, want := f.Assignments()[0].Str, w.eval(list[want].assignments[0].value).Str; got != want {
 				t.Fatalf("%s: %q, want %q", text, got, want)
 			}
 		}
-		if f.cost > s.bound {
-			t.Fatalf("%s, %s: cost %d, bound %d", when, text, f.cost, s.bound)
+		if f.cost > s.maxCost {
+			t.Fatalf("%s, %s: cost %d, bound %d", when, text, f.cost, s.maxCost)
 		}
 	})
 	if evaluated < 200 || matched < evaluated/10 || matched > evaluated*9/10 {
@@ -219,27 +219,27 @@
 	}
 }
 
-// walker evaluates a tree as it stands: no folding, no definitions kept, big
+// referenceEvaluator evaluates a tree as it stands: no folding, no definitions kept, big
 // numbers in place of saturation. It is the plain meaning of the language.
-type walker struct {
+type referenceEvaluator struct {
 	set    *Set
 	f      *Frame
-	b      *builder
+	b      *setBuilder
 	locals map[int]Value
 }
 
-func (w *walker) walk(n *node) Value {
-	kid := func(i int) Value { return w.walk(n.kids[i]) }
-	out := func(k Kind, c Cell) Value { c.OK = true; return Value{Kind: k, Cell: c} }
-	truth := func(b bool) Value { return out(Bool, Cell{B: b}) }
+func (w *referenceEvaluator) eval(n *node) Value {
+	kid := func(i int) Value { return w.eval(n.children[i]) }
+	out := func(k Kind, c RawValue) Value { c.Present = true; return Value{Kind: k, RawValue: c} }
+	truth := func(b bool) Value { return out(Bool, RawValue{IsTrue: b}) }
 	zone := func() time.Time { return w.f.now.In(w.b.zones[n.idx].loc) }
 	switch n.op {
 	case opConst:
-		return n.val
+		return n.constValue
 	case opVar:
-		return Value{Kind: n.typ.Kind, Cell: w.f.vars[n.idx]}
-	case opText:
-		return Value{Kind: String, Cell: w.f.texts[n.idx]}
+		return Value{Kind: n.typ.Kind, RawValue: w.f.vars[n.idx]}
+	case opTextRef:
+		return Value{Kind: String, RawValue: w.f.texts[n.idx]}
 	case opLocal:
 		return w.locals[n.idx]
 	case opLet:
@@ -248,90 +248,90 @@
 	case opDef:
 		return kid(0)
 	case opTable:
-		if row := w.row(n.tab.index, kid(0)); row >= 0 {
-			return n.tab.values[row]
+		if row := w.row(n.tableRef.keyIndex, kid(0)); row >= 0 {
+			return n.tableRef.values[row]
 		}
-		return n.tab.miss
+		return n.tableRef.defaultValue
 	case opIf:
-		if kid(0).B {
+		if kid(0).IsTrue {
 			return kid(1)
 		}
 		return kid(2)
 	case opNot:
-		return truth(!kid(0).B)
+		return truth(!kid(0).IsTrue)
 	case opAnd, opOr:
 		v := n.op == opAnd
-		for i := range n.kids {
+		for i := range n.children {
 			if n.op == opAnd {
-				v = kid(i).B && v
+				v = kid(i).IsTrue && v
 			} else {
-				v = kid(i).B || v
+				v = kid(i).IsTrue || v
 			}
 		}
 		return truth(v)
 	case opIn:
-		return truth(w.row(n.keys, kid(0)) >= 0)
-	case opInside:
-		return truth(n.val.P.Contains(kid(0).A))
-	case opElse:
-		if v := kid(0); v.OK {
+		return truth(w.row(n.members, kid(0)) >= 0)
+	case opInPrefix:
+		return truth(n.constValue.Network.Contains(kid(0).IP))
+	case opDefault:
+		if v := kid(0); v.Present {
 			return v
 		}
 		return kid(1)
 	case opHas:
-		return truth(kid(0).OK)
+		return truth(kid(0).Present)
 	case opClock:
 		t := zone()
-		return out(Clock, Cell{N: int64(time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond()))})
+		return out(Clock, RawValue{Integer: int64(time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute + time.Duration(t.Second())*time.Second + time.Duration(t.Nanosecond()))})
 	case opToday:
 		t := zone()
-		return out(Date, Cell{N: time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC).Unix() / 86400})
+		return out(Date, RawValue{Integer: time.Date(t.Year(), t.Month(), t.Day(), 0, 0, 0, 0, time.UTC).Unix() / 86400})
 	case opConcat:
 		s := ""
-		for i := range n.kids {
-			s += kid(i).S
+		for i := range n.children {
+			s += kid(i).Str
 		}
-		return out(String, Cell{S: s})
+		return out(String, RawValue{Str: s})
 	case opNeg:
 		v := kid(0)
 		if v.Kind == Float {
-			return out(Float, Cell{F: -v.F})
+			return out(Float, RawValue{Float64: -v.Float64})
 		}
-		return out(n.typ.Kind, Cell{N: clamp(new(big.Int).Neg(big.NewInt(v.N)))})
-	case opSum:
+		return out(n.typ.Kind, RawValue{Integer: clamp(new(big.Int).Neg(big.NewInt(v.Integer)))})
+	case opArith:
 		return w.sum(n, kid(0), kid(1))
 	case opCompare:
 		c := compareValues(kid(0), kid(1))
-		return truth(map[byte]bool{'=': c == 0, '!': c != 0, '<': c < 0, 'l': c <= 0, '>': c > 0, 'g': c >= 0}[n.cmp])
+		return truth(map[byte]bool{'=': c == 0, '!': c != 0, '<': c < 0, 'l': c <= 0, '>': c > 0, 'g': c >= 0}[n.symbol])
 	}
 	return w.call(n, kid)
 }
 
-func (w *walker) row(x *index, key Value) int {
+func (w *referenceEvaluator) row(x *keyIndex, key Value) int {
 	switch x.kind {
 	case String:
-		for s, row := range x.texts {
-			if s == key.S {
+		for s, row := range x.byString {
+			if s == key.Str {
 				return int(row)
 			}
 		}
 	case Prefix:
 		best, found := -1, -1
 		each := func(p netip.Prefix, row int32) {
-			if p.Contains(key.A) && p.Bits() > best {
+			if p.Contains(key.IP) && p.Bits() > best {
 				best, found = p.Bits(), int(row)
 			}
 		}
-		for p, row := range x.prefixes {
+		for p, row := range x.byIPv6Prefix {
 			each(p, row)
 		}
-		for k, row := range x.short {
+		for k, row := range x.byIPv4Prefix {
 			each(netip.PrefixFrom(netip.AddrFrom4([4]byte{byte(k >> 32), byte(k >> 24), byte(k >> 16), byte(k >> 8)}), int(k&255)), row)
 		}
 		return found
 	default:
-		for n, row := range x.nums {
-			if n == key.N {
+		for n, row := range x.byInt {
+			if n == key.Integer {
 				return int(row)
 			}
 		}
@@ -349,43 +349,43 @@
 	return math.MinInt64
 }
 
-func (w *walker) sum(n *node, a, b Value) Value {
-	v := Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}
+func (w *referenceEvaluator) sum(n *node, a, b Value) Value {
+	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	if v.Kind == Float {
-		switch n.cmp {
+		switch n.symbol {
 		case '+':
-			v.F = a.F + b.F
+			v.Float64 = a.Float64 + b.Float64
 		case '-':
-			v.F = a.F - b.F
+			v.Float64 = a.Float64 - b.Float64
 		case '*':
-			v.F = a.F * b.F
+			v.Float64 = a.Float64 * b.Float64
 		default:
-			if b.F != 0 {
-				v.F = a.F / b.F
+			if b.Float64 != 0 {
+				v.Float64 = a.Float64 / b.Float64
 			}
 		}
-		if math.IsNaN(v.F) {
-			v.F = 0
+		if math.IsNaN(v.Float64) {
+			v.Float64 = 0
 		}
-		v.F = max(min(v.F, math.MaxFloat64), -math.MaxFloat64)
+		v.Float64 = max(min(v.Float64, math.MaxFloat64), -math.MaxFloat64)
 		return v
 	}
-	x, y, z := big.NewInt(a.N), big.NewInt(b.N), new(big.Int)
+	x, y, z := big.NewInt(a.Integer), big.NewInt(b.Integer), new(big.Int)
 	switch {
-	case n.cmp == '+':
+	case n.symbol == '+':
 		z.Add(x, y)
-	case n.cmp == '-':
+	case n.symbol == '-':
 		z.Sub(x, y)
-	case n.cmp == '*':
+	case n.symbol == '*':
 		z.Mul(x, y)
-	case b.N == 0:
-	case n.cmp == '/':
+	case b.Integer == 0:
+	case n.symbol == '/':
 		z.Quo(x, y)
 	default:
 		z.Rem(x, y)
 	}
-	if v.N = clamp(z); v.Kind == Date {
-		v.N = min(max(v.N, -719162), 2932896)
+	if v.Integer = clamp(z); v.Kind == Date {
+		v.Integer = min(max(v.Integer, -719162), 2932896)
 	}
 	return v
 }
@@ -393,129 +393,129 @@
 func compareValues(a, b Value) int {
 	switch a.Kind {
 	case Bool:
-		if a.B == b.B {
+		if a.IsTrue == b.IsTrue {
 			return 0
 		}
 		return 1
 	case Float:
-		return big.NewFloat(a.F).Cmp(big.NewFloat(b.F))
+		return big.NewFloat(a.Float64).Cmp(big.NewFloat(b.Float64))
 	case String:
-		return strings.Compare(a.S, b.S)
+		return strings.Compare(a.Str, b.Str)
 	case Addr:
-		return a.A.Compare(b.A)
+		return a.IP.Compare(b.IP)
 	}
-	return big.NewInt(a.N).Cmp(big.NewInt(b.N))
+	return big.NewInt(a.Integer).Cmp(big.NewInt(b.Integer))
 }
 
-func (w *walker) call(n *node, kid func(int) Value) Value {
-	v := Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}
+func (w *referenceEvaluator) call(n *node, kid func(int) Value) Value {
+	v := Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}
 	a := kid(0)
-	at := func() time.Time { return time.Date(1970, 1, 1, 0, 0, 0, 0, time.UTC).AddDate(0, 0, int(a.N)) }
-	switch n.text {
+	at := func() time.Time { return time.Date(1970, 1, 1, 0, 0, 0, 0, time.UTC).AddDate(0, 0, int(a.Integer)) }
+	switch n.ident {
 	case "len":
-		v.N = int64(len(a.S))
+		v.Integer = int64(len(a.Str))
 	case "lower":
-		v.S = strings.Map(func(r rune) rune { return r + map[bool]rune{r >= 'A' && r <= 'Z': 32}[true] }, a.S)
+		v.Str = strings.Map(func(r rune) rune { return r + map[bool]rune{r >= 'A' && r <= 'Z': 32}[true] }, a.Str)
 	case "upper":
-		v.S = strings.Map(func(r rune) rune { return r - map[bool]rune{r >= 'a' && r <= 'z': 32}[true] }, a.S)
+		v.Str = strings.Map(func(r rune) rune { return r - map[bool]rune{r >= 'a' && r <= 'z': 32}[true] }, a.Str)
 	case "starts":
-		v.B = strings.HasPrefix(a.S, kid(1).S)
+		v.IsTrue = strings.HasPrefix(a.Str, kid(1).Str)
 	case "ends":
-		v.B = strings.HasSuffix(a.S, kid(1).S)
+		v.IsTrue = strings.HasSuffix(a.Str, kid(1).Str)
 	case "contains":
-		v.B = strings.Contains(a.S, kid(1).S)
+		v.IsTrue = strings.Contains(a.Str, kid(1).Str)
 	case "glob":
-		p := strings.NewReplacer(`\*`, "(?s:.*)", `\?`, "(?s:.)").Replace(regexp.QuoteMeta(n.arg.S))
-		v.B = regexp.MustCompile("^" + p + "$").MatchString(a.S)
+		p := strings.NewReplacer(`\*`, "(?s:.*)", `\?`, "(?s:.)").Replace(regexp.QuoteMeta(n.constArg.Str))
+		v.IsTrue = regexp.MustCompile("^" + p + "$").MatchString(a.Str)
 	case "matches":
-		v.B = n.re.MatchString(a.S)
+		v.IsTrue = n.re.MatchString(a.Str)
 	case "part":
-		parts := strings.Split(a.S, n.arg.S)
-		if v.OK = int(n.arg.N) <= len(parts); v.OK {
-			v.S = parts[n.arg.N-1]
+		parts := strings.Split(a.Str, n.constArg.Str)
+		if v.Present = int(n.constArg.Integer) <= len(parts); v.Present {
+			v.Str = parts[n.constArg.Integer-1]
 		}
 	case "text":
-		v.S = strings.Trim(w.set.env.Show(a), `"`)
+		v.Str = strings.Trim(w.set.env.FormatValue(a), `"`)
 	case "hash":
-		v.N = int64(xxhash.Sum64String(a.S) >> 1)
+		v.Integer = int64(xxhash.Sum64String(a.Str) >> 1)
 	case "bucket":
-		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(w.set.env.Show(a))), big.NewInt(n.arg.N))
-		v.N = z.Rsh(z, 64).Int64()
+		z := new(big.Int).Mul(new(big.Int).SetUint64(xxhash.Sum64String(w.set.env.FormatValue(a))), big.NewInt(n.constArg.Integer))
+		v.Integer = z.Rsh(z, 64).Int64()
 	case "abs":
-		if v.F = math.Abs(a.F); a.Kind != Float {
-			v.N = clamp(new(big.Int).Abs(big.NewInt(a.N)))
+		if v.Float64 = math.Abs(a.Float64); a.Kind != Float {
+			v.Integer = clamp(new(big.Int).Abs(big.NewInt(a.Integer)))
 		}
 	case "min", "max":
-		v.N = map[bool]int64{true: min(a.N, kid(1).N), false: max(a.N, kid(1).N)}[n.text == "min"]
+		v.Integer = map[bool]int64{true: min(a.Integer, kid(1).Integer), false: max(a.Integer, kid(1).Integer)}[n.ident == "min"]
 	case "int":
 		if a.Kind == Float {
-			z, _ := big.NewFloat(a.F).Int(nil)
-			v.N = clamp(z)
+			z, _ := big.NewFloat(a.Float64).Int(nil)
+			v.Integer = clamp(z)
 			break
 		}
-		x, err := strconv.ParseInt(a.S, 10, 64)
-		v.N, v.OK = x, err == nil
+		x, err := strconv.ParseInt(a.Str, 10, 64)
+		v.Integer, v.Present = x, err == nil
 	case "float":
-		if v.F = float64(a.N); a.Kind == String {
-			x, err := strconv.ParseFloat(a.S, 64)
-			v.F, v.OK = x, err == nil
+		if v.Float64 = float64(a.Integer); a.Kind == String {
+			x, err := strconv.ParseFloat(a.Str, 64)
+			v.Float64, v.Present = x, err == nil
 		}
 	case "ms":
-		v.N = time.Duration(a.N).Milliseconds()
+		v.Integer = time.Duration(a.Integer).Milliseconds()
 	case "title":
-		x, err := strconv.ParseUint(a.S, 16, 64)
-		v.N, v.OK = int64(x), err == nil
+		x, err := strconv.ParseUint(a.Str, 16, 64)
+		v.Integer, v.Present = int64(x), err == nil
 	case "addr":
-		x, err := netip.ParseAddr(a.S)
-		v.A, v.OK = x, err == nil
+		x, err := netip.ParseAddr(a.Str)
+		v.IP, v.Present = x, err == nil
 	case "day":
-		v.N = int64(at().Day())
+		v.Integer = int64(at().Day())
 	case "month":
-		v.N = int64(at().Month())
+		v.Integer = int64(at().Month())
 	case "year":
-		v.N = int64(at().Year())
+		v.Integer = int64(at().Year())
 	case "weekday":
-		v.N = int64(at().Weekday())
-		if v.N == 0 {
-			v.N = 7
+		v.Integer = int64(at().Weekday())
+		if v.Integer == 0 {
+			v.Integer = 7
 		}
 	case "quincena":
-		v.B = at().Day() == 15 || at().Month() != at().Add(24*time.Hour).Month()
+		v.IsTrue = at().Day() == 15 || at().Month() != at().Add(24*time.Hour).Month()
 	case "last_day":
-		v.B = at().Month() != at().Add(24*time.Hour).Month()
+		v.IsTrue = at().Month() != at().Add(24*time.Hour).Month()
 	default:
-		panic("the walker has no " + n.text)
+		panic("the walker has no " + n.ident)
 	}
 	return v
 }
 
 // Whatever text comes, reading it ends with a set or with faults within the text.
-func FuzzRead(f *testing.F) {
+func FuzzCompile(f *testing.F) {
 	for _, s := range []string{`when class == clip and copies > 2 set team = north, label.a = "x" + text(key)`, "when let x = (1; x", `set budget = lower(viewer ?? "é")`,
 		"when client ?? 10.0.0.1 in [10.0.0.0/8] or today - 3 == 2026-05-15 or between(clock, 18:00, 1:00)", "when matches(field(\"a\") ?? \"\", `(a+)+`)", "when 1h30m in [1s, 5ms]", "\"\\", "when ((((", "when f(-"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		tol := new(told)
-		src := Source{Text: text, Fault: func(at int, msg string) {
-			tol.faults = append(tol.faults, msg)
+		tol := new(diagnostics)
+		src := Source{Text: text, ReportError: func(at int, msg string) {
+			tol.errors = append(tol.errors, msg)
 			if at < 0 || at > len(text) || msg == "" {
 				t.Errorf("%q: fault at %d: %s", text, at, msg)
 			}
 		}}
-		b := newBuilder(testEnv())
-		s := b.set(testTables(tol), nil, []Rule{{"r", src}})
-		if (s == nil) != (len(tol.faults) > 0) {
-			t.Errorf("%q: set %v, faults %v", text, s != nil, tol.faults)
+		b := newSetBuilder(testEnv())
+		s := b.buildSet(testTables(tol), nil, []Rule{{"r", src}})
+		if (s == nil) != (len(tol.errors) > 0) {
+			t.Errorf("%q: set %v, faults %v", text, s != nil, tol.errors)
 		}
 		if s == nil {
-			if b.evaluated > 0 {
+			if b.foldedConsts > 0 {
 				t.Errorf("%q was refused and evaluated", text)
 			}
 			return
 		}
-		if fr := request(s); s.Evaluate(fr) > 0 || fr.Cost() > s.Bound() {
-			t.Errorf("%q: cost %d, bound %d", text, fr.Cost(), s.Bound())
+		if fr := request(s); s.Evaluate(fr) > 0 || fr.Cost() > s.MaxCost() {
+			t.Errorf("%q: cost %d, bound %d", text, fr.Cost(), s.MaxCost())
 		}
 	})
 }
--- a/internal/rules/quick.go
+++ b/internal/rules/quick.go
@@ -5,125 +5,125 @@
 	"strings"
 )
 
-// quick is a term of a condition that is tested without a call: a variable or
+// inlineTest is a term of a condition that is tested without a call: a variable or
 // something worked out already is held against a constant. A program's quick
 // terms stand side by side in memory in the order of its rules, so that most
 // rules are passed over by reading on: what is slow about a set of hundreds of
 // rules is to fetch them, not to compare.
-type quick struct {
-	kind quickKind
-	cmp  byte
-	idx  uint16
-	cost int32
-	n    int64 // of a string, its position among the program's words
+type inlineTest struct {
+	kind    inlineKind
+	symbol  byte
+	idx     uint16
+	cost    int32
+	operand int64 // of a string, its position among the program's words
 }
 
-// quickWidth bounds what a quick term's index can hold.
-const quickWidth = 1 << 16
+// inlineIndexLimit bounds what a quick term's index can hold.
+const inlineIndexLimit = 1 << 16
 
-type quickKind uint8
+type inlineKind uint8
 
 const (
-	quickNum  quickKind = iota // a variable, held as a whole number
-	quickBool                  // a variable that is true; cmp '!': false
-	quickSlot                  // a definition, held as a whole number
-	quickFlag                  // a definition that is true; cmp '!': false
-	quickWord                  // a definition that is a string
-	quickHead                  // a text that begins with a string; absent, it is ""
+	inlineInt       inlineKind = iota // a variable, held as a whole number
+	inlineBool                        // a variable that is true; cmp '!': false
+	inlineDefInt                      // a definition, held as a whole number
+	inlineDefBool                     // a definition that is true; cmp '!': false
+	inlineDefString                   // a definition that is a string
+	inlinePrefix                      // a text that begins with a string; absent, it is ""
 )
 
-// word is the position of a string among the program's.
-func (p *program) word(s string) int64 {
-	i := slices.Index(p.words, s)
+// intern is the position of a string among the program's.
+func (p *program) intern(s string) int64 {
+	i := slices.Index(p.stringPool, s)
 	if i < 0 {
-		i = len(p.words)
-		p.words = append(p.words, s)
+		i = len(p.stringPool)
+		p.stringPool = append(p.stringPool, s)
 	}
 	return int64(i)
 }
 
-// quickOf is n as a quick term.
-func (p *program) quickOf(n *node) (q quick, ok bool) {
-	q.cost = int32(min(n.cost+kidsCost(n), 1<<20))
+// inlineTestOf is n as a quick term.
+func (p *program) inlineTestOf(n *node) (test inlineTest, ok bool) {
+	test.cost = int32(min(n.cost+childrenCost(n), 1<<20))
 	flip := byte(0)
 	if n.op == opNot {
-		n, flip = n.kids[0], '!'
+		n, flip = n.children[0], '!'
 	}
 	switch {
 	case n.op == opVar && n.typ == Type{Kind: Bool}:
-		q.kind, q.idx, q.cmp = quickBool, uint16(n.idx), flip
-		return q, n.idx < quickWidth
+		test.kind, test.idx, test.symbol = inlineBool, uint16(n.idx), flip
+		return test, n.idx < inlineIndexLimit
 	case n.op == opDef && n.typ == Type{Kind: Bool}:
-		q.kind, q.idx, q.cmp = quickFlag, uint16(n.idx), flip
-		return q, n.idx < quickWidth
+		test.kind, test.idx, test.symbol = inlineDefBool, uint16(n.idx), flip
+		return test, n.idx < inlineIndexLimit
 	case flip != 0:
-		return q, false
-	case n.op == opCompare && n.kids[1].isConst():
-		a, v := n.kids[0], n.kids[1].val
-		q.cmp, q.idx, q.n = n.cmp, uint16(a.idx), v.N
+		return test, false
+	case n.op == opCompare && n.children[1].isConst():
+		a, v := n.children[0], n.children[1].constValue
+		test.symbol, test.idx, test.operand = n.symbol, uint16(a.idx), v.Integer
 		switch {
-		case a.idx >= quickWidth:
-		case a.typ.Kind.form() == asNum && a.op == opVar:
-			q.kind = quickNum
-			return q, true
-		case a.typ.Kind.form() == asNum && a.op == opDef:
-			q.kind = quickSlot
-			return q, true
-		case a.typ.Kind == String && a.op == opDef && (n.cmp == '=' || n.cmp == '!'):
-			q.kind, q.n = quickWord, p.word(v.S)
-			return q, true
+		case a.idx >= inlineIndexLimit:
+		case a.typ.Kind.representation() == reprInt && a.op == opVar:
+			test.kind = inlineInt
+			return test, true
+		case a.typ.Kind.representation() == reprInt && a.op == opDef:
+			test.kind = inlineDefInt
+			return test, true
+		case a.typ.Kind == String && a.op == opDef && (n.symbol == '=' || n.symbol == '!'):
+			test.kind, test.operand = inlineDefString, p.intern(v.Str)
+			return test, true
 		}
-	case n.op == opCall && n.text == "starts" && n.kids[1].isConst():
-		a := n.kids[0]
-		if a.op == opElse && a.kids[0].op == opText && a.kids[1].isConst() && a.kids[1].val.S == "" {
-			q.kind, q.idx, q.n = quickHead, uint16(a.kids[0].idx), p.word(n.kids[1].val.S)
-			return q, true
+	case n.op == opCall && n.ident == "starts" && n.children[1].isConst():
+		a := n.children[0]
+		if a.op == opDefault && a.children[0].op == opTextRef && a.children[1].isConst() && a.children[1].constValue.Str == "" {
+			test.kind, test.idx, test.operand = inlinePrefix, uint16(a.children[0].idx), p.intern(n.children[1].constValue.Str)
+			return test, true
 		}
 	}
-	return q, false
+	return test, false
 }
 
-// kidsCost is what n's parts cost beside n, definitions' bodies left out: those
+// childrenCost is what n's parts cost beside n, definitions' bodies left out: those
 // count when they are worked out.
-func kidsCost(n *node) (cost int64) {
+func childrenCost(n *node) (cost int64) {
 	if n.op == opDef {
 		return 0
 	}
-	for _, k := range n.kids {
-		cost = addCost(cost, addCost(k.cost, kidsCost(k)))
+	for _, k := range n.children {
+		cost = addCost(cost, addCost(k.cost, childrenCost(k)))
 	}
 	return cost
 }
 
-// holds tests a quick term.
-func (p *program) holds(f *Frame, q *quick) bool {
-	f.cost += int64(q.cost)
-	switch q.kind {
-	case quickNum:
-		return compareNum(q.cmp, f.vars[q.idx].N, q.n)
-	case quickBool:
-		return f.vars[q.idx].B != (q.cmp == '!')
-	case quickHead:
-		c := &f.texts[q.idx]
-		if !c.OK { // most texts are
-			return p.words[q.n] == ""
+// testInline tests a quick term.
+func (p *program) testInline(f *Frame, test *inlineTest) bool {
+	f.cost += int64(test.cost)
+	switch test.kind {
+	case inlineInt:
+		return compareInts(test.symbol, f.vars[test.idx].Integer, test.operand)
+	case inlineBool:
+		return f.vars[test.idx].IsTrue != (test.symbol == '!')
+	case inlinePrefix:
+		c := &f.texts[test.idx]
+		if !c.Present { // most texts are
+			return p.stringPool[test.operand] == ""
 		}
-		return strings.HasPrefix(c.S, p.words[q.n])
+		return strings.HasPrefix(c.Str, p.stringPool[test.operand])
 	}
-	if f.turns[q.idx] != f.turn {
-		p.work[q.idx](f)
+	if f.slotGenerations[test.idx] != f.generation {
+		p.slotEvaluators[test.idx](f)
 	}
-	c := &f.slots[q.idx]
-	switch q.kind {
-	case quickSlot:
-		return compareNum(q.cmp, c.N, q.n)
-	case quickFlag:
-		return c.B != (q.cmp == '!')
+	c := &f.slots[test.idx]
+	switch test.kind {
+	case inlineDefInt:
+		return compareInts(test.symbol, c.Integer, test.operand)
+	case inlineDefBool:
+		return c.IsTrue != (test.symbol == '!')
 	}
-	return (c.S == p.words[q.n]) == (q.cmp == '=')
+	return (c.Str == p.stringPool[test.operand]) == (test.symbol == '=')
 }
 
-func compareNum(cmp byte, a, b int64) bool {
+func compareInts(cmp byte, a, b int64) bool {
 	switch cmp {
 	case '=':
 		return a == b
@@ -139,75 +139,75 @@
 	return a >= b
 }
 
-// worker makes the function that works a definition out into its slot.
-func (k *compiler) worker(n *node) func(*Frame) {
-	switch n.typ.Kind.form() {
-	case asBool:
-		f := k.boolean(n)
+// slotEvaluator makes the function that works a definition out into its slot.
+func (k *compiler) slotEvaluator(n *node) func(*Frame) {
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		f := k.compileBool(n)
 		return func(fr *Frame) { fr.cost--; f(fr) }
-	case asText:
-		f := k.text(n)
+	case reprString:
+		f := k.compileString(n)
 		return func(fr *Frame) { fr.cost--; f(fr) }
 	}
-	f := k.num(n)
+	f := k.compileInt(n)
 	return func(fr *Frame) { fr.cost--; f(fr) } // reading it has been counted
 }
 
-// split compiles a condition into quick terms, which go first, and the rest. The
+// splitCondition compiles a condition into quick terms, which go first, and the rest. The
 // order doesn't matter: expressions have no effects and always come to an end.
-func (p *program) split(k *compiler, when *node) (terms int, rest fn[bool]) {
-	kids := []*node{when}
-	if when.op == opAnd {
-		kids = when.kids
+func (p *program) splitCondition(k *compiler, condition *node) (terms int, rest evaluator[bool]) {
+	kids := []*node{condition}
+	if condition.op == opAnd {
+		kids = condition.children
 	}
-	from := len(p.quick)
+	from := len(p.inline)
 	var others []*node
 	for _, t := range kids {
-		q, ok := p.quickOf(t)
-		if !ok || len(p.quick)-from >= mostQuick {
+		test, ok := p.inlineTestOf(t)
+		if !ok || len(p.inline)-from >= maxInlineTests {
 			others = append(others, t)
 			continue
 		}
-		if q.kind == quickSlot || q.kind == quickFlag || q.kind == quickWord {
-			p.needs(k, t, int(q.idx))
+		if test.kind == inlineDefInt || test.kind == inlineDefBool || test.kind == inlineDefString {
+			p.addSlotEvaluator(k, t, int(test.idx))
 		}
-		p.quick = append(p.quick, q)
+		p.inline = append(p.inline, test)
 	}
-	p.cheapFirst(from)
+	p.variablesFirst(from)
 	switch len(others) {
 	case 0:
 	case 1:
-		rest = k.boolean(others[0])
+		rest = k.compileBool(others[0])
 	default:
-		rest = chain(k, others, true)
+		rest = compileLogical(k, others, true)
 	}
-	return len(p.quick) - from, rest
+	return len(p.inline) - from, rest
 }
 
-// cheapFirst puts the terms that may have to work something out behind those that
+// variablesFirst puts the terms that may have to work something out behind those that
 // don't.
-func (p *program) cheapFirst(from int) {
-	q := p.quick[from:]
+func (p *program) variablesFirst(from int) {
+	tests := p.inline[from:]
 	at := 0
-	for i := range q {
-		if q[i].kind == quickNum || q[i].kind == quickBool || q[i].kind == quickHead {
-			one := q[i]
-			copy(q[at+1:i+1], q[at:i])
-			q[at] = one
+	for i := range tests {
+		if tests[i].kind == inlineInt || tests[i].kind == inlineBool || tests[i].kind == inlinePrefix {
+			one := tests[i]
+			copy(tests[at+1:i+1], tests[at:i])
+			tests[at] = one
 			at++
 		}
 	}
 }
 
-// needs keeps how to work out the definition that a quick term looks at.
-func (p *program) needs(k *compiler, n *node, slot int) {
+// addSlotEvaluator keeps how to work out the definition that a quick term looks at.
+func (p *program) addSlotEvaluator(k *compiler, n *node, slot int) {
 	for n.op != opDef {
-		n = n.kids[0]
+		n = n.children[0]
 	}
-	if len(p.work) <= slot {
-		p.work = append(p.work, make([]func(*Frame), slot+1-len(p.work))...)
+	if len(p.slotEvaluators) <= slot {
+		p.slotEvaluators = append(p.slotEvaluators, make([]func(*Frame), slot+1-len(p.slotEvaluators))...)
 	}
-	if p.work[slot] == nil {
-		p.work[slot] = k.worker(n)
+	if p.slotEvaluators[slot] == nil {
+		p.slotEvaluators[slot] = k.slotEvaluator(n)
 	}
 }
--- a/internal/rules/reach.go
+++ b/internal/rules/reach.go
@@ -6,55 +6,55 @@
 	"strings"
 )
 
-// reach finds rules that no request gets to, and those that stand for the same
+// reachability finds rules that no request gets to, and those that stand for the same
 // requests and set different things.
-type reach struct {
-	ids     map[string]int // of conditions that are terms of an and
-	reached []bool         // for some class
-	by      []int          // the earlier rule that takes all of a rule's requests
-	matched []bool         // the condition is not false for some class
-	terms   [][]int        // for the last class that it was looked at for
+type reachability struct {
+	termIDs     map[string]int // of conditions that are terms of an and
+	reached     []bool         // for some class
+	shadowedBy  []int          // the earlier rule that takes all of a rule's requests
+	satisfiable []bool         // the condition is not false for some class
+	terms       [][]int        // for the last class that it was looked at for
 }
 
-// mostCompared is up to how many rules are compared with each other.
-const mostCompared = 2_000
+// maxComparedRules is up to how many rules are compared with each other.
+const maxComparedRules = 2_000
 
-func newReach(n int) *reach {
-	r := &reach{ids: make(map[string]int), reached: make([]bool, n), by: make([]int, n), matched: make([]bool, n), terms: make([][]int, n)}
-	for i := range r.by {
-		r.by[i] = -1
+func newReachability(n int) *reachability {
+	r := &reachability{termIDs: make(map[string]int), reached: make([]bool, n), shadowedBy: make([]int, n), satisfiable: make([]bool, n), terms: make([][]int, n)}
+	for i := range r.shadowedBy {
+		r.shadowedBy[i] = -1
 	}
 	return r
 }
 
-// cover is the rules before one, for one class.
-type cover struct {
-	*reach
-	earlier []int
-	sets    [][]int
+// classCoverage is the rules before one, for one class.
+type classCoverage struct {
+	*reachability
+	earlierRules []int
+	earlierTerms [][]int
 }
 
-func (r *reach) begin() *cover { return &cover{reach: r} }
+func (r *reachability) forClass() *classCoverage { return &classCoverage{reachability: r} }
 
-// rule adds a rule. What matches all of an earlier rule's terms and more is taken
+// addRule adds a rule. What matches all of an earlier rule's terms and more is taken
 // by that one.
-func (c *cover) rule(i int, when *node) {
-	c.matched[i] = true
+func (c *classCoverage) addRule(i int, when *node) {
+	c.satisfiable[i] = true
 	var terms []int
 	if when != nil {
 		kids := []*node{when}
 		if when.op == opAnd {
-			kids = when.kids
+			kids = when.children
 		}
 		for _, k := range kids {
 			if k.isTrue() {
 				continue
 			}
 			key := k.key()
-			id, ok := c.ids[key]
+			id, ok := c.termIDs[key]
 			if !ok {
-				id = len(c.ids)
-				c.ids[key] = id
+				id = len(c.termIDs)
+				c.termIDs[key] = id
 			}
 			terms = append(terms, id)
 		}
@@ -62,29 +62,29 @@
 		terms = slices.Compact(terms)
 	}
 	c.terms[i] = terms
-	if len(c.earlier) < mostCompared {
-		for j, set := range c.sets {
-			if subset(set, terms) {
-				c.by[i] = c.earlier[j]
+	if len(c.earlierRules) < maxComparedRules {
+		for j, set := range c.earlierTerms {
+			if isSubset(set, terms) {
+				c.shadowedBy[i] = c.earlierRules[j]
 				return
 			}
 		}
 	}
 	c.reached[i] = true
-	c.earlier, c.sets = append(c.earlier, i), append(c.sets, terms)
+	c.earlierRules, c.earlierTerms = append(c.earlierRules, i), append(c.earlierTerms, terms)
 }
 
-// rest tells that rule i takes all that comes to it.
-func (c *cover) rest(i int) {
-	for j := i + 1; j < len(c.by); j++ {
-		if c.by[j] < 0 {
-			c.by[j] = i
+// coverRest tells that rule i takes all that comes to it.
+func (c *classCoverage) coverRest(i int) {
+	for j := i + 1; j < len(c.shadowedBy); j++ {
+		if c.shadowedBy[j] < 0 {
+			c.shadowedBy[j] = i
 		}
 	}
 }
 
-// subset tells whether all of a are in b; both are in order.
-func subset(a, b []int) bool {
+// isSubset tells whether all of a are in b; both are in order.
+func isSubset(a, b []int) bool {
 	if len(a) > len(b) {
 		return false
 	}
@@ -98,25 +98,25 @@
 	return true
 }
 
-func (r *reach) warn(list []*checked) {
+func (r *reachability) reportWarnings(list []*checkedRule) {
 	for i, c := range list {
-		if r.reached[i] || c.Remark == nil {
+		if r.reached[i] || c.ReportWarning == nil {
 			continue
 		}
 		switch {
-		case r.by[i] < 0:
-			c.Remark(0, "never matches, whatever the request")
-		case slices.Equal(r.terms[i], r.terms[r.by[i]]) && r.matched[i] && !sameSettings(c, list[r.by[i]]):
-			c.Remark(0, fmt.Sprintf("ambiguous: rule %s has the same condition and sets something else; that one counts", list[r.by[i]].Name))
+		case r.shadowedBy[i] < 0:
+			c.ReportWarning(0, "never matches, whatever the request")
+		case slices.Equal(r.terms[i], r.terms[r.shadowedBy[i]]) && r.satisfiable[i] && !sameAssignments(c, list[r.shadowedBy[i]]):
+			c.ReportWarning(0, fmt.Sprintf("ambiguous: rule %s has the same condition and sets something else; that one counts", list[r.shadowedBy[i]].Name))
 		default:
-			c.Remark(0, fmt.Sprintf("never reached: rule %s takes all its requests", list[r.by[i]].Name))
+			c.ReportWarning(0, fmt.Sprintf("never reached: rule %s takes all its requests", list[r.shadowedBy[i]].Name))
 		}
 	}
 }
 
-func sameSettings(a, b *checked) bool {
-	return slices.EqualFunc(a.settings, b.settings, func(x, y assignment) bool {
-		return x.target == y.target && x.sub == y.sub && x.value.key() == y.value.key()
+func sameAssignments(a, b *checkedRule) bool {
+	return slices.EqualFunc(a.assignments, b.assignments, func(x, y checkedAssignment) bool {
+		return x.target == y.target && x.subname == y.subname && x.value.key() == y.value.key()
 	})
 }
 
@@ -124,37 +124,37 @@
 // the terms of and and or doesn't matter.
 func (n *node) key() string {
 	var b strings.Builder
-	n.write(&b)
+	n.writeKey(&b)
 	return b.String()
 }
 
-func (n *node) write(b *strings.Builder) {
+func (n *node) writeKey(b *strings.Builder) {
 	switch n.op {
 	case opConst:
-		fmt.Fprintf(b, "%d:%d:%g:%q:%v:%v:%v", n.val.Kind, n.val.N, n.val.F, n.val.S, n.val.A, n.val.B, n.val.P)
+		fmt.Fprintf(b, "%d:%d:%g:%q:%v:%v:%v", n.constValue.Kind, n.constValue.Integer, n.constValue.Float64, n.constValue.Str, n.constValue.IP, n.constValue.IsTrue, n.constValue.Network)
 		return
 	case opDef:
 		fmt.Fprintf(b, "def%d", n.idx)
 		return
 	}
-	fmt.Fprintf(b, "%d.%d.%c", n.op, n.idx, n.cmp+'0')
-	if n.fn != nil {
-		fmt.Fprintf(b, "%s/%d/%q", n.text, n.arg.N, n.arg.S)
+	fmt.Fprintf(b, "%d.%d.%c", n.op, n.idx, n.symbol+'0')
+	if n.callee != nil {
+		fmt.Fprintf(b, "%s/%d/%q", n.ident, n.constArg.Integer, n.constArg.Str)
 	}
-	if n.tab != nil {
-		b.WriteString(n.tab.Name)
+	if n.tableRef != nil {
+		b.WriteString(n.tableRef.Name)
 	}
 	if n.re != nil {
 		b.WriteString(n.re.String())
 	}
-	if n.keys != nil {
-		fmt.Fprintf(b, "%p", n.keys)
+	if n.members != nil {
+		fmt.Fprintf(b, "%p", n.members)
 	}
-	if n.op == opInside {
-		fmt.Fprint(b, n.val.P)
+	if n.op == opInPrefix {
+		fmt.Fprint(b, n.constValue.Network)
 	}
-	kids := make([]string, len(n.kids))
-	for i, k := range n.kids {
+	kids := make([]string, len(n.children))
+	for i, k := range n.children {
 		kids[i] = k.key()
 	}
 	if n.op == opAnd || n.op == opOr {
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -12,15 +12,15 @@
 
 // The parts of a request in these tests.
 const (
-	vClass = iota
-	vTeam
-	vTitle
-	vCopies
-	vTop
-	vLeft
-	vRetry
-	vViewer
-	vClient
+	varClass = iota
+	varTeam
+	varTitle
+	varCopies
+	varTop
+	varLeft
+	varRetry
+	varViewer
+	varClient
 )
 
 func testEnv() *Env {
@@ -30,48 +30,48 @@
 		Vars: []Var{
 			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "key", Kind: Title}, {Name: "copies", Kind: Int},
 			{Name: "top", Kind: Float}, {Name: "left", Kind: Duration}, {Name: "retry", Kind: Bool},
-			{Name: "viewer", Kind: String, Optional: true, Most: 64}, {Name: "client", Kind: Addr, Optional: true},
+			{Name: "viewer", Kind: String, Optional: true, MaxBytes: 64}, {Name: "client", Kind: Addr, Optional: true},
 		},
-		Texts: []TextVar{{Name: "field", Most: 128}},
+		TextFamilies: []TextFamily{{Name: "field", MaxBytes: 128}},
 		Targets: []Target{
-			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "budget", Kind: String, Most: 64}, {Name: "label", Kind: String, Sub: true, Most: 200},
+			{Name: "class", Kind: Class}, {Name: "team", Kind: Team}, {Name: "budget", Kind: String, MaxBytes: 64}, {Name: "label", Kind: String, HasSubname: true, MaxBytes: 200},
 		},
-		Class: vClass,
-		Becomes: func(from, to int) error { // clip and gold are paid, feed is not; gold's floor is the higher
+		ClassVar: varClass,
+		CheckClassChange: func(from, to int) error { // clip and gold are paid, feed is not; gold's floor is the higher
 			if from < 0 || from == 0 && to == 2 {
 				return nil
 			}
 			return errors.New("not allowed")
 		},
-		Zone: time.LoadLocation, Local: "America/Mexico_City",
+		LoadZone: time.LoadLocation, LocalZone: "America/Mexico_City",
 	}
 }
 
-// told is what was wrong with a set, or remarked on.
-type told struct {
-	faults, remarks []string
+// diagnostics is what was wrong with a set, or remarked on.
+type diagnostics struct {
+	errors, warnings []string
 }
 
-func (t *told) source(name, text string) Source {
+func (t *diagnostics) source(name, text string) Source {
 	return Source{
-		Text:   text,
-		Fault:  func(at int, msg string) { t.faults = append(t.faults, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
-		Remark: func(at int, msg string) { t.remarks = append(t.remarks, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
+		Text:          text,
+		ReportError:   func(at int, msg string) { t.errors = append(t.errors, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
+		ReportWarning: func(at int, msg string) { t.warnings = append(t.warnings, fmt.Sprintf("%s:%d: %s", name, at, msg)) },
 	}
 }
 
-func (t *told) table(name string, key, value Kind, def string, lines ...string) Table {
-	out := Table{Name: name, Key: key, Value: value, Default: def, Fault: func(msg string) { t.faults = append(t.faults, name+": "+msg) }}
+func (t *diagnostics) table(name string, key, value Kind, def string, lines ...string) Table {
+	out := Table{Name: name, KeyKind: key, ValueKind: value, Default: def, ReportError: func(msg string) { t.errors = append(t.errors, name+": "+msg) }}
 	for _, l := range lines {
 		k, v, _ := strings.Cut(l, "=")
-		out.Lines = append(out.Lines, Line{k, v, func(_ int, msg string) { t.faults = append(t.faults, name+": "+msg) }})
+		out.Lines = append(out.Lines, TableLine{k, v, func(_ int, msg string) { t.errors = append(t.errors, name+": "+msg) }})
 	}
 	return out
 }
 
-// read compiles rules, and definitions as "NAME = EXPR".
-func read(env *Env, tables func(*told) []Table, defs []string, rules ...string) (*builder, *Set, *told) {
-	t := new(told)
+// compileRules compiles rules, and definitions as "NAME = EXPR".
+func compileRules(env *Env, tables func(*diagnostics) []Table, defs []string, rules ...string) (*setBuilder, *Set, *diagnostics) {
+	t := new(diagnostics)
 	var ds []Definition
 	for _, d := range defs {
 		name, text, _ := strings.Cut(d, " = ")
@@ -86,11 +86,11 @@
 	if tables != nil {
 		ts = tables(t)
 	}
-	b := newBuilder(env)
-	return b, b.set(ts, ds, rs), t
+	b := newSetBuilder(env)
+	return b, b.buildSet(ts, ds, rs), t
 }
 
-func testTables(t *told) []Table {
+func testTables(t *diagnostics) []Table {
 	return []Table{
 		t.table("owner", Title, Team, "none", "7f3a=north", "1=south"),
 		t.table("rank", String, Int, "-1", "a=1", "b=2"),
@@ -102,21 +102,21 @@
 }
 
 // A request of these tests: Friday 2026-05-15, 18:30:05 in Mexico City.
-var quincena = time.Date(2026, 5, 16, 0, 30, 5, 0, time.UTC)
+var requestTime = time.Date(2026, 5, 16, 0, 30, 5, 0, time.UTC)
 
 func request(s *Set) *Frame {
 	f := s.NewFrame()
-	f.Begin(quincena)
-	f.SetNum(vClass, 0)
-	f.SetNum(vTeam, 1)
-	f.SetNum(vTitle, 0x7f3a)
-	f.SetNum(vCopies, 4)
-	f.SetFloat(vTop, 2.5)
-	f.SetNum(vLeft, int64(1500*time.Millisecond))
-	f.SetBool(vRetry, true)
-	f.SetString(vViewer, "Till-07;north")
-	f.SetAddr(vClient, netip.MustParseAddr("::ffff:10.4.7.9"))
-	for i, ref := range s.Texts() {
+	f.Reset(requestTime)
+	f.SetInt(varClass, 0)
+	f.SetInt(varTeam, 1)
+	f.SetInt(varTitle, 0x7f3a)
+	f.SetInt(varCopies, 4)
+	f.SetFloat(varTop, 2.5)
+	f.SetInt(varLeft, int64(1500*time.Millisecond))
+	f.SetBool(varRetry, true)
+	f.SetString(varViewer, "Till-07;north")
+	f.SetAddr(varClient, netip.MustParseAddr("::ffff:10.4.7.9"))
+	for i, ref := range s.TextRefs() {
 		if ref.Name != "absent" {
 			f.SetText(i, []byte(ref.Name))
 		}
@@ -153,20 +153,20 @@
 		"bucket(key, 10) in [0,1,2,3,4,5,6,7,8,9]", "bucket(key, 1) == 0", "hash(viewer ?? \"\") >= 0", `bucket(team, 100) == bucket("south" + "", 100)`, "hash(key) == hash(\"0000000000007f3a\")", "hash(copies) == hash(\"4\")",
 		"retry == true", "(copies > 3) == retry", "half == 2", "whole == 4 and whole + half == 6",
 	} {
-		_, s, told := read(testEnv(), testTables, []string{"half = whole / 2", "whole = copies"}, "when not ("+e+")", "when "+e)
+		_, s, told := compileRules(testEnv(), testTables, []string{"half = whole / 2", "whole = copies"}, "when not ("+e+")", "when "+e)
 		if s == nil {
-			t.Errorf("%s: %v", e, told.faults)
+			t.Errorf("%s: %v", e, told.errors)
 			continue
 		}
 		f := request(s)
-		if got := s.Evaluate(f); got != 1 || f.Cost() > s.Bound() {
-			t.Errorf("%s: rule %d, cost %d of %d", e, got, f.Cost(), s.Bound())
+		if got := s.Evaluate(f); got != 1 || f.Cost() > s.MaxCost() {
+			t.Errorf("%s: rule %d, cost %d of %d", e, got, f.Cost(), s.MaxCost())
 		}
 	}
 }
 
 // Each fault is told at its place.
-func TestFaults(t *testing.T) {
+func TestErrors(t *testing.T) {
 	long := "a" + strings.Repeat("a", 200)
 	for _, e := range []struct {
 		rule, want string
@@ -197,43 +197,43 @@
 		if strings.Contains(e.rule, "circle") {
 			defs = []string{"circle = round + 1", "round = circle"}
 		}
-		_, s, told := read(testEnv(), testTables, defs, e.rule)
-		if got := strings.Join(told.faults, "\n"); s != nil || !strings.Contains(got, e.want) {
+		_, s, told := compileRules(testEnv(), testTables, defs, e.rule)
+		if got := strings.Join(told.errors, "\n"); s != nil || !strings.Contains(got, e.want) {
 			t.Errorf("%s: %q, want %q", e.rule, got, e.want)
 		}
 	}
 	// All that is wrong is told at once, also with what is not used.
-	_, s, told := read(testEnv(), nil, []string{"a = b", "b = nope", "c = 1 +", "clip = 1", "1x = 2", "a = 1", "when = 1"}, "when nope2 set team = nope3", "when (", "set team = north")
-	if s != nil || len(told.faults) != 9 {
-		t.Errorf("%d faults: %s", len(told.faults), strings.Join(told.faults, "\n"))
+	_, s, told := compileRules(testEnv(), nil, []string{"a = b", "b = nope", "c = 1 +", "clip = 1", "1x = 2", "a = 1", "when = 1"}, "when nope2 set team = nope3", "when (", "set team = north")
+	if s != nil || len(told.errors) != 9 {
+		t.Errorf("%d faults: %s", len(told.errors), strings.Join(told.errors, "\n"))
 	}
 }
 
 // Tables tell what is wrong with their lines.
-func TestTableFaults(t *testing.T) {
-	many := slices.Repeat([]string{"x=1"}, maxLines+1)
+func TestTableErrors(t *testing.T) {
+	many := slices.Repeat([]string{"x=1"}, maxTableLines+1)
 	for _, e := range []struct {
-		table func(*told) Table
+		table func(*diagnostics) Table
 		want  string
 	}{
-		{func(t *told) Table { return t.table("t", Title, Team, "none", "zz=north") }, `t: "zz" is no title`},
-		{func(t *told) Table { return t.table("t", Title, Team, "none", "1=noth") }, `"noth" is no team of this deployment; did you mean "north"?`},
-		{func(t *told) Table { return t.table("t", Title, Team, "x") }, "its default: \"x\" is no team"},
-		{func(t *told) Table { return t.table("t", Int, Int, "0", "1=2", "01=3") }, `"01" stands twice`},
-		{func(t *told) Table { return t.table("t", Int, Int, "0", "1=2", "0x1=3") }, `"0x1" stands twice`},
-		{func(t *told) Table { return t.table("t", Prefix, Int, "0", "10.1.0.0/8=1") }, "has bits set"},
-		{func(t *told) Table { return t.table("t", Float, Int, "0") }, "can't have float for its key"},
-		{func(t *told) Table { return t.table("t", Int, Addr, "0") }, "can't have addr for its value"},
-		{func(t *told) Table { return t.table("t", Int, Float, "NaN") }, "is no number"},
-		{func(t *told) Table { return t.table("t", Int, Bool, "maybe") }, "is no bool"},
-		{func(t *told) Table { return t.table("t", Date, Duration, "5") }, "is no duration"},
-		{func(t *told) Table { return t.table("t", Duration, String, "", "5=a") }, "is no duration"},
-		{func(t *told) Table { return t.table("len", Int, Int, "0") }, "is a function already"},
-		{func(t *told) Table { return t.table("t", String, Int, "0", many...) }, "100001 lines; a table has at most 100000"},
-		{func(t *told) Table { return t.table("t", String, String, strings.Repeat("x", maxString+1)) }, "a string of 4097 bytes"},
+		{func(t *diagnostics) Table { return t.table("t", Title, Team, "none", "zz=north") }, `t: "zz" is no title`},
+		{func(t *diagnostics) Table { return t.table("t", Title, Team, "none", "1=noth") }, `"noth" is no team of this deployment; did you mean "north"?`},
+		{func(t *diagnostics) Table { return t.table("t", Title, Team, "x") }, "its default: \"x\" is no team"},
+		{func(t *diagnostics) Table { return t.table("t", Int, Int, "0", "1=2", "01=3") }, `"01" stands twice`},
+		{func(t *diagnostics) Table { return t.table("t", Int, Int, "0", "1=2", "0x1=3") }, `"0x1" stands twice`},
+		{func(t *diagnostics) Table { return t.table("t", Prefix, Int, "0", "10.1.0.0/8=1") }, "has bits set"},
+		{func(t *diagnostics) Table { return t.table("t", Float, Int, "0") }, "can't have float for its key"},
+		{func(t *diagnostics) Table { return t.table("t", Int, Addr, "0") }, "can't have addr for its value"},
+		{func(t *diagnostics) Table { return t.table("t", Int, Float, "NaN") }, "is no number"},
+		{func(t *diagnostics) Table { return t.table("t", Int, Bool, "maybe") }, "is no bool"},
+		{func(t *diagnostics) Table { return t.table("t", Date, Duration, "5") }, "is no duration"},
+		{func(t *diagnostics) Table { return t.table("t", Duration, String, "", "5=a") }, "is no duration"},
+		{func(t *diagnostics) Table { return t.table("len", Int, Int, "0") }, "is a function already"},
+		{func(t *diagnostics) Table { return t.table("t", String, Int, "0", many...) }, "100001 lines; a table has at most 100000"},
+		{func(t *diagnostics) Table { return t.table("t", String, String, strings.Repeat("x", maxStringBytes+1)) }, "a string of 4097 bytes"},
 	} {
-		_, s, told := read(testEnv(), func(t *told) []Table { return []Table{e.table(t)} }, nil, "set team = north")
-		if got := strings.Join(told.faults, "\n"); s != nil || !strings.Contains(got, e.want) {
+		_, s, told := compileRules(testEnv(), func(t *diagnostics) []Table { return []Table{e.table(t)} }, nil, "set team = north")
+		if got := strings.Join(told.errors, "\n"); s != nil || !strings.Contains(got, e.want) {
 			t.Errorf("%.300q, want %q", got, e.want)
 		}
 	}
@@ -241,7 +241,7 @@
 
 // What would loop or grow without bound is refused when it is read, with the
 // figure and the bound, and nothing of it is ever evaluated.
-func TestUnboundedIsRefused(t *testing.T) {
+func TestExcessiveRulesAreRefused(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
@@ -253,15 +253,15 @@
 	for i := range 60 {
 		deepDefs = append(deepDefs, fmt.Sprintf("n%d = n%d + 1", i+1, i))
 	}
-	million := func(t *told) []Table {
+	million := func(t *diagnostics) []Table {
 		lines := make([]string, 1_000_000)
 		for i := range lines {
 			lines[i] = fmt.Sprintf("%d=1", i)
 		}
 		return []Table{t.table("big", Int, Int, "0", lines...)}
 	}
-	four := func(t *told) (all []Table) {
-		lines := make([]string, maxLines)
+	manyTables := func(t *diagnostics) (all []Table) {
+		lines := make([]string, maxTableLines)
 		for i := range lines {
 			lines[i] = fmt.Sprintf("%d=1", i)
 		}
@@ -275,7 +275,7 @@
 		scans[i] = fmt.Sprintf("when matches(field(\"f%d\") ?? \"\", `(a|b)+%d$`)", i%50, i)
 	}
 	for name, e := range map[string]struct {
-		tables func(*told) []Table
+		tables func(*diagnostics) []Table
 		defs   []string
 		rules  []string
 		want   string
@@ -300,27 +300,27 @@
 		"a glob":           {nil, nil, []string{"when glob(viewer ?? \"\", \"" + strings.Repeat("*a", 300) + "\")"}, "a pattern of 600 bytes"},
 		"all together":     {nil, nil, scans, "steps for class none; its budget is 50000"},
 		"a million lines":  {million, nil, []string{"when big[copies] == 1"}, "big: 1000000 lines; a table has at most 100000"},
-		"many tables":      {four, nil, []string{"when t0[copies] == 1"}, "500000 lines in all tables; at most 400000 are kept"},
+		"many tables":      {manyTables, nil, []string{"when t0[copies] == 1"}, "500000 lines in all tables; at most 400000 are kept"},
 		"constants":        {nil, nil, []string{"when " + strings.Repeat("\"aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa\" + ", 200) + "\"\" == \"\""}, "this may become a string of"},
 		"a label":          {nil, nil, []string{"set label.a = viewer ?? \"\", class = feed"}, "checked for a clip request: this may make it feed"},
 	} {
-		b, s, told := read(testEnv(), e.tables, e.defs, e.rules...)
-		if got := strings.Join(told.faults, "\n"); s != nil || !strings.Contains(got, e.want) {
+		b, s, told := compileRules(testEnv(), e.tables, e.defs, e.rules...)
+		if got := strings.Join(told.errors, "\n"); s != nil || !strings.Contains(got, e.want) {
 			t.Errorf("%s: %.300q, want %q", name, got, e.want)
 		}
-		if b.evaluated != 0 {
-			t.Errorf("%s: %d of its expressions were evaluated", name, b.evaluated)
+		if b.foldedConsts != 0 {
+			t.Errorf("%s: %d of its expressions were evaluated", name, b.foldedConsts)
 		}
 	}
-	b, s, _ := read(testEnv(), nil, nil, `when "a" + "b" == "ab"`)
-	if s == nil || b.evaluated == 0 {
+	b, s, _ := compileRules(testEnv(), nil, nil, `when "a" + "b" == "ab"`)
+	if s == nil || b.foldedConsts == 0 {
 		t.Error("the count counts nothing")
 	}
 }
 
 // A feed can't become a clip, directly or in any roundabout way, and the message
 // says for which class the rule was checked.
-func TestClassesAreSafe(t *testing.T) {
+func TestClassChangesAreChecked(t *testing.T) {
 	feed, clip := "checked for a feed request: this may make it clip", "checked for a clip request: this may make it feed"
 	for rule, want := range map[string]string{
 		"set class = clip":                    feed,
@@ -352,27 +352,27 @@
 		"when class == none set class = none":                                            "",
 		"when class == feed and class == clip set class = clip":                          "", // no request is both
 	} {
-		_, s, told := read(testEnv(), testTables, []string{"swap = if retry then clip else class", "pay = copies > 1 or class == clip"}, rule)
-		if got := strings.Join(told.faults, "\n"); (s == nil) != (want != "") || !strings.Contains(got, want) || strings.Count(got, "checked for") > 1 {
+		_, s, told := compileRules(testEnv(), testTables, []string{"swap = if retry then clip else class", "pay = copies > 1 or class == clip"}, rule)
+		if got := strings.Join(told.errors, "\n"); (s == nil) != (want != "") || !strings.Contains(got, want) || strings.Count(got, "checked for") > 1 {
 			t.Errorf("%s: %q, want %q", rule, got, want)
 		}
 	}
 }
 
 // The class decides which rules are looked at; what they set is what they say.
-func TestSettings(t *testing.T) {
-	_, s, told := read(testEnv(), testTables, []string{"who = if team == none then owner[key] else team"},
+func TestAssignments(t *testing.T) {
+	_, s, told := compileRules(testEnv(), testTables, []string{"who = if team == none then owner[key] else team"},
 		"when class == none set class = clip, team = north",
 		"when class == feed and copies < 9 set team = who, budget = text(who) + \"/\" + text(class), label.net = net[client ?? 0.0.0.0], label.fixed = \"f\"",
 		"when class == clip set class = kinds[key], label.upper = upper(viewer ?? \"\")",
 		"set budget = \"rest\"")
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(told.errors)
 	}
 	show := func(f *Frame) string {
 		var b strings.Builder
-		for _, o := range f.Settings() {
-			fmt.Fprintf(&b, "%s%s=%s fixed=%v ", s.env.Targets[o.Target].Name, o.Sub, s.env.Show(o.Value), o.Fixed)
+		for _, o := range f.Assignments() {
+			fmt.Fprintf(&b, "%s%s=%s fixed=%v ", s.env.Targets[o.Target].Name, o.Subname, s.env.FormatValue(o.Value), o.Persistent)
 		}
 		return b.String()
 	}
@@ -384,24 +384,24 @@
 		2:  `3 budget="rest" fixed=true `,
 	} {
 		f = request(s)
-		f.SetNum(vClass, class)
+		f.SetInt(varClass, class)
 		rule := s.Evaluate(f)
 		if got := fmt.Sprint(rule, " ", show(f)); got != want {
 			t.Errorf("class %d: %s, want %s", class, got, want)
 		}
 	}
-	f.Begin(quincena) // nothing is known of the request: it is absent, and what can't be is zero
+	f.Reset(requestTime) // nothing is known of the request: it is absent, and what can't be is zero
 	if s.Evaluate(f) != 0 {
 		t.Error("a request without a class")
 	}
-	if s.Rules()[0] != "r0" {
-		t.Error(s.Rules())
+	if s.RuleNames()[0] != "r0" {
+		t.Error(s.RuleNames())
 	}
 }
 
 // Rules that no request gets to, and those that contradict an earlier one, are
 // remarked on.
-func TestReach(t *testing.T) {
+func TestUnreachableRules(t *testing.T) {
 	for _, e := range []struct {
 		rules []string
 		want  string
@@ -417,68 +417,68 @@
 		{[]string{"when copies in [1, 1] set team = north"}, "r0:19: stands twice in the list"},
 		{[]string{"when 4 / copies == 2 set team = north"}, "r0:7: where the divisor is 0 the result is 0"},
 	} {
-		_, _, told := read(testEnv(), nil, nil, e.rules...)
-		if got := strings.Join(append(told.remarks, told.faults...), "\n"); !strings.HasPrefix(got, e.want) && !strings.Contains(got, e.want) || (got == "") != (e.want == "") {
+		_, _, told := compileRules(testEnv(), nil, nil, e.rules...)
+		if got := strings.Join(append(told.warnings, told.errors...), "\n"); !strings.HasPrefix(got, e.want) && !strings.Contains(got, e.want) || (got == "") != (e.want == "") {
 			t.Errorf("%q: %q, want %q", e.rules, got, e.want)
 		}
 	}
 }
 
 // Whatever a client sends has a defined meaning.
-func TestHostileValues(t *testing.T) {
-	_, s, told := read(testEnv(), nil, nil,
+func TestInvalidRequestTexts(t *testing.T) {
+	_, s, told := compileRules(testEnv(), nil, nil,
 		`when field("x") ?? "none" == "none" set label.x = "absent"`, `when contains(field("x") ?? "", "\x00") set label.x = "nul"`, `set label.x = lower(field("x") ?? "")`)
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(told.errors)
 	}
 	for text, want := range map[string]string{
 		strings.Repeat("x", 16<<10): "absent", strings.Repeat("x", 129): "absent", strings.Repeat("X", 128): strings.Repeat("x", 128),
 		"\xff": "absent", "a\xc3": "absent", "a\x00b": "nul", "": "", "Ä": "Ä",
 	} {
 		f := request(s)
-		f.texts[0] = Cell{}
+		f.texts[0] = RawValue{}
 		f.SetText(0, []byte(text))
 		s.Evaluate(f)
-		if got := f.Settings()[0].S; got != want || f.Cost() > s.Bound() {
+		if got := f.Assignments()[0].Str; got != want || f.Cost() > s.MaxCost() {
 			t.Errorf("%.20q: %.20q, want %.20q", text, got, want)
 		}
 	}
 	f := request(s)
-	f.SetFloat(vTop, func() float64 { z := 0.0; return z / z }())
-	f.SetAddr(vClient, netip.Addr{})
-	if f.vars[vTop].OK || f.vars[vClient].OK {
+	f.SetFloat(varTop, func() float64 { z := 0.0; return z / z }())
+	f.SetAddr(varClient, netip.Addr{})
+	if f.vars[varTop].Present || f.vars[varClient].Present {
 		t.Error("what is no number and no address is there")
 	}
 }
 
 // A frame serves one request after another, and nothing of one is left in the next.
-func TestFramesForget(t *testing.T) {
-	_, s, _ := read(testEnv(), nil, []string{`name = lower(viewer ?? "?")`}, `when name != "" set label.a = name + "!", label.b = text(today("UTC") - 2026-05-16)`)
+func TestFrameReuse(t *testing.T) {
+	_, s, _ := compileRules(testEnv(), nil, []string{`name = lower(viewer ?? "?")`}, `when name != "" set label.a = name + "!", label.b = text(today("UTC") - 2026-05-16)`)
 	f := s.NewFrame()
-	f.turn = 1<<32 - 3 // it goes round on the way
+	f.generation = 1<<32 - 3 // it goes round on the way
 	for i := range 6 {
-		f.Begin(quincena.AddDate(0, 0, i))
+		f.Reset(requestTime.AddDate(0, 0, i))
 		want := "?!"
 		if i%2 == 0 {
-			f.SetString(vViewer, fmt.Sprint("V", i))
+			f.SetString(varViewer, fmt.Sprint("V", i))
 			want = fmt.Sprintf("v%d!", i)
 		}
 		s.Evaluate(f)
-		if out := f.Settings(); out[0].S != want || out[1].S != fmt.Sprint(i) {
-			t.Errorf("%d: %q %q", i, out[0].S, out[1].S)
+		if out := f.Assignments(); out[0].Str != want || out[1].Str != fmt.Sprint(i) {
+			t.Errorf("%d: %q %q", i, out[0].Str, out[1].Str)
 		}
 	}
 }
 
 // Should the bound ever be wrong, evaluation stops at the budget.
-func TestBudgetHolds(t *testing.T) {
-	_, s, _ := read(testEnv(), nil, nil, `when contains(viewer ?? "", "zz")`, `when true set team = north`)
+func TestEvaluationStopsAtBudget(t *testing.T) {
+	_, s, _ := compileRules(testEnv(), nil, nil, `when contains(viewer ?? "", "zz")`, `when true set team = north`)
 	f := request(s)
-	if s.Evaluate(f) != 1 || f.Cost() > s.Bound() {
-		t.Fatal(f.Cost(), s.Bound())
+	if s.Evaluate(f) != 1 || f.Cost() > s.MaxCost() {
+		t.Fatal(f.Cost(), s.MaxCost())
 	}
-	s.budget = 5
-	if f = request(s); s.Evaluate(f) != -1 || len(f.Settings()) != 0 {
+	s.stepBudget = 5
+	if f = request(s); s.Evaluate(f) != -1 || len(f.Assignments()) != 0 {
 		t.Error("evaluated beyond its budget")
 	}
 }
@@ -486,37 +486,37 @@
 func TestExplain(t *testing.T) {
 	env := testEnv()
 	env.Trace = true
-	_, s, told := read(env, testTables, []string{`who = owner[key]`}, "when class == feed", `when who == south and clock > 12:00`, `when has(viewer) and (let n = copies; n > 3) set team = who`, "when true")
+	_, s, told := compileRules(env, testTables, []string{`who = owner[key]`}, "when class == feed", `when who == south and clock > 12:00`, `when has(viewer) and (let n = copies; n > 3) set team = who`, "when true")
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(told.errors)
 	}
 	f := request(s)
 	rule, steps := s.Explain(f)
 	var b strings.Builder
 	for _, st := range steps {
-		fmt.Fprintf(&b, "%s skips=%v match=%v:", st.Rule, st.Skips, st.Match)
+		fmt.Fprintf(&b, "%s skips=%v match=%v:", st.Rule, st.Skipped, st.Matched)
 		for _, v := range st.Values {
-			fmt.Fprintf(&b, " %s=%s", v.Name, env.Show(v.Value))
+			fmt.Fprintf(&b, " %s=%s", v.Name, env.FormatValue(v.Value))
 		}
 		b.WriteString("; ")
 	}
 	want := `r0 skips=true match=false: class=clip; r1 skips=false match=false: who=north owner[…]=north key=0000000000007f3a clock=18:30:05; r2 skips=false match=true: viewer="Till-07;north" copies=4; `
-	if b.String() != want || rule != 2 || f.Settings()[0].N != 0 || f.Cost() == 0 {
+	if b.String() != want || rule != 2 || f.Assignments()[0].Integer != 0 || f.Cost() == 0 {
 		t.Errorf("%d, %s", rule, b.String())
 	}
 }
 
 // Values are shown as they are written.
-func TestShow(t *testing.T) {
+func TestFormatValue(t *testing.T) {
 	env := testEnv()
 	for _, text := range []string{"bool true", "int -5", "float 2.5", "duration 1.5s", "clock 18:30:05", "date 2026-05-15", "date 1969-12-31", "addr 10.0.0.1", "prefix 10.0.0.0/8", "class feed", "team none", "title 0000000000007f3a"} {
 		kind, text, _ := strings.Cut(text, " ")
-		v, err := env.read(KindOf(kind), text)
-		if err != nil || env.Show(v) != text {
-			t.Errorf("%s %s: %s, %v", kind, text, env.Show(v), err)
+		v, err := env.parseValue(KindByName(kind), text)
+		if err != nil || env.FormatValue(v) != text {
+			t.Errorf("%s %s: %s, %v", kind, text, env.FormatValue(v), err)
 		}
 	}
-	if KindOf("none") != 0 || KindOf("x") != 0 || env.Show(Value{Kind: Int}) != "absent" || env.Show(Value{Kind: String, Cell: Cell{S: "a\n", OK: true}}) != `"a\n"` {
+	if KindByName("none") != 0 || KindByName("x") != 0 || env.FormatValue(Value{Kind: Int}) != "absent" || env.FormatValue(Value{Kind: String, RawValue: RawValue{Str: "a\n", Present: true}}) != `"a\n"` {
 		t.Error("odd kinds")
 	}
 }
@@ -524,27 +524,27 @@
 // Dates are the standard library's, from the first to the last, and clocks go by
 // the zone's changes.
 func TestCalendar(t *testing.T) {
-	for n := firstDay; n <= lastDay; n += 17 {
-		y, m, d := civil(n)
-		if want := day(n); y != int64(want.Year()) || m != int64(want.Month()) || d != int64(want.Day()) {
+	for n := firstDate; n <= lastDate; n += 17 {
+		y, m, d := civilDate(n)
+		if want := dateTime(n); y != int64(want.Year()) || m != int64(want.Month()) || d != int64(want.Day()) {
 			t.Fatalf("day %d: %d-%d-%d, want %v", n, y, m, d, want)
 		}
 	}
 	env := testEnv()
-	env.Local = "Europe/Berlin" // the clocks change there
-	_, s, told := read(env, nil, nil, `set label.a = text(hour(clock)) + ":" + text(minute(clock)) + " " + text(day(today)) + " " + text(hour(clock("America/Mexico_City")))`)
+	env.LocalZone = "Europe/Berlin" // the clocks change there
+	_, s, told := compileRules(env, nil, nil, `set label.a = text(hour(clock)) + ":" + text(minute(clock)) + " " + text(day(today)) + " " + text(hour(clock("America/Mexico_City")))`)
 	if s == nil {
-		t.Fatal(told.faults)
+		t.Fatal(told.errors)
 	}
 	f := s.NewFrame()
 	berlin, _ := time.LoadLocation("Europe/Berlin")
 	mexico, _ := time.LoadLocation("America/Mexico_City")
 	for i := range 2000 {
 		now := time.Date(2026, 3, 29, 0, 0, 0, 0, time.UTC).Add(time.Duration(i*i%9973) * 53 * time.Minute)
-		f.Begin(now)
+		f.Reset(now)
 		s.Evaluate(f)
 		at := now.In(berlin)
-		if got, want := f.Settings()[0].S, fmt.Sprintf("%d:%d %d %d", at.Hour(), at.Minute(), at.Day(), now.In(mexico).Hour()); got != want {
+		if got, want := f.Assignments()[0].Str, fmt.Sprintf("%d:%d %d %d", at.Hour(), at.Minute(), at.Day(), now.In(mexico).Hour()); got != want {
 			t.Fatalf("%v: %s, want %s", at, got, want)
 		}
 	}
--- a/internal/rules/set.go
+++ b/internal/rules/set.go
@@ -9,249 +9,249 @@
 // Set is a set of rules that is ready for use. Any number of frames may be
 // evaluated in it at once.
 type Set struct {
-	env      *Env
-	names    []string // of the rules
-	texts    []TextRef
-	zones    []*zone
-	slots    int
-	arena    int
-	mostOut  int
-	programs []program // by class + 1
-	budget   int64
-	bound    int64
-	trace    []traced
+	env            *Env
+	ruleNames      []string // of the rules
+	texts          []TextRef
+	zones          []*timeZone
+	slots          int
+	bufferSize     int
+	maxAssignments int
+	programs       []program // by class + 1
+	stepBudget     int64
+	maxCost        int64
+	tracedRules    []tracedRule
 }
 
 // program is what is evaluated for the requests of one class: the rules that may
 // match, with what doesn't depend on the request worked out.
 type program struct {
-	steps []step
-	rest  []fn[bool] // by step: the terms that are not quick; nil: there are none
-	set   [][]setter // by step
-	quick []quick
-	words []string
-	work  []func(*Frame) // by slot: what quick terms look at
-	bound int64
+	entries        []ruleEntry
+	residual       []evaluator[bool] // by step: the terms that are not quick; nil: there are none
+	assigners      [][]assigner      // by step
+	inline         []inlineTest
+	stringPool     []string
+	slotEvaluators []func(*Frame) // by slot: what quick terms look at
+	maxCost        int64
 }
 
-// step is one rule. It is small, so that going over many is quick.
-type step struct {
-	rule  uint16
-	quick uint8 // how many of the program's quick terms are its own
-	rest  bool  // it has other terms
+// ruleEntry is one rule. It is small, so that going over many is quick.
+type ruleEntry struct {
+	rule     uint16
+	inline   uint8 // how many of the program's quick terms are its own
+	residual bool  // it has other terms
 }
 
-// mostQuick is how many quick terms a step can have.
-const mostQuick = 255
+// maxInlineTests is how many quick terms a step can have.
+const maxInlineTests = 255
 
 // matches tells whether the rule of step i matches; at is where its quick terms
 // begin.
 func (p *program) matches(f *Frame, i, at int) bool {
 	f.cost++
-	st := p.steps[i]
-	for j := range int(st.quick) {
-		if !p.holds(f, &p.quick[at+j]) {
+	entry := p.entries[i]
+	for j := range int(entry.inline) {
+		if !p.testInline(f, &p.inline[at+j]) {
 			return false
 		}
 	}
-	return !st.rest || p.rest[i](f)
+	return !entry.residual || p.residual[i](f)
 }
 
-// setter sets one target.
-type setter struct {
-	fixed Setting
-	fill  func(*Frame, *Setting) // nil: it is fixed
+// assigner sets one target.
+type assigner struct {
+	template Assignment
+	compute  func(*Frame, *Assignment) // nil: it is fixed
 }
 
-// Texts are the texts that the caller sets by Frame.SetText.
-func (s *Set) Texts() []TextRef { return s.texts }
+// TextRefs are the texts that the caller sets by Frame.SetText.
+func (s *Set) TextRefs() []TextRef { return s.texts }
 
-// Rules are the rules' names.
-func (s *Set) Rules() []string { return s.names }
+// RuleNames are the rules' names.
+func (s *Set) RuleNames() []string { return s.ruleNames }
 
-// Bound is the most that an evaluation may cost, in steps: of any class.
-func (s *Set) Bound() int64 { return s.bound }
+// MaxCost is the most that an evaluation may cost, in steps: of any class.
+func (s *Set) MaxCost() int64 { return s.maxCost }
 
 // Evaluate finds the first rule that matches what the frame was given, and
 // returns its position, or -1. Settings tells what it sets.
 func (s *Set) Evaluate(f *Frame) int {
 	f.cost++
 	p := &s.programs[0]
-	if v := s.env.Class; v >= 0 {
+	if v := s.env.ClassVar; v >= 0 {
 		c := &f.vars[v]
-		if !c.OK {
-			c.N, c.OK = -1, true
+		if !c.Present {
+			c.Integer, c.Present = -1, true
 		}
-		p = &s.programs[c.N+1]
+		p = &s.programs[c.Integer+1]
 	}
 	at := 0
-	for i := range p.steps {
+	for i := range p.entries {
 		from := at
-		at += int(p.steps[i].quick)
+		at += int(p.entries[i].inline)
 		if !p.matches(f, i, from) {
 			continue
 		}
-		if f.cost > s.budget {
+		if f.cost > s.stepBudget {
 			break // Guard: the bound was checked when the set was read; this holds it
 		}
-		for j := range p.set[i] {
-			g := &p.set[i][j]
-			f.out = append(f.out, g.fixed)
-			if g.fill != nil {
-				g.fill(f, &f.out[len(f.out)-1])
+		for j := range p.assigners[i] {
+			a := &p.assigners[i][j]
+			f.assignments = append(f.assignments, a.template)
+			if a.compute != nil {
+				a.compute(f, &f.assignments[len(f.assignments)-1])
 			}
 		}
-		return int(p.steps[i].rule)
+		return int(p.entries[i].rule)
 	}
 	return -1
 }
 
-// Settings are what the rule that matched sets, until the next Begin.
-func (f *Frame) Settings() []Setting { return f.out }
+// Assignments are what the rule that matched sets, until the next Begin.
+func (f *Frame) Assignments() []Assignment { return f.assignments }
 
-// checked is a rule whose types are known.
-type checked struct {
+// checkedRule is a rule whose types are known.
+type checkedRule struct {
 	Rule
-	when     *node
-	settings []assignment
+	condition   *node
+	assignments []checkedAssignment
 }
 
-type assignment struct {
-	target int
-	sub    string
-	at     int
-	value  *node
+type checkedAssignment struct {
+	target  int
+	subname string
+	pos     int
+	value   *node
 }
 
 // Compile reads tables, definitions and rules. What is wrong is told to each
 // source's Fault; then no set is returned, and nothing of it is ever evaluated.
 func Compile(env *Env, tables []Table, defs []Definition, rules []Rule) *Set {
-	return newBuilder(env).set(tables, defs, rules)
+	return newSetBuilder(env).buildSet(tables, defs, rules)
 }
 
-func newBuilder(env *Env) *builder {
-	return &builder{env: env, tables: make(map[string]*table), defs: make(map[string]*def), shared: make(map[string]int)}
+func newSetBuilder(env *Env) *setBuilder {
+	return &setBuilder{env: env, tables: make(map[string]*table), definitions: make(map[string]*checkedDef), sharedSlots: make(map[string]int)}
 }
 
-func (b *builder) set(tables []Table, defs []Definition, rules []Rule) *Set {
+func (b *setBuilder) buildSet(tables []Table, defs []Definition, rules []Rule) *Set {
 	env := b.env
 	if len(env.Classes) > maxClasses {
 		if len(rules) > 0 {
-			rules[0].Fault(0, fmt.Sprintf("%d classes; at most %d are told apart", len(env.Classes), maxClasses))
+			rules[0].ReportError(0, fmt.Sprintf("%d classes; at most %d are told apart", len(env.Classes), maxClasses))
 		}
 		return nil
 	}
 	b.readTables(tables)
 	b.readDefinitions(defs)
 	list := b.readRules(rules)
-	for _, d := range b.ordered(defs) {
-		b.define(d, nil)
+	for _, d := range b.inSourceOrder(defs) {
+		b.checkDefinition(d, nil)
 	}
-	if b.faulty {
+	if b.failed {
 		return nil
 	}
 	// Guard: what is refused is never evaluated, not even its constants. The first
 	// time only what classes decide is worked out, and all bounds are checked.
-	if b.assemble(list, true); b.faulty {
+	if b.assemble(list, true); b.failed {
 		return nil
 	}
 	return b.assemble(list, false)
 }
 
-func (b *builder) readTables(tables []Table) {
+func (b *setBuilder) readTables(tables []Table) {
 	for i, t := range tables {
-		if why := b.nameFault(t.Name); why != "" {
-			b.failTable(t, "%s", why)
+		if why := b.nameError(t.Name); why != "" {
+			b.tableErrorf(t, "%s", why)
 			continue
 		}
 		if i >= maxTables {
-			b.failTable(t, "more than %d tables", maxTables)
+			b.tableErrorf(t, "more than %d tables", maxTables)
 			return
 		}
 		b.tables[t.Name] = b.readTable(t)
 	}
 }
 
-// nameFault tells why something can't be called so, or "".
-func (b *builder) nameFault(name string) string {
+// nameError tells why something can't be called so, or "".
+func (b *setBuilder) nameError(name string) string {
 	for i := range len(name) {
-		if c := name[i]; !isWord(c) || i == 0 && c >= '0' && c <= '9' {
+		if c := name[i]; !isIdentByte(c) || i == 0 && c >= '0' && c <= '9' {
 			return fmt.Sprintf("%q is no name: letters, digits and _ make one", name)
 		}
 	}
 	switch {
-	case name == "" || len(name) > maxName:
-		return fmt.Sprintf("a name has from 1 to %d letters", maxName)
+	case name == "" || len(name) > maxNameBytes:
+		return fmt.Sprintf("a name has from 1 to %d letters", maxNameBytes)
 	case slices.Contains([]string{"when", "set", "if", "then", "else", "let", "and", "or", "not", "in"}, name):
 		return fmt.Sprintf("%q is a word of the language", name)
 	}
-	if why := b.taken(name); why != "" {
+	if why := b.existingUse(name); why != "" {
 		return fmt.Sprintf("%q is %s already", name, why)
 	}
 	return ""
 }
 
-func (b *builder) readDefinitions(defs []Definition) {
+func (b *setBuilder) readDefinitions(defs []Definition) {
 	for i, d := range defs {
-		if i >= maxDefs {
-			b.fail(d.Source, 0, "more than %d definitions", maxDefs)
+		if i >= maxDefinitions {
+			b.sourceErrorf(d.Source, 0, "more than %d definitions", maxDefinitions)
 			return
 		}
-		if why := b.nameFault(d.Name); why != "" {
-			b.fail(d.Source, 0, "%s", why)
+		if why := b.nameError(d.Name); why != "" {
+			b.sourceErrorf(d.Source, 0, "%s", why)
 			continue
 		}
-		tree := parse(grammars().expr, d.Source)
-		b.faulty = b.faulty || tree == nil
-		b.defs[d.Name] = &def{Definition: d, tree: tree}
+		tree := parseSource(sharedParsers().expr, d.Source)
+		b.failed = b.failed || tree == nil
+		b.definitions[d.Name] = &checkedDef{Definition: d, tree: tree}
 	}
 }
 
-func (b *builder) fail(src Source, at int, format string, args ...any) {
-	b.faulty = true
-	src.Fault(at, fmt.Sprintf(format, args...))
+func (b *setBuilder) sourceErrorf(src Source, at int, format string, args ...any) {
+	b.failed = true
+	src.ReportError(at, fmt.Sprintf(format, args...))
 }
 
-// ordered are the definitions as they stand in the file.
-func (b *builder) ordered(defs []Definition) []*def {
-	var list []*def
+// inSourceOrder are the definitions as they stand in the file.
+func (b *setBuilder) inSourceOrder(defs []Definition) []*checkedDef {
+	var list []*checkedDef
 	for _, d := range defs {
-		if known := b.defs[d.Name]; known != nil {
+		if known := b.definitions[d.Name]; known != nil {
 			list = append(list, known)
 		}
 	}
 	return list
 }
 
-func (b *builder) readRules(rules []Rule) []*checked {
-	var list []*checked
+func (b *setBuilder) readRules(rules []Rule) []*checkedRule {
+	var list []*checkedRule
 	for i, r := range rules {
 		if i >= maxRules {
-			b.fail(r.Source, 0, "more than %d rules", maxRules)
+			b.sourceErrorf(r.Source, 0, "more than %d rules", maxRules)
 			break
 		}
-		tree := parse(grammars().rule, r.Source)
+		tree := parseSource(sharedParsers().rule, r.Source)
 		if tree == nil {
-			b.faulty = true
+			b.failed = true
 			continue
 		}
-		c := &checker{builder: b, src: r.Source}
-		out := &checked{Rule: r}
+		c := &checker{setBuilder: b, source: r.Source}
+		out := &checkedRule{Rule: r}
 		if tree.When != nil {
-			if out.when = c.expr(tree.When); out.when != nil {
-				out.when = c.boolean(out.when)
+			if out.condition = c.expr(tree.When); out.condition != nil {
+				out.condition = c.requireBool(out.condition)
 			}
 		}
 		for _, a := range tree.Set {
-			c.assignment(out, a)
+			c.addAssignment(out, a)
 		}
 		list = append(list, out)
 	}
 	return list
 }
 
-// assignment checks TARGET = VALUE.
-func (c *checker) assignment(r *checked, g *gAssign) {
+// addAssignment checks TARGET = VALUE.
+func (c *checker) addAssignment(r *checkedRule, g *gAssign) {
 	at := g.Pos.Offset
 	value := c.expr(g.Value)
 	target := slices.IndexFunc(c.env.Targets, func(t Target) bool { return t.Name == g.Target })
@@ -260,201 +260,201 @@
 		for _, t := range c.env.Targets {
 			names = append(names, t.Name)
 		}
-		c.fail(at, "nothing called %q can be set; there are: %s", g.Target, strings.Join(names, ", "))
+		c.errorf(at, "nothing called %q can be set; there are: %s", g.Target, strings.Join(names, ", "))
 		return
 	}
 	t := c.env.Targets[target]
 	switch {
-	case t.Sub && g.Sub == "":
-		c.fail(at, "write %s.NAME = …", t.Name)
+	case t.HasSubname && g.Subname == "":
+		c.errorf(at, "write %s.NAME = …", t.Name)
 		return
-	case !t.Sub && g.Sub != "":
-		c.fail(at, "%s has no parts", t.Name)
+	case !t.HasSubname && g.Subname != "":
+		c.errorf(at, "%s has no parts", t.Name)
 		return
-	case slices.ContainsFunc(r.settings, func(a assignment) bool { return a.target == target && a.sub == g.Sub }):
-		c.fail(at, "set twice")
+	case slices.ContainsFunc(r.assignments, func(a checkedAssignment) bool { return a.target == target && a.subname == g.Subname }):
+		c.errorf(at, "set twice")
 		return
 	case value == nil:
 		return
 	}
-	if value = c.present(c.as(value, t.Kind)); value == nil {
+	if value = c.requirePresent(c.convert(value, t.Kind)); value == nil {
 		return
 	}
 	if value.typ.Kind != t.Kind {
-		c.fail(value.at, "%s is %v, and this is %v", t.Name, t.Kind, value.typ)
+		c.errorf(value.pos, "%s is %v, and this is %v", t.Name, t.Kind, value.typ)
 		return
 	}
-	if t.Kind == String && value.most > t.Most {
-		c.fail(value.at, "%s has at most %d bytes, and this may have %d", t.Name, t.Most, value.most)
+	if t.Kind == String && value.maxBytes > t.MaxBytes {
+		c.errorf(value.pos, "%s has at most %d bytes, and this may have %d", t.Name, t.MaxBytes, value.maxBytes)
 		return
 	}
-	r.settings = append(r.settings, assignment{target, g.Sub, at, value})
+	r.assignments = append(r.assignments, checkedAssignment{target, g.Subname, at, value})
 }
 
 // assemble goes through the rules once for each class, holding what they set and
 // what they cost against what is allowed. It compiles them unless it only checks.
-func (b *builder) assemble(list []*checked, check bool) *Set {
-	s := &Set{env: b.env, texts: b.texts, zones: b.zones, budget: b.env.Budget}
-	if s.budget == 0 {
-		s.budget = DefaultBudget
+func (b *setBuilder) assemble(list []*checkedRule, check bool) *Set {
+	s := &Set{env: b.env, texts: b.texts, zones: b.zones, stepBudget: b.env.StepBudget}
+	if s.stepBudget == 0 {
+		s.stepBudget = DefaultStepBudget
 	}
-	s.budget = min(s.budget, MostBudget)
-	reach := newReach(len(list))
+	s.stepBudget = min(s.stepBudget, MaxStepBudget)
+	reach := newReachability(len(list))
 	var k *compiler
-	if b.checking = check; !check {
+	if b.checkOnly = check; !check {
 		k = newCompiler(b.env)
 	}
 	first, last := -1, len(b.env.Classes)-1
-	if b.env.Class < 0 {
+	if b.env.ClassVar < 0 {
 		first, last = anyClass, anyClass
 	}
-	worst := 0
-	told := make(map[*checked]bool) // that it is no rule for a class
+	worstClass := 0
+	told := make(map[*checkedRule]bool) // that it is no rule for a class
 	for class := first; class <= last; class++ {
 		p, made := b.program(list, class, k, reach, told)
-		if p.bound > s.bound {
-			s.bound, worst = p.bound, class
+		if p.maxCost > s.maxCost {
+			s.maxCost, worstClass = p.maxCost, class
 		}
-		s.arena = max(s.arena, made)
+		s.bufferSize = max(s.bufferSize, made)
 		s.programs = append(s.programs, p)
 	}
 	s.slots = b.slots
 	for _, r := range list {
-		s.names = append(s.names, r.Name)
-		s.mostOut = max(s.mostOut, len(r.settings))
+		s.ruleNames = append(s.ruleNames, r.Name)
+		s.maxAssignments = max(s.maxAssignments, len(r.assignments))
 	}
-	if b.faulty {
+	if b.failed {
 		return nil
 	}
 	switch r := len(list) - 1; {
-	case s.bound > s.budget:
-		of := ""
-		if worst > anyClass && b.env.Class >= 0 {
-			of = " for class " + nameOf(b.env.Classes, int64(worst))
+	case s.maxCost > s.stepBudget:
+		forClass := ""
+		if worstClass > anyClass && b.env.ClassVar >= 0 {
+			forClass = " for class " + nameAt(b.env.Classes, int64(worstClass))
 		}
-		b.fail(list[r].Source, 0, "with this rule the set may cost %d steps%s; its budget is %d", s.bound, of, s.budget)
-	case s.arena > maxArena:
-		b.fail(list[r].Source, 0, "with this rule the set may make %d bytes of strings; at most %d are made", s.arena, maxArena)
+		b.sourceErrorf(list[r].Source, 0, "with this rule the set may cost %d steps%s; its budget is %d", s.maxCost, forClass, s.stepBudget)
+	case s.bufferSize > maxBuiltBytes:
+		b.sourceErrorf(list[r].Source, 0, "with this rule the set may make %d bytes of strings; at most %d are made", s.bufferSize, maxBuiltBytes)
 	}
 	if check {
 		return nil
 	}
-	reach.warn(list)
+	reach.reportWarnings(list)
 	if b.env.Trace {
-		s.trace = b.traced(list, k)
+		s.tracedRules = b.traceRules(list, k)
 	}
 	return s
 }
 
 // program compiles the rules for one class.
-func (b *builder) program(list []*checked, class int, k *compiler, reach *reach, told map[*checked]bool) (program, int) {
-	p := b.folder(class)
+func (b *setBuilder) program(list []*checkedRule, class int, k *compiler, reach *reachability, told map[*checkedRule]bool) (program, int) {
+	p := b.constFolder(class)
 	var out program
 	var most int64
 	made, mostMade := 0, 0
 	seen, seenMade := make(map[int]bool), make(map[int]bool)
-	cover := reach.begin()
-	common := b.sharer()
+	cover := reach.forClass()
+	common := b.subexprSharer()
 	folded := make([]*node, len(list))
 	for i, r := range list {
-		if r.when != nil {
-			folded[i] = p.fold(r.when)
-			common.add(folded[i])
+		if r.condition != nil {
+			folded[i] = p.fold(r.condition)
+			common.countUses(folded[i])
 		}
 	}
 	for i, r := range list {
-		st := step{rule: uint16(i)}
-		var rest fn[bool]
-		var set []setter
+		entry := ruleEntry{rule: uint16(i)}
+		var rest evaluator[bool]
+		var set []assigner
 		when := folded[i]
 		if when != nil && when.isFalse() {
 			continue
 		}
-		cover.rule(i, when)
+		cover.addRule(i, when)
 		always := when == nil || when.isTrue()
 		if !always {
-			when = common.share(when)
-			out.bound = addCost(out.bound, when.total(seen))
-			made += when.made(seenMade)
+			when = common.rewrite(when)
+			out.maxCost = addCost(out.maxCost, when.totalCost(seen))
+			made += when.builtBytes(seenMade)
 			if k != nil {
 				var n int
-				n, rest = out.split(k, when)
-				st.quick, st.rest = uint8(n), rest != nil
+				n, rest = out.splitCondition(k, when)
+				entry.inline, entry.residual = uint8(n), rest != nil
 			}
 		}
-		out.bound = addCost(out.bound, 1)
+		out.maxCost = addCost(out.maxCost, 1)
 		var cost int64
 		bytes := 0
-		for _, a := range r.settings {
+		for _, a := range r.assignments {
 			value := p.fold(a.value)
-			cost = addCost(cost, value.total(make(map[int]bool)))
-			bytes += value.made(make(map[int]bool))
+			cost = addCost(cost, value.totalCost(make(map[int]bool)))
+			bytes += value.builtBytes(make(map[int]bool))
 			if value.typ.Kind == Class && !told[r] {
-				told[r] = !b.becomes(r, a, class, value)
+				told[r] = !b.checkClassChange(r, a, class, value)
 			}
 			if k != nil {
-				set = append(set, setterOf(k, a, value))
+				set = append(set, newAssigner(k, a, value))
 			}
 		}
 		most, mostMade = max(most, cost), max(mostMade, bytes)
-		out.steps, out.rest, out.set = append(out.steps, st), append(out.rest, rest), append(out.set, set)
+		out.entries, out.residual, out.assigners = append(out.entries, entry), append(out.residual, rest), append(out.assigners, set)
 		if always {
-			cover.rest(i)
+			cover.coverRest(i)
 			break // what follows is never reached
 		}
 	}
-	out.steps, out.quick = slices.Clip(out.steps), slices.Clip(out.quick)
-	out.bound = addCost(out.bound, addCost(most, 1))
+	out.entries, out.inline = slices.Clip(out.entries), slices.Clip(out.inline)
+	out.maxCost = addCost(out.maxCost, addCost(most, 1))
 	return out, made + mostMade
 }
 
-// becomes checks what a rule may make of a request of a class.
-func (b *builder) becomes(r *checked, a assignment, from int, value *node) bool {
-	set := value.classes(make(map[int]uint64))
+// checkClassChange checks what a rule may make of a request of a class.
+func (b *setBuilder) checkClassChange(r *checkedRule, a checkedAssignment, from int, value *node) bool {
+	set := value.possibleClasses(make(map[int]uint64))
 	for to := range len(b.env.Classes) + 1 {
 		to-- // -1: none
 		if set&(1<<(to+1)) == 0 || to == from {
 			continue
 		}
-		request := fmt.Sprintf("a %s request", nameOf(b.env.Classes, int64(from)))
+		request := fmt.Sprintf("a %s request", nameAt(b.env.Classes, int64(from)))
 		if from < 0 {
 			request = "a request without a class"
 		}
 		if to < 0 {
-			b.fail(r.Source, a.value.at, "checked for %s: this may take its class away", request)
+			b.sourceErrorf(r.Source, a.value.pos, "checked for %s: this may take its class away", request)
 			return false
 		}
-		if err := b.env.Becomes(from, to); err != nil {
-			b.fail(r.Source, a.value.at, "checked for %s: this may make it %s; %v", request, b.env.Classes[to], err)
+		if err := b.env.CheckClassChange(from, to); err != nil {
+			b.sourceErrorf(r.Source, a.value.pos, "checked for %s: this may make it %s; %v", request, b.env.Classes[to], err)
 			return false
 		}
 	}
 	return true
 }
 
-func setterOf(k *compiler, a assignment, n *node) setter {
-	s := setter{fixed: Setting{Target: a.target, Sub: a.sub, Value: Value{Kind: n.typ.Kind, Cell: Cell{OK: true}}}}
+func newAssigner(k *compiler, a checkedAssignment, n *node) assigner {
+	s := assigner{template: Assignment{Target: a.target, Subname: a.subname, Value: Value{Kind: n.typ.Kind, RawValue: RawValue{Present: true}}}}
 	if n.isConst() {
-		s.fixed.Value, s.fixed.Fixed = n.val, true
+		s.template.Value, s.template.Persistent = n.constValue, true
 		return s
 	}
-	switch n.typ.Kind.form() {
-	case asBool:
-		v := k.boolean(n)
-		s.fill = func(f *Frame, out *Setting) { out.B = v(f) }
-	case asFloat:
-		v := k.float(n)
-		s.fill = func(f *Frame, out *Setting) { out.F = v(f) }
-	case asText:
-		v := k.text(n)
-		s.fixed.Fixed = n.op == opTable // a table's strings stay
-		s.fill = func(f *Frame, out *Setting) { out.S = v(f) }
-	case asAddr:
-		v := k.addr(n)
-		s.fill = func(f *Frame, out *Setting) { out.A = v(f) }
+	switch n.typ.Kind.representation() {
+	case reprBool:
+		v := k.compileBool(n)
+		s.compute = func(f *Frame, out *Assignment) { out.IsTrue = v(f) }
+	case reprFloat:
+		v := k.compileFloat(n)
+		s.compute = func(f *Frame, out *Assignment) { out.Float64 = v(f) }
+	case reprString:
+		v := k.compileString(n)
+		s.template.Persistent = n.op == opTable // a table's strings stay
+		s.compute = func(f *Frame, out *Assignment) { out.Str = v(f) }
+	case reprAddr:
+		v := k.compileAddr(n)
+		s.compute = func(f *Frame, out *Assignment) { out.IP = v(f) }
 	default:
-		v := k.num(n)
-		s.fill = func(f *Frame, out *Setting) { out.N = v(f) }
+		v := k.compileInt(n)
+		s.compute = func(f *Frame, out *Assignment) { out.Integer = v(f) }
 	}
 	return s
 }
--- a/internal/rules/share.go
+++ b/internal/rules/share.go
@@ -2,32 +2,32 @@
 
 import "slices"
 
-// sharer finds what several conditions of a program work out alike, and has it
+// subexprSharer finds what several conditions of a program work out alike, and has it
 // worked out once for a request, as if it had been given a name.
-type sharer struct {
-	*builder
-	count map[string]int
-	keys  map[*node]string
-	done  map[string]*node
+type subexprSharer struct {
+	*setBuilder
+	uses      map[string]int
+	keys      map[*node]string
+	rewritten map[string]*node
 }
 
-// worth is from how many steps on something is kept for others.
-const worth = 6
+// minSharedCost is from how many steps on something is kept for others.
+const minSharedCost = 6
 
-func (b *builder) sharer() *sharer {
-	return &sharer{b, make(map[string]int), make(map[*node]string), make(map[string]*node)}
+func (b *setBuilder) subexprSharer() *subexprSharer {
+	return &subexprSharer{b, make(map[string]int), make(map[*node]string), make(map[string]*node)}
 }
 
 // key is n's key, or "" if it is not to be shared.
-func (s *sharer) key(n *node) string {
+func (s *subexprSharer) key(n *node) string {
 	if key, ok := s.keys[n]; ok {
 		return key
 	}
 	key := ""
 	switch n.op {
-	case opConst, opVar, opText, opLocal, opDef, opClock, opToday, opNot, opAnd, opOr:
+	case opConst, opVar, opTextRef, opLocal, opDef, opClock, opToday, opNot, opAnd, opOr:
 	default:
-		if !n.bound() && n.total(make(map[int]bool)) >= worth {
+		if !n.hasFreeLocal() && n.totalCost(make(map[int]bool)) >= minSharedCost {
 			key = n.key()
 		}
 	}
@@ -35,57 +35,57 @@
 	return key
 }
 
-// add counts the parts of a condition.
-func (s *sharer) add(n *node) {
-	if n.op == opDef && s.count[n.key()] > 0 {
+// countUses counts the parts of a condition.
+func (s *subexprSharer) countUses(n *node) {
+	if n.op == opDef && s.uses[n.key()] > 0 {
 		return // its parts have been counted
 	}
 	if n.op == opDef {
-		s.count[n.key()]++
+		s.uses[n.key()]++
 	}
 	if key := s.key(n); key != "" {
-		if s.count[key]++; s.count[key] > 1 {
+		if s.uses[key]++; s.uses[key] > 1 {
 			return // so are the parts of what is shared
 		}
 	}
-	for _, k := range n.kids {
-		s.add(k)
+	for _, k := range n.children {
+		s.countUses(k)
 	}
 }
 
-// share is n with what it has in common with others kept in slots.
-func (s *sharer) share(n *node) *node {
+// rewrite is n with what it has in common with others kept in slots.
+func (s *subexprSharer) rewrite(n *node) *node {
 	key := s.key(n)
 	id := key
 	if n.op == opDef {
 		id = n.key()
 	}
-	if m := s.done[id]; id != "" && m != nil {
+	if m := s.rewritten[id]; id != "" && m != nil {
 		return m
 	}
 	m := n
-	if len(n.kids) > 0 {
-		kids := make([]*node, len(n.kids))
-		for i, k := range n.kids {
-			kids[i] = s.share(k)
+	if len(n.children) > 0 {
+		kids := make([]*node, len(n.children))
+		for i, k := range n.children {
+			kids[i] = s.rewrite(k)
 		}
-		if !slices.Equal(kids, n.kids) {
+		if !slices.Equal(kids, n.children) {
 			c := *n
-			c.kids = kids
+			c.children = kids
 			m = c.finish()
 		}
 	}
-	if key != "" && s.count[key] > 1 {
-		slot, ok := s.shared[key]
+	if key != "" && s.uses[key] > 1 {
+		slot, ok := s.sharedSlots[key]
 		if !ok {
 			slot = s.slots
 			s.slots++
-			s.shared[key] = slot
+			s.sharedSlots[key] = slot
 		}
-		m = (&node{op: opDef, typ: n.typ, at: n.at, idx: slot, kids: []*node{m}, most: n.most, text: n.text}).finish()
+		m = (&node{op: opDef, typ: n.typ, pos: n.pos, idx: slot, children: []*node{m}, maxBytes: n.maxBytes, ident: n.ident}).finish()
 	}
 	if id != "" {
-		s.done[id] = m
+		s.rewritten[id] = m
 	}
 	return m
 }
