--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -12,95 +12,95 @@
 	"millethinge/internal/spell"
 )
 
-// index finds the row of a key: of a set literal, a table's line or a set's.
-type index struct {
-	kind     Kind // of the keys
-	nums     map[int64]int32
-	texts    map[string]int32
-	prefixes map[netip.Prefix]int32 // of IPv6
-	short    map[uint64]int32       // prefixes of IPv4, by shortKey
-	lengths  [2][]int               // of prefixes, the longest first, for IPv4 and IPv6
+// keyIndex finds the row of a key: of a set literal, a table's line or a set's.
+type keyIndex struct {
+	kind          Kind // of the keys
+	byInt         map[int64]int32
+	byString      map[string]int32
+	byIPv6Prefix  map[netip.Prefix]int32 // of IPv6
+	byIPv4Prefix  map[uint64]int32       // prefixes of IPv4, by shortKey
+	prefixLengths [2][]int               // of prefixes, the longest first, for IPv4 and IPv6
 }
 
-func newIndex(kind Kind, n int) *index {
-	x := &index{kind: kind}
+func newKeyIndex(kind Kind, n int) *keyIndex {
+	x := &keyIndex{kind: kind}
 	switch kind {
 	case String:
-		x.texts = make(map[string]int32, n)
+		x.byString = make(map[string]int32, n)
 	case Prefix:
-		x.prefixes = make(map[netip.Prefix]int32)
-		x.short = make(map[uint64]int32, n)
+		x.byIPv6Prefix = make(map[netip.Prefix]int32)
+		x.byIPv4Prefix = make(map[uint64]int32, n)
 	default:
-		x.nums = make(map[int64]int32, n)
+		x.byInt = make(map[int64]int32, n)
 	}
 	return x
 }
 
 // add puts a key in. False: it is there already.
-func (x *index) add(v Value, row int32) bool {
+func (x *keyIndex) add(v Value, row int32) bool {
 	switch x.kind {
 	case String:
-		if _, ok := x.texts[v.S]; ok {
+		if _, ok := x.byString[v.Str]; ok {
 			return false
 		}
-		x.texts[v.S] = row
+		x.byString[v.Str] = row
 	case Prefix:
 		family := 0
-		if v.P.Addr().Is4() {
-			key := shortKey(v.P.Addr(), v.P.Bits())
-			if _, ok := x.short[key]; ok {
+		if v.Network.Addr().Is4() {
+			key := ipv4PrefixKey(v.Network.Addr(), v.Network.Bits())
+			if _, ok := x.byIPv4Prefix[key]; ok {
 				return false
 			}
-			x.short[key] = row
+			x.byIPv4Prefix[key] = row
 		} else {
-			if _, ok := x.prefixes[v.P]; ok {
+			if _, ok := x.byIPv6Prefix[v.Network]; ok {
 				return false
 			}
-			x.prefixes[v.P] = row
+			x.byIPv6Prefix[v.Network] = row
 			family = 1
 		}
-		if l := &x.lengths[family]; !slices.Contains(*l, v.P.Bits()) {
-			*l = append(*l, v.P.Bits())
+		if l := &x.prefixLengths[family]; !slices.Contains(*l, v.Network.Bits()) {
+			*l = append(*l, v.Network.Bits())
 			slices.SortFunc(*l, func(a, b int) int { return b - a })
 		}
 	default:
-		if _, ok := x.nums[v.N]; ok {
+		if _, ok := x.byInt[v.Integer]; ok {
 			return false
 		}
-		x.nums[v.N] = row
+		x.byInt[v.Integer] = row
 	}
 	return true
 }
 
-func (x *index) num(n int64) int32 {
-	if row, ok := x.nums[n]; ok {
+func (x *keyIndex) findInt(n int64) int32 {
+	if row, ok := x.byInt[n]; ok {
 		return row
 	}
 	return -1
 }
 
-func (x *index) str(s string) int32 {
-	if row, ok := x.texts[s]; ok {
+func (x *keyIndex) findString(s string) int32 {
+	if row, ok := x.byString[s]; ok {
 		return row
 	}
 	return -1
 }
 
-// addr finds the longest prefix that holds an address.
-func (x *index) addr(a netip.Addr) int32 {
+// findAddr finds the longest prefix that holds an address.
+func (x *keyIndex) findAddr(a netip.Addr) int32 {
 	a = a.Unmap()
 	if a.Is4() {
-		for _, bits := range x.lengths[0] {
-			if row, ok := x.short[shortKey(a, bits)]; ok {
+		for _, bits := range x.prefixLengths[0] {
+			if row, ok := x.byIPv4Prefix[ipv4PrefixKey(a, bits)]; ok {
 				return row
 			}
 		}
 		return -1
 	}
 	a = a.WithZone("")
-	for _, bits := range x.lengths[1] {
+	for _, bits := range x.prefixLengths[1] {
 		if p, err := a.Prefix(bits); err == nil {
-			if row, ok := x.prefixes[p]; ok {
+			if row, ok := x.byIPv6Prefix[p]; ok {
 				return row
 			}
 		}
@@ -108,19 +108,19 @@
 	return -1
 }
 
-// shortKey is an IPv4 address's first bits, with their number.
-func shortKey(a netip.Addr, bits int) uint64 {
+// ipv4PrefixKey is an IPv4 address's first bits, with their number.
+func ipv4PrefixKey(a netip.Addr, bits int) uint64 {
 	b := a.As4()
 	return uint64(binary.BigEndian.Uint32(b[:])>>(32-bits)<<(32-bits))<<8 | uint64(bits)
 }
 
-// cost is the most steps of one look-up by a key of up to most bytes.
-func (x *index) cost(most int) int64 {
+// lookupCost is the most steps of one look-up by a key of up to most bytes.
+func (x *keyIndex) lookupCost(maxBytes int) int64 {
 	switch x.kind {
 	case String:
-		return 6 + textCost(most)
+		return 6 + scanCost(maxBytes)
 	case Prefix:
-		return 4 + 10*int64(max(len(x.lengths[0]), len(x.lengths[1])))
+		return 4 + 10*int64(max(len(x.prefixLengths[0]), len(x.prefixLengths[1])))
 	}
 	return 6
 }
@@ -128,95 +128,95 @@
 // table is a look-up that has been read.
 type table struct {
 	Table
-	index  *index
-	values []Value
-	miss   Value // what there is no line for
-	most   int   // bytes of a string among the values
+	keyIndex     *keyIndex
+	values       []Value
+	defaultValue Value // what there is no line for
+	maxBytes     int   // bytes of a string among the values
 }
 
-// key is the kind that an expression must have to be looked up.
-func (t *table) key() Kind {
-	if t.Key == Prefix {
+// lookupKind is the kind that an expression must have to be looked up.
+func (t *table) lookupKind() Kind {
+	if t.KeyKind == Prefix {
 		return Addr
 	}
-	return t.Key
+	return t.KeyKind
 }
 
 // readTable reads a table's lines and tells what is wrong with them.
-func (b *builder) readTable(t Table) *table {
-	out := &table{Table: t, index: newIndex(t.Key, min(len(t.Lines), maxLines))}
+func (b *setBuilder) readTable(t Table) *table {
+	out := &table{Table: t, keyIndex: newKeyIndex(t.KeyKind, min(len(t.Lines), maxTableLines))}
 	out.Lines = nil
-	switch t.Key {
+	switch t.KeyKind {
 	case Int, String, Duration, Date, Prefix, Class, Team, Title:
 	default:
-		b.failTable(t, "a table can't have %v for its key", t.Key)
+		b.tableErrorf(t, "a table can't have %v for its key", t.KeyKind)
 		return out
 	}
-	if t.Value == Prefix || t.Value == Addr {
-		b.failTable(t, "a table can't have %v for its value", t.Value)
+	if t.ValueKind == Prefix || t.ValueKind == Addr {
+		b.tableErrorf(t, "a table can't have %v for its value", t.ValueKind)
 		return out
 	}
-	if len(t.Lines) > maxLines {
-		b.failTable(t, "%d lines; a table has at most %d", len(t.Lines), maxLines)
+	if len(t.Lines) > maxTableLines {
+		b.tableErrorf(t, "%d lines; a table has at most %d", len(t.Lines), maxTableLines)
 		return out
 	}
-	if b.lines += len(t.Lines); b.lines > maxAll {
-		b.failTable(t, "%d lines in all tables; at most %d are kept", b.lines, maxAll)
+	if b.tableLines += len(t.Lines); b.tableLines > maxAllLines {
+		b.tableErrorf(t, "%d lines in all tables; at most %d are kept", b.tableLines, maxAllLines)
 		return out
 	}
-	if t.Value != 0 {
-		v, err := b.env.read(t.Value, t.Default)
+	if t.ValueKind != 0 {
+		v, err := b.env.parseValue(t.ValueKind, t.Default)
 		if err != nil {
-			b.failTable(t, "its default: %v", err)
+			b.tableErrorf(t, "its default: %v", err)
 		}
-		out.miss = v
-		out.most = len(v.S)
+		out.defaultValue = v
+		out.maxBytes = len(v.Str)
 		out.values = make([]Value, 0, len(t.Lines))
 	}
 	for row, l := range t.Lines {
-		k, err := b.env.read(t.Key, l.Key)
+		k, err := b.env.parseValue(t.KeyKind, l.Key)
 		if err != nil {
-			b.failLine(l, 0, err.Error())
+			b.lineError(l, 0, err.Error())
 			continue
 		}
-		if !out.index.add(k, int32(row)) {
-			b.failLine(l, 0, fmt.Sprintf("%q stands twice", l.Key))
+		if !out.keyIndex.add(k, int32(row)) {
+			b.lineError(l, 0, fmt.Sprintf("%q stands twice", l.Key))
 			continue
 		}
-		if t.Value == 0 {
+		if t.ValueKind == 0 {
 			continue
 		}
-		v, err := b.env.read(t.Value, l.Value)
+		v, err := b.env.parseValue(t.ValueKind, l.Value)
 		if err != nil {
-			b.failLine(l, 1, err.Error())
+			b.lineError(l, 1, err.Error())
 		}
 		for len(out.values) < row { // faulty lines before
 			out.values = append(out.values, Value{})
 		}
 		out.values = append(out.values, v)
-		out.most = max(out.most, len(v.S))
+		out.maxBytes = max(out.maxBytes, len(v.Str))
 	}
 	return out
 }
 
-// at is the value of a row, or what there is no line for.
-func (t *table) at(row int32) *Value {
+// valueAt is the value of a row, or what there is no line for.
+func (t *table) valueAt(row int32) *Value {
 	if row < 0 {
-		return &t.miss
+		return &t.defaultValue
 	}
 	return &t.values[row]
 }
 
-// read understands the text of a table's key or value.
-func (e *Env) read(k Kind, text string) (Value, error) {
-	v := Value{Kind: k, Cell: Cell{OK: true}}
+// parseValue understands the text of a table's key or value.
+func (e *Env) parseValue(k Kind, text string) (Value, error) {
+	v := Value{Kind: k, RawValue: RawValue{Present: true}}
 	bad := func(what string) (Value, error) { return v, fmt.Errorf("%q is no %s", text, what) }
 	var err error
 	switch k {
 	case Bool:
 		switch text {
 		case "true", "yes", "on":
-			v.B = true
+			v.IsTrue = true
 		case "false", "no", "off":
 		default:
 			return bad("bool")
@@ -226,24 +226,24 @@
 		if hex, ok := strings.CutPrefix(digits, "0x"); ok {
 			digits, base = hex, 16
 		}
-		if v.N, err = strconv.ParseInt(digits, base, 64); err != nil {
+		if v.Integer, err = strconv.ParseInt(digits, base, 64); err != nil {
 			return bad("whole number")
 		}
 	case Float:
-		if v.F, err = strconv.ParseFloat(text, 64); err != nil || v.F != v.F || v.F-v.F != 0 {
+		if v.Float64, err = strconv.ParseFloat(text, 64); err != nil || v.Float64 != v.Float64 || v.Float64-v.Float64 != 0 {
 			return bad("number")
 		}
 	case String:
-		if len(text) > maxString {
-			return v, fmt.Errorf("a string of %d bytes; at most %d are kept", len(text), maxString)
+		if len(text) > maxStringBytes {
+			return v, fmt.Errorf("a string of %d bytes; at most %d are kept", len(text), maxStringBytes)
 		}
-		v.S = text
+		v.Str = text
 	case Duration:
 		d, err := time.ParseDuration(text)
 		if err != nil {
 			return bad("duration, as in 250ms or 1h30m")
 		}
-		v.N = int64(d)
+		v.Integer = int64(d)
 	case Clock:
 		t, err := time.Parse("15:04:05", text)
 		if err != nil {
@@ -251,21 +251,21 @@
 				return bad("time of day, as in 18:30")
 			}
 		}
-		v.N = int64(t.Sub(t.Truncate(24 * time.Hour)))
+		v.Integer = int64(t.Sub(t.Truncate(24 * time.Hour)))
 	case Date:
 		t, err := time.Parse(time.DateOnly, text)
 		if err != nil {
 			return bad("date, as in 2026-12-15")
 		}
-		v.N = t.Unix() / 86400
+		v.Integer = t.Unix() / 86400
 		if t.Unix() < 0 && t.Unix()%86400 != 0 {
-			v.N--
+			v.Integer--
 		}
 	case Addr:
-		if v.A, err = netip.ParseAddr(text); err != nil {
+		if v.IP, err = netip.ParseAddr(text); err != nil {
 			return bad("address")
 		}
-		v.A = v.A.Unmap()
+		v.IP = v.IP.Unmap()
 	case Prefix:
 		p, err := netip.ParsePrefix(text)
 		if err != nil {
@@ -274,20 +274,20 @@
 		if p.Masked() != p {
 			return v, fmt.Errorf("%q has bits set behind its length; %v has not", text, p.Masked())
 		}
-		v.P = p
+		v.Network = p
 	case Title:
 		n, err := strconv.ParseUint(text, 16, 64)
 		if err != nil || len(text) > 16 {
 			return bad("title of up to 16 hexadecimal digits")
 		}
-		v.N = int64(n)
+		v.Integer = int64(n)
 	case Class, Team:
 		names := e.Classes
 		if k == Team {
 			names = e.Teams
 		}
-		v.N = int64(slices.Index(names, text))
-		if v.N < 0 && text != "none" {
+		v.Integer = int64(slices.Index(names, text))
+		if v.Integer < 0 && text != "none" {
 			return v, fmt.Errorf("%q is no %v of this deployment%s", text, k, spell.Suggest(text, names))
 		}
 	}
--- a/internal/rules/types.go
+++ b/internal/rules/types.go
@@ -37,16 +37,16 @@
 	Team
 	Title
 
-	nothing // the literal none, until it is known of what
+	untypedNone // the literal none, until it is known of what
 )
 
 var kindNames = [...]string{"", "bool", "int", "float", "string", "duration", "clock", "date", "addr", "prefix", "class", "team", "title", "none"}
 
 func (k Kind) String() string { return kindNames[k] }
 
-// KindOf returns the kind of a name, or 0.
-func KindOf(name string) Kind {
-	for k := Bool; k < nothing; k++ {
+// KindByName returns the kind of a name, or 0.
+func KindByName(name string) Kind {
+	for k := Bool; k < untypedNone; k++ {
 		if kindNames[k] == name {
 			return k
 		}
@@ -67,97 +67,97 @@
 	return t.Kind.String()
 }
 
-// form is how a kind is held when evaluated.
-type form uint8
+// representation is how a kind is held when evaluated.
+type representation uint8
 
 const (
-	asBool form = iota
-	asNum
-	asFloat
-	asText
-	asAddr
-	asPrefix // constants only
+	reprBool representation = iota
+	reprInt
+	reprFloat
+	reprString
+	reprAddr
+	reprPrefix // constants only
 )
 
-func (k Kind) form() form {
+func (k Kind) representation() representation {
 	switch k {
 	case Bool:
-		return asBool
+		return reprBool
 	case Float:
-		return asFloat
+		return reprFloat
 	case String:
-		return asText
+		return reprString
 	case Addr:
-		return asAddr
+		return reprAddr
 	case Prefix:
-		return asPrefix
+		return reprPrefix
 	}
-	return asNum
+	return reprInt
 }
 
-// Cell holds a value of any kind; which field counts is the kind's.
-type Cell struct {
-	N  int64
-	F  float64
-	S  string
-	A  netip.Addr
-	B  bool
-	OK bool // it is not absent
+// RawValue holds a value of any kind; which field counts is the kind's.
+type RawValue struct {
+	Integer int64
+	Float64 float64
+	Str     string
+	IP      netip.Addr
+	IsTrue  bool
+	Present bool // it is not absent
 }
 
 // Value is a cell with its kind.
 type Value struct {
 	Kind Kind
-	Cell
-	P netip.Prefix
+	RawValue
+	Network netip.Prefix
 }
 
-// Show words a value for people.
-func (e *Env) Show(v Value) string {
-	if !v.OK {
+// FormatValue words a value for people.
+func (e *Env) FormatValue(v Value) string {
+	if !v.Present {
 		return "absent"
 	}
 	switch v.Kind {
 	case Bool:
-		return strconv.FormatBool(v.B)
+		return strconv.FormatBool(v.IsTrue)
 	case Float:
-		return strconv.FormatFloat(v.F, 'g', -1, 64)
+		return strconv.FormatFloat(v.Float64, 'g', -1, 64)
 	case String:
-		return strconv.Quote(v.S)
+		return strconv.Quote(v.Str)
 	case Duration:
-		return time.Duration(v.N).String()
+		return time.Duration(v.Integer).String()
 	case Clock:
-		return time.Unix(0, v.N).UTC().Format("15:04:05")
+		return time.Unix(0, v.Integer).UTC().Format("15:04:05")
 	case Date:
-		return day(v.N).Format(time.DateOnly)
+		return dateTime(v.Integer).Format(time.DateOnly)
 	case Addr:
-		return v.A.String()
+		return v.IP.String()
 	case Prefix:
-		return v.P.String()
+		return v.Network.String()
 	case Class:
-		return nameOf(e.Classes, v.N)
+		return nameAt(e.Classes, v.Integer)
 	case Team:
-		return nameOf(e.Teams, v.N)
+		return nameAt(e.Teams, v.Integer)
 	case Title:
-		return fmt.Sprintf("%016x", uint64(v.N))
+		return fmt.Sprintf("%016x", uint64(v.Integer))
 	}
-	return strconv.FormatInt(v.N, 10)
+	return strconv.FormatInt(v.Integer, 10)
 }
 
-func nameOf(names []string, n int64) string {
+func nameAt(names []string, n int64) string {
 	if n < 0 || n >= int64(len(names)) {
 		return "none"
 	}
 	return names[n]
 }
 
-// day is the date that a number of days stands for.
-func day(n int64) time.Time { return time.Unix(n*86400, 0).UTC() }
+// dateTime is the date that a number of days stands for.
+func dateTime(n int64) time.Time { return time.Unix(n*86400, 0).UTC() }
 
 // The first and last dates.
 var (
-	firstDay = time.Date(1, 1, 1, 0, 0, 0, 0, time.UTC).Unix() / 86400
-	lastDay  = time.Date(9999, 12, 31, 0, 0, 0, 0, time.UTC).Unix() / 86400
+	firstDate = time.Date(1, 1, 1, 0, 0, 0, 0, time.UTC).Unix() / 86400
+	lastDate  = time.Date(9999, 12, 31, 0, 0, 0, 0, time.UTC).Unix() / 86400
 )
 
 // Var is something that expressions may refer to by its name.
@@ -165,15 +165,15 @@
 	Name     string
 	Kind     Kind
 	Optional bool
-	Most     int // bytes of a string; a longer one is absent
+	MaxBytes int // bytes of a string; a longer one is absent
 	Doc      string
 }
 
-// TextVar is a family of optional strings that expressions refer to as NAME("x").
-type TextVar struct {
-	Name string
-	Most int // bytes; a longer one is absent
-	Doc  string
+// TextFamily is a family of optional strings that expressions refer to as NAME("x").
+type TextFamily struct {
+	Name     string
+	MaxBytes int // bytes; a longer one is absent
+	Doc      string
 }
 
 // TextRef is one of a family that a set refers to.
@@ -184,66 +184,66 @@
 
 // Target is something that a rule may set.
 type Target struct {
-	Name string
-	Kind Kind
-	Sub  bool // NAME.x for any x
-	Most int  // bytes of a string
+	Name       string
+	Kind       Kind
+	HasSubname bool // NAME.x for any x
+	MaxBytes   int  // bytes of a string
 }
 
 // Env is what the rules of a set may refer to, and their limits.
 type Env struct {
-	Classes []string
-	Teams   []string
-	Vars    []Var
-	Texts   []TextVar
-	Targets []Target
+	Classes      []string
+	Teams        []string
+	Vars         []Var
+	TextFamilies []TextFamily
+	Targets      []Target
 	// Class is the position in Vars of the request's class. It is special: rules
 	// are checked, and compiled, once for each class.
-	Class int
+	ClassVar int
 	// Becomes tells why a request of class from, -1 if it has none, may not be
 	// given class to.
-	Becomes func(from, to int) error
+	CheckClassChange func(from, to int) error
 	// Zone finds a time zone; Local is the one of clock and today.
-	Zone  func(name string) (*time.Location, error)
-	Local string
+	LoadZone  func(name string) (*time.Location, error)
+	LocalZone string
 	// Budget is the most that the evaluation of a set may cost, in steps; 0 means
 	// DefaultBudget.
-	Budget int64
+	StepBudget int64
 	// Trace keeps what Explain needs.
 	Trace bool
 }
 
 // Bounds of a set of rules.
 const (
-	DefaultBudget = 50_000
-	MostBudget    = 1_000_000
+	DefaultStepBudget = 50_000
+	MaxStepBudget     = 1_000_000
 
-	maxText    = 8 << 10 // bytes of an expression
-	maxNesting = 48      // of brackets, and of if and let
-	maxDepth   = 300     // of its tree
-	maxChain   = 50      // of definitions that use each other
-	maxString  = 4 << 10 // bytes of a string
-	maxArena   = 1 << 20 // bytes of all strings that a set may make for a request
-	maxPattern = 512     // bytes of a regular expression or glob
-	maxProgram = 1_000   // instructions of a compiled regular expression
-	maxRules   = 10_000
-	maxDefs    = 2_000
-	maxTables  = 200
-	maxLines   = 100_000 // of a table
-	maxAll     = 400_000 // of all tables
-	maxName    = 64
-	maxBuckets = 1 << 20
-	maxClasses = 62
-	maxTexts   = 64
-	maxZones   = 16
+	maxExprBytes       = 8 << 10 // bytes of an expression
+	maxNesting         = 48      // of brackets, and of if and let
+	maxTreeDepth       = 300     // of its tree
+	maxDefinitionChain = 50      // of definitions that use each other
+	maxStringBytes     = 4 << 10 // bytes of a string
+	maxBuiltBytes      = 1 << 20 // bytes of all strings that a set may make for a request
+	maxPatternBytes    = 512     // bytes of a regular expression or glob
+	maxPatternInsts    = 1_000   // instructions of a compiled regular expression
+	maxRules           = 10_000
+	maxDefinitions     = 2_000
+	maxTables          = 200
+	maxTableLines      = 100_000 // of a table
+	maxAllLines        = 400_000 // of all tables
+	maxNameBytes       = 64
+	maxBuckets         = 1 << 20
+	maxClasses         = 62
+	maxTextRefs        = 64
+	maxZones           = 16
 )
 
 // Source is a text and where to tell what is wrong with it, by the byte at which
 // it is.
 type Source struct {
-	Text   string
-	Fault  func(at int, msg string)
-	Remark func(at int, msg string) // what is no fault but may surprise; may be nil
+	Text          string
+	ReportError   func(at int, msg string)
+	ReportWarning func(at int, msg string) // what is no fault but may surprise; may be nil
 }
 
 // Rule is one rule: "when CONDITION set TARGET = VALUE, …". Both parts may be
@@ -261,16 +261,16 @@
 
 // Table is a named look-up. Without a value's kind it is a set.
 type Table struct {
-	Name    string
-	Key     Kind
-	Value   Kind // 0: none
-	Default string
-	Lines   []Line
-	Fault   func(msg string) // of the table as a whole
+	Name        string
+	KeyKind     Kind
+	ValueKind   Kind // 0: none
+	Default     string
+	Lines       []TableLine
+	ReportError func(msg string) // of the table as a whole
 }
 
-// Line is one of a table's.
-type Line struct {
-	Key, Value string
-	Fault      func(argument int, msg string) // 0: the key, 1: the value
+// TableLine is one of a table's.
+type TableLine struct {
+	Key, Value  string
+	ReportError func(argument int, msg string) // 0: the key, 1: the value
 }
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -16,7 +16,7 @@
 // names, and returns a function that leaves it. Without a fleet block in the file, it
 // starts nothing.
 func joinFleet(ctx context.Context, group *errgroup.Group, cfg *config.Config, log *zap.Logger) (leave func(), err error) {
-	c, ok := cfg.Membership()
+	c, ok := cfg.MemberConfig()
 	if !ok {
 		return func() {}, nil
 	}
