--- a/internal/agreed/message.go
+++ b/internal/agreed/message.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var decoder = func() cbor.DecMode {
+var cborDecMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 18, MaxMapPairs: 1 << 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -16,81 +16,85 @@
 	return m
 }()
 
-// A message has one of its parts set.
+// message is a message between managers. One field is set.
 type message struct {
-	Raft   *raftPart   `cbor:"1,keyasint,omitempty"`
-	Renew  *renewal    `cbor:"2,keyasint,omitempty"`
-	Grant  *grant      `cbor:"3,keyasint,omitempty"`
-	Submit *submission `cbor:"4,keyasint,omitempty"`
-	Told   *told       `cbor:"5,keyasint,omitempty"`
-	Join   *Member     `cbor:"6,keyasint,omitempty"`
-	Poke   *poke       `cbor:"7,keyasint,omitempty"`
+	Raft         *raftMessage      `cbor:"1,keyasint,omitempty"`
+	Renewal      *renewal          `cbor:"2,keyasint,omitempty"`
+	Grant        *grant            `cbor:"3,keyasint,omitempty"`
+	Submission   *submission       `cbor:"4,keyasint,omitempty"`
+	Result       *submissionResult `cbor:"5,keyasint,omitempty"`
+	Join         *Replica          `cbor:"6,keyasint,omitempty"`
+	Notification *notification     `cbor:"7,keyasint,omitempty"`
 }
 
-// raftPart is a message of the log's engine.
-type raftPart struct {
+// raftMessage carries a message of raft.
+type raftMessage struct {
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint"`
 }
 
-// renewal asks for a lease, and tells what the holder knows: it keeps to all of that.
+// renewal requests a lease. It has the versions that the holder knows of, which bind it.
 type renewal struct {
-	Holder uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
-	Seq    uint64 `cbor:"2,keyasint"`
-	Force  uint64 `cbor:"3,keyasint,omitempty"`
-	Next   uint64 `cbor:"4,keyasint,omitempty"`
+	HolderID uint64 `cbor:"1,keyasint"` // differs after each start of the holder
+	Seq      uint64 `cbor:"2,keyasint"`
+	InForce  uint64 `cbor:"3,keyasint,omitempty"`
+	Pending  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// grant is the answer: a lease on what is in force, and what is to come.
+// grant answers a renewal with a lease on the version in force, and the pending version.
 type grant struct {
-	Holder uint64   `cbor:"1,keyasint"`
-	Seq    uint64   `cbor:"2,keyasint"`
-	Force  uint64   `cbor:"3,keyasint,omitempty"`
-	Next   uint64   `cbor:"4,keyasint,omitempty"`
-	Docs   [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
+	HolderID         uint64   `cbor:"1,keyasint"`
+	Seq              uint64   `cbor:"2,keyasint"`
+	InForce          uint64   `cbor:"3,keyasint,omitempty"`
+	Pending          uint64   `cbor:"4,keyasint,omitempty"`
+	EncodedDocuments [][]byte `cbor:"5,keyasint,omitempty"` // those of the two that the holder does not have
 }
 
+// submission submits a new version to the leader.
 type submission struct {
-	Doc []byte `cbor:"1,keyasint"`
+	EncodedDocument []byte `cbor:"1,keyasint"`
 }
 
-// told is what became of a submission.
-type told struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Hash    uint64 `cbor:"2,keyasint"`
-	What    what   `cbor:"3,keyasint"`
-	Last    uint64 `cbor:"4,keyasint,omitempty"`
-	Reason  string `cbor:"5,keyasint,omitempty"`
+// submissionResult answers a submission.
+type submissionResult struct {
+	Version     uint64  `cbor:"1,keyasint"`
+	Hash        uint64  `cbor:"2,keyasint"`
+	Outcome     outcome `cbor:"3,keyasint"`
+	LastVersion uint64  `cbor:"4,keyasint,omitempty"`
+	Reason      string  `cbor:"5,keyasint,omitempty"`
 }
 
-type what int
+// outcome is the outcome of a submission.
+type outcome int
 
 const (
-	accepted what = iota
-	bad
-	conflict
-	gap
-	busy // not sent: the manager asks again
+	outcomeAccepted outcome = iota
+	outcomeInvalid
+	outcomeConflict
+	outcomeGap
+	outcomeBusy // not sent: the manager submits again
 )
 
-// poke says that there is news, or, with Lead, who leads.
-type poke struct {
-	Lead string `cbor:"1,keyasint,omitempty"`
+// notification tells that there is a new version to ask for or, if Leader is set, who the
+// leader is.
+type notification struct {
+	Leader string `cbor:"1,keyasint,omitempty"`
 }
 
-var errSpoilt = errors.New("a spoilt message")
+var errCorrupt = errors.New("message checksum mismatch")
 
-// pack is a message in bytes, after a sum of them: TCP's own lets one in 65,536 pass.
-func pack(m *message) []byte {
+// marshalMessage encodes a message behind a checksum of it: TCP's own checksum misses one error
+// in 65,536.
+func marshalMessage(m *message) []byte {
 	body := encode(m)
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), xxhash.Sum64(body)), body...)
 }
 
-func unpack(b []byte) (*message, error) {
+func unmarshalMessage(b []byte) (*message, error) {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
-		return nil, errSpoilt
+		return nil, errCorrupt
 	}
 	m := new(message)
-	return m, decoder.Unmarshal(b[8:], m)
+	return m, cborDecMode.Unmarshal(b[8:], m)
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -20,7 +20,7 @@
 	Listen          string   // IP:PORT for TCP and UDP; empty: nothing is sent, and all members count as present
 	Address         string   // IP:PORT at which the other managers reach this one; empty: Listen
 	Join            []string // addresses of members to ask at the start
-	Members         []member.Named
+	Members         []member.ConfiguredMember
 	MemberAddresses map[string][2]string // by member's name, its TCP and UDP address as seen from here, where they differ from what it announces
 	Keys            [][]byte             // the first encrypts, any of them decrypts
 	Voters          []string             // names of the members that decide for all
@@ -36,7 +36,7 @@
 	return conf.Keyword{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Apply: func(d *conf.Directive) {
 		fleet := &Fleet{MemberAddresses: map[string][2]string{}}
 		checkMember := func(d *conf.Directive, name string) {
-			if !slices.ContainsFunc(fleet.Members, func(m member.Named) bool { return m.Name == name }) && !d.HasFault() {
+			if !slices.ContainsFunc(fleet.Members, func(m member.ConfiguredMember) bool { return m.Name == name }) && !d.HasFault() {
 				d.ReportFault(d.ArgumentIndex(), "%q is none of the members; name them before", name)
 			}
 		}
@@ -44,8 +44,8 @@
 		d.Block(
 			conf.Keyword{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Repeatable: true, Required: true, Apply: func(d *conf.Directive) {
 				for first := true; (first || d.More()) && !d.HasFault(); first = false {
-					m := member.Named{Name: readFleetName(d, "a manager's name")}
-					if slices.ContainsFunc(fleet.Members, func(other member.Named) bool { return other.Name == m.Name }) && !d.HasFault() {
+					m := member.ConfiguredMember{Name: readFleetName(d, "a manager's name")}
+					if slices.ContainsFunc(fleet.Members, func(other member.ConfiguredMember) bool { return other.Name == m.Name }) && !d.HasFault() {
 						d.ReportFault(d.ArgumentIndex(), "%q is a member already", m.Name)
 					}
 					m.Site = readFleetName(d, "the site of "+m.Name)
@@ -110,7 +110,7 @@
 // checkFleet reports settings of the fleet's block that don't fit together or don't fit
 // the rest of the configuration. listen is the block's listen line, or nil.
 func (l *loader) checkFleet(d, listen *conf.Directive, fleet *Fleet) {
-	self := slices.IndexFunc(fleet.Members, func(m member.Named) bool { return m.Name == l.deployment.Name })
+	self := slices.IndexFunc(fleet.Members, func(m member.ConfiguredMember) bool { return m.Name == l.deployment.Name })
 	if self < 0 && len(fleet.Members) > 0 && l.deployment.Name != "" {
 		d.ReportFault(0, "%q, the name of this manager, is none of the members", l.deployment.Name)
 	}
@@ -212,7 +212,7 @@
 	if fleet == nil {
 		return m, false
 	}
-	m = member.Config{Self: member.Meta{Name: c.Name, Address: fleet.Address}, Named: fleet.Members, Join: fleet.Join, Listen: fleet.Listen, At: fleet.MemberAddresses, Keys: fleet.Keys}
+	m = member.Config{Self: member.Meta{Name: c.Name, Address: fleet.Address}, ConfiguredMembers: fleet.Members, JoinAddresses: fleet.Join, ListenAddress: fleet.Listen, AddressOverrides: fleet.MemberAddresses, EncryptionKeys: fleet.Keys}
 	for _, named := range fleet.Members {
 		if named.Name == c.Name {
 			m.Self.Site = named.Site
--- a/internal/member/book.go
+++ b/internal/member/book.go
@@ -8,84 +8,88 @@
 	"millethinge/internal/stall"
 )
 
-// Times of a Book.
+// Time-outs of a Tracker.
 const (
-	// suspectFor is the longest that a suspicion lasts that is neither confirmed nor
-	// denied: by then the carrier has said that the member is lost, or it answered.
-	suspectFor = 30 * time.Second
-	// twinFor is how long one that met another of its name stays refused without
-	// meeting it again. It asks again each joinEvery.
-	twinFor = 3 * joinEvery
+	// maxSuspicion bounds a suspicion that is neither confirmed nor cleared: by then the
+	// failure detector has declared the member lost, or the member has answered.
+	maxSuspicion = 30 * time.Second
+	// duplicateTimeout is how long a member stays refused after it last heard of the earlier
+	// started member of its name. While it participates, it contacts a member every
+	// joinInterval.
+	duplicateTimeout = 3 * joinInterval
 )
 
-// Status is what is known of a member.
+// Status is the state of a member as another member knows it.
 type Status int
 
+// The states of a member.
 const (
-	Unheard   Status = iota // named in the file, and never heard of
-	Here                    // in view
-	Suspect                 // in view, but it doesn't answer
-	Lost                    // it doesn't answer, and others say so, too, or can't be asked
-	Departing               // in view, and it has said that it leaves
-	Gone                    // it left
+	StatusUnheard Status = iota // configured, and never heard of
+	StatusAlive                 // present
+	StatusSuspect               // present, but it does not answer probes
+	StatusLost                  // it does not answer, and other members confirm that or can't be asked
+	StatusLeaving               // still running, and it has announced that it leaves
+	StatusLeft                  // it announced that it leaves, and is gone
 )
 
 func (s Status) String() string {
 	return [...]string{"unheard", "here", "suspect", "lost", "departing", "left"}[s]
 }
 
-// InView tells whether a member of this status is counted upon.
-func (s Status) InView() bool { return s == Here || s == Suspect }
+// Present reports whether a member of this status counts towards the quorum.
+func (s Status) Present() bool { return s == StatusAlive || s == StatusSuspect }
 
-// Meta is what a member tells of itself.
+// Meta is what a member announces about itself.
 type Meta struct {
 	Name    string
 	Site    string
-	Address string // at which it is reached
-	// Started names one life of a member: by the clock of its machine, ns since 1970.
-	// Of two under one name the one that started later is the younger; clocks that are
-	// apart may turn that round, but all take the same one for it.
-	Started int64
-	Leaves  bool
+	Address string // at which other members reach it
+	// StartedUnixNano is the member's start time by the clock of its machine. It identifies an
+	// incarnation. Of two members with one name, the one that started later is refused; clock
+	// skew may reverse the order, but all members choose the same one.
+	StartedUnixNano int64
+	Leaving         bool
 }
 
-// older tells whether a is the elder of two of one name.
-func (m Meta) older(o Meta) bool {
-	return cmp.Or(cmp.Compare(m.Started, o.Started), cmp.Compare(m.Address, o.Address)) < 0
+// startedBefore reports whether m started before other, a member with the same name. The
+// address decides between equal start times.
+func (m Meta) startedBefore(other Meta) bool {
+	return cmp.Or(cmp.Compare(m.StartedUnixNano, other.StartedUnixNano), cmp.Compare(m.Address, other.Address)) < 0
 }
 
-// same tells whether two are one life of one member.
-func (m Meta) same(o Meta) bool {
-	return m.Name == o.Name && m.Started == o.Started && m.Address == o.Address
+// sameIncarnation reports whether m and other are the same incarnation of the same member.
+func (m Meta) sameIncarnation(other Meta) bool {
+	return m.Name == other.Name && m.StartedUnixNano == other.StartedUnixNano && m.Address == other.Address
 }
 
-// Named is a member that the file names.
-type Named struct{ Name, Site string }
+// ConfiguredMember is a member that the configuration names.
+type ConfiguredMember struct{ Name, Site string }
 
-// Member is one of a View.
+// Member is a member of the fleet in a View.
 type Member struct {
 	Meta
 	Status Status
-	Since  time.Time // of the status
+	Since  time.Time // when Status was reached
 }
 
-// View is who is there, as one member knows it. Views of one life are numbered from 1;
-// another member's numbers mean nothing beside these.
+// View is the membership of the fleet as one member knows it. The views of an incarnation are
+// numbered from 1; numbers of different members or incarnations are not comparable.
 type View struct {
-	Number  int64
-	Self    string
-	Members []Member // all that are named, in the order of their names
-	InView  int      // how many of them are counted upon
-	// Alone: a majority of the named fleet is not in view, so that this may be the part
-	// that was cut off. Two halves of an even fleet are both alone.
-	Alone bool
-	// Stale: the program stood still, and nobody has been heard since.
+	Number       int64
+	Self         string
+	Members      []Member // all configured members, sorted by name
+	PresentCount int      // how many of them are present, itself included
+	// NoQuorum is set while no majority of the configured members is present: this member may
+	// be in the smaller part of a network partition. Neither half of an even fleet has a quorum.
+	NoQuorum bool
+	// Stale is set after a process pause until another member answers.
 	Stale bool
-	// Refused: an elder of the same name is there; nobody has this one in view.
-	Refused bool
+	// RefusedAsDuplicate is set while a member of the same name that started earlier is
+	// present; no other member admits this one.
+	RefusedAsDuplicate bool
 }
 
-// Find returns the member of a name, or nil.
+// Find returns the member with the given name, or nil.
 func (v View) Find(name string) *Member {
 	i, ok := slices.BinarySearchFunc(v.Members, name, func(m Member, n string) int { return cmp.Compare(m.Name, n) })
 	if !ok {
@@ -94,274 +98,279 @@
 	return &v.Members[i]
 }
 
-// What tells what has happened.
-type What string
+// EventKind is the kind of an Event.
+type EventKind string
 
-// Events.
+// Kinds of events.
 const (
-	Joined     What = "joined"
-	Restarted  What = "restarted" // under its name, in another life
-	Suspected  What = "suspected"
-	Cleared    What = "cleared" // of suspicion
-	WasLost    What = "lost"
-	Healed     What = "healed" // it was lost, and is there again in the same life
-	Departs    What = "leaves"
-	Left       What = "left"
-	Stranger   What = "stranger" // the file doesn't name it; it is not let in
-	Twin       What = "twin"     // two of one name: the younger is refused
-	IsAlone    What = "alone"
-	InCompany  What = "in-company"
-	Stood      What = "stood-still"
-	Fresh      What = "heard-again"
-	WasRefused What = "refused" // this one, for an elder of its name
-	LetIn      What = "let-in"  // this one, after that
+	EventJoined           EventKind = "joined"
+	EventRestarted        EventKind = "restarted" // another incarnation of the member is present
+	EventSuspected        EventKind = "suspected"
+	EventSuspicionCleared EventKind = "cleared" // a suspicion ended
+	EventLost             EventKind = "lost"
+	EventRecovered        EventKind = "healed" // it was lost, and is present again in the same incarnation
+	EventLeaving          EventKind = "leaves"
+	EventLeft             EventKind = "left"
+	EventUnknownMember    EventKind = "stranger" // not configured, or not readable; it is not admitted
+	EventDuplicateName    EventKind = "twin"     // two members with one name: the one that started later is refused
+	EventQuorumLost       EventKind = "alone"
+	EventQuorumRegained   EventKind = "in-company"
+	EventProcessPaused    EventKind = "stood-still"
+	EventViewRefreshed    EventKind = "heard-again"
+	EventSelfRefused      EventKind = "refused" // this member, as a member of its name started earlier
+	EventSelfAdmitted     EventKind = "let-in"  // this member, after EventSelfRefused
 )
 
-// Event is a change of a View.
+// Event is a change of the membership, or a member that was not admitted.
 type Event struct {
-	What   What
-	View   int64 // the number of the view that it led to
-	Member Meta
-	Other  Meta // of a twin: the younger
+	Kind       EventKind
+	ViewNumber int64 // number of the view that resulted
+	Member     Meta
+	Duplicate  Meta // of EventDuplicateName: the member that started later
 }
 
-// Book keeps who is there from what a carrier reports. It does no I/O and reads no
-// clock: times are arguments, from one that goes on while the program stands. It is for
-// one goroutine.
-type Book struct {
-	self    Meta
-	view    View
-	copied  View              // of view, for others
-	twins   map[[2]int64]bool // told already, by both lives
-	strange map[string]bool
-	refused time.Time // when an elder was met last; zero: none
-	watch   stall.Detector
-	events  []Event
+// Tracker maintains the View from the reports of a membership protocol. It does no I/O and
+// reads no clock: times are arguments, from a clock that continues during a process pause. It
+// is not safe for concurrent use.
+type Tracker struct {
+	self               Meta
+	view               View
+	snapshot           View              // copy of view for callers
+	reportedDuplicates map[[2]int64]bool // by the start times of both
+	reportedUnknown    map[string]bool
+	duplicateSeenAt    time.Time // when an earlier started member of its name was last heard of; zero: never
+	pauseDetector      stall.Detector
+	pendingEvents      []Event
 }
 
-// mostTold bounds how many strangers and twins are remembered as told.
-const mostTold = 1000
+// maxReported bounds each of the sets of unknown members and duplicate names that have been
+// reported and are not reported again.
+const maxReported = 1000
 
-// NewBook returns the Book of a member at its start. named includes itself.
-func NewBook(self Meta, named []Named, now time.Time) *Book {
-	b := &Book{self: self, twins: map[[2]int64]bool{}, strange: map[string]bool{}}
-	b.view = View{Number: 1, Self: self.Name}
-	for _, n := range named {
+// NewTracker returns the Tracker of a member that has just started. The configured members
+// include the member itself.
+func NewTracker(self Meta, configured []ConfiguredMember, now time.Time) *Tracker {
+	t := &Tracker{self: self, reportedDuplicates: map[[2]int64]bool{}, reportedUnknown: map[string]bool{}}
+	t.view = View{Number: 1, Self: self.Name}
+	for _, n := range configured {
 		m := Member{Meta: Meta{Name: n.Name, Site: n.Site}, Since: now}
 		if n.Name == self.Name {
-			m.Meta, m.Status = self, Here
+			m.Meta, m.Status = self, StatusAlive
 		}
-		b.view.Members = append(b.view.Members, m)
+		t.view.Members = append(t.view.Members, m)
 	}
-	slices.SortFunc(b.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	b.watch.Reset(now)
-	b.count()
-	return b
+	slices.SortFunc(t.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	t.pauseDetector.Reset(now)
+	t.recount()
+	return t
 }
 
-// View is the present view. Its members are not to be changed. It is made once for each
-// number: nothing of a view changes without a new one.
-func (b *Book) View() View {
-	if b.copied.Number != b.view.Number {
-		b.copied = b.view
-		b.copied.Members = slices.Clone(b.view.Members)
+// View returns the current view. The caller must not modify its members. It is copied once
+// for each number, since a view never changes without a new number.
+func (t *Tracker) View() View {
+	if t.snapshot.Number != t.view.Number {
+		t.snapshot = t.view
+		t.snapshot.Members = slices.Clone(t.view.Members)
 	}
-	return b.copied
+	return t.snapshot
 }
 
-// Admit tells whether a carrier is to let in a member that it hears of: the file names
-// it, and it is no younger twin. It is what Alive does, without a change.
-func (b *Book) Admit(m Meta) bool {
-	o := b.view.Find(m.Name)
-	return o != nil && !(o.Status.InView() && o.Address != m.Address && o.older(m))
+// Admits reports whether the membership protocol may admit a member: it is configured, and no
+// member of its name that started earlier is present. It decides as RecordAlive does, and
+// changes nothing.
+func (t *Tracker) Admits(m Meta) bool {
+	known := t.view.Find(m.Name)
+	return known != nil && !(known.Status.Present() && known.Address != m.Address && known.startedBefore(m))
 }
 
-// Alive reports that a carrier has a member among those that are there.
-func (b *Book) Alive(m Meta, now time.Time) []Event {
-	o := b.view.Find(m.Name)
+// RecordAlive records that the membership protocol has m among the live members.
+func (t *Tracker) RecordAlive(m Meta, now time.Time) []Event {
+	known := t.view.Find(m.Name)
 	switch {
-	case o == nil:
-		b.stranger(m)
-		return b.done(now)
-	case m.Name == b.self.Name:
-		if !m.same(b.self) {
-			b.met(b.self, m, now)
+	case known == nil:
+		t.addUnknown(m)
+		return t.finishUpdate(now)
+	case m.Name == t.self.Name:
+		if !m.sameIncarnation(t.self) {
+			t.addDuplicate(t.self, m, now)
 		}
-		return b.done(now)
-	case o.Status.InView() && !o.same(m) && o.Address != m.Address:
-		// The carrier has said nothing of an end of the one in view. If that is the
-		// younger one, the elder takes its place.
-		b.met(o.Meta, m, now)
-		if o.older(m) {
-			return b.done(now)
+		return t.finishUpdate(now)
+	case known.Status.Present() && !known.sameIncarnation(m) && known.Address != m.Address:
+		// The protocol has not reported the present member as gone. If that one started
+		// later, m takes its place.
+		t.addDuplicate(known.Meta, m, now)
+		if known.startedBefore(m) {
+			return t.finishUpdate(now)
 		}
 	}
-	was, before := o.Status, o.Meta
-	o.Meta = m
-	to := Here
+	previousStatus, previous := known.Status, known.Meta
+	known.Meta = m
+	status := StatusAlive
 	switch {
-	case m.Leaves:
-		to = Departing
-	case was == Suspect && before.same(m):
-		to = Suspect // hearsay; what clears it is Answered
+	case m.Leaving:
+		status = StatusLeaving
+	case previousStatus == StatusSuspect && previous.sameIncarnation(m):
+		status = StatusSuspect // second-hand information; only RecordAck clears a suspicion
 	}
-	if was != to || !before.same(m) {
-		o.Status, o.Since = to, now
+	if previousStatus != status || !previous.sameIncarnation(m) {
+		known.Status, known.Since = status, now
 		switch {
-		case to == Departing:
-			b.tell(Departs, m)
-		case was == Unheard || was == Gone && !before.same(m):
-			b.tell(Joined, m)
-		case !before.same(m):
-			b.tell(Restarted, m)
+		case status == StatusLeaving:
+			t.addEvent(EventLeaving, m)
+		case previousStatus == StatusUnheard || previousStatus == StatusLeft && !previous.sameIncarnation(m):
+			t.addEvent(EventJoined, m)
+		case !previous.sameIncarnation(m):
+			t.addEvent(EventRestarted, m)
 		default:
-			b.tell(Healed, m)
+			t.addEvent(EventRecovered, m)
 		}
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Answered reports that a member itself has answered just now.
-func (b *Book) Answered(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		b.fresh()
-		if o.Status == Suspect {
-			o.Status, o.Since = Here, now
-			b.tell(Cleared, o.Meta)
+// RecordAck records that the member itself has answered at now.
+func (t *Tracker) RecordAck(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name {
+		t.clearStale()
+		if known.Status == StatusSuspect {
+			known.Status, known.Since = StatusAlive, now
+			t.addEvent(EventSuspicionCleared, known.Meta)
 		}
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Doubted reports that a member doesn't answer.
-func (b *Book) Doubted(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name && o.Status == Here {
-		o.Status, o.Since = Suspect, now
-		b.tell(Suspected, o.Meta)
+// RecordSuspicion records that a member does not answer probes.
+func (t *Tracker) RecordSuspicion(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name && known.Status == StatusAlive {
+		known.Status, known.Since = StatusSuspect, now
+		t.addEvent(EventSuspected, known.Meta)
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Ended reports that a carrier no longer has a member.
-func (b *Book) Ended(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		switch o.Status {
-		case Here, Suspect:
-			o.Status, o.Since = Lost, now
-			b.tell(WasLost, o.Meta)
-		case Departing:
-			o.Status, o.Since = Gone, now
-			b.tell(Left, o.Meta)
+// RecordGone records that the membership protocol has removed a member.
+func (t *Tracker) RecordGone(name string, now time.Time) []Event {
+	if known := t.view.Find(name); known != nil && name != t.self.Name {
+		switch known.Status {
+		case StatusAlive, StatusSuspect:
+			known.Status, known.Since = StatusLost, now
+			t.addEvent(EventLost, known.Meta)
+		case StatusLeaving:
+			known.Status, known.Since = StatusLeft, now
+			t.addEvent(EventLeft, known.Meta)
 		}
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Twins reports that a carrier heard of two of one name.
-func (b *Book) Twins(one, other Meta, now time.Time) []Event {
-	if b.view.Find(one.Name) == nil {
-		b.stranger(one)
+// RecordDuplicate records that the membership protocol heard of two members with one name.
+func (t *Tracker) RecordDuplicate(first, second Meta, now time.Time) []Event {
+	if t.view.Find(first.Name) == nil {
+		t.addUnknown(first)
 	} else {
-		b.met(one, other, now)
+		t.addDuplicate(first, second, now)
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Strange reports one that is not to be let in, whatever its name.
-func (b *Book) Strange(m Meta, now time.Time) []Event {
-	b.stranger(m)
-	return b.done(now)
+// RecordUnknown records a member that must not be admitted, whatever its name.
+func (t *Tracker) RecordUnknown(m Meta, now time.Time) []Event {
+	t.addUnknown(m)
+	return t.finishUpdate(now)
 }
 
-// Leaves notes that this member leaves.
-func (b *Book) Leaves(now time.Time) []Event {
-	if o := b.view.Find(b.self.Name); o.Status != Departing {
-		b.self.Leaves, o.Leaves = true, true
-		o.Status, o.Since = Departing, now
-		b.tell(Departs, o.Meta)
+// RecordOwnLeave records that this member is leaving.
+func (t *Tracker) RecordOwnLeave(now time.Time) []Event {
+	if own := t.view.Find(t.self.Name); own.Status != StatusLeaving {
+		t.self.Leaving, own.Leaving = true, true
+		own.Status, own.Since = StatusLeaving, now
+		t.addEvent(EventLeaving, own.Meta)
 	}
-	return b.done(now)
+	return t.finishUpdate(now)
 }
 
-// Tick is to be called each 100 ms. It notices that the program stood still.
-func (b *Book) Tick(now time.Time) []Event { return b.done(now) }
+// Tick must be called every 100 ms. It detects process pauses and applies time-outs.
+func (t *Tracker) Tick(now time.Time) []Event { return t.finishUpdate(now) }
 
-func (b *Book) met(one, other Meta, now time.Time) {
-	if !one.older(other) {
-		one, other = other, one
+func (t *Tracker) addDuplicate(first, second Meta, now time.Time) {
+	if !first.startedBefore(second) {
+		first, second = second, first
 	}
-	if other.same(b.self) {
-		b.refused = now
+	if second.sameIncarnation(t.self) {
+		t.duplicateSeenAt = now
 	}
-	if key := [2]int64{one.Started, other.Started}; !b.twins[key] && len(b.twins) < mostTold {
-		b.twins[key] = true
-		b.events = append(b.events, Event{What: Twin, Member: one, Other: other})
+	if key := [2]int64{first.StartedUnixNano, second.StartedUnixNano}; !t.reportedDuplicates[key] && len(t.reportedDuplicates) < maxReported {
+		t.reportedDuplicates[key] = true
+		t.pendingEvents = append(t.pendingEvents, Event{Kind: EventDuplicateName, Member: first, Duplicate: second})
 	}
 }
 
-func (b *Book) stranger(m Meta) {
-	if key := m.Name + " " + m.Address; !b.strange[key] && len(b.strange) < mostTold {
-		b.strange[key] = true
-		b.events = append(b.events, Event{What: Stranger, Member: m})
+func (t *Tracker) addUnknown(m Meta) {
+	if key := m.Name + " " + m.Address; !t.reportedUnknown[key] && len(t.reportedUnknown) < maxReported {
+		t.reportedUnknown[key] = true
+		t.pendingEvents = append(t.pendingEvents, Event{Kind: EventUnknownMember, Member: m})
 	}
 }
 
-func (b *Book) fresh() {
-	if b.view.Stale {
-		b.view.Stale = false
-		b.tell(Fresh, b.self)
+func (t *Tracker) clearStale() {
+	if t.view.Stale {
+		t.view.Stale = false
+		t.addEvent(EventViewRefreshed, t.self)
 	}
 }
 
-func (b *Book) tell(w What, m Meta) { b.events = append(b.events, Event{What: w, Member: m}) }
+func (t *Tracker) addEvent(kind EventKind, m Meta) {
+	t.pendingEvents = append(t.pendingEvents, Event{Kind: kind, Member: m})
+}
 
-// done draws what follows from a report, numbers the view if it has changed, and
-// returns what happened.
-func (b *Book) done(now time.Time) []Event {
-	if stood := b.watch.Heartbeat(now); stood > 0 {
-		b.tell(Stood, b.self)
-		b.view.Stale = len(b.view.Members) > 1
-		if !b.refused.IsZero() {
-			b.refused = now
+// finishUpdate applies the consequences of a report, numbers the view if it has changed, and
+// returns the events.
+func (t *Tracker) finishUpdate(now time.Time) []Event {
+	if paused := t.pauseDetector.Heartbeat(now); paused > 0 {
+		t.addEvent(EventProcessPaused, t.self)
+		t.view.Stale = len(t.view.Members) > 1
+		if !t.duplicateSeenAt.IsZero() {
+			t.duplicateSeenAt = now
 		}
 	}
-	for i := range b.view.Members {
-		if m := &b.view.Members[i]; m.Status == Suspect && now.Sub(m.Since) > suspectFor {
-			m.Status, m.Since = Here, now
-			b.tell(Cleared, m.Meta)
+	for i := range t.view.Members {
+		if m := &t.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > maxSuspicion {
+			m.Status, m.Since = StatusAlive, now
+			t.addEvent(EventSuspicionCleared, m.Meta)
 		}
 	}
-	if refused := !b.refused.IsZero() && now.Sub(b.refused) <= twinFor; refused != b.view.Refused {
-		b.view.Refused = refused
-		b.tell(map[bool]What{true: WasRefused, false: LetIn}[refused], b.self)
+	if refused := !t.duplicateSeenAt.IsZero() && now.Sub(t.duplicateSeenAt) <= duplicateTimeout; refused != t.view.RefusedAsDuplicate {
+		t.view.RefusedAsDuplicate = refused
+		t.addEvent(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], t.self)
 	}
-	alone := b.view.Alone
-	b.count()
-	if b.view.Alone != alone {
-		b.tell(map[bool]What{true: IsAlone, false: InCompany}[b.view.Alone], b.self)
+	hadNoQuorum := t.view.NoQuorum
+	t.recount()
+	if t.view.NoQuorum != hadNoQuorum {
+		t.addEvent(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[t.view.NoQuorum], t.self)
 	}
-	events := b.events
-	b.events = nil
-	// What changed nothing of who is there leads to no new view.
+	events := t.pendingEvents
+	t.pendingEvents = nil
+	// Events that do not change the membership lead to no new view.
 	if slices.ContainsFunc(events, func(e Event) bool {
-		return e.What != Twin && e.What != Stranger && e.What != Stood || b.view.Stale && e.What == Stood
+		return e.Kind != EventDuplicateName && e.Kind != EventUnknownMember && e.Kind != EventProcessPaused || t.view.Stale && e.Kind == EventProcessPaused
 	}) {
-		b.view.Number++
+		t.view.Number++
 	}
 	for i := range events {
-		events[i].View = b.view.Number
+		events[i].ViewNumber = t.view.Number
 	}
 	return events
 }
 
-func (b *Book) count() {
-	b.view.InView = 0
-	for i := range b.view.Members {
-		m := &b.view.Members[i]
-		// One that leaves counts itself for as long as it is there.
-		if m.Status.InView() || m.Name == b.self.Name {
-			b.view.InView++
+func (t *Tracker) recount() {
+	t.view.PresentCount = 0
+	for i := range t.view.Members {
+		m := &t.view.Members[i]
+		// A leaving member counts itself until it is gone.
+		if m.Status.Present() || m.Name == t.self.Name {
+			t.view.PresentCount++
 		}
 	}
-	b.view.Alone = 2*b.view.InView <= len(b.view.Members)
+	t.view.NoQuorum = 2*t.view.PresentCount <= len(t.view.Members)
 }
--- a/internal/member/swim.go
+++ b/internal/member/swim.go
@@ -20,97 +20,98 @@
 	"millethinge/internal/mailbox"
 )
 
-// Times of Swim. One that doesn't answer is suspected after probeEvery by whoever asks
-// it next, and lost 4 to 8 times that later for up to ten members, 10 to 20 times for
-// three hundred.
+// Intervals and time-outs of Swim. A member that does not answer is suspected after
+// probeInterval by the member that probes it next. It is declared lost 4 to 8 probe intervals
+// later in a fleet of up to ten members, 10 to 20 intervals later in one of three hundred.
 const (
-	probeEvery   = 500 * time.Millisecond
-	probeTimeout = 250 * time.Millisecond
-	joinEvery    = time.Second            // one of those that are not in view is asked so often
-	joinTimeout  = time.Second            // for its connection and its answer
-	refusedFor   = 4 * time.Second        // until a younger twin asks again
-	tickEvery    = 100 * time.Millisecond // less than what stall takes for a stand
-	leaveFor     = 400 * time.Millisecond // for each of the two words of a leave
-	gossipEvery  = 200 * time.Millisecond
+	probeInterval  = 500 * time.Millisecond
+	probeTimeout   = 250 * time.Millisecond
+	joinInterval   = time.Second            // between attempts to reach a member that is not present
+	joinTimeout    = time.Second            // for the connection and the answer
+	rejoinDelay    = 4 * time.Second        // until a member that was refused as a duplicate tries again
+	tickInterval   = 100 * time.Millisecond // shorter than any gap that package stall takes for a process pause
+	leaveTimeout   = 400 * time.Millisecond // for each of the two messages of a leave
+	gossipInterval = 200 * time.Millisecond
 )
 
-// Swim is a Fleet that asks. It is safe for use by many goroutines.
+// Swim is a Fleet that runs the SWIM protocol. It is safe for concurrent use.
 type Swim struct {
-	config Config
-	count  Traffic
-	told   *mailbox.Box[happened]
-	leave  chan struct{}
-	once   sync.Once
-
-	mu        sync.Mutex // taken inside memberlist's own locks; nothing of it is called with mu held
-	book      *Book
-	transport *transport // bound, and not yet used
-	leaves    bool
+	config         Config
+	traffic        Traffic
+	notifications  *mailbox.Box[notification]
+	leaveRequested chan struct{}
+	leaveOnce      sync.Once
+
+	mu             sync.Mutex // locked while memberlist holds its own locks, so memberlist must not be called with mu held
+	tracker        *Tracker
+	boundTransport *transport // bound by NewSwim, for the first start of memberlist; then nil
+	leaving        bool
 }
 
-type happened struct {
+// notification is one call of Config.OnEvents.
+type notification struct {
 	view   View
 	events []Event
 }
 
-// NewSwim binds the sockets of a member. The error is a *ListenError where that fails.
+// NewSwim binds the sockets of a member. It returns a *ListenError if that fails.
 func NewSwim(c Config) (*Swim, error) {
-	if len(c.Named) == 0 {
+	if len(c.ConfiguredMembers) == 0 {
 		return nil, errNoMembers
 	}
-	if c.Log == nil {
-		c.Log = func(string) {}
+	if c.LogLine == nil {
+		c.LogLine = func(string) {}
 	}
-	s := &Swim{config: c, told: mailbox.New[happened](1 << 16), leave: make(chan struct{})}
-	t, err := s.bind()
+	s := &Swim{config: c, notifications: mailbox.New[notification](1 << 16), leaveRequested: make(chan struct{})}
+	t, err := s.bindTransport()
 	if err != nil {
 		return nil, err
 	}
-	s.transport = t
-	_, port, err := net.SplitHostPort(s.config.Listen)
+	s.boundTransport = t
+	_, port, err := net.SplitHostPort(s.config.ListenAddress)
 	if err != nil || port == "0" {
-		host, _, _ := net.SplitHostPort(c.Listen)
-		s.config.Listen = net.JoinHostPort(host, strconv.Itoa(t.port))
+		host, _, _ := net.SplitHostPort(c.ListenAddress)
+		s.config.ListenAddress = net.JoinHostPort(host, strconv.Itoa(t.port))
 	}
 	if c.Self.Address == "" {
-		s.config.Self.Address = s.config.Listen
+		s.config.Self.Address = s.config.ListenAddress
 	}
-	if c.Self.Started == 0 {
-		s.config.Self.Started = time.Now().UnixNano()
+	if c.Self.StartedUnixNano == 0 {
+		s.config.Self.StartedUnixNano = time.Now().UnixNano()
 	}
-	s.book = NewBook(s.config.Self, c.Named, time.Now())
+	s.tracker = NewTracker(s.config.Self, c.ConfiguredMembers, time.Now())
 	return s, nil
 }
 
-// Addr is where it listens, TCP and UDP.
-func (s *Swim) Addr() string { return s.config.Listen }
+// Addr returns the address that it listens on, by TCP and UDP.
+func (s *Swim) Addr() string { return s.config.ListenAddress }
 
-// Traffic is what it has sent and got.
-func (s *Swim) Traffic() *Traffic { return &s.count }
+// Traffic returns its traffic counters.
+func (s *Swim) Traffic() *Traffic { return &s.traffic }
 
-// View returns the present view.
+// View returns the current view.
 func (s *Swim) View() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.View()
+	return s.tracker.View()
 }
 
-// Leave tells the others that this member leaves.
-func (s *Swim) Leave() { s.once.Do(func() { close(s.leave) }) }
+// Leave makes this member announce to the others that it leaves.
+func (s *Swim) Leave() { s.leaveOnce.Do(func() { close(s.leaveRequested) }) }
 
-// Run asks and answers until ctx ends, without a word of leave; for that, Leave comes
-// first. A carrier that fails at its start is an error.
+// Run takes part in the protocol until ctx ends. It does not announce a leave: Leave must be
+// called before. It returns an error if the protocol can't be started for the first time.
 func (s *Swim) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		s.tell(ctx)
+		s.deliverEvents(ctx)
 	}()
 	defer func() { <-done }()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for first := true; ; first = false {
-		err := s.life(ctx, tick.C)
+		err := s.participate(ctx, tick.C)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -118,15 +119,16 @@
 			return err
 		}
 		if err != nil {
-			s.config.Log(err.Error())
+			s.config.LogLine(err.Error())
 		}
-		// Refused: its elder has the name. Out of all views it asks again, later.
-		for wait := time.After(refusedFor); wait != nil; {
+		// A member of this name that started earlier is present. Stay out of the fleet, and try
+		// again later.
+		for wait := time.After(rejoinDelay); wait != nil; {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-tick.C:
-				s.note(func(b *Book, now time.Time) []Event { return b.Tick(now) })
+				s.update(func(t *Tracker, now time.Time) []Event { return t.Tick(now) })
 			case <-wait:
 				wait = nil
 			}
@@ -134,78 +136,79 @@
 	}
 }
 
-// tell hands on what happened, in order.
-func (s *Swim) tell(ctx context.Context) {
-	var taken []happened
+// deliverEvents calls OnEvents with the queued notifications in order.
+func (s *Swim) deliverEvents(ctx context.Context) {
+	var batch []notification
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.told.Ready():
+		case <-s.notifications.Ready():
 		}
-		taken = s.told.Take(taken)
-		for _, h := range taken {
-			s.config.Told(h.view, h.events)
+		batch = s.notifications.Take(batch)
+		for _, n := range batch {
+			s.config.OnEvents(n.view, n.events)
 		}
 	}
 }
 
-// note has the book take a report. It may be called inside memberlist's locks.
-func (s *Swim) note(f func(*Book, time.Time) []Event) {
+// update applies a report to the tracker. It may be called while memberlist holds its locks.
+func (s *Swim) update(record func(*Tracker, time.Time) []Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if events := f(s.book, time.Now()); len(events) > 0 && s.config.Told != nil {
-		// Guard: a full mailbox loses the word, never the view.
-		s.told.Put(happened{s.book.View(), events})
+	if events := record(s.tracker, time.Now()); len(events) > 0 && s.config.OnEvents != nil {
+		// Guard: a full mailbox loses the notification, never the change of the view.
+		s.notifications.Put(notification{s.tracker.View(), events})
 	}
 }
 
-// life is one stay in the fleet, until ctx ends or an elder of the name is met.
-func (s *Swim) life(ctx context.Context, tick <-chan time.Time) error {
-	here, end := context.WithCancel(ctx)
-	defer end()
-	list, err := s.create(here)
+// participate takes part in the fleet until ctx ends or this member is refused as a duplicate.
+func (s *Swim) participate(ctx context.Context, tick <-chan time.Time) error {
+	participation, endParticipation := context.WithCancel(ctx)
+	defer endParticipation()
+	list, err := s.createList(participation)
 	if err != nil {
 		return err
 	}
 	defer func() {
 		list.Shutdown()
-		s.note(func(b *Book, now time.Time) (all []Event) {
+		s.update(func(t *Tracker, now time.Time) (events []Event) {
 			if ctx.Err() == nil {
-				for _, n := range s.config.Named {
-					all = append(all, b.Ended(n.Name, now)...)
+				for _, n := range s.config.ConfiguredMembers {
+					events = append(events, t.RecordGone(n.Name, now)...)
 				}
 			}
-			return all
+			return events
 		})
 	}()
-	// What waits for a network has a goroutine of its own: one to ask, one to leave.
+	// Joining and leaving wait for the network, so each has a goroutine of its own.
 	var group sync.WaitGroup
 	defer group.Wait()
-	defer end()
-	group.Go(func() { s.join(here, list) })
-	group.Go(func() { s.goodbye(here, list) })
+	defer endParticipation()
+	group.Go(func() { s.joinMissing(participation, list) })
+	group.Go(func() { s.leaveOnRequest(participation, list) })
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick:
-			s.note(func(b *Book, now time.Time) []Event { return b.Tick(now) })
-			if s.View().Refused {
+			s.update(func(t *Tracker, now time.Time) []Event { return t.Tick(now) })
+			if s.View().RefusedAsDuplicate {
 				return nil
 			}
 		}
 	}
 }
 
-func (s *Swim) create(ctx context.Context) (*memberlist.Memberlist, error) {
+// createList starts memberlist.
+func (s *Swim) createList(ctx context.Context) (*memberlist.Memberlist, error) {
 	s.mu.Lock()
-	t := s.transport
-	s.transport = nil
+	t := s.boundTransport
+	s.boundTransport = nil
 	s.mu.Unlock()
 	if t == nil {
 		var err error
-		if t, err = s.bind(); err != nil {
+		if t, err = s.bindTransport(); err != nil {
 			return nil, err
 		}
 	}
@@ -221,15 +224,15 @@
 		t.Shutdown()
 		return nil, &ListenError{s.config.Self.Address, err}
 	}
-	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = probeEvery, probeTimeout, joinTimeout
-	c.SuspicionMaxTimeoutMult, c.GossipInterval = 2, gossipEvery
-	c.DeadNodeReclaimTime = 1 // at once: whose address it is, Book decides
+	c.ProbeInterval, c.ProbeTimeout, c.TCPTimeout = probeInterval, probeTimeout, joinTimeout
+	c.SuspicionMaxTimeoutMult, c.GossipInterval = 2, gossipInterval
+	c.DeadNodeReclaimTime = 1 // 1 ns, at once: Tracker decides which address a name belongs to
 	c.EnableCompression = false
 	d := &delegate{s}
 	c.Delegate, c.Events, c.Alive, c.Conflict, c.Ping = d, d, d, d, d
 	c.Logger = s.logger()
-	if len(s.config.Keys) > 0 {
-		if c.Keyring, err = memberlist.NewKeyring(s.config.Keys, s.config.Keys[0]); err != nil {
+	if len(s.config.EncryptionKeys) > 0 {
+		if c.Keyring, err = memberlist.NewKeyring(s.config.EncryptionKeys, s.config.EncryptionKeys[0]); err != nil {
 			t.Shutdown()
 			return nil, fmt.Errorf("fleet: key: %w", err)
 		}
@@ -242,143 +245,146 @@
 	return list, nil
 }
 
-// join asks those that are not in view, one at a time: memberlist forgets the lost.
-func (s *Swim) join(ctx context.Context, list *memberlist.Memberlist) {
+// joinMissing contacts the members that are not present, one at a time, since memberlist
+// forgets lost members.
+func (s *Swim) joinMissing(ctx context.Context, list *memberlist.Memberlist) {
 	for {
-		if at := s.missing(); at != "" {
-			if _, err := list.Join([]string{at}); err != nil {
-				s.config.Log(err.Error())
+		if address := s.joinTarget(); address != "" {
+			if _, err := list.Join([]string{address}); err != nil {
+				s.config.LogLine(err.Error())
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.leave:
-			return // who leaves asks nobody
-		case <-time.After(joinEvery*3/4 + rand.N(joinEvery/2)):
+		case <-s.leaveRequested:
+			return // a leaving member joins nobody
+		case <-time.After(joinInterval*3/4 + rand.N(joinInterval/2)):
 		}
 	}
 }
 
-// missing is the address of one that is not in view, or an empty one.
-func (s *Swim) missing() string {
+// joinTarget returns the address of a random member that is not present, or an empty string.
+// While the view is stale, every other member is a candidate.
+func (s *Swim) joinTarget() string {
 	v := s.View()
-	var at []string
-	whole := true
+	var candidates []string
+	allPresent := true
 	for _, m := range v.Members {
-		if m.Name == v.Self || m.Status.InView() && !v.Stale {
+		if m.Name == v.Self || m.Status.Present() && !v.Stale {
 			continue
 		}
-		whole = whole && m.Status.InView()
-		if a := cmp.Or(s.config.At[m.Name][0], m.Address); a != "" && m.Status != Departing {
-			at = append(at, m.Name+"/"+a)
+		allPresent = allPresent && m.Status.Present()
+		if address := cmp.Or(s.config.AddressOverrides[m.Name][0], m.Address); address != "" && m.Status != StatusLeaving {
+			candidates = append(candidates, m.Name+"/"+address)
 		}
 	}
-	if !whole {
-		for _, a := range s.config.Join {
-			if a != s.config.Self.Address && a != s.config.Listen {
-				at = append(at, a)
+	if !allPresent {
+		for _, address := range s.config.JoinAddresses {
+			if address != s.config.Self.Address && address != s.config.ListenAddress {
+				candidates = append(candidates, address)
 			}
 		}
 	}
-	if len(at) == 0 {
+	if len(candidates) == 0 {
 		return ""
 	}
-	return at[rand.N(len(at))]
+	return candidates[rand.N(len(candidates))]
 }
 
-// goodbye says that this member leaves, once that is asked for: by what it tells of
-// itself, so that its end is told from a loss, and then by the end.
-func (s *Swim) goodbye(ctx context.Context, list *memberlist.Memberlist) {
+// leaveOnRequest waits for a call of Leave. It then announces the leave in the member's
+// metadata, so that the others can tell a leave from a loss, and leaves memberlist.
+func (s *Swim) leaveOnRequest(ctx context.Context, list *memberlist.Memberlist) {
 	select {
 	case <-ctx.Done():
 		return
-	case <-s.leave:
+	case <-s.leaveRequested:
 	}
 	s.mu.Lock()
-	s.leaves = true
+	s.leaving = true
 	s.mu.Unlock()
-	s.note(func(b *Book, now time.Time) []Event { return b.Leaves(now) })
-	if err := list.UpdateNode(leaveFor); err != nil {
-		s.config.Log(err.Error())
+	s.update(func(t *Tracker, now time.Time) []Event { return t.RecordOwnLeave(now) })
+	if err := list.UpdateNode(leaveTimeout); err != nil {
+		s.config.LogLine(err.Error())
 	}
-	// The end must not overtake the word: gossip has a few rounds.
+	// The leave must not overtake the announcement: wait for a few rounds of gossip.
 	select {
 	case <-ctx.Done():
-	case <-time.After(3 * gossipEvery):
+	case <-time.After(3 * gossipInterval):
 	}
-	if err := list.Leave(leaveFor); err != nil {
-		s.config.Log(err.Error())
+	if err := list.Leave(leaveTimeout); err != nil {
+		s.config.LogLine(err.Error())
 	}
 }
 
-// logger reads what memberlist remarks. That a member is suspected it tells nowhere
-// else; TestSwim notices if the wording changes.
-func (s *Swim) logger() *log.Logger { return log.New(lines{s}, "", 0) }
+// logger returns a logger that reads memberlist's log lines. memberlist reports suspicions
+// nowhere else; TestSwim fails if the wording changes.
+func (s *Swim) logger() *log.Logger { return log.New(logWriter{s}, "", 0) }
 
-type lines struct{ s *Swim }
+// logWriter parses the log lines of memberlist and passes them on to Config.LogLine.
+type logWriter struct{ swim *Swim }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
 	if rest, ok := strings.CutPrefix(line, "[INFO] memberlist: Suspect "); ok {
 		if name, ok := strings.CutSuffix(rest, " has failed, no acks received"); ok {
-			l.s.note(func(b *Book, now time.Time) []Event { return b.Doubted(name, now) })
+			l.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordSuspicion(name, now) })
 		}
 	}
-	l.s.config.Log(line)
+	l.swim.config.LogLine(line)
 	return len(b), nil
 }
 
-// delegate is what memberlist tells a Swim. It is called inside memberlist's locks.
-type delegate struct{ s *Swim }
+// delegate implements memberlist's delegates. memberlist calls it with its locks held.
+type delegate struct{ swim *Swim }
 
-var errKeptOut = errors.New("the file doesn't name it, or an elder has its name")
+var errNotAdmitted = errors.New("not configured, or a member with its name started earlier")
 
 func (d *delegate) NodeMeta(int) []byte {
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	m := d.s.config.Self
-	m.Leaves = d.s.leaves
+	d.swim.mu.Lock()
+	defer d.swim.mu.Unlock()
+	m := d.swim.config.Self
+	m.Leaving = d.swim.leaving
 	return m.encode()
 }
 
 func (d *delegate) NotifyAlive(n *memberlist.Node) error {
-	m := metaOf(n)
-	d.s.mu.Lock()
-	admitted := d.s.book.Admit(m)
-	d.s.mu.Unlock()
-	if m.Started == 0 { // of another program, or of another form of this one
-		d.s.note(func(b *Book, now time.Time) []Event { return b.Strange(m, now) })
-		return errKeptOut
+	m := metaFromNode(n)
+	d.swim.mu.Lock()
+	admitted := d.swim.tracker.Admits(m)
+	d.swim.mu.Unlock()
+	if m.StartedUnixNano == 0 { // of another program, or of another metaVersion
+		d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordUnknown(m, now) })
+		return errNotAdmitted
 	}
-	if own := m.Name == d.s.config.Self.Name; own || !admitted {
-		d.s.note(func(b *Book, now time.Time) []Event { return b.Alive(m, now) })
-		if own {
+	if isSelf := m.Name == d.swim.config.Self.Name; isSelf || !admitted {
+		d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAlive(m, now) })
+		if isSelf {
 			return nil
 		}
-		return errKeptOut
+		return errNotAdmitted
 	}
 	return nil
 }
 
 func (d *delegate) NotifyJoin(n *memberlist.Node) {
-	m := metaOf(n)
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Alive(m, now) })
+	m := metaFromNode(n)
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAlive(m, now) })
 }
 
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.NotifyJoin(n) }
 
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Ended(n.Name, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordGone(n.Name, now) })
 }
 
 func (d *delegate) NotifyConflict(one, other *memberlist.Node) {
-	a, b := metaOf(one), metaOf(other)
-	d.s.note(func(book *Book, now time.Time) []Event { return book.Twins(a, b, now) })
+	a, b := metaFromNode(one), metaFromNode(other)
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordDuplicate(a, b, now) })
 }
 
 func (d *delegate) NotifyPingComplete(n *memberlist.Node, _ time.Duration, _ []byte) {
-	d.s.note(func(b *Book, now time.Time) []Event { return b.Answered(n.Name, now) })
+	d.swim.update(func(t *Tracker, now time.Time) []Event { return t.RecordAck(n.Name, now) })
 }
 
 func (d *delegate) AckPayload() []byte              { return nil }
@@ -387,30 +393,33 @@
 func (d *delegate) LocalState(bool) []byte          { return nil }
 func (d *delegate) MergeRemoteState([]byte, bool)   {}
 
-// form is the first field of an encoded Meta. A member of another form is kept out.
-const form = "1"
+// metaVersion is the first field of an encoded Meta. Members of another version are not
+// admitted.
+const metaVersion = "1"
 
-// encode writes what the others are told beside the name, under 512 bytes.
+// encode returns the metadata that the member announces beside its name. memberlist allows
+// 512 bytes.
 func (m Meta) encode() []byte {
-	return []byte(strings.Join([]string{form, m.Site, m.Address, strconv.FormatInt(m.Started, 36), strconv.FormatBool(m.Leaves)}, "\n"))
+	return []byte(strings.Join([]string{metaVersion, m.Site, m.Address, strconv.FormatInt(m.StartedUnixNano, 36), strconv.FormatBool(m.Leaving)}, "\n"))
 }
 
-// metaOf reads what a member tells of itself. Started is 0 if that can't be read.
-func metaOf(n *memberlist.Node) Meta {
+// metaFromNode decodes a member's metadata. StartedUnixNano is 0 if it can't be decoded.
+func metaFromNode(n *memberlist.Node) Meta {
 	m := Meta{Name: n.Name, Address: net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port)))}
-	f := strings.Split(string(n.Meta), "\n")
-	if len(f) != 5 || f[0] != form {
+	fields := strings.Split(string(n.Meta), "\n")
+	if len(fields) != 5 || fields[0] != metaVersion {
 		return m
 	}
-	m.Site, m.Leaves = f[1], f[4] == "true"
-	m.Started, _ = strconv.ParseInt(f[3], 36, 64)
+	m.Site, m.Leaving = fields[1], fields[4] == "true"
+	m.StartedUnixNano, _ = strconv.ParseInt(fields[3], 36, 64)
 	return m
 }
 
-// Names of a View's members that are counted upon, itself among them.
-func (v View) Names() (names []string) {
+// PresentNames returns the sorted names of the present members, including the member whose
+// view it is.
+func (v View) PresentNames() (names []string) {
 	for _, m := range v.Members {
-		if m.Status.InView() || m.Name == v.Self {
+		if m.Status.Present() || m.Name == v.Self {
 			names = append(names, m.Name)
 		}
 	}
