--- a/internal/fleettest/calls.go
+++ b/internal/fleettest/calls.go
@@ -53,7 +53,7 @@
 		return 0, nil, fmt.Errorf("%s doesn't run, or has no address for calls", manager)
 	}
 	status, text, took := call(b.admin, method, path)
-	f.Record.Add(Event{Kind: Called, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Took: took})
+	f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Elapsed: took})
 	return status, text, nil
 }
 
@@ -77,17 +77,17 @@
 		default:
 		}
 		if status == 200 || owes {
-			f.Record.Add(Event{Kind: Called, Manager: manager, Text: "GET /metrics", Cause: status, Took: took})
+			f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Text: "GET /metrics", Cause: status, Elapsed: took})
 		}
 		if status != 200 {
 			continue
 		}
 		var g Figures
 		if err := json.Unmarshal(text, &g); err != nil {
-			f.Record.Add(Event{Kind: Called, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Took: took})
+			f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Elapsed: took})
 			continue
 		}
-		f.Record.Add(Event{Kind: Figured, Manager: manager, Process: b.number, Took: took, Figures: &g})
+		f.Record.Add(Event{Kind: MetricsRead, Manager: manager, Process: b.number, Elapsed: took, Figures: &g})
 	}
 }
 
@@ -105,7 +105,7 @@
 		case <-time.After(pause):
 			f.scrape(manager)
 			mb, files, _ := f.Managers[manager].Usage()
-			f.Record.Add(Event{Kind: Used, Manager: manager, Files: files, MB: mb})
+			f.Record.Add(Event{Kind: ResourcesSampled, Manager: manager, Descriptors: files, MemoryMB: mb})
 		}
 	}
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -29,7 +29,7 @@
 	Halls    []Hall
 	Model    Model
 	Load     Load
-	Terms    Terms
+	Terms    Limits
 	Operator string // text of the operator's file of each manager; empty: none
 	Level    string // least level of the managers' logs
 	Sockets  int
@@ -127,7 +127,7 @@
 		f.ToNode[name][n] = r
 		if !slices.Contains(f.Plan.Absent, n) {
 			members = append(members, f.member(name, n, inService))
-			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: inService})
+			f.Record.Add(Event{Kind: ListUpdated, Manager: name, Node: n, Text: inService})
 		}
 	}
 	list, err := NewList(members)
@@ -204,7 +204,7 @@
 			"feedback":     map[string]any{"fields": []string{"util", "x1"}, "via": "probe"},
 			"charges":      map[string]any{"crossZone": 0.022, "probe": 0.01, "handshake": 0.01},
 			"policyLimits": map[string]any{"attemptsCap": 4, "probes": true, "connIdleS": m.ConnIdle.Seconds(), "connectTimeoutS": 0.25, "streamsPerConn": m.Streams},
-			"obligations":  map[string]any{"fallMultiple": f.Plan.Terms.Multiple, "startCapacity": m.Share, "warmAfterS": m.Warm.Seconds()},
+			"obligations":  map[string]any{"fallMultiple": f.Plan.Terms.ColdMultiple, "startCapacity": m.Share, "warmAfterS": m.Warm.Seconds()},
 		},
 	}
 }
@@ -241,7 +241,7 @@
 		}
 		if b == nil {
 			for _, id := range s.ids {
-				f.Record.Add(Event{Kind: Hung, Manager: manager, Node: node, ID: id})
+				f.Record.Add(Event{Kind: NodeConnClosed, Manager: manager, Node: node, ID: id})
 			}
 			delete(streams, conn)
 			return
@@ -257,9 +257,9 @@
 			switch string(m.Method) {
 			case "SETUP":
 				s.ids = append(s.ids, id)
-				f.Record.Add(Event{Kind: Sent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rung(&m)})
+				f.Record.Add(Event{Kind: SetUpSent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rung(&m)})
 			case "TEARDOWN":
-				f.Record.Add(Event{Kind: Withdrawn, Manager: manager, Node: node, ID: id})
+				f.Record.Add(Event{Kind: TeardownSent, Manager: manager, Node: node, ID: id})
 			}
 			s.rest = s.rest[n:]
 		}
@@ -412,7 +412,7 @@
 func (f *Fleet) Cut(a, b Group, oneWay bool) {
 	f.between(a, b, func(r *Relay, from Way, viewersOf string) {
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersCut, Manager: viewersOf})
 		}
 		if oneWay {
 			r.Cut(from)
@@ -427,7 +427,7 @@
 	f.between(a, b, func(r *Relay, _ Way, viewersOf string) {
 		r.Heal()
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersHealed, Manager: viewersOf})
 		}
 	})
 }
@@ -436,12 +436,12 @@
 func (f *Fleet) Reset(a, b Group) {
 	f.between(a, b, func(r *Relay, _ Way, viewersOf string) {
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersCut, Manager: viewersOf})
 			f.Crowd.Broken(viewersOf)
 		}
 		r.Reset()
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersHealed, Manager: viewersOf})
 		}
 	})
 }
@@ -457,7 +457,7 @@
 func (f *Fleet) List(managers []string, node, phase string) {
 	for _, m := range managers {
 		f.Lists[m].Set(f.member(m, node, phase), func() {
-			f.Record.Add(Event{Kind: Told, Manager: m, Node: node, Text: phase})
+			f.Record.Add(Event{Kind: ListUpdated, Manager: m, Node: node, Text: phase})
 		})
 	}
 }
--- a/internal/fleettest/front.go
+++ b/internal/fleettest/front.go
@@ -47,16 +47,16 @@
 				case !refuses && (heard || now.Sub(word) > deadAfter):
 					c.refuses[m] = now
 				}
-				e := Event{Kind: Fronted, Manager: m, Ready: ready}
+				e := Event{Kind: FrontSampled, Manager: m, Ready: ready}
 				for _, v := range c.conns[m] {
 					if v.dead {
 						continue
 					}
 					if len(v.open) == 0 && v.stands == 0 && now.Sub(v.used) > idleAfter {
-						e.Idle++
+						e.IdleConns++
 					}
 					if c.fresh(v, now) {
-						e.Fresh++
+						e.RecentConns++
 					}
 				}
 				c.mu.Unlock()
--- a/internal/fleettest/judge.go
+++ b/internal/fleettest/judge.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Terms are the figures of the rules.
-type Terms struct {
-	Answer   time.Duration // allowed beyond a viewer's time
-	Takes    time.Duration // a manager that was asked to end still takes requests for so long
-	Drain    time.Duration // after a node's drain was told
-	Told     time.Duration // after the end of a session, for its viewer to hear of it
-	Overlap  time.Duration // by which two attempts may seem to be out at once, since relays run beside each other
-	Floors   map[string]int
-	Warm     time.Duration // a node that started cold is warm after it
-	Places   int           // of a node
-	Multiple float64       // of what it may be sent while it is cold
-	Share    float64       // that is warm at the start
-	Slack    float64       // set-ups beyond, for chance
-	Ops      OpsTerms      // of what operators do
+// Limits are the figures of the rules.
+type Limits struct {
+	AnswerGrace     time.Duration // allowed beyond a viewer's time
+	AcceptAfterStop time.Duration // a manager that was asked to end still takes requests for so long
+	DrainGrace      time.Duration // after a node's drain was told
+	ReleaseGrace    time.Duration // after the end of a session, for its viewer to hear of it
+	AttemptOverlap  time.Duration // by which two attempts may seem to be out at once, since relays run beside each other
+	MinRungs        map[string]int
+	WarmUp          time.Duration   // a node that started cold is warm after it
+	NodeCapacity    int             // of a node
+	ColdMultiple    float64         // of what it may be sent while it is cold
+	InitialShare    float64         // that is warm at the start
+	SetUpSlack      float64         // set-ups beyond, for chance
+	Operations      OperationLimits // of what operators do
 }
 
-// DefaultTerms are those of the protocol, with what a busy machine adds.
-var DefaultTerms = Terms{
-	Answer: 2 * time.Second, Takes: 500 * time.Millisecond, Drain: 2 * time.Second, Told: 10 * time.Second, Overlap: 250 * time.Millisecond,
-	Floors: map[string]int{"clip": 1}, Warm: 3 * time.Second, Places: 40, Multiple: 3, Share: 0.2, Slack: 2,
-	Ops: DefaultOps,
+// DefaultLimits are those of the protocol, with what a busy machine adds.
+var DefaultLimits = Limits{
+	AnswerGrace: 2 * time.Second, AcceptAfterStop: 500 * time.Millisecond, DrainGrace: 2 * time.Second, ReleaseGrace: 10 * time.Second, AttemptOverlap: 250 * time.Millisecond,
+	MinRungs: map[string]int{"clip": 1}, WarmUp: 3 * time.Second, NodeCapacity: 40, ColdMultiple: 3, InitialShare: 0.2, SetUpSlack: 2,
+	Operations: DefaultOperationLimits,
 }
 
 // Verdict is one broken rule.
 type Verdict struct {
-	Rule string
-	ID   string // of the session, or empty
-	Why  string
+	Rule   string
+	ID     string // of the session, or empty
+	Reason string
 }
 
 // session is what the record says of one id.
@@ -64,7 +64,7 @@
 // under its class's floor; the end of what stood reaches its viewer; an answer
 // passes unchanged. What operators do is judged by the rules of judge_ops.go; a
 // manager with two processes is one manager.
-func Judge(events []Event, t Terms, until time.Time) []Verdict {
+func Judge(events []Event, t Limits, until time.Time) []Verdict {
 	j := &judge{terms: t, until: until, sessions: map[string]*session{}, away: map[string][]span{},
 		apart: map[string][]span{}, ending: map[string][]time.Time{}, upgrades: map[string][]*upgrade{}}
 	j.findUpgrades(events)
@@ -86,7 +86,7 @@
 }
 
 type judge struct {
-	terms    Terms
+	terms    Limits
 	until    time.Time
 	sessions map[string]*session
 	ids      []string
@@ -113,19 +113,19 @@
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
-		case Running:
+		case ManagerServing:
 			shut(j.away, e)
 			continue
-		case Ending:
+		case ManagerStopRequested:
 			j.ending[e.Manager] = append(j.ending[e.Manager], e.At)
 			continue
-		case Stopped:
+		case ManagerStopped:
 			open(j.away, e)
 			continue
-		case Apart:
+		case ViewersCut:
 			open(j.apart, e)
 			continue
-		case Together:
+		case ViewersHealed:
 			shut(j.apart, e)
 			continue
 		}
@@ -139,25 +139,25 @@
 			j.ids = append(j.ids, e.ID)
 		}
 		switch e.Kind {
-		case Asked:
+		case SetUpRequested:
 			s.asked = e
 		case Answered:
 			s.answers = append(s.answers, e)
-		case Over, Moved:
+		case ReleaseReceived, MoveReceived:
 			s.over = e
-		case Left:
+		case SetUpAbandoned:
 			s.left = e
-		case Dropped:
+		case ViewerConnClosed:
 			s.dropped = e
-		case Sent:
+		case SetUpSent:
 			s.sent = append(s.sent, e)
-		case Said, Withdrawn, Hung:
+		case SetUpAnswered, TeardownSent, NodeConnClosed:
 			s.ends = append(s.ends, e)
-		case Came:
+		case SetUpReceived:
 			s.came = append(s.came, e)
-		case Ran:
+		case SessionEstablished:
 			s.ran = append(s.ran, e)
-		case Ended, Cut, Released:
+		case SessionEnded, SessionLost, SessionTornDown:
 			s.finished = e
 		}
 	}
@@ -176,7 +176,7 @@
 	if s.asked == nil {
 		return
 	}
-	due := s.asked.At.Add(s.asked.Left + j.terms.Answer)
+	due := s.asked.At.Add(s.asked.TimeLeft + j.terms.AnswerGrace)
 	for i, a := range s.answers {
 		switch {
 		case i > 0:
@@ -184,10 +184,10 @@
 		case a.Outcome == Served && !slices.ContainsFunc(s.ran, func(r *Event) bool { return r.Text == a.Text }):
 			j.broken("one answer", id, "served with what no node made for it: %q", a.Text)
 		case a.At.After(due) && !j.disturbed(s.asked.Manager, s.asked.At, a.At):
-			j.broken("one answer", id, "answered %v after its time", a.At.Sub(due)+j.terms.Answer)
+			j.broken("one answer", id, "answered %v after its time", a.At.Sub(due)+j.terms.AnswerGrace)
 		}
 	}
-	early := s.left != nil && s.left.At.Before(s.asked.At.Add(s.asked.Left)) // it did not wait for its time
+	early := s.left != nil && s.left.At.Before(s.asked.At.Add(s.asked.TimeLeft)) // it did not wait for its time
 	if len(s.answers) > 0 || early || due.After(j.until) {
 		return
 	}
@@ -196,7 +196,7 @@
 		return
 	}
 	switch end, asked := j.orderly(s); {
-	case asked && s.asked.At.Before(end.Add(j.terms.Takes)):
+	case asked && s.asked.At.Before(end.Add(j.terms.AcceptAfterStop)):
 		j.broken("one answer", id, "none, and %s ended without giving it", s.asked.Manager)
 	case s.dropped != nil && !j.disturbed(s.asked.Manager, s.asked.At, s.dropped.At.Add(time.Second)):
 		j.broken("one answer", id, "its connection ended without one")
@@ -211,7 +211,7 @@
 func (j *judge) orderly(s *session) (time.Time, bool) {
 	m := s.asked.Manager
 	for _, t := range j.ending[m] {
-		if t.After(s.asked.At.Add(-j.terms.Takes)) && t.Before(s.asked.At.Add(s.asked.Left)) && !j.disturbed(m, s.asked.At, t) {
+		if t.After(s.asked.At.Add(-j.terms.AcceptAfterStop)) && t.Before(s.asked.At.Add(s.asked.TimeLeft)) && !j.disturbed(m, s.asked.At, t) {
 			return t, true
 		}
 	}
@@ -222,7 +222,7 @@
 // but for one that its end cut short.
 func (j *judge) readable(events []Event) {
 	for i := range events {
-		if e := &events[i]; e.Kind == Unreadable && !j.disturbed(e.Manager, e.At.Add(-time.Second), e.At.Add(time.Second)) {
+		if e := &events[i]; e.Kind == MalformedMessage && !j.disturbed(e.Manager, e.At.Add(-time.Second), e.At.Add(time.Second)) {
 			j.broken("one answer", "", "%s wrote what can't be read: %q", e.Manager, e.Text)
 		}
 	}
@@ -233,7 +233,7 @@
 // there counts too: the manager can't know.
 func mayHaveRun(s *session, sent *Event) bool {
 	for _, e := range s.ends {
-		if e.Kind == Said && e.Node == sent.Node && e.At.After(sent.At) {
+		if e.Kind == SetUpAnswered && e.Node == sent.Node && e.At.After(sent.At) {
 			return e.Cause != 453 && e.Cause != 454
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 func (j *judge) paidOnce(id string, s *session) {
-	if s.asked == nil || !s.asked.Paid {
+	if s.asked == nil || !s.asked.Billed {
 		return
 	}
 	if len(s.ran) > 1 {
@@ -267,7 +267,7 @@
 			continue // a viewer that comes again has another id
 		}
 		over := slices.ContainsFunc(s.ends, func(e *Event) bool {
-			return e.Node == before.Node && !e.At.Before(before.At) && e.At.Before(next.At.Add(j.terms.Overlap))
+			return e.Node == before.Node && !e.At.Before(before.At) && e.At.Before(next.At.Add(j.terms.AttemptOverlap))
 		})
 		if !over {
 			j.broken("one at a time", id, "sent to %s while its attempt at %s was out", next.Node, before.Node)
@@ -277,7 +277,7 @@
 
 func (j *judge) floor(id string, s *session) {
 	for _, e := range s.came {
-		if floor, ok := j.terms.Floors[e.Class]; ok && e.Rung >= 0 && e.Rung < floor {
+		if floor, ok := j.terms.MinRungs[e.Class]; ok && e.Rung >= 0 && e.Rung < floor {
 			j.broken("terms", id, "%s set up at rung %d on %s", e.Class, e.Rung, e.Node)
 		}
 	}
@@ -288,7 +288,7 @@
 		return
 	}
 	served := slices.ContainsFunc(s.answers, func(a *Event) bool { return a.Outcome == Served })
-	due := s.finished.At.Add(j.terms.Told)
+	due := s.finished.At.Add(j.terms.ReleaseGrace)
 	if !served || due.After(j.until) || j.disturbed(s.asked.Manager, s.answers[0].At, due) {
 		return
 	}
@@ -302,20 +302,20 @@
 		e := &events[i]
 		at := pair{e.Manager, e.Node}
 		switch {
-		case e.Kind == Told && e.Text == inService:
+		case e.Kind == ListUpdated && e.Text == inService:
 			delete(told, at)
-		case e.Kind == Told:
+		case e.Kind == ListUpdated:
 			if _, ok := told[at]; !ok {
 				told[at] = e.At
 			}
-		case e.Kind == Sent:
+		case e.Kind == SetUpSent:
 			t, ok := told[at]
 			for _, u := range j.upgrades[e.Manager] { // a new process has time to learn of it
-				if l := u.yes.Add(j.terms.Ops.Learns); ok && !u.yes.IsZero() && t.After(u.began) && t.Before(l) {
+				if l := u.yes.Add(j.terms.Operations.SuccessorListTime); ok && !u.yes.IsZero() && t.After(u.began) && t.Before(l) {
 					t = l
 				}
 			}
-			if ok && e.At.Sub(t) > j.terms.Drain {
+			if ok && e.At.Sub(t) > j.terms.DrainGrace {
 				j.broken("drains", e.ID, "sent to %s %v after %s was told of its end", e.Node, e.At.Sub(t).Round(time.Millisecond), e.Manager)
 			}
 		}
@@ -330,13 +330,13 @@
 	for i := range events {
 		e := &events[i]
 		switch {
-		case e.Kind == Up && e.Cold:
+		case e.Kind == NodeStarted && e.Cold:
 			started[e.Node], came[e.Node] = e.At, nil
-		case e.Kind == Up || e.Kind == Down:
+		case e.Kind == NodeStarted || e.Kind == NodeStopped:
 			delete(started, e.Node)
-		case e.Kind == Came:
+		case e.Kind == SetUpReceived:
 			at, ok := started[e.Node]
-			if !ok || e.At.Sub(at) > j.terms.Warm {
+			if !ok || e.At.Sub(at) > j.terms.WarmUp {
 				continue
 			}
 			l := append(came[e.Node], e.At)
@@ -355,23 +355,23 @@
 
 // bears is how many set-ups within the last second a node bears that started cold
 // a time ago.
-func (t *Terms) bears(since time.Duration) float64 {
-	warm := min(t.Share+(1-t.Share)*float64(since)/float64(t.Warm), 1)
-	return t.Multiple*float64(t.Places)/t.Warm.Seconds()*warm + t.Slack
+func (t *Limits) bears(since time.Duration) float64 {
+	warm := min(t.InitialShare+(1-t.InitialShare)*float64(since)/float64(t.WarmUp), 1)
+	return t.ColdMultiple*float64(t.NodeCapacity)/t.WarmUp.Seconds()*warm + t.SetUpSlack
 }
 
-// Report words verdicts, each with the path of its session through every viewer,
+// FormatVerdicts words verdicts, each with the path of its session through every viewer,
 // manager, relay and node.
-func Report(verdicts []Verdict, events []Event) string {
+func FormatVerdicts(verdicts []Verdict, events []Event) string {
 	var b strings.Builder
 	for i, v := range verdicts {
 		if i == 10 {
 			fmt.Fprintf(&b, "and %d more\n", len(verdicts)-i)
 			break
 		}
-		fmt.Fprintf(&b, "rule %q broken: %s %s\n", v.Rule, v.ID, v.Why)
+		fmt.Fprintf(&b, "rule %q broken: %s %s\n", v.Rule, v.ID, v.Reason)
 		if v.ID != "" {
-			b.WriteString(Path(events, v.ID))
+			b.WriteString(SessionTrace(events, v.ID))
 		}
 	}
 	return b.String()
--- a/internal/fleettest/judge_ops.go
+++ b/internal/fleettest/judge_ops.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// OpsTerms are the figures of the rules on what operators do, with what a busy
+// OperationLimits are the figures of the rules on what operators do, with what a busy
 // machine adds.
-type OpsTerms struct {
-	Call    time.Duration // for a call's answer
-	Binds   time.Duration // after the call a ban holds at the latest, whatever is answered
-	Ban     time.Duration // by which what was written before a ban may be seen after it
-	Back    time.Duration // within which a node is used again
-	Emptied time.Duration // after the call to drain, until nothing is held
-	Filled  time.Duration // after the call back, until it says yes
-	Ready   time.Duration // a second process's start
-	Learns  time.Duration // after its yes, until what the list tells binds
-	Unheard int           // requests turned back in an upgrade
-	Files   int           // descriptors of all processes of a manager
-	MB      float64       // and their memory
+type OperationLimits struct {
+	CallAnswer        time.Duration // for a call's answer
+	DisableEffect     time.Duration // after the call a ban holds at the latest, whatever is answered
+	DisableOverlap    time.Duration // by which what was written before a ban may be seen after it
+	Reuse             time.Duration // within which a node is used again
+	DrainTime         time.Duration // after the call to drain, until nothing is held
+	UndrainTime       time.Duration // after the call back, until it says yes
+	SuccessorStart    time.Duration // a second process's start
+	SuccessorListTime time.Duration // after its yes, until what the list tells binds
+	TurnedBack        int           // requests turned back in an upgrade
+	Descriptors       int           // descriptors of all processes of a manager
+	MemoryMB          float64       // and their memory
 }
 
-// DefaultOps are those of the operators' page.
-var DefaultOps = OpsTerms{Call: 2 * time.Second, Binds: time.Second, Ban: 250 * time.Millisecond, Back: 7 * time.Second,
-	Emptied: 4500 * time.Millisecond, Filled: 3 * time.Second, Ready: 10 * time.Second, Learns: 2 * time.Second, Unheard: 2, Files: 1024, MB: managerMB}
+// DefaultOperationLimits are those of the operators' page.
+var DefaultOperationLimits = OperationLimits{CallAnswer: 2 * time.Second, DisableEffect: time.Second, DisableOverlap: 250 * time.Millisecond, Reuse: 7 * time.Second,
+	DrainTime: 4500 * time.Millisecond, UndrainTime: 3 * time.Second, SuccessorStart: 10 * time.Second, SuccessorListTime: 2 * time.Second, TurnedBack: 2, Descriptors: 1024, MemoryMB: managerMB}
 
 // upgrade is a time in which a manager has two processes.
 type upgrade struct {
@@ -57,11 +57,11 @@
 		e := &events[i]
 		l := j.upgrades[e.Manager]
 		switch {
-		case e.Kind == Renewing:
+		case e.Kind == UpgradeStarted:
 			j.upgrades[e.Manager] = append(l, &upgrade{began: e.At, over: j.until})
-		case e.Kind == Renewed && len(l) > 0:
+		case e.Kind == SuccessorReady && len(l) > 0:
 			l[len(l)-1].yes = e.At
-		case e.Kind == Replaced && len(l) > 0:
+		case e.Kind == ProcessReplaced && len(l) > 0:
 			l[len(l)-1].over = e.At
 		}
 	}
@@ -71,15 +71,15 @@
 func (j *judge) calls(events []Event) {
 	for i := range events {
 		e := &events[i]
-		if t := &j.terms.Ops; e.Kind == Used && (e.Files > t.Files || e.MB > t.MB) {
-			j.broken("limits", "", "%s holds %d descriptors and %.0f MB at %s", e.Manager, e.Files, e.MB, e.At.Format("15:04:05.000"))
+		if t := &j.terms.Operations; e.Kind == ResourcesSampled && (e.Descriptors > t.Descriptors || e.MemoryMB > t.MemoryMB) {
+			j.broken("limits", "", "%s holds %d descriptors and %.0f MB at %s", e.Manager, e.Descriptors, e.MemoryMB, e.At.Format("15:04:05.000"))
 		}
 		ends := func(t time.Time) bool { return t.Before(e.At) && e.At.Sub(t) < 10*time.Second }
-		if e.Kind != Called || j.disturbed(e.Manager, e.At.Add(-e.Took), e.At) || slices.ContainsFunc(j.ending[e.Manager], ends) {
+		if e.Kind != OperatorCalled || j.disturbed(e.Manager, e.At.Add(-e.Elapsed), e.At) || slices.ContainsFunc(j.ending[e.Manager], ends) {
 			continue
 		}
-		if e.Cause == 0 || e.Took > j.terms.Ops.Call {
-			j.broken("calls", "", "%s at %s: status %d after %v", e.Text, e.Manager, e.Cause, e.Took.Round(time.Millisecond))
+		if e.Cause == 0 || e.Elapsed > j.terms.Operations.CallAnswer {
+			j.broken("calls", "", "%s at %s: status %d after %v", e.Text, e.Manager, e.Cause, e.Elapsed.Round(time.Millisecond))
 		}
 	}
 }
@@ -93,18 +93,18 @@
 		others int // set-ups sent elsewhere since
 	}
 	out, again, used := map[pair]time.Time{}, map[pair]*back{}, map[pair]bool{}
-	t := &j.terms.Ops
+	t := &j.terms.Operations
 	for i := range events {
 		e := &events[i]
 		at := pair{e.Manager, e.Node}
 		switch e.Kind {
-		case Called:
-			made := e.At.Add(-e.Took)
+		case OperatorCalled:
+			made := e.At.Add(-e.Elapsed)
 			switch {
 			case e.Node == "":
 			case strings.Contains(e.Text, "/disable"):
 				from := e.At
-				if late := made.Add(t.Binds); late.Before(from) || e.Cause/100 != 2 {
+				if late := made.Add(t.DisableEffect); late.Before(from) || e.Cause/100 != 2 {
 					from = late
 				}
 				if _, ok := out[at]; !ok {
@@ -114,7 +114,7 @@
 			case strings.Contains(e.Text, "/enable"):
 				// Guard: what is sent while the call is answered is sent after it was made.
 				for k := i - 1; k >= 0 && events[k].At.After(made); k-- {
-					if x := &events[k]; x.Kind == Sent && x.Manager == at.manager && x.Node == at.node {
+					if x := &events[k]; x.Kind == SetUpSent && x.Manager == at.manager && x.Node == at.node {
 						used[at] = true
 					}
 				}
@@ -123,13 +123,13 @@
 				}
 				delete(out, at)
 			}
-		case Down, Up, Told: // who is away is not used; a start makes it cold, which is judged elsewhere
+		case NodeStopped, NodeStarted, ListUpdated: // who is away is not used; a start makes it cold, which is judged elsewhere
 			for p := range again {
-				if p.node == e.Node && (e.Kind == Down || e.Kind == Told && e.Manager == p.manager && e.Text != inService) {
+				if p.node == e.Node && (e.Kind == NodeStopped || e.Kind == ListUpdated && e.Manager == p.manager && e.Text != inService) {
 					delete(again, p)
 				}
 			}
-		case Running:
+		case ManagerServing:
 			if e.Text == "" { // from nothing: a ban is kept over an upgrade alone
 				for p := range out {
 					if p.manager == e.Manager {
@@ -137,17 +137,17 @@
 					}
 				}
 			}
-		case Sent:
+		case SetUpSent:
 			used[at] = true
 			delete(again, at)
-			if from, ok := out[at]; ok && e.At.After(from.Add(t.Ban)) && !j.calledBack(events[i+1:], at.manager, at.node, e.At) {
+			if from, ok := out[at]; ok && e.At.After(from.Add(t.DisableOverlap)) && !j.calledBack(events[i+1:], at.manager, at.node, e.At) {
 				j.broken("bans", e.ID, "sent to %s by %s %v after it was taken out by hand", e.Node, e.Manager, e.At.Sub(from).Round(time.Millisecond))
 			}
 			for p, b := range again {
 				if p.manager != e.Manager {
 					continue
 				}
-				if b.others++; b.others >= 30 && e.At.After(b.at.Add(t.Back)) {
+				if b.others++; b.others >= 30 && e.At.After(b.at.Add(t.Reuse)) {
 					j.broken("bans", "", "%s is left unused by %s for %v after its call back", p.node, p.manager, e.At.Sub(b.at).Round(time.Millisecond))
 					delete(again, p)
 				}
@@ -161,7 +161,7 @@
 func (j *judge) calledBack(events []Event, manager, node string, at time.Time) bool {
 	for i := range events {
 		e := &events[i]
-		if e.Kind == Called && e.Manager == manager && e.Node == node && strings.Contains(e.Text, "/enable") && e.At.Add(-e.Took).Before(at) {
+		if e.Kind == OperatorCalled && e.Manager == manager && e.Node == node && strings.Contains(e.Text, "/enable") && e.At.Add(-e.Elapsed).Before(at) {
 			return true
 		}
 		if e.At.After(at.Add(6 * time.Second)) {
@@ -175,34 +175,34 @@
 // and no busy connection of viewers, and to be ready again soon after the call back.
 func (j *judge) emptied(events []Event) {
 	out, back := map[string]time.Time{}, map[string]time.Time{}
-	t := &j.terms.Ops
+	t := &j.terms.Operations
 	for i := range events {
 		e := &events[i]
 		m := e.Manager
 		switch {
-		case e.Kind == Called && e.Text == "POST /drain" && e.Cause/100 == 2:
+		case e.Kind == OperatorCalled && e.Text == "POST /drain" && e.Cause/100 == 2:
 			if _, ok := out[m]; !ok {
 				out[m] = e.At
 			}
 			delete(back, m)
-		case e.Kind == Called && e.Text == "POST /undrain" && e.Cause/100 == 2:
+		case e.Kind == OperatorCalled && e.Text == "POST /undrain" && e.Cause/100 == 2:
 			if _, ok := out[m]; ok {
 				back[m] = e.At
 			}
 			delete(out, m)
-		case e.Kind == Ending, e.Kind == Stopped, e.Kind == Apart, e.Kind == Running && e.Text == "":
+		case e.Kind == ManagerStopRequested, e.Kind == ManagerStopped, e.Kind == ViewersCut, e.Kind == ManagerServing && e.Text == "":
 			delete(out, m)
 			delete(back, m)
-		case e.Kind == Fronted:
-			if since, ok := out[m]; ok && e.At.Sub(since) > t.Emptied && (e.Ready || e.Idle > 0 || e.Fresh > 0) {
+		case e.Kind == FrontSampled:
+			if since, ok := out[m]; ok && e.At.Sub(since) > t.DrainTime && (e.Ready || e.IdleConns > 0 || e.RecentConns > 0) {
 				j.broken("drained", "", "%v after the call, %s: ready %v, %d connections held idle, %d with a request of late",
-					e.At.Sub(since).Round(time.Millisecond), m, e.Ready, e.Idle, e.Fresh)
+					e.At.Sub(since).Round(time.Millisecond), m, e.Ready, e.IdleConns, e.RecentConns)
 				delete(out, m)
 			}
 			since, ok := back[m]
 			if ok && e.Ready {
 				delete(back, m)
-			} else if ok && e.At.Sub(since) > t.Filled {
+			} else if ok && e.At.Sub(since) > t.UndrainTime {
 				j.broken("drained", "", "%s is not ready %v after the call back", m, e.At.Sub(since).Round(time.Millisecond))
 				delete(back, m)
 			}
@@ -214,7 +214,7 @@
 // wants the second process ready in time.
 func (j *judge) replaced(events []Event) {
 	for i := range events {
-		if e := &events[i]; e.Kind == TurnedBack {
+		if e := &events[i]; e.Kind == RequestTurnedBack {
 			if u := j.during(e.Manager, e.At); u != nil && !j.disturbed(e.Manager, e.At.Add(-time.Second), e.At) {
 				u.unheard++
 			}
@@ -222,10 +222,10 @@
 	}
 	for m, l := range j.upgrades {
 		for _, u := range l {
-			if u.unheard > j.terms.Ops.Unheard {
+			if u.unheard > j.terms.Operations.TurnedBack {
 				j.broken("turned back", "", "%d requests unheard in the upgrade of %s at %s", u.unheard, m, u.began.Format("15:04:05.000"))
 			}
-			if !u.yes.IsZero() && u.yes.Sub(u.began) > j.terms.Ops.Ready {
+			if !u.yes.IsZero() && u.yes.Sub(u.began) > j.terms.Operations.SuccessorStart {
 				j.broken("turned back", "", "the second process of %s said yes after %v", m, u.yes.Sub(u.began))
 			}
 		}
@@ -245,15 +245,15 @@
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
-		case Figured:
+		case MetricsRead:
 			any = true
 			last[process{e.Manager, e.Process}] = e
 			seen[e.Manager] = e.At
-		case Running:
+		case ManagerServing:
 			if e.Text == "" {
 				seen[e.Manager] = e.At
 			}
-		case Stopped, Replaced:
+		case ManagerStopped, ProcessReplaced:
 			if e.Text == "paused" {
 				continue
 			}
@@ -360,22 +360,22 @@
 			all[m] = h
 		}
 		switch {
-		case e.Kind == Told:
+		case e.Kind == ListUpdated:
 			h.listed[e.Node], h.pool = e.Text, e.At
-		case e.Kind == Called && e.Node != "" && e.Cause/100 == 2:
+		case e.Kind == OperatorCalled && e.Node != "" && e.Cause/100 == 2:
 			h.banned[e.Node], h.pool = strings.Contains(e.Text, "/disable"), e.At
-		case e.Kind == Running && e.Text == "":
+		case e.Kind == ManagerServing && e.Text == "":
 			clear(h.least)
 			clear(h.most)
 			h.start = e.At
-		case e.Kind == Asked:
+		case e.Kind == SetUpRequested:
 			h.least[e.ID], h.most[e.ID] = true, true
-		case e.Kind == Ended, e.Kind == Cut, e.Kind == Released:
+		case e.Kind == SessionEnded, e.Kind == SessionLost, e.Kind == SessionTornDown:
 			delete(h.least, e.ID)
-		case e.Kind == Answered && e.Outcome != Served, e.Kind == Over, e.Kind == Moved, e.Kind == Left, e.Kind == Dropped:
+		case e.Kind == Answered && e.Outcome != Served, e.Kind == ReleaseReceived, e.Kind == MoveReceived, e.Kind == SetUpAbandoned, e.Kind == ViewerConnClosed:
 			delete(h.least, e.ID)
 			delete(h.most, e.ID)
-		case e.Kind == Figured:
+		case e.Kind == MetricsRead:
 			j.stands(h, e)
 		}
 		h.lately = append(h.lately, count{e.At, len(h.least), len(h.most)})
@@ -384,7 +384,7 @@
 
 // stands judges one report. The figures may be half a second old.
 func (j *judge) stands(h *holding, e *Event) {
-	g, oldest := e.Figures, e.At.Add(-e.Took-600*time.Millisecond)
+	g, oldest := e.Figures, e.At.Add(-e.Elapsed-600*time.Millisecond)
 	two := slices.ContainsFunc(j.upgrades[e.Manager], func(u *upgrade) bool {
 		return e.At.After(u.began) && e.At.Before(u.over.Add(5*time.Second))
 	})
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -200,8 +200,8 @@
 				t.Fatal(err)
 			}
 			s.Plan.Env = []string{badEnv + "=" + breaks}
-			s.Plan.Terms.Answer, s.Plan.Terms.Told, s.Plan.Terms.Drain = 300*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond
-			s.Plan.Terms.Overlap = time.Millisecond
+			s.Plan.Terms.AnswerGrace, s.Plan.Terms.ReleaseGrace, s.Plan.Terms.DrainGrace = 300*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond
+			s.Plan.Terms.AttemptOverlap = time.Millisecond
 			wrong, _ := s.Play(self, t.TempDir(), nil)
 			all := strings.Join(wrong, "\n")
 			if rule == "" && all != "" || !strings.Contains(all, rule) {
@@ -215,28 +215,28 @@
 // doesn't: that it was asked to end.
 func TestJudgeOfDisturbedManagers(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	asked := Event{At: at(0), Kind: Asked, Manager: "m", ID: "1", Class: "feed", Left: time.Second}
+	asked := Event{At: at(0), Kind: SetUpRequested, Manager: "m", ID: "1", Class: "feed", TimeLeft: time.Second}
 	for name, e := range map[string]struct {
 		events []Event
 		rule   string
 	}{
 		"nothing said":            {nil, "one answer"},
-		"killed under it":         {[]Event{{At: at(500), Kind: Stopped, Manager: "m"}}, ""},
-		"killed before it":        {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}}, ""},
-		"another one killed":      {[]Event{{At: at(500), Kind: Stopped, Manager: "n"}}, "one answer"},
-		"stopped and gone on":     {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}, {At: at(500), Kind: Running, Manager: "m"}}, ""},
-		"gone on before it":       {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}, {At: at(-1), Kind: Running, Manager: "m"}}, "one answer"},
-		"cut off":                 {[]Event{{At: at(500), Kind: Apart, Manager: "m"}}, ""},
-		"its viewer left early":   {[]Event{{At: at(500), Kind: Left, ID: "1"}}, ""},
-		"its viewer left in time": {[]Event{{At: at(1000), Kind: Left, ID: "1"}}, "one answer"},
-		"asked to end, and ended": {[]Event{{At: at(-100), Kind: Ending, Manager: "m"}, {At: at(800), Kind: Dropped, ID: "1"}, {At: at(801), Kind: Stopped, Manager: "m"}}, "one answer"},
-		"asked to end long since": {[]Event{{At: at(-900), Kind: Ending, Manager: "m"}, {At: at(800), Kind: Dropped, ID: "1"}, {At: at(801), Kind: Stopped, Manager: "m"}}, ""},
+		"killed under it":         {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"killed before it":        {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"another one killed":      {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "n"}}, "one answer"},
+		"stopped and gone on":     {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(500), Kind: ManagerServing, Manager: "m"}}, ""},
+		"gone on before it":       {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(-1), Kind: ManagerServing, Manager: "m"}}, "one answer"},
+		"cut off":                 {[]Event{{At: at(500), Kind: ViewersCut, Manager: "m"}}, ""},
+		"its viewer left early":   {[]Event{{At: at(500), Kind: SetUpAbandoned, ID: "1"}}, ""},
+		"its viewer left in time": {[]Event{{At: at(1000), Kind: SetUpAbandoned, ID: "1"}}, "one answer"},
+		"asked to end, and ended": {[]Event{{At: at(-100), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, "one answer"},
+		"asked to end long since": {[]Event{{At: at(-900), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, ""},
 	} {
 		r := NewRecord()
 		for _, x := range append(e.events, asked) {
 			r.Add(x)
 		}
-		found := Judge(r.Events(), DefaultTerms, at(60_000))
+		found := Judge(r.Events(), DefaultLimits, at(60_000))
 		if (len(found) > 0) != (e.rule != "") || len(found) > 0 && found[0].Rule != e.rule {
 			t.Errorf("%s: %+v", name, found)
 		}
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -74,7 +74,7 @@
 	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addr: map[string]string{}, model: m, seed: seed, record: record,
 		up: true, since: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
 		sessions: map[string]*nodeSession{}, pending: map[string][]string{}}
-	record.Add(Event{Kind: Up, Node: name})
+	record.Add(Event{Kind: NodeStarted, Node: name})
 	return n
 }
 
@@ -124,7 +124,7 @@
 	n.unhang()
 	for id, s := range n.sessions {
 		s.timer.Stop()
-		n.record.Add(Event{Kind: Cut, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
+		n.record.Add(Event{Kind: SessionLost, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	clear(n.sessions)
 	clear(n.pending)
@@ -138,7 +138,7 @@
 		}
 		clear(l)
 	}
-	n.record.Add(Event{Kind: Down, Node: n.Name})
+	n.record.Add(Event{Kind: NodeStopped, Node: n.Name})
 }
 
 // Start has it run again, from nothing and cold.
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.up, n.cold, n.since = true, true, time.Now()
-	n.record.Add(Event{Kind: Up, Node: n.Name, Cold: true})
+	n.record.Add(Event{Kind: NodeStarted, Node: n.Name, Cold: true})
 }
 
 // Since is when it last started.
@@ -285,7 +285,7 @@
 	class, q, body := string(m.Get("Call-Kind")), rung(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.Paid[class], Rung: q})
+	n.record.Add(Event{Kind: SetUpReceived, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.Paid[class], Rung: q})
 	status := 200
 	switch {
 	case n.draw(id, "fails") < n.failing:
@@ -312,9 +312,9 @@
 				defer n.mu.Unlock()
 				n.end(id)
 			})}
-			n.record.Add(Event{Kind: Ran, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.Paid[class], Text: text})
+			n.record.Add(Event{Kind: SessionEstablished, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.Paid[class], Text: text})
 		}
-		n.record.Add(Event{Kind: Said, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
+		n.record.Add(Event{Kind: SetUpAnswered, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
 		c.say(answer(status, "1", id, text))
 	})
 }
@@ -327,7 +327,7 @@
 		return
 	}
 	delete(n.sessions, id)
-	n.record.Add(Event{Kind: Ended, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
+	n.record.Add(Event{Kind: SessionEnded, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
 	n.pending[s.manager] = append(n.pending[s.manager], id)
 	c := s.conn
 	if c.closed {
@@ -351,7 +351,7 @@
 	if s := n.sessions[id]; s != nil && s.manager == c.manager {
 		s.timer.Stop()
 		delete(n.sessions, id)
-		n.record.Add(Event{Kind: Released, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
+		n.record.Add(Event{Kind: SessionTornDown, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	c.say(answer(200, "2", id, ""))
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -87,7 +87,7 @@
 		served := b.addr != ""
 		p.mu.Unlock()
 		return served && b.saysReady()
-	}, func() { p.Record.Add(Event{Kind: Running, Manager: p.Name}) })
+	}, func() { p.Record.Add(Event{Kind: ManagerServing, Manager: p.Name}) })
 }
 
 // await waits until a body is ready, or has ended.
@@ -189,9 +189,9 @@
 	p.mu.Lock()
 	asked := b.asked
 	p.bodies = slices.DeleteFunc(p.bodies, func(o *body) bool { return o == b })
-	e := Event{Kind: Replaced, Manager: p.Name, Process: b.number, Text: fmt.Sprint("ended: ", err)}
+	e := Event{Kind: ProcessReplaced, Manager: p.Name, Process: b.number, Text: fmt.Sprint("ended: ", err)}
 	if len(p.bodies) == 0 {
-		e.Kind = Stopped
+		e.Kind = ManagerStopped
 	}
 	p.wake()
 	p.mu.Unlock()
@@ -216,7 +216,7 @@
 	if old == nil {
 		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
 	}
-	p.Record.Add(Event{Kind: Renewing, Manager: p.Name})
+	p.Record.Add(Event{Kind: UpgradeStarted, Manager: p.Name})
 	b, err := p.launch()
 	if err != nil {
 		return err
@@ -228,7 +228,7 @@
 			doomed = b
 		} else {
 			// What it had taken is lost with it; the other one runs, or soon does.
-			p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed beside its successor"})
+			p.Record.Add(Event{Kind: ManagerStopped, Manager: p.Name, Text: "killed beside its successor"})
 		}
 		p.end(doomed, syscall.SIGKILL)
 		<-doomed.exited
@@ -237,9 +237,9 @@
 		}
 	}
 	return p.await(b, b.saysReady, func() {
-		p.Record.Add(Event{Kind: Renewed, Manager: p.Name, Process: b.number})
+		p.Record.Add(Event{Kind: SuccessorReady, Manager: p.Name, Process: b.number})
 		if kill == "old" {
-			p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "its successor"})
+			p.Record.Add(Event{Kind: ManagerServing, Manager: p.Name, Text: "its successor"})
 		}
 	})
 }
@@ -375,10 +375,10 @@
 		return nil
 	}
 	if s == syscall.SIGTERM {
-		p.Record.Add(Event{Kind: Ending, Manager: p.Name})
+		p.Record.Add(Event{Kind: ManagerStopRequested, Manager: p.Name})
 	}
 	if s == syscall.SIGKILL {
-		p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed"})
+		p.Record.Add(Event{Kind: ManagerStopped, Manager: p.Name, Text: "killed"})
 	}
 	for _, b := range l {
 		p.end(b, s)
@@ -398,14 +398,14 @@
 
 // Pause stops it as it stands: it hears nothing and its clock goes on.
 func (p *Process) Pause() error {
-	p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "paused"})
+	p.Record.Add(Event{Kind: ManagerStopped, Manager: p.Name, Text: "paused"})
 	return p.signal(syscall.SIGSTOP)
 }
 
 // Resume lets it go on, as if no time had passed.
 func (p *Process) Resume() error {
 	err := p.signal(syscall.SIGCONT)
-	p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "resumed"})
+	p.Record.Add(Event{Kind: ManagerServing, Manager: p.Name, Text: "resumed"})
 	return err
 }
 
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -58,7 +58,7 @@
 // Parse reads a scenario. open reads what it includes; nil: nothing can be included. The
 // error is a *conf.Faults, which tells all that is wrong.
 func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
-	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultTerms,
+	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultLimits,
 		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
 	faults := new(conf.Faults)
 	conf.Read(conf.Parse(name, text, open, faults), nil, faults, s.keys())
@@ -69,8 +69,8 @@
 		return nil, err
 	}
 	t := &s.Plan.Terms
-	t.Ops.Files = cmp.Or(s.Plan.Sockets, t.Ops.Files)
-	t.Warm, t.Places, t.Share = s.Plan.Model.Warm, s.Plan.Model.Places, s.Plan.Model.Share
+	t.Operations.Descriptors = cmp.Or(s.Plan.Sockets, t.Operations.Descriptors)
+	t.WarmUp, t.NodeCapacity, t.InitialShare = s.Plan.Model.Warm, s.Plan.Model.Places, s.Plan.Model.Share
 	return s, nil
 }
 
@@ -184,15 +184,15 @@
 
 // counted are the conditions that count events, of all or of a node or a manager.
 var counted = map[string]func(*Event) bool{
-	"asked":    func(e *Event) bool { return e.Kind == Asked },
+	"asked":    func(e *Event) bool { return e.Kind == SetUpRequested },
 	"served":   func(e *Event) bool { return e.Kind == Answered && e.Outcome == Served },
 	"refused":  func(e *Event) bool { return e.Kind == Answered && e.Outcome == Refused },
 	"failed":   func(e *Event) bool { return e.Kind == Answered && e.Outcome == Failed },
 	"answered": func(e *Event) bool { return e.Kind == Answered },
-	"sent":     func(e *Event) bool { return e.Kind == Sent },
-	"came":     func(e *Event) bool { return e.Kind == Came },
-	"ended":    func(e *Event) bool { return e.Kind == Ended },
-	"over":     func(e *Event) bool { return e.Kind == Over },
+	"sent":     func(e *Event) bool { return e.Kind == SetUpSent },
+	"came":     func(e *Event) bool { return e.Kind == SetUpReceived },
+	"ended":    func(e *Event) bool { return e.Kind == SessionEnded },
+	"over":     func(e *Event) bool { return e.Kind == ReleaseReceived },
 }
 
 func (s *Scenario) condition(d *conf.Directive) condition {
@@ -273,7 +273,7 @@
 	}
 	events := f.Record.Events()
 	if found := Judge(events, s.Plan.Terms, time.Now()); len(found) > 0 {
-		wrong = append(wrong, Report(found, events))
+		wrong = append(wrong, FormatVerdicts(found, events))
 	}
 	for _, e := range s.expect {
 		if why := e.holds(r); why != "" {
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -22,10 +22,10 @@
 		t.Fatal(err)
 	}
 	for _, n := range []int{4, 16, 40} {
-		p := Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultTerms,
+		p := Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultLimits,
 			Load: Load{Left: 3 * time.Second, Clip: 0.35, Titles: 8}}
 		p.Model.LinkKB, p.Model.Places, p.Model.Length = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
-		p.Terms.Places = p.Model.Places
+		p.Terms.NodeCapacity = p.Model.Places
 		for i := range 2 {
 			h := Hall{Name: string(rune('a' + i))}
 			for k := range n / 2 {
@@ -54,7 +54,7 @@
 			asked, served := 0, 0
 			for _, e := range f.Record.Events() {
 				if e.At.After(from) && e.At.Before(to) {
-					if e.Kind == Asked {
+					if e.Kind == SetUpRequested {
 						asked++
 					}
 					if e.Kind == Answered && e.Outcome == Served {
@@ -78,7 +78,7 @@
 		f.Crowd.SetRate(0.001)
 		time.Sleep(4 * time.Second)
 		if found := Judge(f.Record.Events(), p.Terms, time.Now()); len(found) > 0 {
-			t.Error(Report(found, f.Record.Events()))
+			t.Error(FormatVerdicts(found, f.Record.Events()))
 		}
 		f.Close()
 		t.Logf("%d managers: started in %v; memory %.0f MB in the middle, %.0f at most; %d descriptors at most; %.0f set-ups a second all served; %v of processor time",
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -425,7 +425,7 @@
 		least, most := d.Int("set-ups", 0, 1<<20), d.Int("set-ups", 0, 1<<20)
 		s.names(d, 2, n)
 		e.holds = func(r *run) string {
-			got := r.Record.Count(func(e *Event) bool { return e.Kind == Sent && e.Node == n })
+			got := r.Record.Count(func(e *Event) bool { return e.Kind == SetUpSent && e.Node == n })
 			if got < least || got > most {
 				return fmt.Sprintf("%d to %s, not %d to %d", got, n, least, most)
 			}
@@ -437,7 +437,7 @@
 			part := func(class string) float64 {
 				ids := map[string]bool{}
 				for _, e := range r.Record.Events() {
-					if e.Kind == Asked && e.Class == class {
+					if e.Kind == SetUpRequested && e.Class == class {
 						ids[e.ID] = true
 					}
 				}
--- a/internal/fleettest/viewer.go
+++ b/internal/fleettest/viewer.go
@@ -284,8 +284,8 @@
 	if v == nil {
 		var err error
 		if v, err = c.dial(manager); err != nil {
-			c.Record.Add(Event{Kind: TurnedBack, Manager: manager, ID: id, Text: "refused"})
-			c.Record.Add(Event{Kind: Dropped, Manager: manager, ID: id})
+			c.Record.Add(Event{Kind: RequestTurnedBack, Manager: manager, ID: id, Text: "refused"})
+			c.Record.Add(Event{Kind: ViewerConnClosed, Manager: manager, ID: id})
 			a.hall = ""   // it looks elsewhere
 			c.again(a, 0) // nobody has taken it
 			return ""
@@ -311,7 +311,7 @@
 	crossed := a.crossed
 	c.mu.Unlock()
 	if !crossed || moved {
-		c.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: a.class, Paid: c.Paid[a.class], Left: left})
+		c.Record.Add(Event{Kind: SetUpRequested, Manager: manager, ID: id, Class: a.class, Billed: c.Paid[a.class], TimeLeft: left})
 	}
 	if _, err := v.Write(append(line, '\n')); err != nil {
 		v.Close() // its reader tells of what was open
@@ -347,7 +347,7 @@
 	if !waits {
 		return
 	}
-	c.Record.Add(Event{Kind: Left, Manager: v.manager, ID: id})
+	c.Record.Add(Event{Kind: SetUpAbandoned, Manager: v.manager, ID: id})
 	line, _ := json.Marshal(map[string]any{"type": "release", "id": id, "fields": map[string]string{}, "cause": 16})
 	v.Write(append(line, '\n')) // a manager that is gone needs no word
 	c.again(a, 0)
@@ -382,13 +382,13 @@
 		line, err := in.ReadBytes('\n')
 		if err != nil {
 			if len(line) > 0 {
-				c.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+				c.Record.Add(Event{Kind: MalformedMessage, Manager: v.manager, Text: string(line)})
 			}
 			break
 		}
 		var m Message
 		if err := json.Unmarshal(line, &m); err != nil {
-			c.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+			c.Record.Add(Event{Kind: MalformedMessage, Manager: v.manager, Text: string(line)})
 			continue
 		}
 		c.heard(v, &m)
@@ -401,12 +401,12 @@
 	for id := range v.open {
 		a := c.asks[id]
 		if !a.crossed && time.Since(a.at) < crossing && time.Since(c.reset[v.manager]) > 2*crossing {
-			c.Record.Add(Event{Kind: TurnedBack, Manager: v.manager, ID: id, Text: "closed"})
+			c.Record.Add(Event{Kind: RequestTurnedBack, Manager: v.manager, ID: id, Text: "closed"})
 			a.crossed = true
 			crossed[id] = a
 			continue
 		}
-		e := Event{Kind: Dropped, Manager: v.manager, ID: id}
+		e := Event{Kind: ViewerConnClosed, Manager: v.manager, ID: id}
 		if !v.heard {
 			e.Text = unread
 		}
@@ -462,9 +462,9 @@
 	case m.Type == "answer":
 		e.Outcome, e.Text = Served, m.SDP
 	case m.Type == "move":
-		e.Kind = Moved
+		e.Kind = MoveReceived
 	case m.Type == "release" && served:
-		e.Kind = Over
+		e.Kind = ReleaseReceived
 	case m.Type == "release" && (m.Cause == 34 || m.Cause == 42 || m.Cause == 102):
 		e.Outcome = Refused
 		ms, _ := strconv.Atoi(m.Fields["wait"])
@@ -475,11 +475,11 @@
 		return
 	}
 	c.Record.Add(e)
-	if e.Kind == Moved || e.Kind == Over { // what it heard, it says
+	if e.Kind == MoveReceived || e.Kind == ReleaseReceived { // what it heard, it says
 		line, _ := json.Marshal(map[string]any{"type": "released", "id": m.ID, "fields": map[string]string{}})
 		v.Write(append(line, '\n'))
 	}
-	if e.Kind == Moved || e.Kind == Over && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
+	if e.Kind == MoveReceived || e.Kind == ReleaseReceived && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
 		c.again(a, wait)
 	}
 }
