--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -485,7 +485,7 @@
 func (f *Fleet) Wait(what string, ready func() bool) error {
 	deadline := time.Now().Add(f.Plan.Patience)
 	for {
-		next := f.Record.next()
+		next := f.Record.nextEvent()
 		if ready() {
 			return nil
 		}
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -23,7 +23,7 @@
 // NewMembers builds such a fleet and starts it. It is to be closed also where an error
 // is returned.
 func NewMembers(halls []Hall, seed uint64, binary, folder string) (*Members, error) {
-	f := &Fleet{Plan: Plan{Seed: seed, Halls: halls, Model: DefaultModel, Load: Load{Left: 3 * time.Second}, Terms: DefaultLimits, Patience: 2 * patience},
+	f := &Fleet{Plan: Plan{Seed: seed, Halls: halls, Model: DefaultModel, Load: Load{Left: 3 * time.Second}, Terms: DefaultLimits, Patience: 2 * defaultWaitTimeout},
 		Record: NewRecord(), Managers: map[string]*Process{}, Nodes: map[string]*Node{}, Lists: map[string]*List{},
 		ToNode: map[string]map[string]*Relay{}, ToList: map[string]*Relay{}, ToManager: map[string]*Relay{}, done: make(chan struct{})}
 	m := &Members{Fleet: f}
--- a/internal/fleettest/members_test.go
+++ b/internal/fleettest/members_test.go
@@ -88,7 +88,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			binary, err := program()
+			binary, err := buildProgram()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleettest/packets_test.go
+++ b/internal/fleettest/packets_test.go
@@ -40,7 +40,7 @@
 			if all = append(all, s); s == last {
 				return all
 			}
-		case <-time.After(patience):
+		case <-time.After(defaultWaitTimeout):
 			t.Fatalf("%q has not come after %d others", last, len(all))
 		}
 	}
@@ -71,7 +71,7 @@
 		t.Error(all)
 	}
 	b := make([]byte, 100)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "re 0" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
@@ -80,7 +80,7 @@
 	for p.Passed(Out) != 3 {
 		t.Fatal("passed while cut")
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "re 1" { // the other way is open
 		t.Errorf("%q, %v", b[:n], err)
 	}
@@ -142,7 +142,7 @@
 		}
 		defer c.Close()
 		b := make([]byte, 2)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 		_, err = c.Read(b)
 		return err == nil && string(b) == "m2"
 	}
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -92,7 +92,7 @@
 
 // await waits until a body is ready, or has ended.
 func (p *Process) await(b *body, ready func() bool, then func()) error {
-	deadline := time.After(patience)
+	deadline := time.After(defaultWaitTimeout)
 	for {
 		p.mu.Lock()
 		changed := p.changed
@@ -110,7 +110,7 @@
 		case <-b.exited:
 			return fmt.Errorf("fleettest: %s ended at its start:\n%s", p.Name, p.Tail(20))
 		case <-deadline:
-			return fmt.Errorf("fleettest: %s does not serve after %v:\n%s", p.Name, patience, p.Tail(20))
+			return fmt.Errorf("fleettest: %s does not serve after %v:\n%s", p.Name, defaultWaitTimeout, p.Tail(20))
 		}
 	}
 }
@@ -383,14 +383,14 @@
 	for _, b := range l {
 		p.end(b, s)
 	}
-	late := time.After(patience)
+	late := time.After(defaultWaitTimeout)
 	for _, b := range l {
 		select {
 		case <-b.exited:
 		case <-late:
 			b.cmd.Process.Kill()
 			<-b.exited
-			return fmt.Errorf("fleettest: %s has not ended %v after %v", p.Name, patience, s)
+			return fmt.Errorf("fleettest: %s has not ended %v after %v", p.Name, defaultWaitTimeout, s)
 		}
 	}
 	return nil
--- a/internal/fleettest/record.go
+++ b/internal/fleettest/record.go
@@ -47,11 +47,11 @@
 	RequestTurnedBack                     // [viewer] a set-up to Manager was turned back unheard: Text
 )
 
-var kindNames = [...]string{"asked", "answered", "over", "moved", "left", "unreadable", "dropped", "sent", "withdrawn", "hung", "came",
+var eventKindNames = [...]string{"asked", "answered", "over", "moved", "left", "unreadable", "dropped", "sent", "withdrawn", "hung", "came",
 	"ran", "said", "ended", "cut", "released", "up", "down", "told", "running", "ending", "stopped", "apart", "together",
 	"renewing", "renewed", "replaced", "called", "figured", "fronted", "used", "turned back"}
 
-func (k EventKind) String() string { return kindNames[k] }
+func (k EventKind) String() string { return eventKindNames[k] }
 
 // Outcome is what a viewer was answered.
 type Outcome uint8
@@ -94,9 +94,9 @@
 func (e *Event) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-10s", e.At.Format("15:04:05.000"), e.Kind)
-	for _, part := range [...][2]string{{"manager", e.Manager}, {"node", e.Node}, {"id", e.ID}, {"class", e.Class}, {"", e.Text}} {
-		if part[1] != "" {
-			b.WriteString(strings.TrimRight(" "+part[0], " ") + " " + part[1])
+	for _, labelled := range [...][2]string{{"manager", e.Manager}, {"node", e.Node}, {"id", e.ID}, {"class", e.Class}, {"", e.Text}} {
+		if labelled[1] != "" {
+			b.WriteString(strings.TrimRight(" "+labelled[0], " ") + " " + labelled[1])
 		}
 	}
 	if e.Kind == Answered {
@@ -146,12 +146,12 @@
 }
 
 // Count tells how many events fit.
-func (r *Record) Count(fits func(*Event) bool) int {
+func (r *Record) Count(matches func(*Event) bool) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for i := range r.events {
-		if fits(&r.events[i]) {
+		if matches(&r.events[i]) {
 			n++
 		}
 	}
@@ -160,23 +160,23 @@
 
 // Summary counts what passed.
 func (r *Record) Summary() string {
-	n := map[string]int{}
+	counts := map[string]int{}
 	for _, e := range r.Events() {
-		what := e.Kind.String()
+		name := e.Kind.String()
 		if e.Kind == Answered {
-			what = e.Outcome.String()
+			name = e.Outcome.String()
 		}
-		n[what]++
+		counts[name]++
 	}
 	var b strings.Builder
-	for _, k := range sortedKeys(n) {
-		fmt.Fprintf(&b, "%s %d, ", k, n[k])
+	for _, name := range sortedKeys(counts) {
+		fmt.Fprintf(&b, "%s %d, ", name, counts[name])
 	}
 	return strings.TrimSuffix(b.String(), ", ")
 }
 
-// next is closed at the next event.
-func (r *Record) next() <-chan struct{} {
+// nextEvent is closed at the next event.
+func (r *Record) nextEvent() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -37,7 +37,7 @@
 
 func dial(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp4", r.Addr(), patience)
+	c, err := net.DialTimeout("tcp4", r.Addr(), defaultWaitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	const short = 50 * time.Millisecond // for what must not come; nothing fails by being late
 	r := echo(t)
 	c := dial(t, r)
-	if got, err := says(c, "hello", patience); got != "hello" {
+	if got, err := says(c, "hello", defaultWaitTimeout); got != "hello" {
 		t.Fatal(got, err)
 	}
 	for _, way := range []Way{Out, Back} {
@@ -73,16 +73,16 @@
 		}
 		r.Heal()
 		b := make([]byte, 3)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "cut" {
 			t.Errorf("healed %v: %q, %v", way, b, err)
 		}
-		if got, err := says(dial(t, r), "new", patience); got != "new" {
+		if got, err := says(dial(t, r), "new", defaultWaitTimeout); got != "new" {
 			t.Errorf("healed %v: %q, %v", way, got, err)
 		}
 	}
 	r.Refuse()
-	if _, err := says(c, "x", patience); err == nil {
+	if _, err := says(c, "x", defaultWaitTimeout); err == nil {
 		t.Error("still open after Refuse")
 	}
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -91,7 +91,7 @@
 	if err := r.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := says(dial(t, r), "again", patience); got != "again" {
+	if got, err := says(dial(t, r), "again", defaultWaitTimeout); got != "again" {
 		t.Errorf("%q, %v", got, err)
 	}
 
@@ -110,26 +110,26 @@
 		hits := 0
 		r.Trap(e.way, "end", 1, e.act, func() { hits++ })
 		c, other := dial(t, r), dial(t, r)
-		if got, err := says(c, "fin", patience); got != "fin" {
+		if got, err := says(c, "fin", defaultWaitTimeout); got != "fin" {
 			t.Fatal(got, err)
 		}
-		wait := patience
+		wait := defaultWaitTimeout
 		if e.act == Mute {
 			wait = short
 		}
 		if got, err := says(c, "end", wait); got != e.got || !errors.Is(err, e.fail) {
 			t.Errorf("%v %v: %q, %v", e.way, e.act, got, err)
 		}
-		if got, err := says(other, "end", patience); got != "end" || hits != 1 {
+		if got, err := says(other, "end", defaultWaitTimeout); got != "end" || hits != 1 {
 			t.Errorf("%v %v: %d hits, the other got %q, %v", e.way, e.act, hits, got, err)
 		}
 	}
 	r.TrapAt(Out, 4, 1, ResetBefore)
 	c = dial(t, r)
-	if got, err := says(c, "abc", patience); got != "abc" {
+	if got, err := says(c, "abc", defaultWaitTimeout); got != "abc" {
 		t.Fatal(got, err)
 	}
-	if got, err := says(c, "d", patience); err == nil {
+	if got, err := says(c, "d", defaultWaitTimeout); err == nil {
 		t.Errorf("byte 4 passed: %q", got)
 	}
 }
@@ -150,7 +150,7 @@
 		}
 		c.CloseWrite()
 	}()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	got, err := io.ReadAll(c)
 	if err != nil || string(got) != string(want) {
 		t.Errorf("got %d bytes, %v", len(got), err)
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -17,12 +17,12 @@
 	if !*sizes {
 		t.Skip("with -sizes only")
 	}
-	binary, err := program()
+	binary, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range []int{4, 16, 40} {
-		p := Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultLimits,
+		p := Plan{Seed: 1, Patience: defaultWaitTimeout, Model: DefaultModel, Terms: DefaultLimits,
 			Load: Load{Left: 3 * time.Second, Clip: 0.35, Titles: 8}}
 		p.Model.LinkKB, p.Model.Places, p.Model.Length = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
 		p.Terms.NodeCapacity = p.Model.Places
