--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -1,19 +1,20 @@
-// Package fleettest starts several processes of the program on loopback, with
-// stand-in media nodes, a stand-in coordinator and viewers, puts faults between
-// them, and judges what passed by the rules.
+// Package fleettest runs several processes of the program on loopback, together with
+// simulated media nodes, simulated coordinators and simulated viewers, injects faults
+// into the connections between them, and checks the recorded traffic against the rules
+// of the protocol.
 //
-// A Fleet is built from a Scenario, which is a text file (see Parse): what there
-// is, what load it bears, and what fails when. Every pair of parties meets through
-// a Relay. Records are taken at the relays, the nodes and the viewers, never from
-// what the program says of itself; Judge reads them alone.
+// A Fleet is built from a Scenario, a text file (see Parse) that lists the parties, the
+// load and the order of the faults. Each pair of parties communicates through a Relay.
+// Events are recorded at the relays, the nodes and the viewers, never from what the
+// program reports about itself; Judge reads these events only.
 //
-// Real time is used: the processes are real. What happens when is tied to what has
-// been seen wherever a verdict depends on the order, and times bound only how long
-// something is waited for. The package uses nothing of testing, so that a command
-// may use it too.
+// The processes are real, so the package runs in real time. Where a verdict depends on
+// the order of events, a step waits for an observed event; timeouts only limit how long
+// it waits. The package doesn't import testing, so that commands can use it too.
 package fleettest
 
 import "time"
 
-// defaultWaitTimeout bounds what is waited for. Nothing passes by being faster.
+// defaultWaitTimeout limits each wait for an event. It is only reached when something is
+// broken; a shorter value makes no test pass that would fail with this one.
 const defaultWaitTimeout = 30 * time.Second
--- a/internal/fleettest/judge_ops.go
+++ b/internal/fleettest/judge_ops.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// OperationLimits are the figures of the rules on what operators do, with what a busy
-// machine adds.
+// OperationLimits holds the limits for the effects of operators' calls, widened by the delays
+// of a busy machine.
 type OperationLimits struct {
-	CallAnswer        time.Duration // for a call's answer
-	DisableEffect     time.Duration // after the call a ban holds at the latest, whatever is answered
-	DisableOverlap    time.Duration // by which what was written before a ban may be seen after it
-	Reuse             time.Duration // within which a node is used again
-	DrainTime         time.Duration // after the call to drain, until nothing is held
-	UndrainTime       time.Duration // after the call back, until it says yes
-	SuccessorStart    time.Duration // a second process's start
-	SuccessorListTime time.Duration // after its yes, until what the list tells binds
-	TurnedBack        int           // requests turned back in an upgrade
-	Descriptors       int           // descriptors of all processes of a manager
-	MemoryMB          float64       // and their memory
+	CallAnswer        time.Duration // for the answer to a call
+	DisableEffect     time.Duration // after a call to disable a node was made, until it takes effect even without an answer
+	DisableOverlap    time.Duration // for which set-ups written before the override may still be recorded after it
+	Reuse             time.Duration // after a node was enabled again, until it is used
+	DrainTime         time.Duration // after a manager was drained, until it holds no idle or recently used connection
+	UndrainTime       time.Duration // after a manager was undrained, until it reports ready
+	SuccessorStart    time.Duration // from the start of a successor until it reports ready
+	SuccessorListTime time.Duration // after a successor reports ready, until it must follow the list
+	TurnedBack        int           // requests turned back unread in one upgrade
+	Descriptors       int           // open file descriptors of all processes of a manager
+	MemoryMB          float64       // memory of all processes of a manager
 }
 
-// DefaultOperationLimits are those of the operators' page.
+// DefaultOperationLimits are the limits that the operators' documentation states.
 var DefaultOperationLimits = OperationLimits{CallAnswer: 2 * time.Second, DisableEffect: time.Second, DisableOverlap: 250 * time.Millisecond, Reuse: 7 * time.Second,
 	DrainTime: 4500 * time.Millisecond, UndrainTime: 3 * time.Second, SuccessorStart: 10 * time.Second, SuccessorListTime: 2 * time.Second, TurnedBack: 2, Descriptors: 1024, MemoryMB: managerMB}
 
-// upgrade is a time in which a manager has two processes.
+// upgrade is a time span in which a manager has two processes.
 type upgrade struct {
 	start, successorReady, end time.Time
 	turnedBack                 int
 }
 
-// checkOperations judges what operators do: calls, bans, drains by call, upgrades.
+// checkOperations checks the effects of what operators do: calls, disabled nodes, drained
+// managers and upgrades.
 func (j *judge) checkOperations(events []Event) {
 	j.checkCalls(events)
 	j.checkDisabledNodes(events)
@@ -41,7 +42,8 @@
 	j.checkUpgrades(events)
 }
 
-// upgradeAt is the upgrade of a manager at a time, or nil.
+// upgradeAt returns the upgrade of a manager at a time, or nil. An upgrade counts for a
+// second after its end.
 func (j *judge) upgradeAt(manager string, at time.Time) *upgrade {
 	for _, u := range j.upgrades[manager] {
 		if !at.Before(u.start) && at.Before(u.end.Add(time.Second)) {
@@ -51,7 +53,7 @@
 	return nil
 }
 
-// findUpgrades notes when managers had two processes.
+// findUpgrades records when each manager had two processes.
 func (j *judge) findUpgrades(events []Event) {
 	for i := range events {
 		e := &events[i]
@@ -67,7 +69,9 @@
 	}
 }
 
-// checkCalls wants each call answered in time, and what a manager holds within its limits.
+// checkCalls checks that each call is answered in time and that each manager stays within
+// its limits of descriptors and memory. Calls that coincide with a disruption or the stop of
+// the manager are not judged.
 func (j *judge) checkCalls(events []Event) {
 	for i := range events {
 		e := &events[i]
@@ -84,13 +88,14 @@
 	}
 }
 
-// checkDisabledNodes wants nothing sent to a node from a manager's yes, or a second after the call,
-// until its call back; and something soon after that.
+// checkDisabledNodes checks that a manager sends no set-ups to a node from the successful
+// answer to the call that disables it, or DisableEffect after the call was made if that is
+// earlier, until it is enabled again; and that the node is used soon after that.
 func (j *judge) checkDisabledNodes(events []Event) {
 	type pair struct{ manager, node string }
 	type reenabling struct {
-		key    time.Time
-		others int // set-ups sent elsewhere since
+		callTime      time.Time
+		sentElsewhere int // set-ups sent to other nodes since
 	}
 	disabledFrom, reenabled, used := map[pair]time.Time{}, map[pair]*reenabling{}, map[pair]bool{}
 	limits := &j.limits.Operations
@@ -112,25 +117,25 @@
 				}
 				delete(reenabled, key)
 			case strings.Contains(e.Text, "/enable"):
-				// Guard: what is sent while the call is answered is sent after it was made.
+				// Guard: a set-up sent between the call and its answer counts as sent after the call.
 				for k := i - 1; k >= 0 && events[k].At.After(callTime); k-- {
 					if earlier := &events[k]; earlier.Kind == SetUpSent && earlier.Manager == key.manager && earlier.Node == key.node {
 						used[key] = true
 					}
 				}
 				if _, ok := disabledFrom[key]; ok && used[key] {
-					reenabled[key] = &reenabling{key: callTime}
+					reenabled[key] = &reenabling{callTime: callTime}
 				}
 				delete(disabledFrom, key)
 			}
-		case NodeStopped, NodeStarted, ListUpdated: // who is away is not used; a start makes it cold, which is judged elsewhere
+		case NodeStopped, NodeStarted, ListUpdated: // an unavailable node is not used; cold starts are judged by checkColdNodes
 			for other := range reenabled {
 				if other.node == e.Node && (e.Kind == NodeStopped || e.Kind == ListUpdated && e.Manager == other.manager && e.Text != inService) {
 					delete(reenabled, other)
 				}
 			}
 		case ManagerServing:
-			if e.Text == "" { // from nothing: a ban is kept over an upgrade alone
+			if e.Text == "" { // a fresh start: overrides survive only upgrades
 				for other := range disabledFrom {
 					if other.manager == e.Manager {
 						delete(disabledFrom, other)
@@ -141,14 +146,14 @@
 			used[key] = true
 			delete(reenabled, key)
 			if effective, ok := disabledFrom[key]; ok && e.At.After(effective.Add(limits.DisableOverlap)) && !j.enableCalledBefore(events[i+1:], key.manager, key.node, e.At) {
-				j.report("bans", e.ID, "sent to %s by %s %v after it was taken out by hand", e.Node, e.Manager, e.At.Sub(effective).Round(time.Millisecond))
+				j.report("bans", e.ID, "sent to %s by %s %v after the node was disabled", e.Node, e.Manager, e.At.Sub(effective).Round(time.Millisecond))
 			}
 			for other, state := range reenabled {
 				if other.manager != e.Manager {
 					continue
 				}
-				if state.others++; state.others >= 30 && e.At.After(state.key.Add(limits.Reuse)) {
-					j.report("bans", "", "%s is left unused by %s for %v after its call back", other.node, other.manager, e.At.Sub(state.key).Round(time.Millisecond))
+				if state.sentElsewhere++; state.sentElsewhere >= 30 && e.At.After(state.callTime.Add(limits.Reuse)) {
+					j.report("bans", "", "%s is left unused by %s for %v after it was enabled again", other.node, other.manager, e.At.Sub(state.callTime).Round(time.Millisecond))
 					delete(reenabled, other)
 				}
 			}
@@ -156,8 +161,8 @@
 	}
 }
 
-// enableCalledBefore tells whether the call back of a node had been made at a time, though its
-// answer came later.
+// enableCalledBefore reports whether a call to enable a node had been made before a time,
+// even though its answer came later.
 func (j *judge) enableCalledBefore(events []Event, manager, node string, at time.Time) bool {
 	for i := range events {
 		e := &events[i]
@@ -171,8 +176,9 @@
 	return false
 }
 
-// checkDrainedManagers wants a manager that was drained by call to be not ready and to hold no idle
-// and no busy connection of viewers, and to be ready again soon after the call back.
+// checkDrainedManagers checks that a drained manager reports not ready and holds neither
+// idle nor recently used viewer connections, and that it reports ready soon after it was
+// undrained.
 func (j *judge) checkDrainedManagers(events []Event) {
 	drained, undrained := map[string]time.Time{}, map[string]time.Time{}
 	limits := &j.limits.Operations
@@ -195,7 +201,7 @@
 			delete(undrained, manager)
 		case e.Kind == FrontSampled:
 			if since, ok := drained[manager]; ok && e.At.Sub(since) > limits.DrainTime && (e.Ready || e.IdleConns > 0 || e.RecentConns > 0) {
-				j.report("drained", "", "%v after the call, %s: ready %v, %d connections held idle, %d with a request of late",
+				j.report("drained", "", "%v after the call, %s: ready %v, %d idle connections, %d with a recent request",
 					e.At.Sub(since).Round(time.Millisecond), manager, e.Ready, e.IdleConns, e.RecentConns)
 				delete(drained, manager)
 			}
@@ -203,15 +209,15 @@
 			if ok && e.Ready {
 				delete(undrained, manager)
 			} else if ok && e.At.Sub(since) > limits.UndrainTime {
-				j.report("drained", "", "%s is not ready %v after the call back", manager, e.At.Sub(since).Round(time.Millisecond))
+				j.report("drained", "", "%s is not ready %v after the call to undrain it", manager, e.At.Sub(since).Round(time.Millisecond))
 				delete(undrained, manager)
 			}
 		}
 	}
 }
 
-// checkUpgrades holds what was turned back unheard in upgrades against what may be, and
-// wants the second process ready in time.
+// checkUpgrades checks how many requests are turned back unread in an upgrade, and that the
+// successor is ready in time.
 func (j *judge) checkUpgrades(events []Event) {
 	for i := range events {
 		if e := &events[i]; e.Kind == RequestTurnedBack {
@@ -223,31 +229,31 @@
 	for manager, upgrades := range j.upgrades {
 		for _, u := range upgrades {
 			if u.turnedBack > j.limits.Operations.TurnedBack {
-				j.report("turned back", "", "%d requests unheard in the upgrade of %s at %s", u.turnedBack, manager, u.start.Format("15:04:05.000"))
+				j.report("turned back", "", "%d requests unread in the upgrade of %s at %s", u.turnedBack, manager, u.start.Format("15:04:05.000"))
 			}
 			if !u.successorReady.IsZero() && u.successorReady.Sub(u.start) > j.limits.Operations.SuccessorStart {
-				j.report("turned back", "", "the second process of %s said yes after %v", manager, u.successorReady.Sub(u.start))
+				j.report("turned back", "", "the successor of %s was ready after %v", manager, u.successorReady.Sub(u.start))
 			}
 		}
 	}
 }
 
-// checkMetrics holds the last figures of all processes, summed, against what peers saw.
-// What happened between the last look at a process and its end may be missing.
+// checkMetrics checks the last counters of all processes, summed, against what the peers saw.
+// Events between the last read of a process's metrics and its end may be missing from them.
 func (j *judge) checkMetrics(events []Event) {
 	type process struct {
 		manager string
 		number  int
 	}
-	last, found := map[process]*Event{}, false
+	lastReads, found := map[process]*Event{}, false
 	uncertain := map[string][]interval{}
-	lastSeen := map[string]time.Time{} // by manager: its last figures, or its start
+	lastSeen := map[string]time.Time{} // by manager: when its metrics were last read, or its start
 	for i := range events {
 		e := &events[i]
 		switch e.Kind {
 		case MetricsRead:
 			found = true
-			last[process{e.Manager, e.Process}] = e
+			lastReads[process{e.Manager, e.Process}] = e
 			lastSeen[e.Manager] = e.At
 		case ManagerServing:
 			if e.Text == "" {
@@ -258,8 +264,8 @@
 				continue
 			}
 			from := lastSeen[e.Manager]
-			if byClass := last[process{e.Manager, e.Process}]; byClass != nil {
-				from = byClass.At
+			if lastRead := lastReads[process{e.Manager, e.Process}]; lastRead != nil {
+				from = lastRead.At
 			}
 			uncertain[e.Manager] = append(uncertain[e.Manager], interval{from.Add(-700 * time.Millisecond), e.At.Add(100 * time.Millisecond)})
 		}
@@ -275,7 +281,7 @@
 		}
 		return false
 	}
-	counts := map[string]*[2]int{} // least and most, by what and class
+	counts := map[string]*[2]int{} // lower and upper bound, by metric and class
 	count := func(name string, certain bool) {
 		if counts[name] == nil {
 			counts[name] = new([2]int)
@@ -301,7 +307,7 @@
 		}
 	}
 	reported := map[string]int{}
-	for _, e := range last {
+	for _, e := range lastReads {
 		for name, byClass := range map[string]map[string]int{"ok": e.Figures.OK, "shed": e.Figures.Shed, "errors": e.Figures.Errors} {
 			for class, n := range byClass {
 				reported[name+" "+class] += n
@@ -328,31 +334,32 @@
 	j.checkGauges(events)
 }
 
-// managerState is how things stand with one manager.
+// managerState is the state of one manager as the record shows it at a time.
 type managerState struct {
-	phases       map[string]string // phases by node
-	disabled     map[string]bool
-	poolChanged  time.Time       // when one of these changed last
-	certain      map[string]bool // sessions that are open or stand
-	possible     map[string]bool // and those whose end the manager may not know yet
-	recentCounts []sessionCount  // of the last second or so
-	started      time.Time       // of its process
+	phases       map[string]string // by node, as listed by the coordinator
+	disabled     map[string]bool   // nodes that operators disabled
+	poolChanged  time.Time         // last change of phases or disabled
+	certain      map[string]bool   // IDs of sessions that are open or established
+	possible     map[string]bool   // these, and those whose end the manager may not know yet
+	recentCounts []sessionCount    // of roughly the last second
+	started      time.Time         // start of its process
 }
 
+// sessionCount holds the numbers of certain and possible sessions at a time.
 type sessionCount struct {
 	at                time.Time
 	certain, possible int
 }
 
-// checkGauges holds each of the figures that tell how things stand against how they stood by
-// the record, in the time before they were told.
+// checkGauges checks each gauge that a manager reports against the states that the record
+// shows shortly before the report.
 func (j *judge) checkGauges(events []Event) {
 	states := map[string]*managerState{}
 	for i := range events {
 		e := &events[i]
 		manager := e.Manager
 		if s := j.sessions[e.ID]; s != nil && s.request != nil {
-			manager = s.request.Manager // whoever tells of it
+			manager = s.request.Manager // whichever party recorded the event
 		}
 		state := states[manager]
 		if state == nil {
@@ -382,7 +389,8 @@
 	}
 }
 
-// checkGaugeSample judges one report. The figures may be half a second old.
+// checkGaugeSample checks the gauges of one read of a manager's metrics, which may be half a
+// second old.
 func (j *judge) checkGaugeSample(state *managerState, e *Event) {
 	metrics, oldest := e.Figures, e.At.Add(-e.Elapsed-600*time.Millisecond)
 	upgrading := slices.ContainsFunc(j.upgrades[e.Manager], func(u *upgrade) bool {
@@ -394,14 +402,14 @@
 	least, most := len(state.certain), len(state.possible)
 	for i := len(state.recentCounts) - 1; i >= 0; i-- {
 		least, most = min(least, state.recentCounts[i].certain), max(most, state.recentCounts[i].possible)
-		if state.recentCounts[i].at.Before(oldest) { // how it stood then is in
+		if state.recentCounts[i].at.Before(oldest) { // the state at that time is included
 			state.recentCounts = state.recentCounts[i:]
 			break
 		}
 	}
-	slack := func(node int) int { return max(3, int(math.Ceil(0.1*float64(node)))) }
+	slack := func(n int) int { return max(3, int(math.Ceil(0.1*float64(n)))) }
 	if metrics.Active < least-slack(least) || metrics.Active > most+slack(most) {
-		j.report("figures", "", "active of %s is %d at %s, %d to %d were open or stood", e.Manager, metrics.Active, e.At.Format("15:04:05.000"), least, most)
+		j.report("figures", "", "active of %s is %d at %s, %d to %d sessions were open or established", e.Manager, metrics.Active, e.At.Format("15:04:05.000"), least, most)
 	}
 	if state.poolChanged.After(oldest) {
 		return
@@ -417,11 +425,11 @@
 		}
 	}
 	if metrics.PoolSize != size {
-		j.report("figures", "", "pool_size of %s is %d at %s, the list holds %d", e.Manager, metrics.PoolSize, e.At.Format("15:04:05.000"), size)
+		j.report("figures", "", "pool_size of %s is %d at %s, the list holds %d nodes", e.Manager, metrics.PoolSize, e.At.Format("15:04:05.000"), size)
 	}
-	// Whom it avoids by choice can't be seen from outside: a short choice hides between
-	// two set-ups.
+	// Nodes that the manager avoids by its own decision can't be seen from outside: a short
+	// avoidance falls between two set-ups.
 	if metrics.PoolEjected < disabled || metrics.PoolEjected > size {
-		j.report("figures", "", "pool_ejected of %s is %d at %s, %d of %d are out by hand", e.Manager, metrics.PoolEjected, e.At.Format("15:04:05.000"), disabled, size)
+		j.report("figures", "", "pool_ejected of %s is %d at %s, %d of %d nodes are disabled", e.Manager, metrics.PoolEjected, e.At.Format("15:04:05.000"), disabled, size)
 	}
 }
--- a/internal/fleettest/judge_ops_test.go
+++ b/internal/fleettest/judge_ops_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Each rule on what operators do is broken by one record and kept by its neighbour.
+// TestJudgeOperationRules checks each rule for operations with a record that violates it and
+// with similar records that don't.
 func TestJudgeOperationRules(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	call := func(ms, took int, text, node string, status int) Event {
@@ -24,8 +25,8 @@
 	managerEvent := func(ms int, k EventKind, text string) Event {
 		return Event{At: at(ms), Kind: k, Manager: "m", Text: text}
 	}
-	frontSample := func(ms int, ready bool, idle, fresh int) Event {
-		return Event{At: at(ms), Kind: FrontSampled, Manager: "m", Ready: ready, IdleConns: idle, RecentConns: fresh}
+	frontSample := func(ms int, ready bool, idle, recent int) Event {
+		return Event{At: at(ms), Kind: FrontSampled, Manager: "m", Ready: ready, IdleConns: idle, RecentConns: recent}
 	}
 	metricsRead := func(ms, process int, g Figures) Event {
 		return Event{At: at(ms), Kind: MetricsRead, Manager: "m", Process: process, Figures: &g}
@@ -57,7 +58,7 @@
 		return all
 	}
 	counters := func(n, tries int) Figures { return Figures{OK: map[string]int{"clip": n}, Tries: tries, PoolSize: 1} }
-	established := func(n int) (all []Event) { // so many sessions that stand by then
+	established := func(n int) (all []Event) { // sessions established at 101 ms
 		for i := range n {
 			id := fmt.Sprint("s", i)
 			all = append(all, Event{At: at(100), Kind: SetUpRequested, Manager: "m", ID: id, Class: "clip", TimeLeft: time.Second},
@@ -69,7 +70,7 @@
 	upgrade := list(managerEvent(1000, UpgradeStarted, ""), managerEvent(2000, SuccessorReady, ""), managerEvent(4000, ProcessReplaced, "ended"))
 	turnedBack := Event{At: at(2100), Kind: RequestTurnedBack, Manager: "m", Text: "closed"}
 	unanswered := func(ms int, text string) []Event {
-		id := fmt.Sprint("lost", ms, text)
+		id := fmt.Sprint("unanswered", ms, text)
 		return list(Event{At: at(ms), Kind: SetUpRequested, Manager: "m", ID: id, Class: "feed", TimeLeft: time.Second},
 			Event{At: at(ms + 50), Kind: ViewerConnClosed, Manager: "m", ID: id, Text: text})
 	}
@@ -77,56 +78,56 @@
 		events []Event
 		rule   string
 	}{
-		"a call unanswered":                   {list(call(0, 1, "/drain", "", 0)), "calls"},
-		"a call answered late":                {list(call(0, 2500, "/drain", "", 200)), "calls"},
-		"a call to one that is killed":        {list(managerEvent(100, ManagerStopped, "killed"), call(0, 500, "/drain", "", 0)), ""},
-		"sent before a ban binds":             {list(disable(0, 1, 200), setUpSent(200, "a")), ""},
-		"sent under a ban":                    {list(disable(0, 1, 200), setUpSent(400, "a")), "bans"},
-		"sent to another":                     {list(disable(0, 1, 200), setUpSent(400, "b")), ""},
-		"a ban that is answered late binds":   {list(disable(0, 1800, 200), setUpSent(1500, "a")), ""},
-		"and sooner than its answer":          {list(disable(0, 2000, 200), setUpSent(1900, "a"), setUpSent(2100, "a")), "bans"},
-		"a ban that got a no":                 {list(disable(0, 1, 500), setUpSent(1400, "a")), "bans"},
-		"sent after the call back":            {list(disable(0, 1, 200), disable(100, 1, 200), enable(1000), setUpSent(1001, "a")), ""},
-		"out over an upgrade":                 {concat(list(disable(0, 1, 200)), upgrade, list(setUpSent(5000, "a"))), "bans"},
-		"and after a start from nothing":      {list(disable(0, 1, 200), managerEvent(1000, ManagerStopped, "killed"), managerEvent(2000, ManagerServing, ""), setUpSent(5000, "a")), ""},
-		"unused after the call back":          {concat(list(setUpSent(-10, "a"), disable(0, 1, 200), enable(1000)), repeat(setUpSent(1000, "b"), 80, 100)), "bans"},
-		"used after it":                       {concat(list(setUpSent(-10, "a"), disable(0, 1, 200), enable(1000), setUpSent(5000, "a")), repeat(setUpSent(1000, "b"), 80, 100)), ""},
-		"unused as ever":                      {concat(list(disable(0, 1, 200), enable(1000)), repeat(setUpSent(1000, "b"), 80, 100)), ""},
-		"ready though drained":                {list(call(0, 1, "/drain", "", 200), frontSample(4000, true, 0, 0), frontSample(4600, true, 0, 0)), "drained"},
-		"idle held though drained":            {list(call(0, 1, "/drain", "", 200), frontSample(4000, false, 1, 1), frontSample(4600, false, 1, 0)), "drained"},
-		"busy held though drained":            {list(call(0, 1, "/drain", "", 200), frontSample(4600, false, 0, 1)), "drained"},
-		"drained":                             {list(call(0, 1, "/drain", "", 200), frontSample(4000, true, 1, 1), frontSample(4600, false, 0, 0)), ""},
-		"undrained at once":                   {list(call(0, 1, "/drain", "", 200), call(100, 1, "/undrain", "", 200), frontSample(1000, true, 1, 1), frontSample(4600, true, 1, 1)), ""},
-		"not ready after undrain":             {list(call(0, 1, "/drain", "", 200), call(100, 1, "/undrain", "", 200), frontSample(3500, false, 0, 0)), "drained"},
-		"two turned back in an upgrade":       {concat(upgrade, repeat(turnedBack, 2, 10)), ""},
-		"three turned back in an upgrade":     {concat(upgrade, repeat(turnedBack, 3, 10)), "turned back"},
-		"three turned back in none":           {repeat(turnedBack, 3, 10), ""},
-		"an unread one is no lost one":        {concat(upgrade, unanswered(3000, unread)), ""},
-		"but counts":                          {concat(upgrade, repeat(turnedBack, 2, 10), unanswered(3000, unread)), "turned back"},
-		"one that was read is lost":           {concat(upgrade, unanswered(3000, "")), "one answer"},
-		"an unread one without an upgrade":    {unanswered(3000, unread), "one answer"},
-		"late with the yes":                   {list(managerEvent(0, UpgradeStarted, ""), managerEvent(11000, SuccessorReady, "")), "turned back"},
-		"within the limits":                   {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1024, MemoryMB: 128}), ""},
-		"too many descriptors":                {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1025}), "limits"},
-		"too much memory":                     {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", MemoryMB: 129}), "limits"},
-		"true figures":                        {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20)))), ""},
-		"nearly true figures":                 {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(17, 23)))), ""},
-		"too few ok":                          {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(16, 20)))), "figures"},
-		"too many tries":                      {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 24)))), "figures"},
-		"of a class that nobody asked for":    {concat(list(listed), list(metricsRead(900, 1, Figures{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
-		"of a wrong list":                     {list(listed, metricsRead(900, 1, Figures{PoolSize: 2})), "figures"},
-		"without a ban":                       {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1})), "figures"},
-		"with a ban":                          {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"avoided by choice":                   {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"avoided, more than there are":        {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 2})), "figures"},
-		"active, though nothing is open":      {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, Active: 4})), "figures"},
-		"active, as many as stand":            {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
-		"active, too few":                     {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
-		"active, which is half a second old":  {concat(list(listed), established(60), list(metricsRead(500, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
-		"of two processes, one after another": {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(20, 20)))), ""},
-		"of which one counts what both did":   {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(40, 40)))), "figures"},
-		"what a killed one did last":          {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), servedRequests(1000, 9), list(managerEvent(1100, ManagerStopped, "killed"), managerEvent(1200, ManagerServing, ""), metricsRead(2000, 2, counters(0, 0)))), ""},
-		"what it did before its last figures": {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(11, 20)), managerEvent(1100, ManagerStopped, "killed"), managerEvent(1200, ManagerServing, ""), metricsRead(2000, 2, counters(0, 0)))), "figures"},
+		"call without an answer":                                          {list(call(0, 1, "/drain", "", 0)), "calls"},
+		"call answered late":                                              {list(call(0, 2500, "/drain", "", 200)), "calls"},
+		"call to a manager that is killed meanwhile":                      {list(managerEvent(100, ManagerStopped, "killed"), call(0, 500, "/drain", "", 0)), ""},
+		"set-up just after a node was disabled, within the overlap":       {list(disable(0, 1, 200), setUpSent(200, "a")), ""},
+		"set-up to a disabled node":                                       {list(disable(0, 1, 200), setUpSent(400, "a")), "bans"},
+		"set-up to another node":                                          {list(disable(0, 1, 200), setUpSent(400, "b")), ""},
+		"set-up before a late answer to a call to disable":                {list(disable(0, 1800, 200), setUpSent(1500, "a")), ""},
+		"set-up just after a late answer, past the effect of the call":    {list(disable(0, 2000, 200), setUpSent(1900, "a"), setUpSent(2100, "a")), "bans"},
+		"set-up after a failed call to disable has taken effect":          {list(disable(0, 1, 500), setUpSent(1400, "a")), "bans"},
+		"set-up after the node was enabled again":                         {list(disable(0, 1, 200), disable(100, 1, 200), enable(1000), setUpSent(1001, "a")), ""},
+		"set-up to a node that was disabled before an upgrade":            {concat(list(disable(0, 1, 200)), upgrade, list(setUpSent(5000, "a"))), "bans"},
+		"set-up to a node that was disabled before a fresh start":         {list(disable(0, 1, 200), managerEvent(1000, ManagerStopped, "killed"), managerEvent(2000, ManagerServing, ""), setUpSent(5000, "a")), ""},
+		"enabled node stays unused":                                       {concat(list(setUpSent(-10, "a"), disable(0, 1, 200), enable(1000)), repeat(setUpSent(1000, "b"), 80, 100)), "bans"},
+		"enabled node is used":                                            {concat(list(setUpSent(-10, "a"), disable(0, 1, 200), enable(1000), setUpSent(5000, "a")), repeat(setUpSent(1000, "b"), 80, 100)), ""},
+		"enabled node stays unused, as before it was disabled":            {concat(list(disable(0, 1, 200), enable(1000)), repeat(setUpSent(1000, "b"), 80, 100)), ""},
+		"drained manager reports ready":                                   {list(call(0, 1, "/drain", "", 200), frontSample(4000, true, 0, 0), frontSample(4600, true, 0, 0)), "drained"},
+		"drained manager holds an idle connection":                        {list(call(0, 1, "/drain", "", 200), frontSample(4000, false, 1, 1), frontSample(4600, false, 1, 0)), "drained"},
+		"drained manager holds a recently used connection":                {list(call(0, 1, "/drain", "", 200), frontSample(4600, false, 0, 1)), "drained"},
+		"drained in time":                                                 {list(call(0, 1, "/drain", "", 200), frontSample(4000, true, 1, 1), frontSample(4600, false, 0, 0)), ""},
+		"undrained at once":                                               {list(call(0, 1, "/drain", "", 200), call(100, 1, "/undrain", "", 200), frontSample(1000, true, 1, 1), frontSample(4600, true, 1, 1)), ""},
+		"not ready after undrain":                                         {list(call(0, 1, "/drain", "", 200), call(100, 1, "/undrain", "", 200), frontSample(3500, false, 0, 0)), "drained"},
+		"two requests turned back in an upgrade":                          {concat(upgrade, repeat(turnedBack, 2, 10)), ""},
+		"three requests turned back in an upgrade":                        {concat(upgrade, repeat(turnedBack, 3, 10)), "turned back"},
+		"three requests turned back without an upgrade":                   {repeat(turnedBack, 3, 10), ""},
+		"unread request lost in an upgrade":                               {concat(upgrade, unanswered(3000, unread)), ""},
+		"unread request lost in an upgrade counts as turned back":         {concat(upgrade, repeat(turnedBack, 2, 10), unanswered(3000, unread)), "turned back"},
+		"read request lost in an upgrade":                                 {concat(upgrade, unanswered(3000, "")), "one answer"},
+		"unread request lost without an upgrade":                          {unanswered(3000, unread), "one answer"},
+		"successor ready late":                                            {list(managerEvent(0, UpgradeStarted, ""), managerEvent(11000, SuccessorReady, "")), "turned back"},
+		"resources within the limits":                                     {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1024, MemoryMB: 128}), ""},
+		"too many descriptors":                                            {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1025}), "limits"},
+		"too much memory":                                                 {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", MemoryMB: 129}), "limits"},
+		"exact counters":                                                  {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20)))), ""},
+		"counters within the tolerance":                                   {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(17, 23)))), ""},
+		"ok counter too low":                                              {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(16, 20)))), "figures"},
+		"tries counter too high":                                          {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 24)))), "figures"},
+		"shed counter for a class without requests":                       {concat(list(listed), list(metricsRead(900, 1, Figures{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
+		"pool size differs from the list":                                 {list(listed, metricsRead(900, 1, Figures{PoolSize: 2})), "figures"},
+		"disabled node not counted as ejected":                            {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1})), "figures"},
+		"disabled node counted as ejected":                                {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
+		"node avoided by the manager's own decision":                      {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
+		"more nodes ejected than listed":                                  {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 2})), "figures"},
+		"active sessions reported, none open":                             {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, Active: 4})), "figures"},
+		"active sessions within the tolerance":                            {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
+		"active sessions too few":                                         {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
+		"active sessions as of half a second before":                      {concat(list(listed), established(60), list(metricsRead(500, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
+		"counters of both processes of an upgrade":                        {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(20, 20)))), ""},
+		"successor counts the requests of both processes":                 {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(40, 40)))), "figures"},
+		"requests of a killed process after the last read of its metrics": {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), servedRequests(1000, 9), list(managerEvent(1100, ManagerStopped, "killed"), managerEvent(1200, ManagerServing, ""), metricsRead(2000, 2, counters(0, 0)))), ""},
+		"requests of a killed process missing from its last read metrics": {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(11, 20)), managerEvent(1100, ManagerStopped, "killed"), managerEvent(1200, ManagerServing, ""), metricsRead(2000, 2, counters(0, 0)))), "figures"},
 	} {
 		r := NewRecord()
 		for _, x := range e.events {
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -14,12 +14,13 @@
 	"millethinge/internal/rtsp"
 )
 
-// faultEnv names what rule a scripted manager breaks. TestMain runs it in place of
-// the tests, so that each judge meets a process that is at fault.
+// faultEnv is the environment variable that makes TestMain run a scripted manager with the
+// named fault instead of the tests. The judge's rules are thereby tested with processes that
+// violate them.
 const faultEnv = "FLEETTEST_BREAKS"
 
-// scriptedManager is a manager that sets each viewer up at the first node, by the book but
-// for one rule.
+// scriptedManager is a manager that sets up each session at the first node and follows the
+// protocol except for one fault.
 type scriptedManager struct {
 	fault      string
 	nodes      []string
@@ -29,6 +30,7 @@
 	setUps     int
 }
 
+// runScriptedManager serves viewers with the given fault until the process is killed.
 func runScriptedManager(fault string) {
 	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
 	if err != nil {
@@ -74,11 +76,11 @@
 			rung = "0"
 		}
 		switch s.fault {
-		case "silent": // no answer is given
+		case "no answer":
 			continue
 		case "crash":
 			os.Exit(3)
-		case "hangs up":
+		case "closes connection":
 			conn.Close()
 			return
 		case "cold":
@@ -88,18 +90,19 @@
 		}
 		s.send(0, request.ID, request.Fields["class"], rung, request.SDP)
 		switch s.fault {
-		case "two at once", "twice":
+		case "sent twice, not billed", "sent twice, billed":
 			s.send(1, request.ID, request.Fields["class"], rung, request.SDP)
-		case "refuses":
-			time.Sleep(20 * time.Millisecond) // so that it is seen to have left before
+		case "refuses after sending":
+			time.Sleep(20 * time.Millisecond) // so that the relay records the SETUP before the refusal
 			fmt.Fprintf(conn, `{"type":"release","id":%q,"fields":{},"cause":42}`+"\n", request.ID)
-		case "garbles":
+		case "malformed line":
 			fmt.Fprintf(conn, "{\"type\":\n")
 		}
 	}
 }
 
-// send writes a SETUP to the ith node.
+// send writes a SETUP to the node with this index, over a connection that it opens if
+// necessary.
 func (s *scriptedManager) send(index int, id, class, rung, sdp string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +117,7 @@
 		go func() {
 			s.readNode(c)
 			s.mu.Lock()
-			delete(s.nodeConns, addr) // its node is gone, or was
+			delete(s.nodeConns, addr) // so that the next set-up opens a new connection
 			s.mu.Unlock()
 		}()
 	}
@@ -125,6 +128,8 @@
 	c.Write(rtsp.AppendBody(m, []byte(sdp)))
 }
 
+// readNode reads what a node writes on a connection and forwards answers and releases to the
+// viewer.
 func (s *scriptedManager) readNode(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -151,34 +156,34 @@
 		v := s.viewerConn
 		s.mu.Unlock()
 		switch {
-		case m.Status == 200 && string(m.Get("CSeq")) == "1" && s.fault != "refuses":
+		case m.Status == 200 && string(m.Get("CSeq")) == "1" && s.fault != "refuses after sending":
 			sdp := string(m.Body)
-			if s.fault == "changes" {
+			if s.fault == "altered description" {
 				sdp += "!"
 			}
 			line, _ := json.Marshal(Message{Type: "answer", ID: id, SDP: sdp})
 			v.Write(append(line, '\n'))
-			if s.fault == "answers twice" {
+			if s.fault == "second answer" {
 				v.Write(append(line, '\n'))
 			}
-		case string(m.Method) == "TEARDOWN" && s.fault != "forgets":
+		case string(m.Method) == "TEARDOWN" && s.fault != "no release":
 			line, _ := json.Marshal(Message{Type: "release", ID: id, Cause: 16})
 			v.Write(append(line, '\n'))
 		}
 	}
 }
 
-// Each judge finds the rule that a scripted manager breaks, and none where it breaks
-// none.
+// TestJudgeDetectsFaultsOfScriptedManagers checks that Judge reports the rule that a scripted
+// manager violates, and none for a manager that follows the protocol.
 func TestJudgeDetectsFaultsOfScriptedManagers(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for fault, rule := range map[string]string{
-		"nothing": "", "silent": "one answer", "crash": "ended by itself", "hangs up": "one answer", "garbles": "one answer",
-		"changes": "one answer", "answers twice": "one answer", "twice": "paid once", "refuses": "paid once",
-		"two at once": "one at a time", "terms": "terms", "forgets": "end told", "drains": "drains", "cold": "cold",
+		"none": "", "no answer": "one answer", "crash": "ended by itself", "closes connection": "one answer", "malformed line": "one answer",
+		"altered description": "one answer", "second answer": "one answer", "sent twice, billed": "paid once", "refuses after sending": "paid once",
+		"sent twice, not billed": "one at a time", "terms": "terms", "no release": "end told", "drains": "drains", "cold": "cold",
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
@@ -189,7 +194,7 @@
 			case "cold":
 				acts = "act \"a1 starts\" {\n when after 500ms\n do kill a1\n}\nact \"more come\" {\n when after 300ms\n do start a1\n do burst 3\n}\n"
 			}
-			clipShare := map[string]string{"two at once": "0"}[fault]
+			clipShare := map[string]string{"sent twice, not billed": "0"}[fault]
 			if clipShare == "" {
 				clipShare = "1"
 			}
@@ -211,8 +216,8 @@
 	}
 }
 
-// What excuses a manager: it was killed, or its viewers were cut off from it. What
-// doesn't: that it was asked to end.
+// TestJudgeExcusesDisruptedManagers checks that a missing answer is excused if the manager was
+// killed or its viewers were cut off from it, but not if it was only asked to stop.
 func TestJudgeExcusesDisruptedManagers(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	request := Event{At: at(0), Kind: SetUpRequested, Manager: "m", ID: "1", Class: "feed", TimeLeft: time.Second}
@@ -220,17 +225,17 @@
 		events []Event
 		rule   string
 	}{
-		"nothing said":            {nil, "one answer"},
-		"killed under it":         {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "m"}}, ""},
-		"killed before it":        {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}}, ""},
-		"another one killed":      {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "n"}}, "one answer"},
-		"stopped and gone on":     {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(500), Kind: ManagerServing, Manager: "m"}}, ""},
-		"gone on before it":       {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(-1), Kind: ManagerServing, Manager: "m"}}, "one answer"},
-		"cut off":                 {[]Event{{At: at(500), Kind: ViewersCut, Manager: "m"}}, ""},
-		"its viewer left early":   {[]Event{{At: at(500), Kind: SetUpAbandoned, ID: "1"}}, ""},
-		"its viewer left in time": {[]Event{{At: at(1000), Kind: SetUpAbandoned, ID: "1"}}, "one answer"},
-		"asked to end, and ended": {[]Event{{At: at(-100), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, "one answer"},
-		"asked to end long since": {[]Event{{At: at(-900), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"no answer":                                 {nil, "one answer"},
+		"killed during the request":                 {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"killed before the request":                 {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"another manager killed":                    {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "n"}}, "one answer"},
+		"paused until during the request":           {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(500), Kind: ManagerServing, Manager: "m"}}, ""},
+		"resumed before the request":                {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(-1), Kind: ManagerServing, Manager: "m"}}, "one answer"},
+		"viewers cut off":                           {[]Event{{At: at(500), Kind: ViewersCut, Manager: "m"}}, ""},
+		"abandoned early":                           {[]Event{{At: at(500), Kind: SetUpAbandoned, ID: "1"}}, ""},
+		"abandoned at the deadline":                 {[]Event{{At: at(1000), Kind: SetUpAbandoned, ID: "1"}}, "one answer"},
+		"stop requested shortly before the request": {[]Event{{At: at(-100), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, "one answer"},
+		"stop requested long before the request":    {[]Event{{At: at(-900), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, ""},
 	} {
 		r := NewRecord()
 		for _, x := range append(e.events, request) {
--- a/internal/fleettest/patch.go
+++ b/internal/fleettest/patch.go
@@ -8,14 +8,15 @@
 	"strings"
 )
 
-// Patch is a fault that is put into the program, to see that a scenario tells it.
+// Patch replaces one piece of the program's source by a faulty one. It is used to verify that
+// a scenario detects the fault.
 type Patch struct {
-	File     string // from the repository's root
-	Old, New string // Old stands there once
+	File     string // path from the root of the repository
+	Old, New string // Old must occur exactly once in File
 }
 
-// BuildPatched is Build of a program with faults in it. The repository's files stay
-// as they are: the compiler reads the patched ones in their place.
+// BuildPatched is like Build, with patches applied to the source. The files of the repository
+// stay unchanged: the compiler reads the patched copies through an overlay.
 func BuildPatched(root, folder string, patches ...Patch) (string, error) {
 	replace := map[string]string{}
 	for i, p := range patches {
@@ -29,7 +30,7 @@
 			return "", fmt.Errorf("fleettest: %w", err)
 		}
 		if n := strings.Count(string(text), p.Old); n != 1 {
-			return "", fmt.Errorf("fleettest: patch %d: %q stands %d times in %s", i, p.Old, n, p.File)
+			return "", fmt.Errorf("fleettest: patch %d: %q occurs %d times in %s, not once", i, p.Old, n, p.File)
 		}
 		target := filepath.Join(folder, fmt.Sprintf("patched-%d.go", i))
 		if err := os.WriteFile(target, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -11,52 +11,57 @@
 	"millethinge/internal/conf"
 )
 
-// Scenario is what a test plays: a fleet, what happens to it and in which order,
-// and what must hold beside the rules.
+// Scenario is a parsed scenario file: a fleet, a sequence of acts, and expectations that must
+// hold at the end in addition to the rules of Judge.
 type Scenario struct {
 	Name           string
 	Plan           Plan
 	acts           []act
 	expectations   []expectation
-	deferredChecks []func() // what names other parts, checked when all is read
+	deferredChecks []func() // checks of names, which run after the whole file is read
 }
 
-// act is a step: it waits for its conditions, one after the other, and then does.
+// act is one act of a scenario: it waits for its conditions in order and then performs its
+// steps.
 type act struct {
 	name       string
 	conditions []condition
 	steps      []step
 }
 
+// condition is what an act waits for. Exactly one of holds, delay and block is used.
 type condition struct {
 	name  string
-	holds func(*scenarioRun) bool
-	delay time.Duration      // instead: so long
-	block func(*scenarioRun) // instead: until it returns
+	holds func(*scenarioRun) bool // polled until it returns true
+	delay time.Duration           // how long to wait
+	block func(*scenarioRun)      // returns when the wait is over
 }
 
+// step is one action of an act.
 type step struct {
 	name    string
 	perform func(*scenarioRun) error
 }
 
+// expectation is a requirement checked after the last act.
 type expectation struct {
 	name      string
-	violation func(*scenarioRun) string // what is wrong, or ""
+	violation func(*scenarioRun) string // describes the violation; empty if the expectation is met
 }
 
-// scenarioRun is a Scenario while it is played.
+// scenarioRun is the state of a Scenario while it is played.
 type scenarioRun struct {
 	*Fleet
-	actStarted  time.Time // of the act
-	markedLines []string  // what managers had logged at the mark
-	background  sync.WaitGroup
+	actStarted  time.Time      // when the current act began its steps
+	markedLines []string       // log lines of all managers up to the last step mark
+	background  sync.WaitGroup // steps started with aside
 }
 
+// maxDuration is the longest duration that a scenario may name.
 const maxDuration = time.Minute
 
-// Parse reads a scenario. open reads what it includes; nil: nothing can be included. The
-// error is a *conf.Faults, which tells all that is wrong.
+// Parse reads a scenario. open reads included files; if it is nil, includes are rejected. The
+// error is a *conf.Faults with all faults of the file.
 func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
 	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: defaultWaitTimeout, Model: DefaultModel, Terms: DefaultLimits,
 		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
@@ -74,6 +79,7 @@
 	return s, nil
 }
 
+// directives returns the keywords of a scenario file.
 func (s *Scenario) directives() []conf.Key {
 	p := &s.Plan
 	return []conf.Key{
@@ -101,6 +107,7 @@
 	}
 }
 
+// readHall reads a hall with its managers and nodes.
 func (s *Scenario) readHall(d *conf.Directive) {
 	h := Hall{Name: d.Word("a name")}
 	names := func(to *[]string) func(*conf.Directive) {
@@ -114,10 +121,11 @@
 	s.Plan.Halls = append(s.Plan.Halls, h)
 }
 
+// readLoad reads the load that the viewers generate.
 func (s *Scenario) readLoad(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.Rate = d.Float("sessions a second", 0, 1000) }},
+		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.Rate = d.Float("sessions per second", 0, 1000) }},
 		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
 		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
 		conf.Key{Name: "titles", Usage: "N", Read: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
@@ -130,6 +138,7 @@
 	)
 }
 
+// readNode reads the model of the media nodes.
 func (s *Scenario) readNode(d *conf.Directive) {
 	m := &s.Plan.Model
 	two := func(to *[2]time.Duration) func(*conf.Directive) {
@@ -139,7 +148,7 @@
 		}
 	}
 	d.Block(
-		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
+		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
 		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
 		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, maxDuration) }},
 		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
@@ -150,7 +159,8 @@
 	)
 }
 
-// checkNames has names checked once all halls are read.
+// checkNames registers a check that names are parties of the fleet. The check runs after all
+// halls are read; it reports its fault at the argument with this number.
 func (s *Scenario) checkNames(d *conf.Directive, argument int, names ...string) {
 	s.deferredChecks = append(s.deferredChecks, func() {
 		f := &Fleet{Plan: s.Plan, Managers: map[string]*Process{}, Nodes: map[string]*Node{}}
@@ -168,12 +178,13 @@
 	})
 }
 
+// readAct reads an act.
 func (s *Scenario) readAct(d *conf.Directive) {
 	a := act{name: d.Word("a name")}
 	d.Block(
 		conf.Key{Name: "when", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) {
 			if len(a.steps) > 0 {
-				d.Fault(0, "comes after what is done: an act waits first, and then does")
+				d.Fault(0, "comes after do: an act waits for all its conditions first and then performs its steps")
 			}
 			a.conditions = append(a.conditions, s.readCondition(d))
 		}},
@@ -182,7 +193,8 @@
 	s.acts = append(s.acts, a)
 }
 
-// eventConditions are the conditions that count events, of all or of a node or a manager.
+// eventConditions are the conditions that count events: of all parties, or of one node or
+// manager.
 var eventConditions = map[string]func(*Event) bool{
 	"asked":    func(e *Event) bool { return e.Kind == SetUpRequested },
 	"served":   func(e *Event) bool { return e.Kind == Answered && e.Outcome == Served },
@@ -195,6 +207,7 @@
 	"over":     func(e *Event) bool { return e.Kind == ReleaseReceived },
 }
 
+// readCondition reads what an act waits for.
 func (s *Scenario) readCondition(d *conf.Directive) condition {
 	words := append([]string{"after", "standing", "logged", "quiet", "open", "aside"}, sortedKeys(eventConditions)...)
 	i := d.OneOf("a condition", words...)
@@ -213,7 +226,7 @@
 			}
 			return r.Fleet.Standing() >= n
 		}
-	case "open": // N: set-ups that are out
+	case "open": // N: set-up requests without an answer
 		n := d.Int("set-ups", 1, 1<<20)
 		c.holds = func(r *scenarioRun) bool {
 			return r.Record.Count(eventConditions["asked"])-r.Record.Count(eventConditions["answered"]) >= n
@@ -229,7 +242,7 @@
 		c.block = func(r *scenarioRun) { r.background.Wait() }
 	case "quiet":
 		c.holds = func(r *scenarioRun) bool { return r.Fleet.Standing() == 0 }
-	default: // N [of NODE or MANAGER], since the act before
+	default: // N [NODE or MANAGER], counted from the start of the steps of the previous act
 		matches := eventConditions[words[i]]
 		n, name := d.Int("how many", 1, 1<<20), s.readOptionalName(d)
 		c.holds = func(r *scenarioRun) bool {
@@ -241,7 +254,8 @@
 	return c
 }
 
-// readOptionalName reads the name of a node or a manager, if there is one.
+// readOptionalName reads the name of a node or a manager, or returns "" at the end of the
+// directive.
 func (s *Scenario) readOptionalName(d *conf.Directive) string {
 	if !d.More() {
 		return ""
@@ -251,12 +265,13 @@
 	return name
 }
 
-// Play plays a scenario with the program at binary, with files below folder, and
-// returns what is wrong: broken rules with the path of their session, managers that
-// ended, and what was expected and isn't so. The fleet is ended by then. watch, if
-// not nil, is told of each act.
+// Play plays the scenario with the program at path binary, whose files go below folder. It
+// returns the failures: violated rules with the traces of their sessions, managers that
+// exited by themselves, and expectations that are not met. The fleet is stopped when Play
+// returns. If onAct is not nil, it is called with the name of each act.
 func (s *Scenario) Play(binary, folder string, onAct func(string)) (failures []string, record *Record) {
 	f, err := New(s.Plan, binary, folder)
+	//lint:ignore SA5001 New requires Close also when it returns an error.
 	defer f.Close()
 	if err != nil {
 		return []string{err.Error()}, f.Record
@@ -268,7 +283,7 @@
 	}
 	r.background.Wait()
 	if s.Plan.Admin {
-		time.Sleep(600 * time.Millisecond) // what is older has to be in the figures
+		time.Sleep(600 * time.Millisecond) // the metrics include everything that is older than this
 		for m := range f.Managers {
 			f.scrape(m)
 		}
@@ -288,6 +303,7 @@
 	return failures, f.Record
 }
 
+// playActs plays the acts in order and returns the first error.
 func (s *Scenario) playActs(r *scenarioRun, onAct func(string)) error {
 	for _, a := range s.acts {
 		for _, c := range a.conditions {
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// buildProgram builds the program once a test run.
+// buildProgram builds the program once per test run.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -18,11 +18,13 @@
 	return Build(root, buildFolder)
 })
 
-// buildFolder is for what the tests build.
+// buildFolder is the folder for the binaries that the tests build.
 var buildFolder string
 
-var onlyScenario = flag.String("scenario", "", "play only the scenario of this name, or its faults")
+// onlyScenario selects a single scenario to play.
+var onlyScenario = flag.String("scenario", "", "play only the scenario of this name, with or without injected faults")
 
+// TestMain runs the tests, or a scripted manager if the environment names a fault.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv(faultEnv); fault != "" {
 		runScriptedManager(fault)
@@ -38,20 +40,20 @@
 	os.Exit(code)
 }
 
-// playSlots is how many scenarios are played side by side. They mostly wait, so that is
-// more than there are processors.
+// playSlots limits how many scenarios are played concurrently. They mostly wait, so the limit
+// exceeds the number of CPUs.
 var playSlots = make(chan struct{}, 12)
 
-// scenarioPlay is a scenario that is being played.
+// scenarioPlay is one play of a scenario, in progress or done.
 type scenarioPlay struct {
-	name, rule string // rule: that a fault in the program has to break; empty: none
+	name, rule string // rule: text that a failure must contain because of an injected fault; empty: none
 	acts       []string
 	failures   []string
 	summary    string
 	done       chan struct{}
 }
 
-// startPlay begins a scenario with a program that build builds.
+// startPlay starts to play a scenario with the program that build returns.
 func startPlay(t *testing.T, name, rule string, build func() (string, error)) *scenarioPlay {
 	t.Helper()
 	file := filepath.Join("testdata", name+".txt")
@@ -64,7 +66,7 @@
 		t.Fatal(err)
 	}
 	result, playFolder, keep := &scenarioPlay{name: name, rule: rule, done: make(chan struct{})}, t.TempDir(), os.Getenv("FLEETTEST_KEEP")
-	if keep != "" { // a folder for whole records, and the processes' files
+	if keep != "" { // keep the records and the files of the processes
 		playFolder = filepath.Join(keep, name)
 		os.RemoveAll(playFolder)
 	}
@@ -94,12 +96,12 @@
 // TestScenarios plays the files of testdata with processes of the program.
 func TestScenarios(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the race detector's run: the processes are built without it")
+		t.Skip("scenarios don't run in short mode: the race detector doesn't see the processes")
 	}
 	t.Parallel()
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("no scenarios found", err)
 	}
 	var all []*scenarioPlay
 	for _, file := range files {
@@ -120,11 +122,11 @@
 	}
 }
 
-// TestScenariosDetectInjectedFaults puts faults into the program that the named scenario has
-// to tell, by the named rule.
+// TestScenariosDetectInjectedFaults injects faults into the program and checks that the
+// scenario detects each of them by the given rule.
 func TestScenariosDetectInjectedFaults(t *testing.T) {
 	if testing.Short() {
-		t.Skip("builds the program once a fault")
+		t.Skip("builds the program once per fault")
 	}
 	t.Parallel()
 	root, err := filepath.Abs("../..")
@@ -156,7 +158,7 @@
 		{"ops-drain", "after the call, m1: ready true", []Patch{{"internal/duty/gate.go", "return g == nil || g.shut.Load() == 0", "return true"}}},
 		{"ops-drain", `"drained" broken`, []Patch{{"internal/duty/gate.go", "!holds && past(&g.shut, now, LetGo)", "false"}}},
 		{"ops-upgrade", `"one answer" broken`, []Patch{{"internal/server/server.go", "case <-sessionBroker.Drained():\n				service.handOverRemaining(sessionBroker)", "case <-map[bool]<-chan time.Time{true: time.After(0)}[draining]:"},
-			{"internal/server/server.go", "				stopFronts()\n				fronts.Wait()\n", ""}}}, // the fronts wait, too
+			{"internal/server/server.go", "				stopFronts()\n				fronts.Wait()\n", ""}}}, // the wait for the fronts has to go, too
 		{"ops-callers", `"calls" broken`, []Patch{{"internal/admin/places.go", "graceTime - time.Since(o.came)", "4*time.Second - time.Since(o.came)"}}},
 		{"ops-figures", "figures\" broken:  tries", []Patch{{"internal/broker/counts.go", "		c.Attempts.Add(1)\n", "		c.Attempts.Add(1 - c.Attempts.Load()%5/4)\n"}}},
 		{"ops-figures", "figures\" broken:  shed", []Patch{{"internal/broker/counts.go", "		c.Refused[class].Add(1)\n", ""}}},
@@ -176,7 +178,7 @@
 		t.Run(p.name, func(t *testing.T) {
 			<-p.done
 			if !strings.Contains(strings.Join(p.failures, "\n"), p.rule) {
-				t.Errorf("the fault is not told: %q", p.failures)
+				t.Errorf("the injected fault was not detected; failures: %q", p.failures)
 			} else if testing.Verbose() {
 				t.Logf("%.300q", p.failures)
 			}
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -9,37 +9,38 @@
 	"millethinge/internal/conf"
 )
 
-// steps are what an act may do. Each reads its arguments and returns what does it.
+// readStep reads a step of an act with its arguments. These are the steps:
 //
-//	cut A… from B…        nothing passes between them, and no connection comes up
-//	cut A… to B…          nothing passes from A to B
-//	heal A… from B…       ends both; heal alone ends all cuts
-//	reset A… from B…      what is open between them is reset
-//	delay A… to B… TIME   what A writes arrives later
+//	cut A… from B…        no data passes between A and B, and connections are refused
+//	cut A… to B…          no data passes from A to B
+//	heal A… from B…       ends cuts between A and B; heal alone ends all cuts
+//	reset A… from B…      resets the open connections between A and B
+//	delay A… to B… TIME   delays what A writes to B
 //	trap M N out|back TOKEN reset|close|mute|after TIMES
-//	                      what manager M (out) or node N (back) writes with TOKEN in it
-//	                      is lost, with its connection reset, closed, or mute from there
-//	                      on; after: it arrives, and then the connection is reset. With
-//	                      viewers for N: what M writes to them (out) or they to M (back)
+//	                      triggers TIMES times on TOKEN in what manager M (out) or node N
+//	                      (back) writes: the data is lost and the connection is reset, closed,
+//	                      or mute from then on; after: the data arrives, then the connection is
+//	                      reset. If N is viewers: in what M writes to them (out) or they to M (back)
 //	trap-at M N out|back BYTES reset|close|mute|after TIMES
-//	untrap                takes all traps back
-//	kill, term, start, restart A…   managers; kill and start nodes, too
+//	                      the same after BYTES bytes
+//	untrap                removes all traps
+//	kill, term, start, restart A…   managers; kill and start also nodes
 //	pause, resume A…      managers, by SIGSTOP and SIGCONT
-//	starve SHARE A…, feed A…        managers, of processor time
+//	starve SHARE A…, feed A…        takes CPU time from managers, or gives it back
 //	hang, unhang A…, fail SHARE A…  nodes
-//	drain, gone, join A… [for LISTS]  the list says so of nodes, to all or some managers
-//	late TIME LISTS, silent LISTS, speak LISTS
-//	rate N                new viewers a second; with 0 nobody comes again either
-//	burst N [MANAGER]     so many viewers at once
-//	mark                  what has been logged so far is what unmarked looks at
-//	end N NODE            so many of its sessions come to their end now
-//	call M METHOD PATH STATUS…  an operator's call, and which answers are right, as in 200, 4xx, any
-//	disable N at M…, enable N at M…  a node by hand, at managers
-//	empty, fill M…        managers are drained by call, and take viewers again
-//	upgrade M [old|new TIME]  a second process takes a manager's place; with old or new
-//	                      that one is killed so long after the second one's start
-//	stall N part|drip|body M…  so many callers that never finish a call
-//	aside STEP            does it beside what follows; the condition aside waits for its end
+//	drain, gone, join A… [for LISTS]  the list sets the phase of nodes, for all or some managers
+//	late TIME LISTS, silent LISTS, speak LISTS  updates of lists come late, not at all, or again
+//	rate N                new viewers per second; with 0 no viewer retries either
+//	burst N [MANAGER]     N viewers at once
+//	mark                  sets the mark up to which unmarked searches the logs
+//	end N NODE            ends N sessions of the node now
+//	call M METHOD PATH STATUS…  an operator's call, and the accepted answers, as in 200, 4xx, any
+//	disable N at M…, enable N at M…  disables or enables a node by a call to managers
+//	empty, fill M…        drains or undrains managers by call
+//	upgrade M [old|new TIME]  starts a successor of M; with old or new, that process is killed
+//	                      TIME after the successor's start
+//	stall N part|drip|body M…  N callers that never finish a call
+//	aside STEP            performs STEP in the background; the condition aside waits for it
 func (s *Scenario) readStep(d *conf.Directive) step {
 	words := []string{"cut", "heal", "reset", "delay", "trap", "trap-at", "untrap", "kill", "term", "start", "restart", "pause", "resume",
 		"starve", "feed", "hang", "unhang", "fail", "drain", "gone", "join", "late", "silent", "speak", "rate", "burst", "end", "mark",
@@ -61,7 +62,7 @@
 			return nil
 		}
 	case "rate":
-		rate := d.Float("sessions a second", 0, 1000)
+		rate := d.Float("sessions per second", 0, 1000)
 		result.perform = func(r *scenarioRun) error { r.Crowd.SetRate(rate); return nil }
 	case "mark":
 		result.perform = func(r *scenarioRun) error {
@@ -126,7 +127,7 @@
 	return result
 }
 
-// applyTo does what needs no more than a group.
+// applyTo performs a step that has no arguments but a group of parties and a share.
 func (r *scenarioRun) applyTo(word string, share float64, g Group) error {
 	for _, m := range g.managers {
 		p := r.Managers[m]
@@ -135,7 +136,8 @@
 		case "kill":
 			err = p.Kill()
 		case "term":
-			// What it does with what it has taken is judged: it runs until it ends.
+			// The manager counts as serving until it exits: how it handles the requests that it
+			// accepted is judged.
 			err = p.Term()
 		case "start":
 			err = p.Start()
@@ -152,7 +154,7 @@
 		case "feed":
 			p.Feed()
 		default:
-			err = fmt.Errorf("%s is nothing that is done to managers", word)
+			err = fmt.Errorf("step %s does not apply to managers", word)
 		}
 		if err != nil {
 			return err
@@ -173,13 +175,13 @@
 		case "fail":
 			r.Nodes[n].Fail(share)
 		default:
-			return fmt.Errorf("%s is nothing that is done to nodes", word)
+			return fmt.Errorf("step %s does not apply to nodes", word)
 		}
 	}
 	return nil
 }
 
-// readOperation reads what is done at a manager's address for calls.
+// readOperation reads a step that calls a manager's admin address.
 func (s *Scenario) readOperation(d *conf.Directive, word string) func(*scenarioRun) error {
 	if !s.Plan.Admin {
 		d.Fault(0, "wants the keyword admin before it")
@@ -194,7 +196,7 @@
 		return func(r *scenarioRun) error {
 			status, text, err := r.Call(m, method, path, "")
 			got := fmt.Sprint(status)
-			if slices.Contains(expected, "any") { // or none: it may cross the manager's end
+			if slices.Contains(expected, "any") { // also no answer: the manager may stop during the call
 				return nil
 			}
 			if err == nil && !slices.ContainsFunc(expected, func(s string) bool { return s == got || s == got[:1]+"xx" }) {
@@ -230,7 +232,7 @@
 	})
 }
 
-// forEachManager does something to each manager that is named.
+// forEachManager reads names and returns a step that calls do for each manager they stand for.
 func (s *Scenario) forEachManager(d *conf.Directive, do func(r *scenarioRun, m string) error) func(*scenarioRun) error {
 	return s.forGroup(d, func(r *scenarioRun, g Group) error {
 		for _, m := range g.managers {
@@ -242,7 +244,8 @@
 	})
 }
 
-// readNames reads names up to one of the stop words, and which one that was.
+// readNames reads names up to one of the stop words or the end of the directive, and returns
+// the stop word that it found.
 func (s *Scenario) readNames(d *conf.Directive, stopWords ...string) (names []string, stop string) {
 	first := d.At() + 1
 	for d.More() {
@@ -261,6 +264,8 @@
 	return names, stop
 }
 
+// forGroup reads at least one name and returns a step that calls do with the parties they
+// stand for.
 func (s *Scenario) forGroup(d *conf.Directive, do func(*scenarioRun, Group) error) func(*scenarioRun) error {
 	names, _ := s.readNames(d)
 	if len(names) == 0 {
@@ -275,6 +280,7 @@
 	}
 }
 
+// readLinkFault reads a cut, heal, reset or delay.
 func (s *Scenario) readLinkFault(d *conf.Directive, word string) func(*scenarioRun) error {
 	if word == "heal" && !d.More() {
 		return func(r *scenarioRun) error { r.Heal(r.All(), r.All()); return nil }
@@ -321,6 +327,7 @@
 	}
 }
 
+// readTrap reads a trap or trap-at.
 func (s *Scenario) readTrap(d *conf.Directive, word string) func(*scenarioRun) error {
 	manager, node := d.Word("a manager"), d.Word("a node")
 	s.checkNames(d, 2, manager)
@@ -361,6 +368,7 @@
 	}
 }
 
+// readListUpdate reads a step that sets the phase of nodes in the lists.
 func (s *Scenario) readListUpdate(d *conf.Directive, word string) func(*scenarioRun) error {
 	names, stop := s.readNames(d, "for")
 	lists := []string{"lists"}
@@ -384,14 +392,14 @@
 	}
 }
 
-// readExpectation reads what must hold at the end beside the rules.
+// readExpectation reads what must hold at the end in addition to the rules of Judge.
 //
-//	served SHARE           of all tries
-//	connects MANAGER NODE N  connections that came up, at most
-//	sent NODE LEAST MOST   set-ups
+//	served SHARE           at least this share of all set-up requests
+//	connects MANAGER NODE N  at most N connections were opened
+//	sent NODE LEAST MOST   set-ups sent to the node
 //	logged MANAGER TEXT, unlogged MANAGER TEXT
 //	unmarked TEXT          in no manager's log up to the mark
-//	order CHEAP DEAR       of the class CHEAP some are refused, and a larger part than of DEAR
+//	order CHEAP DEAR       some requests of class CHEAP are refused, and a larger share than of DEAR
 func (s *Scenario) readExpectation(d *conf.Directive) {
 	words := []string{"served", "connects", "sent", "logged", "unlogged", "unmarked", "order"}
 	i := d.OneOf("what can be expected", words...)
@@ -405,7 +413,7 @@
 		e.violation = func(r *scenarioRun) string {
 			served, asked := r.Record.Count(eventConditions["served"]), r.Record.Count(eventConditions["asked"])
 			if float64(served) < share*float64(asked) {
-				return fmt.Sprintf("%d of %d", served, asked)
+				return fmt.Sprintf("%d of %d set-up requests", served, asked)
 			}
 			return ""
 		}
@@ -416,7 +424,7 @@
 		s.checkNames(d, 3, n)
 		e.violation = func(r *scenarioRun) string {
 			if got := r.ToNode[manager][n].Opened(); got > most {
-				return fmt.Sprintf("%d came up from %s to %s, more than %d", got, manager, n, most)
+				return fmt.Sprintf("%d connections were opened from %s to %s, more than %d", got, manager, n, most)
 			}
 			return ""
 		}
@@ -427,7 +435,7 @@
 		e.violation = func(r *scenarioRun) string {
 			got := r.Record.Count(func(e *Event) bool { return e.Kind == SetUpSent && e.Node == n })
 			if got < least || got > most {
-				return fmt.Sprintf("%d to %s, not %d to %d", got, n, least, most)
+				return fmt.Sprintf("%d set-ups were sent to %s, not %d to %d", got, n, least, most)
 			}
 			return ""
 		}
@@ -445,7 +453,7 @@
 				return float64(refused) / float64(max(len(ids), 1))
 			}
 			if c, d := refusedShare(cheapClass), refusedShare(dearClass); c == 0 || c <= d {
-				return fmt.Sprintf("%.3f of %s are refused, %.3f of %s", c, cheapClass, d, dearClass)
+				return fmt.Sprintf("share refused: %.3f of %s, %.3f of %s", c, cheapClass, d, dearClass)
 			}
 			return ""
 		}
@@ -467,7 +475,7 @@
 			i := slices.IndexFunc(r.Managers[manager].Log(), func(l string) bool { return strings.Contains(l, text) })
 			switch {
 			case i < 0 && expected:
-				return fmt.Sprintf("%q is nowhere in the log of %s", text, manager)
+				return fmt.Sprintf("%q is not in the log of %s", text, manager)
 			case i >= 0 && !expected:
 				return fmt.Sprintf("%q is in the log of %s: %s", text, manager, r.Managers[manager].Log()[i])
 			}
