--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -62,11 +62,11 @@
 
 // Parse reads a scenario. open reads included files; if it is nil, includes are rejected. The
 // error is a *conf.Faults with all faults of the file.
-func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
+func Parse(name string, text []byte, open conf.ReadFileFunc) (*Scenario, error) {
 	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: defaultWaitTimeout, Model: DefaultModel, Terms: DefaultLimits,
 		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
 	faults := new(conf.Faults)
-	conf.Read(conf.Parse(name, text, open, faults), nil, faults, s.directives())
+	conf.Apply(conf.Parse(name, text, open, faults), nil, faults, s.directives())
 	for _, f := range s.deferredChecks {
 		f()
 	}
@@ -80,30 +80,30 @@
 }
 
 // directives returns the keywords of a scenario file.
-func (s *Scenario) directives() []conf.Key {
+func (s *Scenario) directives() []conf.Keyword {
 	p := &s.Plan
-	return []conf.Key{
-		{Name: "seed", Usage: "N", Read: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Read: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, maxDuration) }},
-		{Name: "level", Usage: "LEVEL", Read: func(d *conf.Directive) {
+	return []conf.Keyword{
+		{Name: "seed", Usage: "N", Apply: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
+		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, maxDuration) }},
+		{Name: "level", Usage: "LEVEL", Apply: func(d *conf.Directive) {
 			p.Level = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
-		{Name: "sockets", Usage: "N", Read: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
-		{Name: "admin", Read: func(*conf.Directive) { p.Admin = true }},
-		{Name: "hall", Usage: "NAME { … }", Many: true, Must: true, Read: s.readHall},
-		{Name: "absent", Usage: "NODE…", Many: true, Read: func(d *conf.Directive) {
+		{Name: "sockets", Usage: "N", Apply: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
+		{Name: "admin", Apply: func(*conf.Directive) { p.Admin = true }},
+		{Name: "hall", Usage: "NAME { … }", Repeatable: true, Required: true, Apply: s.readHall},
+		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *conf.Directive) {
 			for first := true; first || d.More(); first = false {
 				p.Absent = append(p.Absent, d.Word("a node"))
 			}
 		}},
-		{Name: "operator", Usage: "LINE", Many: true, Read: func(d *conf.Directive) {
+		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *conf.Directive) {
 			line, _ := d.Rest()
 			p.Operator += strings.Trim(line, "`") + "\n"
 		}},
-		{Name: "load", Usage: "{ … }", Read: s.readLoad},
-		{Name: "node", Usage: "{ … }", Read: s.readNode},
-		{Name: "act", Usage: "NAME { … }", Many: true, Read: s.readAct},
-		{Name: "expect", Usage: "WHAT …", Many: true, Read: s.readExpectation},
+		{Name: "load", Usage: "{ … }", Apply: s.readLoad},
+		{Name: "node", Usage: "{ … }", Apply: s.readNode},
+		{Name: "act", Usage: "NAME { … }", Repeatable: true, Apply: s.readAct},
+		{Name: "expect", Usage: "WHAT …", Repeatable: true, Apply: s.readExpectation},
 	}
 }
 
@@ -117,7 +117,7 @@
 			}
 		}
 	}
-	d.Block(conf.Key{Name: "managers", Usage: "NAME…", Read: names(&h.Managers)}, conf.Key{Name: "nodes", Usage: "NAME…", Read: names(&h.Nodes)})
+	d.Block(conf.Keyword{Name: "managers", Usage: "NAME…", Apply: names(&h.Managers)}, conf.Keyword{Name: "nodes", Usage: "NAME…", Apply: names(&h.Nodes)})
 	s.Plan.Halls = append(s.Plan.Halls, h)
 }
 
@@ -125,12 +125,12 @@
 func (s *Scenario) readLoad(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.Rate = d.Float("sessions per second", 0, 1000) }},
-		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "titles", Usage: "N", Read: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Key{Name: "left", Usage: "DURATION", Read: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
-		conf.Key{Name: "weight", Usage: "MANAGER N", Many: true, Read: func(d *conf.Directive) {
+		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.Rate = d.Float("sessions per second", 0, 1000) }},
+		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "titles", Usage: "N", Apply: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
+		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *conf.Directive) {
 			m := d.Word("a manager")
 			l.Weight[m] = d.Float("a weight", 0, 1000)
 			s.checkNames(d, 1, m)
@@ -148,14 +148,14 @@
 		}
 	}
 	d.Block(
-		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
-		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
-		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, maxDuration) }},
-		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
-		conf.Key{Name: "idle", Usage: "DURATION", Read: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
-		conf.Key{Name: "streams", Usage: "N", Read: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Key{Name: "answer", Usage: "FROM TO", Read: two(&m.Answer)},
-		conf.Key{Name: "length", Usage: "FROM TO", Read: two(&m.Length)},
+		conf.Keyword{Name: "link", Usage: "KB", Apply: func(d *conf.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
+		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
+		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
+		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
+		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.Answer)},
+		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.Length)},
 	)
 }
 
@@ -172,8 +172,8 @@
 				f.Nodes[n] = &Node{}
 			}
 		}
-		if _, err := f.Find(names...); err != nil && !d.Bad() {
-			d.Fault(argument, "%v", err)
+		if _, err := f.Find(names...); err != nil && !d.HasFault() {
+			d.ReportFault(argument, "%v", err)
 		}
 	})
 }
@@ -182,13 +182,13 @@
 func (s *Scenario) readAct(d *conf.Directive) {
 	a := act{name: d.Word("a name")}
 	d.Block(
-		conf.Key{Name: "when", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) {
+		conf.Keyword{Name: "when", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) {
 			if len(a.steps) > 0 {
-				d.Fault(0, "comes after do: an act waits for all its conditions first and then performs its steps")
+				d.ReportFault(0, "comes after do: an act waits for all its conditions first and then performs its steps")
 			}
 			a.conditions = append(a.conditions, s.readCondition(d))
 		}},
-		conf.Key{Name: "do", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) { a.steps = append(a.steps, s.readStep(d)) }},
+		conf.Keyword{Name: "do", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) { a.steps = append(a.steps, s.readStep(d)) }},
 	)
 	s.acts = append(s.acts, a)
 }
@@ -261,7 +261,7 @@
 		return ""
 	}
 	name := d.Word("a name")
-	s.checkNames(d, d.At(), name)
+	s.checkNames(d, d.ArgumentIndex(), name)
 	return name
 }
 
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -184,7 +184,7 @@
 // readOperation reads a step that calls a manager's admin address.
 func (s *Scenario) readOperation(d *conf.Directive, word string) func(*scenarioRun) error {
 	if !s.Plan.Admin {
-		d.Fault(0, "wants the keyword admin before it")
+		d.ReportFault(0, "wants the keyword admin before it")
 	}
 	switch word {
 	case "call":
@@ -247,7 +247,7 @@
 // readNames reads names up to one of the stop words or the end of the directive, and returns
 // the stop word that it found.
 func (s *Scenario) readNames(d *conf.Directive, stopWords ...string) (names []string, stop string) {
-	first := d.At() + 1
+	first := d.ArgumentIndex() + 1
 	for d.More() {
 		word := d.Word("a name")
 		for _, stopWord := range stopWords {
@@ -269,7 +269,7 @@
 func (s *Scenario) forGroup(d *conf.Directive, do func(*scenarioRun, Group) error) func(*scenarioRun) error {
 	names, _ := s.readNames(d)
 	if len(names) == 0 {
-		d.Fault(d.At()+1, "wants names")
+		d.ReportFault(d.ArgumentIndex()+1, "wants names")
 	}
 	return func(r *scenarioRun) error {
 		g, err := r.Find(names...)
@@ -287,7 +287,7 @@
 	}
 	fromNames, stop := s.readNames(d, "from", "to")
 	if stop == "" || word == "delay" && stop != "to" {
-		d.Fault(d.At()+1, "wants A… from B…, or A… to B…")
+		d.ReportFault(d.ArgumentIndex()+1, "wants A… from B…, or A… to B…")
 		return nil
 	}
 	var toNames []string
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -60,8 +60,8 @@
 		}}, e.Seed)
 	defer fleet.Close()
 	rate := e.Load * set.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
-	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
-		Rules: []site.Rule{{Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}, {Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}}}
+	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.ExpectedLoad{{MeanLength: 45500 * time.Millisecond}, {MeanLength: 35 * time.Second}},
+		Rules: []site.Rule{{Tiers: []int{0, 0}, WarmUp: 3 * time.Second, InitialShare: 0.2}, {Tiers: []int{0, 0}, WarmUp: 3 * time.Second, InitialShare: 0.2}}}
 	for k, c := range set.Classes {
 		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.FloorRung, Top: c.TopRung, RatesKB: set.RatesKB}
 		for _, w := range set.LadderWorth {
@@ -165,14 +165,14 @@
 func bestWithout(s broker.SiteConfig, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
 	var nodes []site.Node
 	for i, kb := range links {
-		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(set.MaxStreamsByKind[0])})
+		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, MaxStreams: float64(set.MaxStreamsByKind[0])})
 	}
-	f := &site.Fleet{Classes: s.Classes, Sites: site.Build(s.Names, nodes, 1e12)}
-	f.Demands = f.Spread([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
+	f := &site.Fleet{Classes: s.Classes, Sites: site.BuildSites(s.Names, nodes, 1e12)}
+	f.Demands = f.SpreadDemand([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
 	if !gone { // the viewers of managers that are lost ask where they don't cross
-		f.Cross = set.CrossZoneCost
+		f.CrossSiteCost = set.CrossZoneCost
 	}
-	p, err := site.Make(f, 1)
+	p, err := site.MakePlan(f, 1)
 	return p.Worth, err
 }
 
