--- a/internal/fleettest/patch.go
+++ b/internal/fleettest/patch.go
@@ -8,34 +8,35 @@
 	"strings"
 )
 
-// Patch is a fault that is put into the program, to see that a scenario tells it.
+// Patch replaces one piece of the program's source by a faulty one. It is used to verify that
+// a scenario detects the fault.
 type Patch struct {
-	File     string // from the repository's root
-	Old, New string // Old stands there once
+	File     string // path from the root of the repository
+	Old, New string // Old must occur exactly once in File
 }
 
-// BuildPatched is Build of a program with faults in it. The repository's files stay
-// as they are: the compiler reads the patched ones in their place.
+// BuildPatched is like Build, with patches applied to the source. The files of the repository
+// stay unchanged: the compiler reads the patched copies through an overlay.
 func BuildPatched(root, folder string, patches ...Patch) (string, error) {
 	replace := map[string]string{}
 	for i, p := range patches {
-		at := filepath.Join(root, p.File)
-		from := at
-		if done, ok := replace[at]; ok {
-			from = done
+		source := filepath.Join(root, p.File)
+		current := source
+		if patched, ok := replace[source]; ok {
+			current = patched
 		}
-		text, err := os.ReadFile(from)
+		text, err := os.ReadFile(current)
 		if err != nil {
 			return "", fmt.Errorf("fleettest: %w", err)
 		}
 		if n := strings.Count(string(text), p.Old); n != 1 {
-			return "", fmt.Errorf("fleettest: patch %d: %q stands %d times in %s", i, p.Old, n, p.File)
+			return "", fmt.Errorf("fleettest: patch %d: %q occurs %d times in %s, not once", i, p.Old, n, p.File)
 		}
-		to := filepath.Join(folder, fmt.Sprintf("patched-%d.go", i))
-		if err := os.WriteFile(to, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
+		target := filepath.Join(folder, fmt.Sprintf("patched-%d.go", i))
+		if err := os.WriteFile(target, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
 			return "", fmt.Errorf("fleettest: %w", err)
 		}
-		replace[at] = to
+		replace[source] = target
 	}
 	text, err := json.Marshal(map[string]any{"Replace": replace})
 	if err != nil {
