--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -246,7 +246,7 @@
 // unreachableAddr returns an address on loopback that does not answer attempts to connect.
 func unreachableAddr(t *testing.T) string {
 	l := loopback(t)
-	closeFill, err := standin.Shy(l.(*net.TCPListener))
+	closeFill, err := standin.FillAcceptQueue(l.(*net.TCPListener))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -321,7 +321,7 @@
 		t.Run(name, func(t *testing.T) {
 			unusedNode := loopback(t).Addr().String()
 			node := loopback(t)
-			go (&standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}).Serve(node)
+			go (&standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}).Serve(node)
 			update := memberJSON("a", unusedNode, "terminating") + "," + memberJSON("b", node.Addr().String(), "in_service")
 			first := startCoordinator(t, update)
 			c := newChild(t, memberJSON("a", unusedNode, "in_service"))
@@ -389,11 +389,11 @@
 	for _, n := range []int{64, 96, sockets, 256} {
 		t.Run(strconv.Itoa(n), func(t *testing.T) {
 			node, release := &countingListener{Listener: loopback(t)}, make(chan struct{})
-			go (&standin.Node{Bill: standin.NewBill(), Decide: func(id string, _ int) standin.Verdict {
+			go (&standin.Node{Counts: standin.NewCounts(), Decide: func(id string, _ int) standin.Response {
 				if id != fmt.Sprintf("%016x", 1) { // the first session is established at once, so that no connection is closed
 					<-release
 				}
-				return standin.Verdict{Status: 200}
+				return standin.Response{Status: 200}
 			}}).Serve(node)
 			list := memberJSON("a", node.Addr().String(), "in_service")
 			first := startCoordinator(t, list)
@@ -462,7 +462,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			node := loopback(t)
-			go (&standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}).Serve(node)
+			go (&standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}).Serve(node)
 			c := newChild(t, memberJSON("a", node.Addr().String(), "in_service"))
 			c.writeConfig(coordinator)
 			for run := range 3 {
@@ -519,8 +519,8 @@
 // If a manager has three processes and the two older ones end at the same time, exactly one
 // process must take over the established session, and none of the two may tear it down.
 func TestThreeProcesses(t *testing.T) {
-	node, bill := loopback(t), standin.NewBill()
-	go (&standin.Node{Bill: bill, Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}).Serve(node)
+	node, bill := loopback(t), standin.NewCounts()
+	go (&standin.Node{Counts: bill, Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}).Serve(node)
 	list := memberJSON("a", node.Addr().String(), "in_service")
 	source := startCoordinator(t, list)
 	source.hasUpdate.Store(true)
@@ -554,9 +554,9 @@
 		if got := strings.Count(c.logged(), `"sessions taken over","name":"n0","sessions":1`); got != want {
 			t.Errorf("process %d takes the session over %d times; its log:\n%s", i, got, c.logged())
 		}
-		bill.Read(func(b *standin.Bill) {
-			if b.Ended["0000000000000001"] != want {
-				t.Errorf("after the end of process %d the session has been torn down %d times", i, b.Ended["0000000000000001"])
+		bill.WithLock(func(b *standin.Counts) {
+			if b.Teardowns["0000000000000001"] != want {
+				t.Errorf("after the end of process %d the session has been torn down %d times", i, b.Teardowns["0000000000000001"])
 			}
 		})
 	}
--- a/example/medianode/main.go
+++ b/example/medianode/main.go
@@ -24,10 +24,10 @@
 	}
 	fmt.Println("listening on", l.Addr())
 	count := 0
-	node := &standin.Node{Bill: standin.NewBill(), Decide: func(session string, nth int) standin.Verdict {
-		v := standin.Verdict{Status: 200, Length: *length}
+	node := &standin.Node{Counts: standin.NewCounts(), Decide: func(session string, nth int) standin.Response {
+		v := standin.Response{Status: 200, SessionLength: *length}
 		if count++; *every > 0 && count%*every == 0 {
-			v = standin.Verdict{Status: 453}
+			v = standin.Response{Status: 453}
 		}
 		fmt.Println("SETUP", session, v.Status)
 		return v
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -77,8 +77,8 @@
 		}
 		lengths := []distuv.Uniform{{Min: 26, Max: 65, Src: src}, {Min: 20, Max: 50, Src: src}}
 		fleet := standin.NewFleet(&standin.Fleet{
-			Settings: set, LinksKB: links, Way: 2 * time.Millisecond, Spread: 0.15,
-			Length: func(id control.SessionID, class int) time.Duration {
+			Settings: set, LinksKB: links, OneWayDelay: 2 * time.Millisecond, RateSpread: 0.15,
+			SessionLength: func(id control.SessionID, class int) time.Duration {
 				u := lengths[class]
 				fraction := float64(uint64(id)*0x9e3779b97f4a7c15>>11) / (1 << 53) // a hash of the ID: the same in each scenario
 				return time.Duration((u.Min + fraction*(u.Max-u.Min)) * float64(time.Second))
@@ -111,7 +111,7 @@
 		var running sync.WaitGroup
 		var brokers []*broker.Broker
 		for i := range managers {
-			m := &standin.Manager{Fleet: fleet}
+			m := &standin.ManagerNodes{Fleet: fleet}
 			b, err := broker.New(broker.Config{Settings: set, Seed: sc.seed*1000 + uint64(i), MemoryMB: 192, Peaks: peakConfig, Nodes: m, Log: zap.NewNop()})
 			if err != nil {
 				t.Fatal(err)
@@ -127,7 +127,7 @@
 		running.Go(func() {
 			for ctx.Err() == nil {
 				time.Sleep(time.Second)
-				fleet.Notes()
+				fleet.AnnounceShortfalls()
 			}
 		})
 		var totals phaseTotals
@@ -162,7 +162,7 @@
 		totals.mu.Lock()
 		defer totals.mu.Unlock()
 		out.inTimeBefore, out.inTimeDuring = totals.answeredInTime[1]/totals.requested[1], totals.answeredInTime[2]/totals.requested[2]
-		out.requestedDuring, out.earned, out.rejections = totals.requested[2], fleet.Earned, float64(fleet.Full)
+		out.requestedDuring, out.earned, out.rejections = totals.requested[2], fleet.EarnedWorth, float64(fleet.RefusedFull)
 	})
 	return out
 }
--- a/internal/broker/loss_test.go
+++ b/internal/broker/loss_test.go
@@ -55,35 +55,35 @@
 					synctest.Test(t, func(t *testing.T) {
 						var err error
 						run := standin.SiteLoss{Settings: siteLossSettings(*lossManagers, nodes), Managers: *lossManagers, Nodes: nodes,
-							Plan: i == 1, Gone: managersLost, Load: load, Seed: seed + 1}
-						if results[i], err = run.Play(); err != nil {
+							SitePlanning: i == 1, LoseManagers: managersLost, Utilization: load, Seed: seed + 1}
+						if results[i], err = run.Run(); err != nil {
 							t.Error(err)
 						}
 					})
-					for k := range results[i].Asked {
-						totals[i].Asked[k] += results[i].Asked[k]
+					for k := range results[i].Requests {
+						totals[i].Requests[k] += results[i].Requests[k]
 						totals[i].Served[k] += results[i].Served[k]
 					}
-					totals[i].Falls += results[i].Falls
-					totals[i].Back += results[i].Back / time.Duration(*lossSeeds)
+					totals[i].ExcessColdSetUps += results[i].ExcessColdSetUps
+					totals[i].RecoveryTime += results[i].RecoveryTime / time.Duration(*lossSeeds)
 				}
-				keptDuring = append(keptDuring, results[1].During/min(results[1].Best, results[1].Before))
-				keptSettled = append(keptSettled, results[1].Settled/min(results[1].Best, results[1].Before))
-				keptWithoutPlan = append(keptWithoutPlan, results[0].Settled/min(results[0].Best, results[0].Before))
+				keptDuring = append(keptDuring, results[1].During/min(results[1].Optimum, results[1].Before))
+				keptSettled = append(keptSettled, results[1].DuringSettled/min(results[1].Optimum, results[1].Before))
+				keptWithoutPlan = append(keptWithoutPlan, results[0].DuringSettled/min(results[0].Optimum, results[0].Before))
 				gainDuring = append(gainDuring, results[1].During/results[0].During-1)
 				gainAfter = append(gainAfter, results[1].After/results[0].After-1)
 			}
 			t.Logf("managers lost %v, load %.2f: kept %.3f of the optimum, %.3f from 10 s on (none %.3f); against none: during %s, after %s; served clip %.3f feed %.3f, none %.3f %.3f; falls %d, none %d; back after %.1f s, none %.1f s",
-				managersLost, load, stat.Mean(keptDuring, nil), stat.Mean(keptSettled, nil), stat.Mean(keptWithoutPlan, nil), formatConfidence(gainDuring), formatConfidence(gainAfter), totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1],
-				totals[0].Served[0]/totals[0].Asked[0], totals[0].Served[1]/totals[0].Asked[1], totals[1].Falls, totals[0].Falls, totals[1].Back.Seconds(), totals[0].Back.Seconds())
+				managersLost, load, stat.Mean(keptDuring, nil), stat.Mean(keptSettled, nil), stat.Mean(keptWithoutPlan, nil), formatConfidence(gainDuring), formatConfidence(gainAfter), totals[1].Served[0]/totals[1].Requests[0], totals[1].Served[1]/totals[1].Requests[1],
+				totals[0].Served[0]/totals[0].Requests[0], totals[0].Served[1]/totals[0].Requests[1], totals[1].ExcessColdSetUps, totals[0].ExcessColdSetUps, totals[1].RecoveryTime.Seconds(), totals[0].RecoveryTime.Seconds())
 			if m := stat.Mean(keptSettled, nil); m < 0.85 {
 				t.Errorf("%.3f of the optimum are kept from 10 s on, want at least 0.85", m)
 			}
-			if clip, feed := totals[1].Served[0]/totals[1].Asked[0], totals[1].Served[1]/totals[1].Asked[1]; clip < feed {
+			if clip, feed := totals[1].Served[0]/totals[1].Requests[0], totals[1].Served[1]/totals[1].Requests[1]; clip < feed {
 				t.Errorf("%.3f of feed are served and %.3f of clip: the plan must refuse feed first", feed, clip)
 			}
-			if totals[1].Falls > *lossSeeds {
-				t.Errorf("%d set-ups more than cold nodes can take", totals[1].Falls)
+			if totals[1].ExcessColdSetUps > *lossSeeds {
+				t.Errorf("%d set-ups more than cold nodes can take", totals[1].ExcessColdSetUps)
 			}
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -33,7 +33,7 @@
 
 // node is the records of one instance.
 func node(name, state string, port uint16) []dnsmessage.Resource {
-	return standin.Instance(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
+	return standin.ServiceRecords(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
 }
 
 // sockets finds a port that is free for both transports.
@@ -56,7 +56,7 @@
 	udp, tcp := sockets(t)
 	defer udp.Close()
 	defer tcp.Close()
-	var server standin.DNS
+	var server standin.DNSServer
 	go server.Serve(udp, tcp)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -75,16 +75,16 @@
 		}
 	}
 	a, b := "a._rtsp._tcp.media.example 127.0.0.1:1001 ", "b._rtsp._tcp.media.example 127.0.0.1:1002 "
-	server.Set(false, node("a", "ready", 1001)...)
+	server.SetRecords(false, node("a", "ready", 1001)...)
 	go d.Run(ctx)
 	expect(a + "1 1 3 1.5 2")
-	server.Set(true, append(node("a", "ready", 1001), node("b", "ready", 1002)...)...) // by TCP
+	server.SetRecords(true, append(node("a", "ready", 1001), node("b", "ready", 1002)...)...) // by TCP
 	expect(b + "1 1 3 1.5 2")
-	server.Set(false, append(node("a", "draining", 1001), node("b", "ready", 1002)...)...)
+	server.SetRecords(false, append(node("a", "draining", 1001), node("b", "ready", 1002)...)...)
 	expect(a + "0 1 3 1.5 2")
-	server.Set(false, node("b", "ready", 1002)...)
+	server.SetRecords(false, node("b", "ready", 1002)...)
 	expect(a + "2 1 3 1.5 2")
-	server.Set(false)
+	server.SetRecords(false)
 	expect(b + "2 1 3 1.5 2")
 }
 
--- a/internal/fleettest/calls.go
+++ b/internal/fleettest/calls.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Figures are what a manager reports of itself, counted from its process's start.
-type Figures struct {
+// Metrics are what a manager reports of itself, counted from its process's start.
+type Metrics struct {
 	OK          map[string]int `json:"ok"` // by class
 	Shed        map[string]int `json:"shed"`
 	Errors      map[string]int `json:"errors"`
@@ -57,8 +57,8 @@
 	return status, text, nil
 }
 
-// Ban takes a node out at a manager by hand, or puts it back.
-func (f *Fleet) Ban(manager, node string, out bool) error {
+// SetNodeDisabled takes a node out at a manager by hand, or puts it back.
+func (f *Fleet) SetNodeDisabled(manager, node string, out bool) error {
 	what := map[bool]string{true: "disable", false: "enable"}[out]
 	status, text, err := f.Call(manager, "POST", "/media-servers/"+what+"?member="+f.Nodes[node].ID, node)
 	if err == nil && status/100 != 2 {
@@ -82,7 +82,7 @@
 		if status != 200 {
 			continue
 		}
-		var g Figures
+		var g Metrics
 		if err := json.Unmarshal(text, &g); err != nil {
 			f.Record.Add(Event{Kind: Called, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Took: took})
 			continue
@@ -110,10 +110,10 @@
 	}
 }
 
-// Stall keeps n callers at a manager that never finish a call, for 4 s each and then
+// StartStalledCallers keeps n callers at a manager that never finish a call, for 4 s each and then
 // again: of kind part (half a call), drip (a byte at a time) or body (60 MB that
 // nobody wants).
-func (f *Fleet) Stall(manager string, n int, kind string) {
+func (f *Fleet) StartStalledCallers(manager string, n int, kind string) {
 	for range n {
 		f.group.Go(func() {
 			for {
@@ -181,12 +181,12 @@
 func (f *Fleet) Upgrade(manager, kill string, after time.Duration) error {
 	p := f.Managers[manager]
 	if kill == "old" {
-		time.AfterFunc(after, func() { f.Crowd.Broken(manager) }) // no set-up crosses a close, then
+		time.AfterFunc(after, func() { f.Viewers.NoteReset(manager) }) // no set-up crosses a close, then
 	}
-	if err := p.Renew(kill, after); err != nil || kill == "new" {
+	if err := p.StartSuccessor(kill, after); err != nil || kill == "new" {
 		return err
 	}
 	f.scrape(manager)
-	p.Retire(f.Plan.Load.Left + 700*time.Millisecond)
-	return f.Crowd.HandOn(manager, func(name string) string { return f.Nodes[name].ID })
+	p.StopPredecessors(f.Config.Load.TimeLeft + 700*time.Millisecond)
+	return f.Viewers.ReportEstablished(manager, func(name string) string { return f.Nodes[name].ID })
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -23,33 +23,33 @@
 	Nodes    []string
 }
 
-// Plan is a fleet before it stands.
-type Plan struct {
-	Seed     uint64
-	Halls    []Hall
-	Model    Model
-	Load     Load
-	Terms    Terms
-	Operator string // text of the operator's file of each manager; empty: none
-	Level    string // least level of the managers' logs
-	Sockets  int
-	Env      []string      // of each manager, beside what the platform sets
-	Patience time.Duration // bounds what is waited for
-	Absent   []string      // nodes that the list doesn't name at the start
-	Admin    bool          // managers have an address for operators' calls, and viewers a front that asks who is ready
+// FleetConfig is a fleet before it stands.
+type FleetConfig struct {
+	Seed           uint64
+	Halls          []Hall
+	NodeModel      NodeModel
+	Load           Load
+	Terms          Terms
+	OperatorConfig string // text of the operator's file of each manager; empty: none
+	LogLevel       string // least level of the managers' logs
+	Sockets        int
+	Env            []string      // of each manager, beside what the platform sets
+	WaitTimeout    time.Duration // bounds what is waited for
+	Unlisted       []string      // nodes that the list doesn't name at the start
+	Admin          bool          // managers have an address for operators' calls, and viewers a front that asks who is ready
 }
 
 // Fleet is processes of the program with all that they talk to.
 type Fleet struct {
-	Plan      Plan
-	Record    *Record
-	Managers  map[string]*Process
-	Nodes     map[string]*Node
-	Lists     map[string]*List
-	Crowd     *Crowd
-	ToNode    map[string]map[string]*Relay // by manager and node
-	ToList    map[string]*Relay
-	ToManager map[string]*Relay // of viewers
+	Config            FleetConfig
+	Record            *Record
+	Managers          map[string]*Manager
+	Nodes             map[string]*Node
+	Coordinators      map[string]*Coordinator
+	Viewers           *Viewers
+	NodeRelays        map[string]map[string]*Relay // by manager and node
+	CoordinatorRelays map[string]*Relay
+	ViewerRelays      map[string]*Relay // of viewers
 
 	mu    sync.Mutex
 	fails []error
@@ -61,24 +61,24 @@
 // managerMB is what a manager may hold of memory.
 const managerMB = 128
 
-// DefaultModel is a small node that sets up quickly.
-var DefaultModel = Model{
-	LinkKB: 20_000, Places: 40, Guard: 1.2, Warm: 3 * time.Second, Share: 0.2, RatesKB: []float64{170, 360, 770, 1600},
-	Answer: [2]time.Duration{5 * time.Millisecond, 25 * time.Millisecond}, Length: [2]time.Duration{2 * time.Second, 5 * time.Second},
-	ConnIdle: 10 * time.Second, Streams: 8, Paid: map[string]bool{"clip": true},
+// DefaultNodeModel is a small node that sets up quickly.
+var DefaultNodeModel = NodeModel{
+	LinkKB: 20_000, MaxStreams: 40, FullAtUtilization: 1.2, WarmUpTime: 3 * time.Second, StartCapacityShare: 0.2, RatesKB: []float64{170, 360, 770, 1600},
+	AnswerDelay: [2]time.Duration{5 * time.Millisecond, 25 * time.Millisecond}, SessionLength: [2]time.Duration{2 * time.Second, 5 * time.Second},
+	ConnIdleTimeout: 10 * time.Second, StreamsPerConn: 8, BilledClasses: map[string]bool{"clip": true},
 }
 
 // New builds a fleet whose processes run the program at binary, with their files
 // below folder, and starts it. It is to be closed also where an error is returned.
-func New(p Plan, binary, folder string) (*Fleet, error) {
-	f := &Fleet{Plan: p, Record: NewRecord(), Managers: map[string]*Process{}, Nodes: map[string]*Node{}, Lists: map[string]*List{},
-		ToNode: map[string]map[string]*Relay{}, ToList: map[string]*Relay{}, ToManager: map[string]*Relay{}, done: make(chan struct{})}
+func New(p FleetConfig, binary, folder string) (*Fleet, error) {
+	f := &Fleet{Config: p, Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
+		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
 	addr, halls := map[string]string{}, map[string][]string{}
 	cell := 0
 	for _, h := range p.Halls {
 		halls[h.Name] = h.Managers
 		for _, name := range h.Nodes {
-			f.Nodes[name] = NewNode(name, "s-"+name, h.Name, cell, p.Model, p.Seed, f.Record)
+			f.Nodes[name] = NewNode(name, "s-"+name, h.Name, cell, p.NodeModel, p.Seed, f.Record)
 			cell++
 		}
 	}
@@ -87,10 +87,10 @@
 			if err := f.manager(m, h.Name, binary, folder); err != nil {
 				return f, err
 			}
-			addr[m] = f.ToManager[m].Addr()
+			addr[m] = f.ViewerRelays[m].Addr()
 		}
 	}
-	f.Crowd = NewCrowd(&Crowd{Record: f.Record, Addr: addr, Halls: halls, Paid: p.Model.Paid, Load: p.Load, Copies: len(f.Nodes)}, p.Seed)
+	f.Viewers = NewViewers(&Viewers{Record: f.Record, ManagerAddrs: addr, ManagersByHall: halls, BilledClasses: p.NodeModel.BilledClasses, Load: p.Load, TitleCopies: len(f.Nodes)}, p.Seed)
 	errs := make(chan error, len(f.Managers))
 	for _, m := range f.Managers { // together: they start side by side
 		go func() { errs <- m.Start() }()
@@ -101,7 +101,7 @@
 	}
 	f.group.Go(f.notes)
 	if p.Admin && err == nil {
-		f.group.Go(func() { f.Crowd.front(f.done) })
+		f.group.Go(func() { f.Viewers.front(f.done) })
 		for m := range f.Managers {
 			f.group.Go(func() { f.watchFigures(m) })
 		}
@@ -111,48 +111,48 @@
 
 // manager makes one manager, not yet started, with its relays and its list.
 func (f *Fleet) manager(name, hall, binary, folder string) error {
-	f.ToNode[name] = map[string]*Relay{}
-	var members []Member
+	f.NodeRelays[name] = map[string]*Relay{}
+	var members []ListEntry
 	for _, n := range f.nodeNames() {
 		node := f.Nodes[n]
 		if err := node.Listen(name); err != nil {
 			return err
 		}
-		to := node.Addr[name]
+		to := node.Addrs[name]
 		r, err := NewRelay(func() (net.Conn, error) { return net.Dial("tcp4", to) })
 		if err != nil {
 			return err
 		}
-		r.Seen = f.sniff(name, n)
-		f.ToNode[name][n] = r
-		if !slices.Contains(f.Plan.Absent, n) {
+		r.OnData = f.sniff(name, n)
+		f.NodeRelays[name][n] = r
+		if !slices.Contains(f.Config.Unlisted, n) {
 			members = append(members, f.member(name, n, inService))
 			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: inService})
 		}
 	}
-	list, err := NewList(members)
+	list, err := NewCoordinator(members)
 	if err != nil {
 		return err
 	}
-	f.Lists[name] = list
-	if f.ToList[name], err = NewRelay(func() (net.Conn, error) { return net.Dial("tcp4", list.Addr()) }); err != nil {
+	f.Coordinators[name] = list
+	if f.CoordinatorRelays[name], err = NewRelay(func() (net.Conn, error) { return net.Dial("tcp4", list.Addr()) }); err != nil {
 		return err
 	}
 	own := filepath.Join(folder, name)
 	if err := os.MkdirAll(own, 0o700); err != nil {
 		return err
 	}
-	p := &Process{Name: name, Binary: binary, Folder: own, Operator: f.Plan.Operator, Level: f.Plan.Level, Env: f.Plan.Env, Known: list.Known,
-		Record: f.Record, Report: f.fail, Config: f.config(name, hall)}
+	p := &Manager{Name: name, Binary: binary, Dir: own, OperatorConfig: f.Config.OperatorConfig, LogLevel: f.Config.LogLevel, Env: f.Config.Env, KnownUpdates: list.KnownUpdates,
+		Record: f.Record, OnUnexpectedExit: f.fail, Config: f.config(name, hall)}
 	f.Managers[name] = p
-	if f.Plan.Admin {
+	if f.Config.Admin {
 		fd, addr, err := hold()
 		if err != nil {
 			return err
 		}
-		f.held, p.Config["listen"], p.Admin = append(f.held, fd), addr, freeAdmin
+		f.held, p.Config["listen"], p.NewAdminAddr = append(f.held, fd), addr, freeAdmin
 	}
-	f.ToManager[name], err = NewRelay(func() (net.Conn, error) {
+	f.ViewerRelays[name], err = NewRelay(func() (net.Conn, error) {
 		if a := p.Addr(); a != "" {
 			return net.Dial("tcp4", a)
 		}
@@ -174,9 +174,9 @@
 
 // config is the platform's configuration of a manager.
 func (f *Fleet) config(name, hall string) map[string]any {
-	m, zones := f.Plan.Model, []string{}
+	m, zones := f.Config.NodeModel, []string{}
 	zone, managers, racks := 0, 0, 0
-	for i, h := range f.Plan.Halls {
+	for i, h := range f.Config.Halls {
 		zones = append(zones, h.Name)
 		managers += len(h.Managers)
 		racks++
@@ -184,34 +184,34 @@
 			zone = i
 		}
 	}
-	left := f.Plan.Load.Left.Seconds()
+	left := f.Config.Load.TimeLeft.Seconds()
 	lane := func(name, effect string, worth int) map[string]any {
 		return map[string]any{"name": name, "effect": effect, "goalTimeS": left / 2, "giveUpS": left, "worth": worth}
 	}
 	nodes := len(f.Nodes)
 	return map[string]any{
-		"name": name, "listen": "127.0.0.1:0", "coordinator": f.ToList[name].Addr(),
-		"limits": map[string]any{"cores": 1, "memory_mb": managerMB, "sockets": cmp.Or(f.Plan.Sockets, 1024)},
+		"name": name, "listen": "127.0.0.1:0", "coordinator": f.CoordinatorRelays[name].Addr(),
+		"limits": map[string]any{"cores": 1, "memory_mb": managerMB, "sockets": cmp.Or(f.Config.Sockets, 1024)},
 		"settings": map[string]any{
 			"balancers": managers, "zone": zone, "discovery": "automatic", "weights": "rough", "localities": zones, "flavors": []string{"std"},
 			"lanes": []any{lane("clip", "at_most_once", 2), lane("feed", "idempotent", 1)},
 			"familyInfo": map[string]any{
 				"classFloor": []int{1, 0}, "topByClass": []int{3, 3}, "scaleByClass": []int{1, 1}, "licenceCap": []int{0, 0},
-				"ratesKb": m.RatesKB, "ladderWorth": []float64{0.26, 0.53, 0.77, 1}, "kindStreams": []int{m.Places}, "places": nodes, "groups": racks,
+				"ratesKb": m.RatesKB, "ladderWorth": []float64{0.26, 0.53, 0.77, 1}, "kindStreams": []int{m.MaxStreams}, "places": nodes, "groups": racks,
 				"kbPerWeight": m.LinkKB, "rackLinkKb": m.LinkKB * float64(nodes) / float64(racks) * 0.9, "fleetKb": m.LinkKB * float64(nodes),
-				"guard": m.Guard, "seeS": 1, "switchS": 0.5,
+				"guard": m.FullAtUtilization, "seeS": 1, "switchS": 0.5,
 			},
 			"feedback":     map[string]any{"fields": []string{"util", "x1"}, "via": "probe"},
 			"charges":      map[string]any{"crossZone": 0.022, "probe": 0.01, "handshake": 0.01},
-			"policyLimits": map[string]any{"attemptsCap": 4, "probes": true, "connIdleS": m.ConnIdle.Seconds(), "connectTimeoutS": 0.25, "streamsPerConn": m.Streams},
-			"obligations":  map[string]any{"fallMultiple": f.Plan.Terms.Multiple, "startCapacity": m.Share, "warmAfterS": m.Warm.Seconds()},
+			"policyLimits": map[string]any{"attemptsCap": 4, "probes": true, "connIdleS": m.ConnIdleTimeout.Seconds(), "connectTimeoutS": 0.25, "streamsPerConn": m.StreamsPerConn},
+			"obligations":  map[string]any{"fallMultiple": f.Config.Terms.Multiple, "startCapacity": m.StartCapacityShare, "warmAfterS": m.WarmUpTime.Seconds()},
 		},
 	}
 }
 
-func (f *Fleet) member(manager, node, phase string) Member {
+func (f *Fleet) member(manager, node, phase string) ListEntry {
 	n := f.Nodes[node]
-	m := Member{ID: n.ID, HostPort: f.ToNode[manager][node].Addr(), Locality: n.Hall, Flavor: "std", Cell: n.Cell, Phase: phase, Size: 1}
+	m := ListEntry{ID: n.ID, HostPort: f.NodeRelays[manager][node].Addr(), Locality: n.Hall, Flavor: "std", Cell: n.Cell, Phase: phase, Size: 1}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cold {
@@ -221,15 +221,15 @@
 }
 
 // sniff returns what reads a manager's messages to a node on their way.
-func (f *Fleet) sniff(manager, node string) func(int, Way, []byte) {
+func (f *Fleet) sniff(manager, node string) func(int, Direction, []byte) {
 	var mu sync.Mutex
 	type stream struct {
 		rest []byte
 		ids  []string // of the set-ups that went on it
 	}
 	streams := map[int]*stream{}
-	return func(conn int, way Way, b []byte) {
-		if way != Out {
+	return func(conn int, way Direction, b []byte) {
+		if way != ToTarget {
 			return
 		}
 		mu.Lock()
@@ -276,7 +276,7 @@
 			return
 		case <-tick.C:
 			for _, n := range f.Nodes {
-				n.Note()
+				n.AnnounceShortfall()
 			}
 		}
 	}
@@ -288,8 +288,8 @@
 	f.fails = append(f.fails, err)
 }
 
-// Fails are the ends of managers that nobody asked for.
-func (f *Fleet) Fails() []error {
+// Failures are the ends of managers that nobody asked for.
+func (f *Fleet) Failures() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.fails)
@@ -303,26 +303,26 @@
 	default:
 		close(f.done)
 	}
-	if f.Crowd != nil {
-		f.Crowd.Close()
+	if f.Viewers != nil {
+		f.Viewers.Close()
 	}
 	for _, m := range f.Managers {
-		m.Feed()
+		m.StopStarving()
 		m.Kill()
 	}
-	for _, l := range f.ToNode {
+	for _, l := range f.NodeRelays {
 		for _, r := range l {
 			r.Close()
 		}
 	}
-	for _, l := range []map[string]*Relay{f.ToList, f.ToManager} {
+	for _, l := range []map[string]*Relay{f.CoordinatorRelays, f.ViewerRelays} {
 		for _, r := range l {
 			if r != nil {
 				r.Close()
 			}
 		}
 	}
-	for _, l := range f.Lists {
+	for _, l := range f.Coordinators {
 		l.Close()
 	}
 	for _, n := range f.Nodes {
@@ -361,11 +361,11 @@
 		case f.Nodes[place] != nil:
 			nodes, kind = []string{place}, "nodes"
 		default:
-			i := slices.IndexFunc(f.Plan.Halls, func(h Hall) bool { return h.Name == place })
+			i := slices.IndexFunc(f.Config.Halls, func(h Hall) bool { return h.Name == place })
 			if i < 0 {
 				return g, fmt.Errorf("%q is no hall, manager, node, managers, nodes, lists or viewers", name)
 			}
-			managers, nodes = f.Plan.Halls[i].Managers, f.Plan.Halls[i].Nodes
+			managers, nodes = f.Config.Halls[i].Managers, f.Config.Halls[i].Nodes
 		}
 		switch kind {
 		case "managers":
@@ -387,21 +387,21 @@
 
 // between calls f for each relay between a and b, with the direction that leads
 // from a to b and the manager whose viewers it carries, if it does.
-func (f *Fleet) between(a, b Group, do func(r *Relay, from Way, viewersOf string)) {
+func (f *Fleet) between(a, b Group, do func(r *Relay, from Direction, viewersOf string)) {
 	for i, pair := range [][2]Group{{a, b}, {b, a}} {
-		out, back := Out, Back
+		out, back := ToTarget, FromTarget
 		if i == 1 {
-			out, back = Back, Out // the side that connects is b's
+			out, back = FromTarget, ToTarget // the side that connects is b's
 		}
 		for _, m := range pair[0].managers {
 			for _, n := range pair[1].nodes {
-				do(f.ToNode[m][n], out, "")
+				do(f.NodeRelays[m][n], out, "")
 			}
 			if slices.Contains(pair[1].lists, m) {
-				do(f.ToList[m], out, "")
+				do(f.CoordinatorRelays[m], out, "")
 			}
 			if slices.Contains(pair[1].viewers, m) {
-				do(f.ToManager[m], back, m)
+				do(f.ViewerRelays[m], back, m)
 			}
 		}
 	}
@@ -410,21 +410,21 @@
 // Cut holds all that passes between two groups, or with oneWay only what goes from
 // a to b.
 func (f *Fleet) Cut(a, b Group, oneWay bool) {
-	f.between(a, b, func(r *Relay, from Way, viewersOf string) {
+	f.between(a, b, func(r *Relay, from Direction, viewersOf string) {
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
 		}
 		if oneWay {
 			r.Cut(from)
 		} else {
-			r.Cut(Out, Back)
+			r.Cut(ToTarget, FromTarget)
 		}
 	})
 }
 
 // Heal ends all cuts between two groups.
 func (f *Fleet) Heal(a, b Group) {
-	f.between(a, b, func(r *Relay, _ Way, viewersOf string) {
+	f.between(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		r.Heal()
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
@@ -434,10 +434,10 @@
 
 // Reset breaks what is open between two groups.
 func (f *Fleet) Reset(a, b Group) {
-	f.between(a, b, func(r *Relay, _ Way, viewersOf string) {
+	f.between(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
-			f.Crowd.Broken(viewersOf)
+			f.Viewers.NoteReset(viewersOf)
 		}
 		r.Reset()
 		if viewersOf != "" {
@@ -453,10 +453,10 @@
 	return g
 }
 
-// List tells the lists of managers of a node's state.
-func (f *Fleet) List(managers []string, node, phase string) {
+// SetNodePhase tells the lists of managers of a node's state.
+func (f *Fleet) SetNodePhase(managers []string, node, phase string) {
 	for _, m := range managers {
-		f.Lists[m].Set(f.member(m, node, phase), func() {
+		f.Coordinators[m].Update(f.member(m, node, phase), func() {
 			f.Record.Add(Event{Kind: Told, Manager: m, Node: node, Text: phase})
 		})
 	}
@@ -464,7 +464,7 @@
 
 // KillNode ends a node's process: connects are refused, and what was open is reset.
 func (f *Fleet) KillNode(name string) {
-	for _, l := range f.ToNode {
+	for _, l := range f.NodeRelays {
 		l[name].Refuse()
 	}
 	f.Nodes[name].Kill()
@@ -473,24 +473,24 @@
 // StartNode starts a node's process again, cold, under its address.
 func (f *Fleet) StartNode(name string) error {
 	f.Nodes[name].Start()
-	for _, l := range f.ToNode {
-		if err := l[name].Accept(); err != nil {
+	for _, l := range f.NodeRelays {
+		if err := l[name].StopRefusing(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Wait holds until what was recorded fulfils ready, or gives up.
-func (f *Fleet) Wait(what string, ready func() bool) error {
-	deadline := time.Now().Add(f.Plan.Patience)
+// WaitFor holds until what was recorded fulfils ready, or gives up.
+func (f *Fleet) WaitFor(what string, ready func() bool) error {
+	deadline := time.Now().Add(f.Config.WaitTimeout)
 	for {
 		next := f.Record.next()
 		if ready() {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: not seen within %v", what, f.Plan.Patience)
+			return fmt.Errorf("%s: not seen within %v", what, f.Config.WaitTimeout)
 		}
 		select {
 		case <-next:
@@ -499,10 +499,10 @@
 	}
 }
 
-// Standing is how many sessions play at nodes, of all managers.
-func (f *Fleet) Standing() (n int) {
+// EstablishedSessions is how many sessions play at nodes, of all managers.
+func (f *Fleet) EstablishedSessions() (n int) {
 	for _, node := range f.Nodes {
-		n += node.Standing()
+		n += node.EstablishedSessions()
 	}
 	return n
 }
--- a/internal/fleettest/front.go
+++ b/internal/fleettest/front.go
@@ -21,8 +21,8 @@
 
 // front asks each manager whether it takes viewers, and has new connections go
 // elsewhere while one does not. It records what it hears and what viewers hold.
-func (c *Crowd) front(done <-chan struct{}) {
-	for m, addr := range c.Addr {
+func (c *Viewers) front(done <-chan struct{}) {
+	for m, addr := range c.ManagerAddrs {
 		c.group.Go(func() {
 			word := time.Now()
 			tick := time.NewTicker(asksEvery)
@@ -68,7 +68,7 @@
 
 // fresh tells, with the lock held, whether a connection holds a request of late. One
 // that was refused counts as none, and one that is just on its way may be.
-func (c *Crowd) fresh(v *viewerConn, now time.Time) bool {
+func (c *Viewers) fresh(v *viewerConn, now time.Time) bool {
 	for id := range v.open {
 		if age := now.Sub(c.asks[id].at); age > asksEvery && age < freshFor {
 			return true
@@ -95,14 +95,14 @@
 }
 
 // takes tells, with the lock held, whether new connections go to a manager.
-func (c *Crowd) takes(manager string) bool {
+func (c *Viewers) takes(manager string) bool {
 	since, refuses := c.refuses[manager]
 	return !refuses || time.Since(since) < goesOn
 }
 
 // elsewhere is, with the lock held, a manager for what can't go to one: of its hall or
 // of any, and that one where none takes viewers.
-func (c *Crowd) elsewhere(hall, manager string) string {
+func (c *Viewers) elsewhere(hall, manager string) string {
 	for _, h := range []string{hall, ""} {
 		for range 20 {
 			if m := c.pick(h); c.takes(m) {
@@ -113,9 +113,9 @@
 	return manager
 }
 
-// HandOn tells a manager by set-ups with `at` what stands of its sessions, as is done
+// ReportEstablished tells a manager by set-ups with `at` what stands of its sessions, as is done
 // once the process that had them is gone. id is a node's on the list.
-func (c *Crowd) HandOn(manager string, id func(node string) string) error {
+func (c *Viewers) ReportEstablished(manager string, id func(node string) string) error {
 	v, err := c.dial(manager)
 	if v == nil || err != nil {
 		return err
@@ -127,8 +127,8 @@
 			continue
 		}
 		line, _ := json.Marshal(map[string]any{"type": "setup", "id": s, "fields": map[string]string{
-			"class": a.class, "left": strconv.FormatInt(c.Load.Left.Milliseconds(), 10), "key": a.key,
-			"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s;at:%s", c.Copies, s, id(a.node))}, "sdp": "c=" + s + "\r\n"})
+			"class": a.class, "left": strconv.FormatInt(c.Load.TimeLeft.Milliseconds(), 10), "key": a.key,
+			"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s;at:%s", c.TitleCopies, s, id(a.node))}, "sdp": "c=" + s + "\r\n"})
 		all = append(append(all, line...), '\n')
 		v.holds(a)
 	}
--- a/internal/fleettest/judge_ops_test.go
+++ b/internal/fleettest/judge_ops_test.go
@@ -25,7 +25,7 @@
 	front := func(ms int, ready bool, idle, fresh int) Event {
 		return Event{At: at(ms), Kind: Fronted, Manager: "m", Ready: ready, Idle: idle, Fresh: fresh}
 	}
-	figured := func(ms, process int, g Figures) Event {
+	figured := func(ms, process int, g Metrics) Event {
 		return Event{At: at(ms), Kind: Figured, Manager: "m", Process: process, Figures: &g}
 	}
 	many := func(e Event, n, gap int) (l []Event) {
@@ -54,7 +54,7 @@
 		}
 		return all
 	}
-	ok := func(n, tries int) Figures { return Figures{OK: map[string]int{"clip": n}, Tries: tries, PoolSize: 1} }
+	ok := func(n, tries int) Metrics { return Metrics{OK: map[string]int{"clip": n}, Tries: tries, PoolSize: 1} }
 	stood := func(n int) (all []Event) { // so many sessions that stand by then
 		for i := range n {
 			id := fmt.Sprint("s", i)
@@ -111,16 +111,16 @@
 		"nearly true figures":                 {join(l(told), served(0, 20), l(figured(900, 1, ok(17, 23)))), ""},
 		"too few ok":                          {join(l(told), served(0, 20), l(figured(900, 1, ok(16, 20)))), "figures"},
 		"too many tries":                      {join(l(told), served(0, 20), l(figured(900, 1, ok(20, 24)))), "figures"},
-		"of a class that nobody asked for":    {join(l(told), l(figured(900, 1, Figures{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
-		"of a wrong list":                     {l(told, figured(900, 1, Figures{PoolSize: 2})), "figures"},
-		"without a ban":                       {l(told, disable(0, 1, 200), figured(900, 1, Figures{PoolSize: 1})), "figures"},
-		"with a ban":                          {l(told, disable(0, 1, 200), figured(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"avoided by choice":                   {l(told, figured(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"avoided, more than there are":        {l(told, figured(900, 1, Figures{PoolSize: 1, PoolEjected: 2})), "figures"},
-		"active, though nothing is open":      {l(told, figured(900, 1, Figures{PoolSize: 1, Active: 4})), "figures"},
-		"active, as many as stand":            {join(l(told), stood(60), l(figured(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
-		"active, too few":                     {join(l(told), stood(60), l(figured(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
-		"active, which is half a second old":  {join(l(told), stood(60), l(figured(500, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
+		"of a class that nobody asked for":    {join(l(told), l(figured(900, 1, Metrics{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
+		"of a wrong list":                     {l(told, figured(900, 1, Metrics{PoolSize: 2})), "figures"},
+		"without a ban":                       {l(told, disable(0, 1, 200), figured(900, 1, Metrics{PoolSize: 1})), "figures"},
+		"with a ban":                          {l(told, disable(0, 1, 200), figured(900, 1, Metrics{PoolSize: 1, PoolEjected: 1})), ""},
+		"avoided by choice":                   {l(told, figured(900, 1, Metrics{PoolSize: 1, PoolEjected: 1})), ""},
+		"avoided, more than there are":        {l(told, figured(900, 1, Metrics{PoolSize: 1, PoolEjected: 2})), "figures"},
+		"active, though nothing is open":      {l(told, figured(900, 1, Metrics{PoolSize: 1, Active: 4})), "figures"},
+		"active, as many as stand":            {join(l(told), stood(60), l(figured(900, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
+		"active, too few":                     {join(l(told), stood(60), l(figured(900, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
+		"active, which is half a second old":  {join(l(told), stood(60), l(figured(500, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
 		"of two processes, one after another": {join(l(told), served(0, 20), l(figured(900, 1, ok(20, 20))), upgrade, served(5000, 20), l(figured(6000, 2, ok(20, 20)))), ""},
 		"of which one counts what both did":   {join(l(told), served(0, 20), l(figured(900, 1, ok(20, 20))), upgrade, served(5000, 20), l(figured(6000, 2, ok(40, 40)))), "figures"},
 		"what a killed one did last":          {join(l(told), served(0, 20), l(figured(900, 1, ok(20, 20))), served(1000, 9), l(did(1100, Stopped, "killed"), did(1200, Running, ""), figured(2000, 2, ok(0, 0)))), ""},
--- a/internal/fleettest/list.go
+++ b/internal/fleettest/list.go
@@ -16,8 +16,8 @@
 	terminated  = "terminated"
 )
 
-// Member is one line of the list.
-type Member struct {
+// ListEntry is one line of the list.
+type ListEntry struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
 	Locality string `json:"locality"`
@@ -29,9 +29,9 @@
 }
 
 type endpoints struct {
-	Revision int      `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+	Revision int         `json:"revision"`
+	Complete bool        `json:"complete"`
+	Members  []ListEntry `json:"members"`
 }
 
 type update struct {
@@ -44,9 +44,9 @@
 	Updates []update `json:"updates"`
 }
 
-// List is the coordinator as one manager sees it. Each manager has its own, so that
+// Coordinator is the coordinator as one manager sees it. Each manager has its own, so that
 // a list may be late, wrong or silent for some.
-type List struct {
+type Coordinator struct {
 	mu      sync.Mutex
 	all     updates
 	changed chan struct{}
@@ -57,13 +57,13 @@
 	done    chan struct{}
 }
 
-// NewList returns a list that holds members from its start.
-func NewList(members []Member) (*List, error) {
+// NewCoordinator returns a list that holds members from its start.
+func NewCoordinator(members []ListEntry) (*Coordinator, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &List{changed: make(chan struct{}), lis: l, done: make(chan struct{})}
+	c := &Coordinator{changed: make(chan struct{}), lis: l, done: make(chan struct{})}
 	c.add(&endpoints{Complete: true, Members: members})
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v2/stream", c.stream)
@@ -76,39 +76,39 @@
 }
 
 // Addr is where it answers.
-func (l *List) Addr() string { return l.lis.Addr().String() }
+func (l *Coordinator) Addr() string { return l.lis.Addr().String() }
 
 // Close ends it.
-func (l *List) Close() {
+func (l *Coordinator) Close() {
 	l.server.Close()
 	<-l.done
 }
 
-// Late has what changes from now on be told so much later.
-func (l *List) Late(d time.Duration) {
+// SetDelay has what changes from now on be told so much later.
+func (l *Coordinator) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.late = d
 }
 
-// Silent has polls stay open and unanswered, or ends that.
-func (l *List) Silent(on bool) {
+// SetSilent has polls stay open and unanswered, or ends that.
+func (l *Coordinator) SetSilent(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = on
 	l.wake()
 }
 
-// Set tells of a change, at once or as late as the list is. told runs when it is
+// Update tells of a change, at once or as late as the list is. told runs when it is
 // there for the manager to read.
-func (l *List) Set(m Member, told func()) {
+func (l *Coordinator) Update(m ListEntry, told func()) {
 	l.mu.Lock()
 	late := l.late
 	l.mu.Unlock()
 	do := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.add(&endpoints{Members: []Member{m}})
+		l.add(&endpoints{Members: []ListEntry{m}})
 		told()
 	}
 	if late > 0 {
@@ -119,26 +119,26 @@
 }
 
 // add is called with the lock held, or before the list is used.
-func (l *List) add(e *endpoints) {
+func (l *Coordinator) add(e *endpoints) {
 	l.all.Index++
 	e.Revision = l.all.Index
 	l.all.Updates = append(l.all.Updates, update{l.all.Index, e})
 	l.wake()
 }
 
-func (l *List) wake() {
+func (l *Coordinator) wake() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Known is what a manager that starts now is told.
-func (l *List) Known() updates {
+// KnownUpdates is what a manager that starts now is told.
+func (l *Coordinator) KnownUpdates() updates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return updates{l.all.Index, append([]update(nil), l.all.Updates...)}
 }
 
-func (l *List) stream(w http.ResponseWriter, r *http.Request) {
+func (l *Coordinator) stream(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("follow"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	until := time.After(time.Duration(min(max(ms, 0), 5000)) * time.Millisecond)
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -10,30 +10,30 @@
 	"time"
 )
 
-// Members is managers that tell each other who is there, each pair through relays of
+// MembershipFleet is managers that tell each other who is there, each pair through relays of
 // Peers. They have a list, and nobody to serve. What each has in view is read from its
 // log: nothing else shows it.
-type Members struct {
+type MembershipFleet struct {
 	*Fleet
-	Peers *Peers
-	Names []string
-	Took  []string // what was settled, and after how long
+	Network      *PeerNetwork
+	ManagerNames []string
+	Timings      []string // what was settled, and after how long
 }
 
-// NewMembers builds such a fleet and starts it. It is to be closed also where an error
+// NewMembershipFleet builds such a fleet and starts it. It is to be closed also where an error
 // is returned.
-func NewMembers(halls []Hall, seed uint64, binary, folder string) (*Members, error) {
-	f := &Fleet{Plan: Plan{Seed: seed, Halls: halls, Model: DefaultModel, Load: Load{Left: 3 * time.Second}, Terms: DefaultTerms, Patience: 2 * patience},
-		Record: NewRecord(), Managers: map[string]*Process{}, Nodes: map[string]*Node{}, Lists: map[string]*List{},
-		ToNode: map[string]map[string]*Relay{}, ToList: map[string]*Relay{}, ToManager: map[string]*Relay{}, done: make(chan struct{})}
-	m := &Members{Fleet: f}
+func NewMembershipFleet(halls []Hall, seed uint64, binary, folder string) (*MembershipFleet, error) {
+	f := &Fleet{Config: FleetConfig{Seed: seed, Halls: halls, NodeModel: DefaultNodeModel, Load: Load{TimeLeft: 3 * time.Second}, Terms: DefaultTerms, WaitTimeout: 2 * patience},
+		Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
+		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
+	m := &MembershipFleet{Fleet: f}
 	named := "members"
 	for i, h := range halls {
 		for _, n := range h.Nodes {
-			f.Nodes[n] = NewNode(n, "s-"+n, h.Name, i, f.Plan.Model, seed, f.Record)
+			f.Nodes[n] = NewNode(n, "s-"+n, h.Name, i, f.Config.NodeModel, seed, f.Record)
 		}
 		for _, name := range h.Managers {
-			m.Names = append(m.Names, name)
+			m.ManagerNames = append(m.ManagerNames, name)
 			named += " " + name + " " + h.Name
 		}
 	}
@@ -42,7 +42,7 @@
 		return m, err
 	}
 	var err error
-	if m.Peers, err = NewPeers(m.Names, seed); err != nil {
+	if m.Network, err = NewPeerNetwork(m.ManagerNames, seed); err != nil {
 		return m, err
 	}
 	for _, h := range halls {
@@ -52,16 +52,16 @@
 			}
 			text := "fleet {\n" + named + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
 			// They tell of addresses at which nobody is, and reach each other at relays.
-			text += fmt.Sprintf("address 127.0.0.1:%d\n", 1+slices.Index(m.Names, name))
-			for _, to := range m.Names {
+			text += fmt.Sprintf("address 127.0.0.1:%d\n", 1+slices.Index(m.ManagerNames, name))
+			for _, to := range m.ManagerNames {
 				if to != name {
-					text += fmt.Sprintf("at %s %s %s\n", to, m.Peers.TCP[name][to].Addr(), m.Peers.UDP[name][to].Addr())
+					text += fmt.Sprintf("at %s %s %s\n", to, m.Network.TCP[name][to].Addr(), m.Network.UDP[name][to].Addr())
 				}
 			}
-			f.Managers[name].Operator = text + "}\n"
+			f.Managers[name].OperatorConfig = text + "}\n"
 		}
 	}
-	for _, name := range m.Names {
+	for _, name := range m.ManagerNames {
 		if err := m.Start(name); err != nil {
 			return m, err
 		}
@@ -70,7 +70,7 @@
 }
 
 // Start starts a manager and tells the relays where it listens.
-func (m *Members) Start(name string) error {
+func (m *MembershipFleet) Start(name string) error {
 	if err := m.Managers[name].Start(); err != nil {
 		return err
 	}
@@ -78,13 +78,13 @@
 	if !ok {
 		return fmt.Errorf("fleettest: %s does not say where it listens for others", name)
 	}
-	m.Peers.SetPeer(name, l.Listen, l.Listen)
+	m.Network.SetListenAddrs(name, l.Listen, l.Listen)
 	return nil
 }
 
 // Kill ends a manager at once.
-func (m *Members) Kill(name string) error {
-	m.Peers.SetPeer(name, "", "")
+func (m *MembershipFleet) Kill(name string) error {
+	m.Network.SetListenAddrs(name, "", "")
 	return m.Managers[name].Kill()
 }
 
@@ -97,7 +97,7 @@
 }
 
 // told is the last such line that fits.
-func (m *Members) told(name string, fits func(logged) bool) (last logged, ok bool) {
+func (m *MembershipFleet) told(name string, fits func(logged) bool) (last logged, ok bool) {
 	for _, line := range slices.Backward(m.Managers[name].Log()) {
 		var l logged
 		if json.Unmarshal([]byte(line), &l) == nil && l.Logger == "fleet" && l.What != "" && fits(l) {
@@ -107,17 +107,17 @@
 	return logged{}, false
 }
 
-// Told tells whether a manager has logged an event of a member.
-func (m *Members) Told(name, what, of string) bool {
+// HasLogged tells whether a manager has logged an event of a member.
+func (m *MembershipFleet) HasLogged(name, what, of string) bool {
 	_, ok := m.told(name, func(l logged) bool { return l.What == what && l.Member == of })
 	return ok
 }
 
-// Settle waits until the last view that each of who has logged is of want alone, and
+// AwaitView waits until the last view that each of who has logged is of want alone, and
 // tells of each whether it is alone.
-func (m *Members) Settle(what string, alone bool, who []string, want ...string) error {
+func (m *MembershipFleet) AwaitView(what string, alone bool, who []string, want ...string) error {
 	views, began := "", time.Now()
-	err := m.Wait(what, func() bool {
+	err := m.WaitFor(what, func() bool {
 		views = ""
 		settled := true
 		for _, n := range who {
@@ -130,14 +130,14 @@
 	if err != nil {
 		return fmt.Errorf("%w; last views:%s", err, views)
 	}
-	m.Took = append(m.Took, fmt.Sprintf("%s after %v", what, time.Since(began).Round(10*time.Millisecond)))
+	m.Timings = append(m.Timings, fmt.Sprintf("%s after %v", what, time.Since(began).Round(10*time.Millisecond)))
 	return nil
 }
 
 // Close ends all of it.
-func (m *Members) Close() {
+func (m *MembershipFleet) Close() {
 	m.Fleet.Close()
-	if m.Peers != nil {
-		m.Peers.Close()
+	if m.Network != nil {
+		m.Network.Close()
 	}
 }
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -14,19 +14,19 @@
 	"millethinge/internal/stream"
 )
 
-// Model is what media nodes are like.
-type Model struct {
-	LinkKB   float64       // a second, at full warmth
-	Places   int           // streams at most
-	Guard    float64       // refuses as full at this use of its link
-	Warm     time.Duration // until a node that started late is warm
-	Share    float64       // of its link and pace that is warm at the start
-	RatesKB  []float64     // of the ladder
-	Answer   [2]time.Duration
-	Length   [2]time.Duration // of sessions
-	ConnIdle time.Duration    // after which it closes a connection
-	Streams  int              // set-ups that may be open on one connection
-	Paid     map[string]bool  // classes that are billed
+// NodeModel is what media nodes are like.
+type NodeModel struct {
+	LinkKB             float64       // a second, at full warmth
+	MaxStreams         int           // streams at most
+	FullAtUtilization  float64       // refuses as full at this use of its link
+	WarmUpTime         time.Duration // until a node that started late is warm
+	StartCapacityShare float64       // of its link and pace that is warm at the start
+	RatesKB            []float64     // of the ladder
+	AnswerDelay        [2]time.Duration
+	SessionLength      [2]time.Duration // of sessions
+	ConnIdleTimeout    time.Duration    // after which it closes a connection
+	StreamsPerConn     int              // set-ups that may be open on one connection
+	BilledClasses      map[string]bool  // classes that are billed
 }
 
 // Node is a stand-in media node. It serves each manager at a listener of its own,
@@ -34,9 +34,9 @@
 type Node struct {
 	Name, ID, Hall string // ID is the list's
 	Cell           int
-	Addr           map[string]string // where its listener for each manager is
+	Addrs          map[string]string // where its listener for each manager is
 
-	model  Model
+	model  NodeModel
 	seed   uint64
 	record *Record
 
@@ -70,8 +70,8 @@
 }
 
 // NewNode returns a node that runs and is warm. Listen has it serve managers.
-func NewNode(name, id, hall string, cell int, m Model, seed uint64, record *Record) *Node {
-	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addr: map[string]string{}, model: m, seed: seed, record: record,
+func NewNode(name, id, hall string, cell int, m NodeModel, seed uint64, record *Record) *Node {
+	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addrs: map[string]string{}, model: m, seed: seed, record: record,
 		up: true, since: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
 		sessions: map[string]*nodeSession{}, pending: map[string][]string{}}
 	record.Add(Event{Kind: Up, Node: name})
@@ -85,7 +85,7 @@
 		return fmt.Errorf("fleettest: %w", err)
 	}
 	n.mu.Lock()
-	n.Addr[manager] = l.Addr().String()
+	n.Addrs[manager] = l.Addr().String()
 	n.lis = append(n.lis, l)
 	n.conns[manager] = map[*nodeConn]bool{}
 	n.mu.Unlock()
@@ -149,8 +149,8 @@
 	n.record.Add(Event{Kind: Up, Node: n.Name, Cold: true})
 }
 
-// Since is when it last started.
-func (n *Node) Since() time.Time {
+// StartedAt is when it last started.
+func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.since
@@ -179,23 +179,23 @@
 	}
 }
 
-// Fail has it fail a share of its set-ups at once.
-func (n *Node) Fail(share float64) {
+// SetFailShare has it fail a share of its set-ups at once.
+func (n *Node) SetFailShare(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.failing = share
 }
 
-// Standing is how many sessions it plays.
-func (n *Node) Standing() int {
+// EstablishedSessions is how many sessions it plays.
+func (n *Node) EstablishedSessions() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.sessions)
 }
 
-// EndSome has up to so many of its sessions of a manager ("" for any) come to their
+// EndSessions has up to so many of its sessions of a manager ("" for any) come to their
 // end now, and tells how many did.
-func (n *Node) EndSome(manager string, most int) int {
+func (n *Node) EndSessions(manager string, most int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	done := 0
@@ -236,7 +236,7 @@
 	in := stream.NewReader(c, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
-		c.SetReadDeadline(time.Now().Add(n.model.ConnIdle))
+		c.SetReadDeadline(time.Now().Add(n.model.ConnIdleTimeout))
 		err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) })
 		n.wait()
 		if err != nil {
@@ -285,16 +285,16 @@
 	class, q, body := string(m.Get("Call-Kind")), rung(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.Paid[class], Rung: q})
+	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Rung: q})
 	status := 200
 	switch {
 	case n.draw(id, "fails") < n.failing:
 		status = 500
-	case len(n.sessions) >= n.model.Places || n.asked() >= n.model.Guard*n.link():
+	case len(n.sessions) >= n.model.MaxStreams || n.asked() >= n.model.FullAtUtilization*n.link():
 		status = 453
 	}
 	c.open[id] = true
-	time.AfterFunc(between(n.model.Answer, n.draw(id, "answer")), func() {
+	time.AfterFunc(between(n.model.AnswerDelay, n.draw(id, "answer")), func() {
 		n.wait()
 		n.mu.Lock()
 		defer n.mu.Unlock()
@@ -305,14 +305,14 @@
 		text := ""
 		if status == 200 {
 			text = n.Name + ";" + body
-			length := between(n.model.Length, n.draw(id, "length"))
+			length := between(n.model.SessionLength, n.draw(id, "length"))
 			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(q, 0), class: class, timer: time.AfterFunc(length, func() {
 				n.wait()
 				n.mu.Lock()
 				defer n.mu.Unlock()
 				n.end(id)
 			})}
-			n.record.Add(Event{Kind: Ran, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.Paid[class], Text: text})
+			n.record.Add(Event{Kind: Ran, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Text: text})
 		}
 		n.record.Add(Event{Kind: Said, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
 		c.say(answer(status, "1", id, text))
@@ -376,8 +376,8 @@
 	if !n.cold {
 		return n.model.LinkKB
 	}
-	warm := min(time.Since(n.since).Seconds()/n.model.Warm.Seconds(), 1)
-	return n.model.LinkKB * (n.model.Share + (1-n.model.Share)*warm)
+	warm := min(time.Since(n.since).Seconds()/n.model.WarmUpTime.Seconds(), 1)
+	return n.model.LinkKB * (n.model.StartCapacityShare + (1-n.model.StartCapacityShare)*warm)
 }
 
 func (n *Node) report(seq, id string) []byte {
@@ -389,9 +389,9 @@
 	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.asked()/n.link())), nil)
 }
 
-// Note tells each manager with sessions here what share is delivered, on one of its
+// AnnounceShortfall tells each manager with sessions here what share is delivered, on one of its
 // sessions, while that is short. It is to be called each second.
-func (n *Node) Note() {
+func (n *Node) AnnounceShortfall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	asked := n.asked()
--- a/internal/fleettest/packets.go
+++ b/internal/fleettest/packets.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Packets carries datagrams of one pair and puts faults between them. It takes them at
+// DatagramRelay carries datagrams of one pair and puts faults between them. It takes them at
 // an address of its own; for each that sends there it sends onwards from an address of
 // its own, and what comes back there goes back. What it loses, repeats and holds is
 // drawn from a seed.
-type Packets struct {
+type DatagramRelay struct {
 	target func() string
 
 	mu     sync.Mutex
@@ -30,36 +30,36 @@
 	group  sync.WaitGroup
 }
 
-// NewPackets returns a relay for datagrams to the address that target tells, which may
+// NewDatagramRelay returns a relay for datagrams to the address that target tells, which may
 // change. An empty one loses them.
-func NewPackets(seed uint64, target func() string) (*Packets, error) {
+func NewDatagramRelay(seed uint64, target func() string) (*DatagramRelay, error) {
 	in, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
-	p := &Packets{target: target, in: in, out: map[string]*net.UDPConn{}, src: rand.New(rand.NewPCG(seed, 7))}
+	p := &DatagramRelay{target: target, in: in, out: map[string]*net.UDPConn{}, src: rand.New(rand.NewPCG(seed, 7))}
 	p.group.Go(p.take)
 	return p, nil
 }
 
 // Addr is where it takes datagrams.
-func (p *Packets) Addr() string { return p.in.LocalAddr().String() }
+func (p *DatagramRelay) Addr() string { return p.in.LocalAddr().String() }
 
-// Passed is how many datagrams went on in a direction.
-func (p *Packets) Passed(way Way) int {
+// Forwarded is how many datagrams went on in a direction.
+func (p *DatagramRelay) Forwarded(way Direction) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.passed[way]
 }
 
-func (p *Packets) set(f func()) {
+func (p *DatagramRelay) set(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
 // Cut loses all in some directions; Heal ends that.
-func (p *Packets) Cut(ways ...Way) {
+func (p *DatagramRelay) Cut(ways ...Direction) {
 	p.set(func() {
 		for _, w := range ways {
 			p.cut[w] = true
@@ -68,17 +68,21 @@
 }
 
 // Heal ends a cut.
-func (p *Packets) Heal() { p.set(func() { p.cut = [2]bool{} }) }
+func (p *DatagramRelay) Heal() { p.set(func() { p.cut = [2]bool{} }) }
 
 // Lose, Repeat and Swap have a share of what passes in a direction be lost, come twice,
 // or come after the one that follows. Delay has all come so much later.
-func (p *Packets) Lose(way Way, share float64)        { p.set(func() { p.lose[way] = share }) }
-func (p *Packets) Repeat(way Way, share float64)      { p.set(func() { p.repeat[way] = share }) }
-func (p *Packets) Swap(way Way, share float64)        { p.set(func() { p.swap[way] = share }) }
-func (p *Packets) Delay(way Way, after time.Duration) { p.set(func() { p.delay[way] = after }) }
+func (p *DatagramRelay) Lose(way Direction, share float64) { p.set(func() { p.lose[way] = share }) }
+func (p *DatagramRelay) Duplicate(way Direction, share float64) {
+	p.set(func() { p.repeat[way] = share })
+}
+func (p *DatagramRelay) Reorder(way Direction, share float64) { p.set(func() { p.swap[way] = share }) }
+func (p *DatagramRelay) Delay(way Direction, after time.Duration) {
+	p.set(func() { p.delay[way] = after })
+}
 
 // Close ends it.
-func (p *Packets) Close() {
+func (p *DatagramRelay) Close() {
 	p.set(func() {
 		p.closed = true
 		p.in.Close()
@@ -89,7 +93,7 @@
 	p.group.Wait()
 }
 
-func (p *Packets) take() {
+func (p *DatagramRelay) take() {
 	b := make([]byte, 64<<10)
 	for {
 		n, from, err := p.in.ReadFromUDP(b)
@@ -98,7 +102,7 @@
 		}
 		if o := p.onwards(from); o != nil {
 			m := append([]byte(nil), b[:n]...)
-			p.pass(Out, func() {
+			p.pass(ToTarget, func() {
 				if to, err := net.ResolveUDPAddr("udp4", p.target()); err == nil && to.Port != 0 {
 					o.WriteToUDP(m, to) // as a network, it tells nobody what it loses
 				}
@@ -108,7 +112,7 @@
 }
 
 // onwards is the socket for who sent from an address.
-func (p *Packets) onwards(from *net.UDPAddr) *net.UDPConn {
+func (p *DatagramRelay) onwards(from *net.UDPAddr) *net.UDPConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	o := p.out[from.String()]
@@ -128,14 +132,14 @@
 				return
 			}
 			m := append([]byte(nil), b[:n]...)
-			p.pass(Back, func() { p.in.WriteToUDP(m, from) })
+			p.pass(FromTarget, func() { p.in.WriteToUDP(m, from) })
 		}
 	})
 	return o
 }
 
 // pass sends a datagram by what holds at the moment.
-func (p *Packets) pass(way Way, send func()) {
+func (p *DatagramRelay) pass(way Direction, send func()) {
 	p.mu.Lock()
 	if p.cut[way] || p.src.Float64() < p.lose[way] {
 		p.mu.Unlock()
@@ -171,21 +175,21 @@
 	}
 }
 
-// Peers is the links between managers, each pair with a relay for connections and one
+// PeerNetwork is the links between managers, each pair with a relay for connections and one
 // for datagrams in each direction. Managers listen where SetPeer says.
-type Peers struct {
+type PeerNetwork struct {
 	TCP map[string]map[string]*Relay // by who connects, and to whom
-	UDP map[string]map[string]*Packets
+	UDP map[string]map[string]*DatagramRelay
 
 	mu   sync.Mutex
 	addr map[string][2]string
 }
 
-// NewPeers links managers with each other.
-func NewPeers(names []string, seed uint64) (*Peers, error) {
-	p := &Peers{TCP: map[string]map[string]*Relay{}, UDP: map[string]map[string]*Packets{}, addr: map[string][2]string{}}
+// NewPeerNetwork links managers with each other.
+func NewPeerNetwork(names []string, seed uint64) (*PeerNetwork, error) {
+	p := &PeerNetwork{TCP: map[string]map[string]*Relay{}, UDP: map[string]map[string]*DatagramRelay{}, addr: map[string][2]string{}}
 	for i, a := range names {
-		p.TCP[a], p.UDP[a] = map[string]*Relay{}, map[string]*Packets{}
+		p.TCP[a], p.UDP[a] = map[string]*Relay{}, map[string]*DatagramRelay{}
 		for k, b := range names {
 			if a == b {
 				continue
@@ -198,7 +202,7 @@
 				return nil, fmt.Errorf("%s listens nowhere", b)
 			})
 			if err == nil {
-				p.UDP[a][b], err = NewPackets(seed<<16+uint64(i<<8+k), func() string { return p.at(b)[1] })
+				p.UDP[a][b], err = NewDatagramRelay(seed<<16+uint64(i<<8+k), func() string { return p.at(b)[1] })
 			}
 			if err != nil {
 				p.Close()
@@ -209,14 +213,14 @@
 	return p, nil
 }
 
-func (p *Peers) at(name string) [2]string {
+func (p *PeerNetwork) at(name string) [2]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr[name]
 }
 
-// SetPeer tells where a manager listens for others; empty: nowhere.
-func (p *Peers) SetPeer(name, tcp, udp string) {
+// SetListenAddrs tells where a manager listens for others; empty: nowhere.
+func (p *PeerNetwork) SetListenAddrs(name, tcp, udp string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.addr[name] = [2]string{tcp, udp}
@@ -224,39 +228,39 @@
 
 // Cut holds or loses all between two groups of managers, or with oneWay what goes from
 // a to b.
-func (p *Peers) Cut(a, b []string, oneWay bool) {
-	p.between(a, b, func(t *Relay, u *Packets, from Way) {
+func (p *PeerNetwork) Cut(a, b []string, oneWay bool) {
+	p.between(a, b, func(t *Relay, u *DatagramRelay, from Direction) {
 		if oneWay {
 			t.Cut(from)
 			u.Cut(from)
 		} else {
-			t.Cut(Out, Back)
-			u.Cut(Out, Back)
+			t.Cut(ToTarget, FromTarget)
+			u.Cut(ToTarget, FromTarget)
 		}
 	})
 }
 
 // Heal ends all cuts between two groups.
-func (p *Peers) Heal(a, b []string) {
-	p.between(a, b, func(t *Relay, u *Packets, _ Way) {
+func (p *PeerNetwork) Heal(a, b []string) {
+	p.between(a, b, func(t *Relay, u *DatagramRelay, _ Direction) {
 		t.Heal()
 		u.Heal()
 	})
 }
 
-func (p *Peers) between(a, b []string, do func(*Relay, *Packets, Way)) {
+func (p *PeerNetwork) between(a, b []string, do func(*Relay, *DatagramRelay, Direction)) {
 	for _, x := range a {
 		for _, y := range b {
 			if x != y {
-				do(p.TCP[x][y], p.UDP[x][y], Out)
-				do(p.TCP[y][x], p.UDP[y][x], Back)
+				do(p.TCP[x][y], p.UDP[x][y], ToTarget)
+				do(p.TCP[y][x], p.UDP[y][x], FromTarget)
 			}
 		}
 	}
 }
 
 // Close ends all links.
-func (p *Peers) Close() {
+func (p *PeerNetwork) Close() {
 	for _, l := range p.TCP {
 		for _, r := range l {
 			if r != nil {
--- a/internal/fleettest/packets_test.go
+++ b/internal/fleettest/packets_test.go
@@ -48,7 +48,7 @@
 
 func TestPackets(t *testing.T) {
 	peer, got := hears(t)
-	p, err := NewPackets(1, func() string { return peer.LocalAddr().String() })
+	p, err := NewDatagramRelay(1, func() string { return peer.LocalAddr().String() })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,9 +75,9 @@
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "re 0" {
 		t.Errorf("%q, %v", b[:n], err)
 	}
-	p.Cut(Out)
+	p.Cut(ToTarget)
 	send(3, 10)
-	for p.Passed(Out) != 3 {
+	for p.Forwarded(ToTarget) != 3 {
 		t.Fatal("passed while cut")
 	}
 	c.SetReadDeadline(time.Now().Add(patience))
@@ -90,14 +90,14 @@
 	if all := take(t, got, "10"); len(all) != 1 {
 		t.Errorf("came after the cut: %v", all)
 	}
-	p.Lose(Out, 0.3)
+	p.Lose(ToTarget, 0.3)
 	send(1000, 1200)
-	p.Lose(Out, 0)
+	p.Lose(ToTarget, 0)
 	send(11, 12)
 	if n := len(take(t, got, "11")); n < 100 || n > 180 {
 		t.Errorf("%d of 200 came where 3 in 10 are lost", n-1)
 	}
-	p.Repeat(Out, 1)
+	p.Duplicate(ToTarget, 1)
 	send(12, 13)
 	if all := take(t, got, "12"); len(all) != 1 {
 		t.Error(all)
@@ -105,8 +105,8 @@
 	if all := take(t, got, "12"); len(all) != 1 {
 		t.Error("not twice")
 	}
-	p.Repeat(Out, 0)
-	p.Swap(Out, 1)
+	p.Duplicate(ToTarget, 0)
+	p.Reorder(ToTarget, 1)
 	send(14, 16)
 	if all := take(t, got, "14"); !slices.Equal(all, []string{"15", "14"}) {
 		t.Errorf("not in the other order: %v", all)
@@ -114,7 +114,7 @@
 }
 
 func TestPeers(t *testing.T) {
-	p, err := NewPeers([]string{"m1", "m2", "m3"}, 1)
+	p, err := NewPeerNetwork([]string{"m1", "m2", "m3"}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 		}
 	}()
 	peer, got := hears(t)
-	p.SetPeer("m2", l.Addr().String(), peer.LocalAddr().String())
+	p.SetListenAddrs("m2", l.Addr().String(), peer.LocalAddr().String())
 	reach := func(from string) bool {
 		c, err := net.DialTimeout("tcp4", p.TCP[from]["m2"].Addr(), 50*time.Millisecond)
 		if err != nil {
@@ -167,7 +167,7 @@
 	p.Cut([]string{"m2"}, []string{"m3"}, true) // what m2 says does not arrive
 	fmt.Fprint(c, "again")
 	take(t, got, "again")
-	if p.UDP["m3"]["m2"].Passed(Back) > 1 {
+	if p.UDP["m3"]["m2"].Forwarded(FromTarget) > 1 {
 		t.Error("the answer has passed")
 	}
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -39,20 +39,20 @@
 	return filepath.Join(folder, "millethinge"), nil
 }
 
-// Process is one manager: a process of the program that may be ended and started
+// Manager is one manager: a process of the program that may be ended and started
 // again under its name, or replaced by a second one while it runs.
-type Process struct {
-	Name     string
-	Binary   string
-	Folder   string         // for its files, its home and its $TMPDIR; kept over all its starts
-	Config   map[string]any // of the platform, but for what changes with a start
-	Operator string         // text of an operator's file, or empty
-	Level    string         // least level of its log
-	Env      []string       // beside what the platform sets
-	Known    func() updates
-	Admin    func() (string, error) // a free address for operators' calls; nil: none is given
-	Record   *Record
-	Report   func(error) // told of an end that nobody asked for
+type Manager struct {
+	Name             string
+	Binary           string
+	Dir              string         // for its files, its home and its $TMPDIR; kept over all its starts
+	Config           map[string]any // of the platform, but for what changes with a start
+	OperatorConfig   string         // text of an operator's file, or empty
+	LogLevel         string         // least level of its log
+	Env              []string       // beside what the platform sets
+	KnownUpdates     func() updates
+	NewAdminAddr     func() (string, error) // a free address for operators' calls; nil: none is given
+	Record           *Record
+	OnUnexpectedExit func(error) // told of an end that nobody asked for
 
 	mu      sync.Mutex
 	bodies  []*body // that run, the newest last
@@ -74,7 +74,7 @@
 }
 
 // Start starts it and waits until it serves.
-func (p *Process) Start() error {
+func (p *Manager) Start() error {
 	if p.newest() != nil {
 		return fmt.Errorf("fleettest: %s runs already", p.Name)
 	}
@@ -91,7 +91,7 @@
 }
 
 // await waits until a body is ready, or has ended.
-func (p *Process) await(b *body, ready func() bool, then func()) error {
+func (p *Manager) await(b *body, ready func() bool, then func()) error {
 	deadline := time.After(patience)
 	for {
 		p.mu.Lock()
@@ -108,15 +108,15 @@
 		case <-changed:
 		case <-time.After(50 * time.Millisecond):
 		case <-b.exited:
-			return fmt.Errorf("fleettest: %s ended at its start:\n%s", p.Name, p.Tail(20))
+			return fmt.Errorf("fleettest: %s ended at its start:\n%s", p.Name, p.LogTail(20))
 		case <-deadline:
-			return fmt.Errorf("fleettest: %s does not serve after %v:\n%s", p.Name, patience, p.Tail(20))
+			return fmt.Errorf("fleettest: %s does not serve after %v:\n%s", p.Name, patience, p.LogTail(20))
 		}
 	}
 }
 
 // launch starts a process as the platform does, beside what runs.
-func (p *Process) launch() (*body, error) {
+func (p *Manager) launch() (*body, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.changed == nil {
@@ -127,30 +127,30 @@
 	if len(p.bodies) == 0 { // else all is the same but for the second address
 		p.Config["seed"] = fmt.Sprintf("%x", 0x5eed0000+p.starts*256+len(p.Name)+int(p.Name[len(p.Name)-1]))
 	}
-	if p.Admin != nil {
+	if p.NewAdminAddr != nil {
 		var err error
-		if b.admin, err = p.Admin(); err != nil {
+		if b.admin, err = p.NewAdminAddr(); err != nil {
 			return nil, err
 		}
 		p.Config["admin"] = b.admin
 	}
-	p.Config["known"] = p.Known()
+	p.Config["known"] = p.KnownUpdates()
 	text, err := json.Marshal(p.Config)
 	if err != nil {
 		return nil, err
 	}
-	config := filepath.Join(p.Folder, fmt.Sprintf("config-%d.json", b.number))
-	env := append(p.Env, "BALANCER_CONFIG="+config, "HOME="+p.Folder, "TMPDIR="+p.Folder)
+	config := filepath.Join(p.Dir, fmt.Sprintf("config-%d.json", b.number))
+	env := append(p.Env, "BALANCER_CONFIG="+config, "HOME="+p.Dir, "TMPDIR="+p.Dir)
 	err = os.WriteFile(config, text, 0o600)
-	if err == nil && p.Operator != "" {
-		env = append(env, "MILLETHINGE_OPERATOR="+filepath.Join(p.Folder, "operator.conf"))
-		err = os.WriteFile(filepath.Join(p.Folder, "operator.conf"), []byte(p.Operator), 0o600)
+	if err == nil && p.OperatorConfig != "" {
+		env = append(env, "MILLETHINGE_OPERATOR="+filepath.Join(p.Dir, "operator.conf"))
+		err = os.WriteFile(filepath.Join(p.Dir, "operator.conf"), []byte(p.OperatorConfig), 0o600)
 	}
 	if err != nil {
 		return nil, err
 	}
-	b.cmd = exec.Command(p.Binary, "serve", "--log-level", cmp.Or(p.Level, "info"))
-	b.cmd.Dir, b.cmd.Env = p.Folder, env
+	b.cmd = exec.Command(p.Binary, "serve", "--log-level", cmp.Or(p.LogLevel, "info"))
+	b.cmd.Dir, b.cmd.Env = p.Dir, env
 	// Whatever becomes of the test, no manager outlives it.
 	b.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	out, err := b.cmd.StderrPipe()
@@ -166,11 +166,11 @@
 }
 
 // watch reads its log until it ends.
-func (p *Process) watch(b *body, out io.Reader) {
+func (p *Manager) watch(b *body, out io.Reader) {
 	in := bufio.NewScanner(out)
 	in.Buffer(make([]byte, 64<<10), 1<<20)
 	// Nothing reads this file: it is for whoever keeps the folder.
-	file, _ := os.Create(filepath.Join(p.Folder, fmt.Sprintf("log-%d.json", b.number)))
+	file, _ := os.Create(filepath.Join(p.Dir, fmt.Sprintf("log-%d.json", b.number)))
 	defer file.Close()
 	for in.Scan() {
 		line := in.Text()
@@ -197,21 +197,21 @@
 	p.mu.Unlock()
 	p.Record.Add(e)
 	close(b.exited)
-	if !asked && p.Report != nil {
-		p.Report(fmt.Errorf("%s ended by itself: %v\n%s", p.Name, err, p.Tail(30)))
+	if !asked && p.OnUnexpectedExit != nil {
+		p.OnUnexpectedExit(fmt.Errorf("%s ended by itself: %v\n%s", p.Name, err, p.LogTail(30)))
 	}
 }
 
 // wake is called with the lock held.
-func (p *Process) wake() {
+func (p *Manager) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Renew starts a second process beside the one that runs, and waits until it says at
+// StartSuccessor starts a second process beside the one that runs, and waits until it says at
 // its admin address that it is ready. With kill "old" or "new" that one is killed so
 // long after the start, ready or not.
-func (p *Process) Renew(kill string, after time.Duration) error {
+func (p *Manager) StartSuccessor(kill string, after time.Duration) error {
 	old := p.newest()
 	if old == nil {
 		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
@@ -244,8 +244,8 @@
 	})
 }
 
-// Retire has all processes but the newest end: SIGTERM, and SIGKILL after grace.
-func (p *Process) Retire(grace time.Duration) {
+// StopPredecessors has all processes but the newest end: SIGTERM, and SIGKILL after grace.
+func (p *Manager) StopPredecessors(grace time.Duration) {
 	bodies := p.running()
 	for _, b := range bodies[:max(len(bodies)-1, 0)] {
 		p.end(b, syscall.SIGTERM)
@@ -269,7 +269,7 @@
 }
 
 // called is the process that operators call: the newest that is ready.
-func (p *Process) called() (c *body) {
+func (p *Manager) called() (c *body) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.bodies {
@@ -282,7 +282,7 @@
 
 // figured are the processes whose figures are fetched, and whether they need answer:
 // not one that was asked to end.
-func (p *Process) figured() map[*body]bool {
+func (p *Manager) figured() map[*body]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := map[*body]bool{}
@@ -295,7 +295,7 @@
 }
 
 // end sends a signal to a body whose end is wanted.
-func (p *Process) end(b *body, s syscall.Signal) {
+func (p *Manager) end(b *body, s syscall.Signal) {
 	p.mu.Lock()
 	b.asked = true
 	p.mu.Unlock()
@@ -303,13 +303,13 @@
 	b.cmd.Process.Signal(s) // one that is gone needs none
 }
 
-func (p *Process) running() []*body {
+func (p *Manager) running() []*body {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.bodies)
 }
 
-func (p *Process) newest() *body {
+func (p *Manager) newest() *body {
 	if l := p.running(); len(l) > 0 {
 		return l[len(l)-1]
 	}
@@ -318,7 +318,7 @@
 
 // Addr is where it listens; empty while it doesn't run. Two processes listen at the
 // same address.
-func (p *Process) Addr() string {
+func (p *Manager) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.bodies {
@@ -330,28 +330,28 @@
 }
 
 // PID is the newest's process id, or 0.
-func (p *Process) PID() int {
+func (p *Manager) PID() int {
 	if b := p.newest(); b != nil {
 		return b.cmd.Process.Pid
 	}
 	return 0
 }
 
-// Tail is the end of its log.
-func (p *Process) Tail(n int) string {
+// LogTail is the end of its log.
+func (p *Manager) LogTail(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
 }
 
 // Log is all that it has logged, over all its starts.
-func (p *Process) Log() []string {
+func (p *Manager) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-func (p *Process) signal(s syscall.Signal) error {
+func (p *Manager) signal(s syscall.Signal) error {
 	l := p.running()
 	if len(l) == 0 {
 		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
@@ -364,12 +364,12 @@
 }
 
 // Kill ends it at once and waits until it is gone.
-func (p *Process) Kill() error { return p.stop(syscall.SIGKILL) }
+func (p *Manager) Kill() error { return p.stop(syscall.SIGKILL) }
 
-// Term asks it to end, and waits until it has.
-func (p *Process) Term() error { return p.stop(syscall.SIGTERM) }
+// Terminate asks it to end, and waits until it has.
+func (p *Manager) Terminate() error { return p.stop(syscall.SIGTERM) }
 
-func (p *Process) stop(s syscall.Signal) error {
+func (p *Manager) stop(s syscall.Signal) error {
 	l := p.running()
 	if len(l) == 0 {
 		return nil
@@ -397,20 +397,20 @@
 }
 
 // Pause stops it as it stands: it hears nothing and its clock goes on.
-func (p *Process) Pause() error {
+func (p *Manager) Pause() error {
 	p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "paused"})
 	return p.signal(syscall.SIGSTOP)
 }
 
 // Resume lets it go on, as if no time had passed.
-func (p *Process) Resume() error {
+func (p *Manager) Resume() error {
 	err := p.signal(syscall.SIGCONT)
 	p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "resumed"})
 	return err
 }
 
 // Starve leaves it a share of the time, in slices of 20 ms, until Feed.
-func (p *Process) Starve(share float64) {
+func (p *Manager) Starve(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.starve != nil {
@@ -433,8 +433,8 @@
 	}()
 }
 
-// Feed ends Starve.
-func (p *Process) Feed() {
+// StopStarving ends Starve.
+func (p *Manager) StopStarving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.starve != nil {
@@ -445,7 +445,7 @@
 
 // Usage is its memory in MB, its open descriptors and the processor time it has
 // used, of all its processes.
-func (p *Process) Usage() (mb float64, descriptors int, cpu time.Duration) {
+func (p *Manager) Usage() (mb float64, descriptors int, cpu time.Duration) {
 	for _, b := range p.running() {
 		m, d, c := usage(b.cmd.Process.Pid)
 		mb, descriptors, cpu = mb+m, descriptors+d, cpu+c
--- a/internal/fleettest/record.go
+++ b/internal/fleettest/record.go
@@ -81,7 +81,7 @@
 	Cold    bool
 	Text    string
 	Took    time.Duration // of a call; At is when it was answered
-	Figures *Figures
+	Figures *Metrics
 	Process int  // of those of a manager, counted from 1
 	Ready   bool // the front's question was answered yes
 	Idle    int  // viewers' connections on which nothing has been open for a while
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Way is a direction through a relay.
-type Way int
+// Direction is a direction through a relay.
+type Direction int
 
 const (
-	Out Way = iota // from the side that connects
-	Back
+	ToTarget Direction = iota // from the side that connects
+	FromTarget
 )
 
-func (w Way) String() string { return [...]string{"out", "back"}[w] }
+func (w Direction) String() string { return [...]string{"out", "back"}[w] }
 
 // Relay carries the connections of one pair, such as a manager and a node, and puts
 // faults between them. It accepts at an address of its own and connects onwards for
@@ -32,7 +32,7 @@
 type Relay struct {
 	// Seen is told of each piece that leaves either side of the nth connection, before
 	// it goes on; with none, of the side's end. It must not wait. Nil: nobody is.
-	Seen func(conn int, way Way, b []byte)
+	OnData func(conn int, way Direction, b []byte)
 
 	addr   string
 	target func() (net.Conn, error)
@@ -56,22 +56,22 @@
 
 // trap strikes when something passes.
 type trap struct {
-	way   Way
+	way   Direction
 	token []byte
 	bytes int // or when so many have passed on one connection
-	act   Act
+	act   TrapAction
 	left  int // how often it strikes yet; -1: always
 	hit   func()
 }
 
-// Act is what a trap does to the connection that steps on it.
-type Act int
+// TrapAction is what a trap does to the connection that steps on it.
+type TrapAction int
 
 const (
-	ResetBefore Act = iota // what was seen is lost, and both sides see a reset
-	CloseBefore            // what was seen is lost, and both sides see an ordinary close
-	Mute                   // what was seen and all after it in this direction is lost; the connection stays open
-	ResetAfter             // what was seen goes on, and both sides see a reset
+	ResetBefore TrapAction = iota // what was seen is lost, and both sides see a reset
+	CloseBefore                   // what was seen is lost, and both sides see an ordinary close
+	Mute                          // what was seen and all after it in this direction is lost; the connection stays open
+	ResetAfter                    // what was seen goes on, and both sides see a reset
 )
 
 // NewRelay returns a relay on loopback to what target connects to.
@@ -123,8 +123,8 @@
 // Addr is where the relay accepts. It stays the same whatever is done to it.
 func (r *Relay) Addr() string { return r.addr }
 
-// Opened is how many connections have come up so far.
-func (r *Relay) Opened() int {
+// ConnsAccepted is how many connections have come up so far.
+func (r *Relay) ConnsAccepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.opened
@@ -157,7 +157,7 @@
 			continue
 		case err != nil && os.IsTimeout(err): // cut: nothing comes up until that changes
 			changed := r.changed
-			if !r.cut[Out] && !r.cut[Back] {
+			if !r.cut[ToTarget] && !r.cut[FromTarget] {
 				l.SetDeadline(time.Time{})
 				r.mu.Unlock()
 				continue
@@ -203,7 +203,7 @@
 
 // Cut holds what leaves in a direction, and lets no new connection come up: as
 // when a machine vanishes, or a cable does. Nobody is told.
-func (r *Relay) Cut(ways ...Way) {
+func (r *Relay) Cut(ways ...Direction) {
 	r.change(func() {
 		for _, w := range ways {
 			r.cut[w] = true
@@ -264,13 +264,13 @@
 	})
 }
 
-// Accept takes connections again after Refuse.
-func (r *Relay) Accept() error {
+// StopRefusing takes connections again after Refuse.
+func (r *Relay) StopRefusing() error {
 	var err error
 	r.change(func() {
 		if r.refuse {
 			r.refuse = false
-			if err = r.listen(); err == nil && (r.cut[Out] || r.cut[Back]) {
+			if err = r.listen(); err == nil && (r.cut[ToTarget] || r.cut[FromTarget]) {
 				r.block()
 			}
 		}
@@ -288,19 +288,19 @@
 }
 
 // Delay has all that leaves in a direction arrive so much later, in order.
-func (r *Relay) Delay(way Way, d time.Duration) { r.change(func() { r.delay[way] = d }) }
+func (r *Relay) Delay(way Direction, d time.Duration) { r.change(func() { r.delay[way] = d }) }
 
-// Drip lets so many bytes a millisecond through in a direction; 0: all.
-func (r *Relay) Drip(way Way, bytes int) { r.change(func() { r.drip[way] = bytes }) }
+// Throttle lets so many bytes a millisecond through in a direction; 0: all.
+func (r *Relay) Throttle(way Direction, bytes int) { r.change(func() { r.drip[way] = bytes }) }
 
 // Trap does act to each of the next n connections on which token passes in a
 // direction; with n under 0 to all. hit, if not nil, is called each time.
-func (r *Relay) Trap(way Way, token string, n int, act Act, hit func()) {
+func (r *Relay) Trap(way Direction, token string, n int, act TrapAction, hit func()) {
 	r.change(func() { r.traps = append(r.traps, &trap{way: way, token: []byte(token), left: n, act: act, hit: hit}) })
 }
 
 // TrapAt is Trap at the first piece that takes a connection past so many bytes.
-func (r *Relay) TrapAt(way Way, bytes, n int, act Act) {
+func (r *Relay) TrapAt(way Direction, bytes, n int, act TrapAction) {
 	r.change(func() { r.traps = append(r.traps, &trap{way: way, bytes: bytes, left: n, act: act}) })
 }
 
@@ -367,8 +367,8 @@
 	k.far = c.(*net.TCPConn)
 	r.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.carry(Out, k.near, k.far) })
-	both.Go(func() { k.carry(Back, k.far, k.near) })
+	both.Go(func() { k.carry(ToTarget, k.near, k.far) })
+	both.Go(func() { k.carry(FromTarget, k.far, k.near) })
 	both.Wait()
 	k.near.Close()
 	k.far.Close()
@@ -384,7 +384,7 @@
 // carry passes on what leaves in one direction until that ends. It reads ahead of
 // what is held, as a network's buffers do, so that what a party wrote is seen when
 // it wrote it.
-func (k *link) carry(way Way, from, to *net.TCPConn) {
+func (k *link) carry(way Direction, from, to *net.TCPConn) {
 	r := k.relay
 	queue := make(chan piece, 1<<12)
 	done := make(chan struct{})
@@ -393,11 +393,11 @@
 		for {
 			b := make([]byte, 4<<10)
 			n, err := from.Read(b)
-			if r.Seen != nil && n > 0 {
-				r.Seen(k.number, way, b[:n])
+			if r.OnData != nil && n > 0 {
+				r.OnData(k.number, way, b[:n])
 			}
-			if r.Seen != nil && err != nil {
-				r.Seen(k.number, way, nil)
+			if r.OnData != nil && err != nil {
+				r.OnData(k.number, way, nil)
 			}
 			select {
 			case queue <- piece{b[:n], time.Now(), err}:
@@ -431,7 +431,7 @@
 }
 
 // pass sends a piece on by what holds at the moment. False: the link is gone.
-func (k *link) pass(way Way, to *net.TCPConn, p piece, passed int) bool {
+func (k *link) pass(way Direction, to *net.TCPConn, p piece, passed int) bool {
 	r, b := k.relay, p.b
 	r.mu.Lock()
 	delay, drip := r.delay[way], r.drip[way]
@@ -486,7 +486,7 @@
 }
 
 // wait holds while a direction is cut. False: the link is gone.
-func (k *link) wait(way Way) bool {
+func (k *link) wait(way Direction) bool {
 	r := k.relay
 	for {
 		r.mu.Lock()
@@ -500,7 +500,7 @@
 }
 
 // strike looks whether a trap strikes, with the relay's lock held.
-func (k *link) strike(way Way, b []byte, passed int) (Act, bool) {
+func (k *link) strike(way Direction, b []byte, passed int) (TrapAction, bool) {
 	for _, t := range k.relay.traps {
 		if t.way != way || t.left == 0 {
 			continue
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -63,7 +63,7 @@
 	if got, err := says(c, "hello", patience); got != "hello" {
 		t.Fatal(got, err)
 	}
-	for _, way := range []Way{Out, Back} {
+	for _, way := range []Direction{ToTarget, FromTarget} {
 		r.Cut(way)
 		if got, err := says(c, "cut", short); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("cut %v: %q, %v", way, got, err)
@@ -88,7 +88,7 @@
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("not refused: %v", err)
 	}
-	if err := r.Accept(); err != nil {
+	if err := r.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := says(dial(t, r), "again", patience); got != "again" {
@@ -96,16 +96,16 @@
 	}
 
 	for _, e := range []struct {
-		way  Way
-		act  Act
+		way  Direction
+		act  TrapAction
 		got  string
 		fail error
 	}{
-		{Back, ResetBefore, "", syscall.ECONNRESET},
-		{Out, ResetBefore, "", syscall.ECONNRESET},
-		{Back, CloseBefore, "", io.EOF},
-		{Back, Mute, "", os.ErrDeadlineExceeded},
-		{Back, ResetAfter, "end", nil},
+		{FromTarget, ResetBefore, "", syscall.ECONNRESET},
+		{ToTarget, ResetBefore, "", syscall.ECONNRESET},
+		{FromTarget, CloseBefore, "", io.EOF},
+		{FromTarget, Mute, "", os.ErrDeadlineExceeded},
+		{FromTarget, ResetAfter, "end", nil},
 	} {
 		hits := 0
 		r.Trap(e.way, "end", 1, e.act, func() { hits++ })
@@ -124,7 +124,7 @@
 			t.Errorf("%v %v: %d hits, the other got %q, %v", e.way, e.act, hits, got, err)
 		}
 	}
-	r.TrapAt(Out, 4, 1, ResetBefore)
+	r.TrapAt(ToTarget, 4, 1, ResetBefore)
 	c = dial(t, r)
 	if got, err := says(c, "abc", patience); got != "abc" {
 		t.Fatal(got, err)
@@ -137,8 +137,8 @@
 // What is held or dripped keeps its order, and a close comes after all of it.
 func TestRelayHoldsInOrder(t *testing.T) {
 	r := echo(t)
-	r.Delay(Out, time.Millisecond)
-	r.Drip(Back, 7)
+	r.Delay(ToTarget, time.Millisecond)
+	r.Throttle(FromTarget, 7)
 	c := dial(t, r)
 	var want []byte
 	for i := range 200 {
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -15,7 +15,7 @@
 // and what must hold beside the rules.
 type Scenario struct {
 	Name   string
-	Plan   Plan
+	Plan   FleetConfig
 	acts   []act
 	expect []expectation
 	check  []func() // what names other parts, checked when all is read
@@ -58,8 +58,8 @@
 // Parse reads a scenario. open reads what it includes; nil: nothing can be included. The
 // error is a *conf.Faults, which tells all that is wrong.
 func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
-	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultTerms,
-		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
+	s := &Scenario{Name: name, Plan: FleetConfig{Seed: 1, WaitTimeout: patience, NodeModel: DefaultNodeModel, Terms: DefaultTerms,
+		Load: Load{ClipShare: 0.35, TimeLeft: 3 * time.Second, RetryShare: 0.9, Titles: 8, ManagerWeights: map[string]float64{}}}}
 	faults := new(conf.Faults)
 	conf.Read(conf.Parse(name, text, open, faults), nil, faults, s.keys())
 	for _, f := range s.check {
@@ -70,7 +70,7 @@
 	}
 	t := &s.Plan.Terms
 	t.Ops.Files = cmp.Or(s.Plan.Sockets, t.Ops.Files)
-	t.Warm, t.Places, t.Share = s.Plan.Model.Warm, s.Plan.Model.Places, s.Plan.Model.Share
+	t.Warm, t.Places, t.Share = s.Plan.NodeModel.WarmUpTime, s.Plan.NodeModel.MaxStreams, s.Plan.NodeModel.StartCapacityShare
 	return s, nil
 }
 
@@ -78,21 +78,21 @@
 	p := &s.Plan
 	return []conf.Key{
 		{Name: "seed", Usage: "N", Read: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Read: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, longest) }},
+		{Name: "patience", Usage: "DURATION", Read: func(d *conf.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, longest) }},
 		{Name: "level", Usage: "LEVEL", Read: func(d *conf.Directive) {
-			p.Level = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
+			p.LogLevel = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
 		{Name: "sockets", Usage: "N", Read: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
 		{Name: "admin", Read: func(*conf.Directive) { p.Admin = true }},
 		{Name: "hall", Usage: "NAME { … }", Many: true, Must: true, Read: s.hall},
 		{Name: "absent", Usage: "NODE…", Many: true, Read: func(d *conf.Directive) {
 			for first := true; first || d.More(); first = false {
-				p.Absent = append(p.Absent, d.Word("a node"))
+				p.Unlisted = append(p.Unlisted, d.Word("a node"))
 			}
 		}},
 		{Name: "operator", Usage: "LINE", Many: true, Read: func(d *conf.Directive) {
 			line, _ := d.Rest()
-			p.Operator += strings.Trim(line, "`") + "\n"
+			p.OperatorConfig += strings.Trim(line, "`") + "\n"
 		}},
 		{Name: "load", Usage: "{ … }", Read: s.load},
 		{Name: "node", Usage: "{ … }", Read: s.node},
@@ -117,21 +117,21 @@
 func (s *Scenario) load(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.Rate = d.Float("sessions a second", 0, 1000) }},
-		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
+		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.SessionsPerSecond = d.Float("sessions a second", 0, 1000) }},
+		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
+		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
 		conf.Key{Name: "titles", Usage: "N", Read: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Key{Name: "left", Usage: "DURATION", Read: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, longest) }},
+		conf.Key{Name: "left", Usage: "DURATION", Read: func(d *conf.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, longest) }},
 		conf.Key{Name: "weight", Usage: "MANAGER N", Many: true, Read: func(d *conf.Directive) {
 			m := d.Word("a manager")
-			l.Weight[m] = d.Float("a weight", 0, 1000)
+			l.ManagerWeights[m] = d.Float("a weight", 0, 1000)
 			s.names(d, 1, m)
 		}},
 	)
 }
 
 func (s *Scenario) node(d *conf.Directive) {
-	m := &s.Plan.Model
+	m := &s.Plan.NodeModel
 	two := func(to *[2]time.Duration) func(*conf.Directive) {
 		return func(d *conf.Directive) {
 			to[0] = d.Duration("a time", 0, longest)
@@ -140,23 +140,23 @@
 	}
 	d.Block(
 		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
-		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
-		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, longest) }},
-		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
-		conf.Key{Name: "idle", Usage: "DURATION", Read: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, longest) }},
-		conf.Key{Name: "streams", Usage: "N", Read: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Key{Name: "answer", Usage: "FROM TO", Read: two(&m.Answer)},
-		conf.Key{Name: "length", Usage: "FROM TO", Read: two(&m.Length)},
+		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
+		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, longest) }},
+		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
+		conf.Key{Name: "idle", Usage: "DURATION", Read: func(d *conf.Directive) { m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, longest) }},
+		conf.Key{Name: "streams", Usage: "N", Read: func(d *conf.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
+		conf.Key{Name: "answer", Usage: "FROM TO", Read: two(&m.AnswerDelay)},
+		conf.Key{Name: "length", Usage: "FROM TO", Read: two(&m.SessionLength)},
 	)
 }
 
 // names has names checked once all halls are read.
 func (s *Scenario) names(d *conf.Directive, argument int, names ...string) {
 	s.check = append(s.check, func() {
-		f := &Fleet{Plan: s.Plan, Managers: map[string]*Process{}, Nodes: map[string]*Node{}}
+		f := &Fleet{Config: s.Plan, Managers: map[string]*Manager{}, Nodes: map[string]*Node{}}
 		for _, h := range s.Plan.Halls {
 			for _, m := range h.Managers {
-				f.Managers[m] = &Process{}
+				f.Managers[m] = &Manager{}
 			}
 			for _, n := range h.Nodes {
 				f.Nodes[n] = &Node{}
@@ -209,9 +209,9 @@
 		n, node := d.Int("sessions", 1, 1<<20), s.optional(d)
 		c.ready = func(r *run) bool {
 			if node != "" {
-				return r.Nodes[node].Standing() >= n
+				return r.Nodes[node].EstablishedSessions() >= n
 			}
-			return r.Fleet.Standing() >= n
+			return r.Fleet.EstablishedSessions() >= n
 		}
 	case "open": // N: set-ups that are out
 		n := d.Int("set-ups", 1, 1<<20)
@@ -226,7 +226,7 @@
 	case "aside":
 		c.after = func(r *run) { r.aside.Wait() }
 	case "quiet":
-		c.ready = func(r *run) bool { return r.Fleet.Standing() == 0 }
+		c.ready = func(r *run) bool { return r.Fleet.EstablishedSessions() == 0 }
 	default: // N [of NODE or MANAGER], since the act before
 		fits := counted[words[i]]
 		n, of := d.Int("how many", 1, 1<<20), s.optional(d)
@@ -260,7 +260,7 @@
 		return []string{err.Error()}, f.Record
 	}
 	r := &run{Fleet: f, began: time.Now()}
-	f.Crowd.Run(f.done)
+	f.Viewers.Run(f.done)
 	if err := s.play(r, watch); err != nil {
 		wrong = append(wrong, err.Error())
 	}
@@ -280,7 +280,7 @@
 			wrong = append(wrong, "expected "+e.what+": "+why)
 		}
 	}
-	for _, err := range f.Fails() {
+	for _, err := range f.Failures() {
 		wrong = append(wrong, err.Error())
 	}
 	return wrong, f.Record
@@ -297,7 +297,7 @@
 				time.Sleep(c.wait)
 				continue
 			}
-			if err := r.Wait("act "+a.name+": "+c.what, func() bool { return c.ready(r) }); err != nil {
+			if err := r.WaitFor("act "+a.name+": "+c.what, func() bool { return c.ready(r) }); err != nil {
 				return err
 			}
 		}
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -22,10 +22,10 @@
 		t.Fatal(err)
 	}
 	for _, n := range []int{4, 16, 40} {
-		p := Plan{Seed: 1, Patience: patience, Model: DefaultModel, Terms: DefaultTerms,
-			Load: Load{Left: 3 * time.Second, Clip: 0.35, Titles: 8}}
-		p.Model.LinkKB, p.Model.Places, p.Model.Length = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
-		p.Terms.Places = p.Model.Places
+		p := FleetConfig{Seed: 1, WaitTimeout: patience, NodeModel: DefaultNodeModel, Terms: DefaultTerms,
+			Load: Load{TimeLeft: 3 * time.Second, ClipShare: 0.35, Titles: 8}}
+		p.NodeModel.LinkKB, p.NodeModel.MaxStreams, p.NodeModel.SessionLength = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
+		p.Terms.Places = p.NodeModel.MaxStreams
 		for i := range 2 {
 			h := Hall{Name: string(rune('a' + i))}
 			for k := range n / 2 {
@@ -43,10 +43,10 @@
 			t.Fatal(err)
 		}
 		started := time.Since(began)
-		f.Crowd.Run(f.done)
+		f.Viewers.Run(f.done)
 		best := 0.0
 		for rate := 250.0; rate <= 4000; rate *= 2 {
-			f.Crowd.SetRate(rate)
+			f.Viewers.SetRate(rate)
 			time.Sleep(time.Second)
 			from := time.Now()
 			time.Sleep(3 * time.Second)
@@ -75,7 +75,7 @@
 			most, cpu = max(most, fds), cpu+c
 		}
 		slices.Sort(memory)
-		f.Crowd.SetRate(0.001)
+		f.Viewers.SetRate(0.001)
 		time.Sleep(4 * time.Second)
 		if found := Judge(f.Record.Events(), p.Terms, time.Now()); len(found) > 0 {
 			t.Error(Report(found, f.Record.Events()))
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -57,12 +57,12 @@
 		st.do = s.trap(d, word)
 	case "untrap":
 		st.do = func(r *run) error {
-			r.between(r.All(), r.All(), func(l *Relay, _ Way, _ string) { l.Untrap() })
+			r.between(r.All(), r.All(), func(l *Relay, _ Direction, _ string) { l.Untrap() })
 			return nil
 		}
 	case "rate":
 		rate := d.Float("sessions a second", 0, 1000)
-		st.do = func(r *run) error { r.Crowd.SetRate(rate); return nil }
+		st.do = func(r *run) error { r.Viewers.SetRate(rate); return nil }
 	case "mark":
 		st.do = func(r *run) error {
 			for _, m := range r.Managers {
@@ -74,7 +74,7 @@
 		n, m := d.Int("viewers", 1, 10000), s.optional(d)
 		st.do = func(r *run) error {
 			for range n {
-				r.Crowd.Come(m)
+				r.Viewers.Arrive(m)
 			}
 			return nil
 		}
@@ -82,7 +82,7 @@
 		n, node := d.Int("sessions", 1, 10000), d.Word("a node")
 		s.names(d, 3, node)
 		st.do = func(r *run) error {
-			if got := r.Nodes[node].EndSome("", n); got < n {
+			if got := r.Nodes[node].EndSessions("", n); got < n {
 				return fmt.Errorf("%s has only %d sessions to end", node, got)
 			}
 			return nil
@@ -109,9 +109,9 @@
 		st.do = s.each(d, func(r *run, g Group) error {
 			for _, m := range append(g.lists, g.managers...) {
 				if word == "late" {
-					r.Lists[m].Late(late)
+					r.Coordinators[m].SetDelay(late)
 				} else {
-					r.Lists[m].Silent(word == "silent")
+					r.Coordinators[m].SetSilent(word == "silent")
 				}
 			}
 			return nil
@@ -136,11 +136,11 @@
 			err = p.Kill()
 		case "term":
 			// What it does with what it has taken is judged: it runs until it ends.
-			err = p.Term()
+			err = p.Terminate()
 		case "start":
 			err = p.Start()
 		case "restart":
-			if err = p.Term(); err == nil {
+			if err = p.Terminate(); err == nil {
 				err = p.Start()
 			}
 		case "pause":
@@ -150,7 +150,7 @@
 		case "starve":
 			p.Starve(share)
 		case "feed":
-			p.Feed()
+			p.StopStarving()
 		default:
 			err = fmt.Errorf("%s is nothing that is done to managers", word)
 		}
@@ -171,7 +171,7 @@
 		case "unhang":
 			r.Nodes[n].Unhang()
 		case "fail":
-			r.Nodes[n].Fail(share)
+			r.Nodes[n].SetFailShare(share)
 		default:
 			return fmt.Errorf("%s is nothing that is done to nodes", word)
 		}
@@ -213,12 +213,12 @@
 		return func(r *run) error { return r.Upgrade(m, kill, after) }
 	case "stall":
 		n, kind := d.Int("callers", 1, 1000), []string{"part", "drip", "body"}[max(d.OneOf("a kind", "part", "drip", "body"), 0)]
-		return s.managers(d, func(r *run, m string) error { r.Stall(m, n, kind); return nil })
+		return s.managers(d, func(r *run, m string) error { r.StartStalledCallers(m, n, kind); return nil })
 	case "disable", "enable":
 		node := d.Word("a node")
 		s.names(d, 2, node)
 		d.OneOf("where", "at")
-		return s.managers(d, func(r *run, m string) error { return r.Ban(m, node, word == "disable") })
+		return s.managers(d, func(r *run, m string) error { return r.SetNodeDisabled(m, node, word == "disable") })
 	}
 	path := map[string]string{"empty": "/drain", "fill": "/undrain"}[word]
 	return s.managers(d, func(r *run, m string) error {
@@ -315,7 +315,7 @@
 		case "reset":
 			r.Reset(from, to)
 		case "delay":
-			r.between(from, to, func(l *Relay, w Way, _ string) { l.Delay(w, by) })
+			r.between(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, by) })
 		}
 		return nil
 	}
@@ -325,14 +325,14 @@
 	m, n := d.Word("a manager"), d.Word("a node")
 	s.names(d, 2, m)
 	s.names(d, 3, n)
-	way := Way(max(d.OneOf("a direction", "out", "back"), 0))
+	way := Direction(max(d.OneOf("a direction", "out", "back"), 0))
 	token, bytes := "", 0
 	if word == "trap" {
 		token = d.Word("what passes")
 	} else {
 		bytes = d.Int("bytes", 1, 1<<20)
 	}
-	act := Act(max(d.OneOf("what becomes of it", "reset", "close", "mute", "after"), 0))
+	act := TrapAction(max(d.OneOf("what becomes of it", "reset", "close", "mute", "after"), 0))
 	times := d.Int("how often", 1, 10000)
 	return func(r *run) error {
 		ms, err := r.Find(m)
@@ -344,12 +344,12 @@
 			return err
 		}
 		from, to := ms, ns
-		if way == Back {
+		if way == FromTarget {
 			from, to = ns, ms
 		}
-		r.between(from, to, func(l *Relay, w Way, viewersOf string) {
+		r.between(from, to, func(l *Relay, w Direction, viewersOf string) {
 			if viewersOf != "" {
-				r.Crowd.Broken(viewersOf)
+				r.Viewers.NoteReset(viewersOf)
 			}
 			if word == "trap" {
 				l.Trap(w, token, times, act, nil)
@@ -378,7 +378,7 @@
 			return err
 		}
 		for _, n := range nodes.nodes {
-			r.List(append(to.lists, to.managers...), n, phase)
+			r.SetNodePhase(append(to.lists, to.managers...), n, phase)
 		}
 		return nil
 	}
@@ -415,7 +415,7 @@
 		s.names(d, 2, m)
 		s.names(d, 3, n)
 		e.holds = func(r *run) string {
-			if got := r.ToNode[m][n].Opened(); got > most {
+			if got := r.NodeRelays[m][n].ConnsAccepted(); got > most {
 				return fmt.Sprintf("%d came up from %s to %s, more than %d", got, m, n, most)
 			}
 			return ""
--- a/internal/fleettest/viewer.go
+++ b/internal/fleettest/viewer.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// Crowd is the viewers of all halls. Like the platform's front it keeps a few
+// Viewers is the viewers of all halls. Like the platform's front it keeps a few
 // connections to each manager, and each carries many sessions.
-type Crowd struct {
-	Record *Record
-	Addr   map[string]string   // of each manager, as viewers reach it
-	Halls  map[string][]string // managers by hall
-	Paid   map[string]bool
-	Load   Load
-	Copies int                         // cells that hold each title
-	Hint   func(id string, m *Message) // told of what came; for tests; may be nil
+type Viewers struct {
+	Record         *Record
+	ManagerAddrs   map[string]string   // of each manager, as viewers reach it
+	ManagersByHall map[string][]string // managers by hall
+	BilledClasses  map[string]bool
+	Load           Load
+	TitleCopies    int                         // cells that hold each title
+	OnMessage      func(id string, m *Message) // told of what came; for tests; may be nil
 
 	mu      sync.Mutex
 	src     *rand.Rand
@@ -36,12 +36,12 @@
 
 // Load is what viewers do.
 type Load struct {
-	Rate   float64 // new sessions a second, over all halls
-	Clip   float64 // share of class clip
-	Left   time.Duration
-	Again  float64            // share that comes again after a break or a refusal
-	Weight map[string]float64 // by manager; 1 where not named
-	Titles int
+	SessionsPerSecond float64 // new sessions a second, over all halls
+	ClipShare         float64 // share of class clip
+	TimeLeft          time.Duration
+	RetryShare        float64            // share that comes again after a break or a refusal
+	ManagerWeights    map[string]float64 // by manager; 1 where not named
+	Titles            int
 }
 
 // Message is one line of a manager.
@@ -108,8 +108,8 @@
 // crossed it. It goes again then, on a new connection, once.
 const crossing = 100 * time.Millisecond
 
-// NewCrowd returns a Crowd that begins nothing by itself.
-func NewCrowd(c *Crowd, seed uint64) *Crowd {
+// NewViewers returns a Crowd that begins nothing by itself.
+func NewViewers(c *Viewers, seed uint64) *Viewers {
 	c.src = rand.New(rand.NewPCG(seed, 3))
 	c.conns = map[string][]*viewerConn{}
 	c.asks = map[string]*ask{}
@@ -120,7 +120,7 @@
 }
 
 // Close ends all.
-func (c *Crowd) Close() {
+func (c *Viewers) Close() {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -139,12 +139,12 @@
 
 // Run has new viewers come at the load's rate until done is closed. Arrivals don't
 // wait for answers.
-func (c *Crowd) Run(done <-chan struct{}) {
+func (c *Viewers) Run(done <-chan struct{}) {
 	c.group.Go(func() {
 		next := time.Now()
 		for {
 			c.mu.Lock()
-			rate := c.Load.Rate
+			rate := c.Load.SessionsPerSecond
 			gap := time.Duration(c.src.ExpFloat64() / max(rate, 0.001) * float64(time.Second))
 			c.mu.Unlock()
 			if rate <= 0 {
@@ -159,35 +159,35 @@
 			case <-time.After(time.Until(next)):
 			}
 			if rate > 0 {
-				c.Come("")
+				c.Arrive("")
 			}
 		}
 	})
 }
 
 // SetRate changes how many come. With 0 nobody comes again either.
-func (c *Crowd) SetRate(rate float64) {
+func (c *Viewers) SetRate(rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rate == 0 {
-		c.Load.Again = 0
+		c.Load.RetryShare = 0
 	}
-	c.Load.Rate = rate
+	c.Load.SessionsPerSecond = rate
 }
 
-// Broken tells that a fault breaks the connections to a manager: nothing has crossed
+// NoteReset tells that a fault breaks the connections to a manager: nothing has crossed
 // a close, then.
-func (c *Crowd) Broken(manager string) {
+func (c *Viewers) NoteReset(manager string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reset[manager] = time.Now()
 }
 
-// Come has one new viewer ask a manager, or with "" one of a hall drawn by weight.
-func (c *Crowd) Come(manager string) string {
+// Arrive has one new viewer ask a manager, or with "" one of a hall drawn by weight.
+func (c *Viewers) Arrive(manager string) string {
 	c.mu.Lock()
 	a := &ask{class: "feed", manager: manager}
-	if c.src.Float64() < c.Load.Clip {
+	if c.src.Float64() < c.Load.ClipShare {
 		a.class = "clip"
 	}
 	a.key = fmt.Sprintf("%016x", 0x7f00+c.src.IntN(max(c.Load.Titles, 1)))
@@ -199,8 +199,8 @@
 	return c.ask(a, "")
 }
 
-func (c *Crowd) hallOf(manager string) string {
-	for h, l := range c.Halls {
+func (c *Viewers) hallOf(manager string) string {
+	for h, l := range c.ManagersByHall {
 		for _, m := range l {
 			if m == manager {
 				return h
@@ -211,14 +211,14 @@
 }
 
 // pick draws a manager of a hall, or of any, by weight.
-func (c *Crowd) pick(hall string) string {
+func (c *Viewers) pick(hall string) string {
 	var names []string
 	sum := 0.0
-	for _, h := range sortedKeys(c.Halls) {
+	for _, h := range sortedKeys(c.ManagersByHall) {
 		if hall != "" && h != hall {
 			continue
 		}
-		for _, m := range c.Halls[h] {
+		for _, m := range c.ManagersByHall[h] {
 			names = append(names, m)
 			sum += c.weight(m)
 		}
@@ -232,8 +232,8 @@
 	return names[len(names)-1]
 }
 
-func (c *Crowd) weight(m string) float64 {
-	if w, ok := c.Load.Weight[m]; ok {
+func (c *Viewers) weight(m string) float64 {
+	if w, ok := c.Load.ManagerWeights[m]; ok {
 		return w
 	}
 	return 1
@@ -241,13 +241,13 @@
 
 // ask sends a set-up, on a connection that is open or on a new one. With an id it is
 // one that goes again.
-func (c *Crowd) ask(a *ask, id string) string {
+func (c *Viewers) ask(a *ask, id string) string {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return ""
 	}
-	left, moved := c.Load.Left, false
+	left, moved := c.Load.TimeLeft, false
 	if len(c.conns[a.manager]) == 0 && !c.takes(a.manager) {
 		other := c.elsewhere(a.hall, a.manager)
 		a.manager, moved = other, other != a.manager
@@ -295,7 +295,7 @@
 		}
 	}
 	fields := map[string]string{"class": a.class, "left": strconv.FormatInt(left.Milliseconds(), 10), "key": a.key,
-		"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s", c.Copies, id)}
+		"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s", c.TitleCopies, id)}
 	if a.tries > 0 {
 		fields["retry"] = "1"
 		fields["extras"] += ";again:1"
@@ -311,7 +311,7 @@
 	crossed := a.crossed
 	c.mu.Unlock()
 	if !crossed || moved {
-		c.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: a.class, Paid: c.Paid[a.class], Left: left})
+		c.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: a.class, Paid: c.BilledClasses[a.class], Left: left})
 	}
 	if _, err := v.Write(append(line, '\n')); err != nil {
 		v.Close() // its reader tells of what was open
@@ -321,8 +321,8 @@
 }
 
 // dial opens a connection to a manager; nil: the crowd is closed.
-func (c *Crowd) dial(manager string) (*viewerConn, error) {
-	nc, err := net.DialTimeout("tcp4", c.Addr[manager], time.Second)
+func (c *Viewers) dial(manager string) (*viewerConn, error) {
+	nc, err := net.DialTimeout("tcp4", c.ManagerAddrs[manager], time.Second)
 	if err != nil {
 		return nil, err
 	}
@@ -339,7 +339,7 @@
 }
 
 // leave gives a set-up up that is not answered when its viewer's time is up.
-func (c *Crowd) leave(v *viewerConn, id string, a *ask) {
+func (c *Viewers) leave(v *viewerConn, id string, a *ask) {
 	c.mu.Lock()
 	waits := v.open[id] && !c.closed
 	v.close(id)
@@ -355,14 +355,14 @@
 
 // again has a viewer come again, after what it was told to wait, to any manager of
 // its hall.
-func (c *Crowd) again(a *ask, wait time.Duration) {
+func (c *Viewers) again(a *ask, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || a.done {
 		return
 	}
 	a.done = true
-	if c.src.Float64() >= c.Load.Again {
+	if c.src.Float64() >= c.Load.RetryShare {
 		return
 	}
 	next := &ask{class: a.class, key: a.key, hall: a.hall, manager: c.pick(a.hall), tries: a.tries + 1}
@@ -376,7 +376,7 @@
 	})
 }
 
-func (c *Crowd) read(v *viewerConn) {
+func (c *Viewers) read(v *viewerConn) {
 	in := bufio.NewReaderSize(v, 32<<10)
 	for {
 		line, err := in.ReadBytes('\n')
@@ -429,9 +429,9 @@
 	}
 }
 
-func (c *Crowd) heard(v *viewerConn, m *Message) {
-	if c.Hint != nil {
-		c.Hint(m.ID, m)
+func (c *Viewers) heard(v *viewerConn, m *Message) {
+	if c.OnMessage != nil {
+		c.OnMessage(m.ID, m)
 	}
 	c.mu.Lock()
 	v.heard = true
--- a/internal/member/swim_test.go
+++ b/internal/member/swim_test.go
@@ -70,9 +70,9 @@
 }
 
 // linked starts members whose links go through relays.
-func linked(t *testing.T, names ...string) (map[string]*heard, *fleettest.Peers) {
+func linked(t *testing.T, names ...string) (map[string]*heard, *fleettest.PeerNetwork) {
 	t.Helper()
-	p, err := fleettest.NewPeers(names, 1)
+	p, err := fleettest.NewPeerNetwork(names, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,12 +80,12 @@
 	all := map[string]*heard{}
 	for i, n := range names {
 		all[n] = runs(t, linkedConfig(p, names, i))
-		p.SetPeer(n, all[n].Addr(), all[n].Addr())
+		p.SetListenAddrs(n, all[n].Addr(), all[n].Addr())
 	}
 	return all, p
 }
 
-func linkedConfig(p *fleettest.Peers, names []string, i int) Config {
+func linkedConfig(p *fleettest.PeerNetwork, names []string, i int) Config {
 	c := Config{Self: Meta{Name: names[i], Site: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1)}, Keys: [][]byte{bytes.Repeat([]byte{7}, 16)}, At: map[string][2]string{}}
 	for _, n := range names {
 		c.Named = append(c.Named, Named{n, "s"})
--- a/internal/server/burst_test.go
+++ b/internal/server/burst_test.go
@@ -77,8 +77,8 @@
 
 // startBurstManager starts a manager with both fronts and one node that serves every set-up.
 func startBurstManager(t *testing.T, operator string) *manager {
-	node, listener := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict {
-		return standin.Verdict{Status: 200}
+	node, listener := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response {
+		return standin.Response{Status: 200}
 	}}, loopback(t)
 	go node.Serve(listener)
 	return startManager(t, "127.0.0.1:1", memberJSON("s-0", listener.Addr().String(), 0), 1, "websocket {\n listen 127.0.0.1:0\n}\n"+operator)
--- a/internal/server/discovery_test.go
+++ b/internal/server/discovery_test.go
@@ -13,16 +13,16 @@
 // A manager must serve a session on a node that it knows only by DNS-SD.
 func TestSessionOnDiscoveredNode(t *testing.T) {
 	listener := loopback(t)
-	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
+	node := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}
 	go node.Serve(listener)
 	udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	var server standin.DNS
+	var server standin.DNSServer
 	const service = "_rtsp._tcp.media.example"
-	server.Set(false, standin.Instance(service, "one", 60, netip.MustParseAddrPort(listener.Addr().String()).Port(), "zone=east", "kind=std", "cell=0")...)
+	server.SetRecords(false, standin.ServiceRecords(service, "one", 60, netip.MustParseAddrPort(listener.Addr().String()).Port(), "zone=east", "kind=std", "cell=0")...)
 	go server.Serve(udp, loopback(t))
 	mgr := startManager(t, "127.0.0.1:1", "", 2, fmt.Sprintf("dns-sd {\n server %s\n service %s\n}", udp.LocalAddr(), service))
 	conn := connect(t, mgr, false)
--- a/internal/server/gone_test.go
+++ b/internal/server/gone_test.go
@@ -58,7 +58,7 @@
 // fullListener returns a listener whose accept queue is full.
 func fullListener(t *testing.T) net.Listener {
 	listener := loopback(t)
-	closeFill, err := standin.Shy(listener.(*net.TCPListener))
+	closeFill, err := standin.FillAcceptQueue(listener.(*net.TCPListener))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/mixed_test.go
+++ b/internal/server/mixed_test.go
@@ -58,21 +58,21 @@
 }
 
 // nodeVerdict decides the nth SETUP of a session.
-func nodeVerdict(session string, nth int) standin.Verdict {
+func nodeVerdict(session string, nth int) standin.Response {
 	var n int
 	fmt.Sscanf(session, "%x", &n)
-	verdict := standin.Verdict{Status: 200}
+	verdict := standin.Response{Status: 200}
 	switch b := behaviorOf(n); {
 	case b == endedByNode:
-		verdict.Length = time.Millisecond
+		verdict.SessionLength = time.Millisecond
 	case b == notFoundOnce && nth == 1, b == notFoundEverywhere:
-		return standin.Verdict{Status: 454}
+		return standin.Response{Status: 454}
 	case b == capacityErrorOnce && nth == 1:
-		return standin.Verdict{Status: 453}
+		return standin.Response{Status: 453}
 	case b == serverErrorOnce && nth == 1:
-		return standin.Verdict{Status: 500}
+		return standin.Response{Status: 500}
 	case b == neverAnswered:
-		return standin.Verdict{}
+		return standin.Response{}
 	}
 	return verdict
 }
@@ -186,8 +186,8 @@
 // runSessions runs all sessions over one transport against a manager of its own. If concurrently
 // is not nil, it runs at the same time; done is closed when the sessions have ended.
 func runSessions(t *testing.T, player bool, operator string, setUp func(int) string, concurrently func(mgr *manager, done <-chan struct{})) outcome {
-	bill := standin.NewBill()
-	node := &standin.Node{Decide: nodeVerdict, Bill: bill}
+	bill := standin.NewCounts()
+	node := &standin.Node{Decide: nodeVerdict, Counts: bill}
 	listener, closedListener := loopback(t), loopback(t)
 	go node.Serve(listener)
 	addr, closedAddr := listener.Addr().String(), closedListener.Addr().String()
@@ -238,8 +238,8 @@
 	viewers.Wait()
 	close(done)
 	background.Wait()
-	bill.Read(func(counted *standin.Bill) {
-		result.setUps, result.runs, result.sessionsByClass = maps.Clone(counted.SetUp), maps.Clone(counted.Ran), maps.Clone(counted.Class)
+	bill.WithLock(func(counted *standin.Counts) {
+		result.setUps, result.runs, result.sessionsByClass = maps.Clone(counted.SetUps), maps.Clone(counted.Established), maps.Clone(counted.EstablishedByClass)
 	})
 	return result
 }
--- a/internal/server/platform_test.go
+++ b/internal/server/platform_test.go
@@ -68,7 +68,7 @@
 	// The manager listens on all addresses of the machine, which has Go check
 	// first whether IPv6 is available.
 	listener := loopback(t)
-	node := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}
+	node := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}
 	go node.Serve(listener)
 	mgr := startManagerWith(t, "127.0.0.1:1", memberJSON("a", listener.Addr().String(), 0), 2, "", func(cfg *config.Config) {
 		cfg.Listen = "0.0.0.0:0"
--- a/internal/server/rate_test.go
+++ b/internal/server/rate_test.go
@@ -64,8 +64,8 @@
 	const nodes = 16 // the number of nodes of a site
 	var members []string
 	for i := range nodes {
-		node, listener := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict {
-			return standin.Verdict{Status: 200, Length: 20 * time.Millisecond}
+		node, listener := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response {
+			return standin.Response{Status: 200, SessionLength: 20 * time.Millisecond}
 		}}, loopback(t)
 		go node.Serve(listener)
 		members = append(members, memberJSON(fmt.Sprint("s-", i), listener.Addr().String(), i))
--- a/internal/server/shapes_test.go
+++ b/internal/server/shapes_test.go
@@ -92,7 +92,7 @@
 	for name, d := range deployments {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			node, listener := &standin.Node{Bill: standin.NewBill(), Decide: func(string, int) standin.Verdict { return standin.Verdict{Status: 200} }}, loopback(t)
+			node, listener := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}, loopback(t)
 			go node.Serve(listener)
 			cfg, err := config.Parse(deploymentJSON(t, d, listener.Addr().String()))
 			if err == nil && d.operator != "" {
@@ -128,10 +128,10 @@
 					}
 				}
 			}
-			node.Bill.Read(func(b *standin.Bill) {
+			node.Counts.WithLock(func(b *standin.Counts) {
 				for _, class := range d.classes {
-					if b.Class[class] == 0 {
-						t.Errorf("no session of class %s: %v", class, b.Class)
+					if b.EstablishedByClass[class] == 0 {
+						t.Errorf("no session of class %s: %v", class, b.EstablishedByClass)
 					}
 				}
 			})
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -9,22 +9,22 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNS is a DNS server of a few records, for tests.
-type DNS struct {
+// DNSServer is a DNSServer server of a few records, for tests.
+type DNSServer struct {
 	mu      sync.Mutex
 	records []dnsmessage.Resource
 	cut     bool // answers over UDP come truncated
 }
 
-// Set replaces the records. Cut: they come over TCP only.
-func (d *DNS) Set(cut bool, records ...dnsmessage.Resource) {
+// SetRecords replaces the records. Cut: they come over TCP only.
+func (d *DNSServer) SetRecords(cut bool, records ...dnsmessage.Resource) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.records, d.cut = records, cut
 }
 
 // Serve answers until both sockets are closed.
-func (d *DNS) Serve(udp net.PacketConn, tcp net.Listener) {
+func (d *DNSServer) Serve(udp net.PacketConn, tcp net.Listener) {
 	go func() {
 		for {
 			c, err := tcp.Accept()
@@ -46,7 +46,7 @@
 	}
 }
 
-func (d *DNS) talk(c net.Conn) {
+func (d *DNSServer) talk(c net.Conn) {
 	defer c.Close()
 	var size [2]byte
 	if _, err := io.ReadFull(c, size[:]); err != nil {
@@ -60,7 +60,7 @@
 	c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(out))), out...))
 }
 
-func (d *DNS) answer(b []byte, mayCut bool) []byte {
+func (d *DNSServer) answer(b []byte, mayCut bool) []byte {
 	var m dnsmessage.Message
 	if err := m.Unpack(b); err != nil || len(m.Questions) != 1 {
 		return nil
@@ -87,9 +87,9 @@
 	return out
 }
 
-// Instance is the records of one instance of a service, at host.example, which is
+// ServiceRecords is the records of one instance of a service, at host.example, which is
 // 127.0.0.1. They live for ttl seconds.
-func Instance(service, name string, ttl uint32, port uint16, text ...string) []dnsmessage.Resource {
+func ServiceRecords(service, name string, ttl uint32, port uint16, text ...string) []dnsmessage.Resource {
 	record := func(owner string, body dnsmessage.ResourceBody) dnsmessage.Resource {
 		return dnsmessage.Resource{Body: body, Header: dnsmessage.ResourceHeader{
 			Name: dnsmessage.MustNewName(owner), Class: dnsmessage.ClassINET, TTL: ttl, Type: typeOf(body)}}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -14,22 +14,22 @@
 // takes their attempts, shares each link equally among what plays there, refuses
 // over the guard, reports loads and tells of short delivery.
 type Fleet struct {
-	Settings control.Settings
-	LinksKB  []float64     // true links of the nodes, which are servers 1 and on
-	Way      time.Duration // one way
-	Length   func(session control.SessionID, class int) time.Duration
-	Spread   float64 // true rates lie so much above or below the ladder
-	Zones    []int   // of the nodes; nil: all 0
+	Settings      control.Settings
+	LinksKB       []float64     // true links of the nodes, which are servers 1 and on
+	OneWayDelay   time.Duration // one way
+	SessionLength func(session control.SessionID, class int) time.Duration
+	RateSpread    float64 // true rates lie so much above or below the ladder
+	NodeZones     []int   // of the nodes; nil: all 0
 
-	mu       sync.Mutex
-	src      *rand.Rand
-	nodes    []*fleetNode
-	sessions map[control.SessionID]*fleetSession
-	timers   []*time.Timer
-	closed   bool
-	Earned   float64 // worth of what played, by rung and delivery
-	Played   int
-	Full     int // set-ups refused as full
+	mu             sync.Mutex
+	src            *rand.Rand
+	nodes          []*fleetNode
+	sessions       map[control.SessionID]*fleetSession
+	timers         []*time.Timer
+	closed         bool
+	EarnedWorth    float64 // worth of what played, by rung and delivery
+	SessionsPlayed int
+	RefusedFull    int // set-ups refused as full
 }
 
 type fleetNode struct {
@@ -67,8 +67,8 @@
 	f.sessions = make(map[control.SessionID]*fleetSession)
 	for i, kb := range f.LinksKB {
 		n := &fleetNode{link: kb, sessions: make(map[control.SessionID]*fleetSession)}
-		if f.Zones != nil {
-			n.zone = f.Zones[i]
+		if f.NodeZones != nil {
+			n.zone = f.NodeZones[i]
 		}
 		f.nodes = append(f.nodes, n)
 	}
@@ -99,9 +99,9 @@
 	}
 }
 
-// Manager is the nodes as one broker sees them. It has to be given the broker
+// ManagerNodes is the nodes as one broker sees them. It has to be given the broker
 // before that runs.
-type Manager struct {
+type ManagerNodes struct {
 	*Fleet
 	Broker *broker.Broker
 	Zone   int
@@ -114,8 +114,8 @@
 	lostTime    = 3 * time.Second // until what stood there is given up
 )
 
-// Lose cuts a zone's nodes off, which end what plays there.
-func (f *Fleet) Lose(zone int) {
+// FailZone cuts a zone's nodes off, which end what plays there.
+func (f *Fleet) FailZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -132,8 +132,8 @@
 	}
 }
 
-// Return brings a zone's nodes back, cold where the settings have a warm-up.
-func (f *Fleet) Return(zone int) {
+// RestoreZone brings a zone's nodes back, cold where the settings have a warm-up.
+func (f *Fleet) RestoreZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -144,9 +144,9 @@
 	}
 }
 
-// Falls is how many set-ups came to cold nodes beyond what these bear: a multiple of
+// ExcessColdSetUps is how many set-ups came to cold nodes beyond what these bear: a multiple of
 // what has warmed of their streams over the warm-up, over all managers, and two more.
-func (f *Fleet) Falls() (n int) {
+func (f *Fleet) ExcessColdSetUps() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range f.nodes {
@@ -169,8 +169,8 @@
 	}
 }
 
-// Worth is what plays earns a second, less what crossing zones costs.
-func (f *Fleet) Worth() (w float64) {
+// WorthPerSecond is what plays earns a second, less what crossing zones costs.
+func (f *Fleet) WorthPerSecond() (w float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -196,7 +196,7 @@
 	return max(1-7*max(0.98-share, 0), 0)
 }
 
-func (m *Manager) node(s control.ServerID) *fleetNode {
+func (m *ManagerNodes) node(s control.ServerID) *fleetNode {
 	if s < 1 || int(s) > len(m.nodes) {
 		return nil
 	}
@@ -204,14 +204,14 @@
 }
 
 // SetUp sends an attempt.
-func (m *Manager) SetUp(s control.ServerID, a broker.Attempt) bool {
+func (m *ManagerNodes) SetUp(s control.ServerID, a broker.Attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
 	if n == nil {
 		return false
 	}
-	m.after(m.Way, func() {
+	m.after(m.OneWayDelay, func() {
 		if n.down {
 			if time.Since(n.downAt) > openTime {
 				m.after(connectTime, func() {
@@ -222,20 +222,20 @@
 		}
 		m.bears(n)
 		if n.asked >= m.Settings.FullAtUtilization*n.link {
-			m.Full++
-			m.after(m.Way, func() {
+			m.RefusedFull++
+			m.after(m.OneWayDelay, func() {
 				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.load(n)})
 			})
 			return
 		}
 		p := &fleetSession{id: a.ID, class: a.Class, number: a.Number, rung: a.Rung, node: n, server: s, to: m.Broker, home: m.Zone,
-			factor: 1 + m.Spread*(2*m.src.Float64()-1), began: time.Now(), counted: time.Now()}
-		length := m.Length(a.ID, a.Class)
+			factor: 1 + m.RateSpread*(2*m.src.Float64()-1), began: time.Now(), counted: time.Now()}
+		length := m.SessionLength(a.ID, a.Class)
 		p.ends = p.began.Add(length)
 		m.settle(n)
 		n.sessions[a.ID], m.sessions[a.ID] = p, p
 		m.recount(n)
-		m.after(m.Way, func() {
+		m.after(m.OneWayDelay, func() {
 			m.Broker.Report(broker.Report{Kind: broker.ReportStarted, Server: s, ID: a.ID, AttemptNumber: a.Number, Description: []byte("d")})
 		})
 		m.after(length, func() {
@@ -275,29 +275,29 @@
 	delete(p.node.sessions, p.id)
 	f.recount(p.node)
 	if s := p.counted.Sub(p.began).Seconds(); s > 0 {
-		f.Earned += p.earned / s
-		f.Played++
+		f.EarnedWorth += p.earned / s
+		f.SessionsPlayed++
 	}
 	return true
 }
 
 // Abandon ends an attempt.
-func (m *Manager) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
+func (m *ManagerNodes) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
 		m.end(p)
 	}
-	m.after(m.Way, func() {
+	m.after(m.OneWayDelay, func() {
 		m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: id, AttemptNumber: number, Status: control.TimedOut})
 	})
 }
 
 // AddEstablished knows of no session from before the start.
-func (m *Manager) AddEstablished(control.ServerID, control.SessionID) bool { return false }
+func (m *ManagerNodes) AddEstablished(control.ServerID, control.SessionID) bool { return false }
 
 // Release ends a session that stands.
-func (m *Manager) Release(_ control.ServerID, id control.SessionID, _ int) {
+func (m *ManagerNodes) Release(_ control.ServerID, id control.SessionID, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
@@ -306,7 +306,7 @@
 }
 
 // SetRung changes a rung, which costs a part of the session's worth.
-func (m *Manager) SetRung(_ control.ServerID, id control.SessionID, rung int) {
+func (m *ManagerNodes) SetRung(_ control.ServerID, id control.SessionID, rung int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil && p.rung != rung {
@@ -318,11 +318,11 @@
 }
 
 // Probe reports a node's load.
-func (m *Manager) Probe(s control.ServerID) {
+func (m *ManagerNodes) Probe(s control.ServerID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
-	m.after(2*m.Way, func() {
+	m.after(2*m.OneWayDelay, func() {
 		if n == nil {
 			return
 		}
@@ -337,9 +337,9 @@
 // load is a report: the link's use and the uplink's, which is never short here.
 func (f *Fleet) load(n *fleetNode) []float64 { return []float64{n.asked / n.link, 0.1} }
 
-// Notes tells each session on a node that delivers short its share, as nodes do each
+// AnnounceShortfalls tells each session on a node that delivers short its share, as nodes do each
 // second. It is to be called as often.
-func (f *Fleet) Notes() {
+func (f *Fleet) AnnounceShortfalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -351,8 +351,8 @@
 	}
 }
 
-// Use is the part of all links that is asked for.
-func (f *Fleet) Use() float64 {
+// Utilization is the part of all links that is asked for.
+func (f *Fleet) Utilization() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	asked, links := 0.0, 0.0
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -25,24 +25,24 @@
 type SiteLoss struct {
 	Settings        control.Settings // of every manager, but for its zone
 	Managers, Nodes int
-	Plan            bool    // the program has sites to look after
-	Gone            bool    // the managers of the lost site are lost as well
-	Load            float64 // of all links, at the middle rate
+	SitePlanning    bool    // the program has sites to look after
+	LoseManagers    bool    // the managers of the lost site are lost as well
+	Utilization     float64 // of all links, at the middle rate
 	Seed            uint64
 }
 
 // SiteLossResult is worth a second, and tries by class during the loss.
 type SiteLossResult struct {
 	Before, During, After float64 // During: from 3 s after the loss on
-	Settled               float64 // from 10 s on: by then those who were cut off have come again
-	Best                  float64 // the optimum of the plan for the loss
-	Asked, Served         [2]float64
-	Falls                 int           // set-ups beyond what cold nodes bear
-	Back                  time.Duration // until 98% of the worth before
+	DuringSettled         float64 // from 10 s on: by then those who were cut off have come again
+	Optimum               float64 // the optimum of the plan for the loss
+	Requests, Served      [2]float64
+	ExcessColdSetUps      int           // set-ups beyond what cold nodes bear
+	RecoveryTime          time.Duration // until 98% of the worth before
 }
 
-// Play plays it, in real time or in that of a synctest bubble.
-func (e SiteLoss) Play() (out SiteLossResult, err error) {
+// Run plays it, in real time or in that of a synctest bubble.
+func (e SiteLoss) Run() (out SiteLossResult, err error) {
 	set, nodes := e.Settings, e.Nodes
 	rng := rand.New(rand.NewPCG(e.Seed, 7))
 	links, zones := make([]float64, nodes), make([]int, nodes)
@@ -52,14 +52,14 @@
 		entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Cell: i, Zone: i % 2, Weight: 1})
 	}
 	lasts := [][2]float64{{26, 65}, {20, 50}} // s
-	fleet := NewFleet(&Fleet{Settings: set, LinksKB: links, Zones: zones, Way: 2 * time.Millisecond, Spread: 0.15,
-		Length: func(id control.SessionID, class int) time.Duration {
+	fleet := NewFleet(&Fleet{Settings: set, LinksKB: links, NodeZones: zones, OneWayDelay: 2 * time.Millisecond, RateSpread: 0.15,
+		SessionLength: func(id control.SessionID, class int) time.Duration {
 			u := lasts[class]
 			part := float64(uint64(id>>8)*0x9e3779b97f4a7c15>>11) / (1 << 53)
 			return time.Duration((u[0] + part*(u[1]-u[0])) * float64(time.Second))
 		}}, e.Seed)
 	defer fleet.Close()
-	rate := e.Load * set.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
+	rate := e.Utilization * set.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
 	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
 		Rules: []site.Rule{{Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}, {Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}}}
 	for k, c := range set.Classes {
@@ -69,7 +69,7 @@
 		}
 		sites.Classes = append(sites.Classes, class)
 	}
-	if out.Best, err = bestWithout(sites, set, links, zones, rate, e.Gone); err != nil {
+	if out.Optimum, err = bestWithout(sites, set, links, zones, rate, e.LoseManagers); err != nil {
 		return out, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,9 +78,9 @@
 	for i := range e.Managers {
 		set := set
 		set.Zone = i % 2
-		m := &Manager{Fleet: fleet, Zone: i % 2}
+		m := &ManagerNodes{Fleet: fleet, Zone: i % 2}
 		cfg := broker.Config{Settings: set, Seed: e.Seed*1000 + uint64(i), MemoryMB: 192, Nodes: m, Log: zap.NewNop()}
-		if e.Plan {
+		if e.SitePlanning {
 			cfg.Sites = sites
 		}
 		b, err := broker.New(cfg)
@@ -99,14 +99,14 @@
 	running.Go(func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
-			fleet.Notes()
+			fleet.AnnounceShortfalls()
 		}
 	})
 	running.Go(func() { // what is earned
 		var sums [4]total
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
-			w := fleet.Worth()
+			w := fleet.WorthPerSecond()
 			switch at := time.Since(c.start); {
 			case at > lossAt-30*time.Second && at < lossAt:
 				sums[0].add(w)
@@ -118,20 +118,20 @@
 			case at > lossEnd-30*time.Second && at < lossEnd:
 				sums[2].add(w)
 			}
-			if at := time.Since(c.start) - lossAt - lossFor; at > 0 && out.Back == 0 && w >= 0.98*sums[0].mean() {
-				out.Back = at
+			if at := time.Since(c.start) - lossAt - lossFor; at > 0 && out.RecoveryTime == 0 && w >= 0.98*sums[0].mean() {
+				out.RecoveryTime = at
 			}
 		}
-		out.Before, out.During, out.After, out.Settled = sums[0].mean(), sums[1].mean(), sums[2].mean(), sums[3].mean()
+		out.Before, out.During, out.After, out.DuringSettled = sums[0].mean(), sums[1].mean(), sums[2].mean(), sums[3].mean()
 	})
 	time.AfterFunc(lossAt, func() {
-		fleet.Lose(1)
-		if e.Gone {
+		fleet.FailZone(1)
+		if e.LoseManagers {
 			c.lose()
 		}
 	})
 	time.AfterFunc(lossAt+lossFor, func() {
-		fleet.Return(1)
+		fleet.RestoreZone(1)
 		var back []control.Entry
 		for _, n := range entries {
 			if n.Zone == 1 {
@@ -151,7 +151,7 @@
 	cancel()
 	time.Sleep(5 * time.Second)
 	running.Wait()
-	out.Falls = fleet.Falls()
+	out.ExcessColdSetUps = fleet.ExcessColdSetUps()
 	return out, nil
 }
 
@@ -232,7 +232,7 @@
 	v.id, v.served = c.last<<8, false
 	title := uint64(c.rng.IntN(50)) + 1
 	if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossFor {
-		c.out.Asked[v.class]++
+		c.out.Requests[v.class]++
 	}
 	c.stood = append(c.stood, v)
 	b, again := c.brokers[v.manager], v.tries > 0
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -12,29 +12,29 @@
 	"millethinge/internal/stream"
 )
 
-// Verdict is what a node does with one SETUP.
-type Verdict struct {
-	Status int           // of the answer; 0: none is ever sent
-	Delay  time.Duration // before the answer
-	Length time.Duration // after which the node ends the session; 0: never
+// Response is what a node does with one SETUP.
+type Response struct {
+	Status        int           // of the answer; 0: none is ever sent
+	Delay         time.Duration // before the answer
+	SessionLength time.Duration // after which the node ends the session; 0: never
 }
 
-// Bill counts what nodes did, over all of them.
-type Bill struct {
-	mu    sync.Mutex
-	SetUp map[string]int // SETUPs by session
-	Ran   map[string]int // of these, the ones that stood
-	Class map[string]int // sessions that stood, by class
-	Ended map[string]int // TEARDOWNs by session
+// Counts counts what nodes did, over all of them.
+type Counts struct {
+	mu                 sync.Mutex
+	SetUps             map[string]int // SETUPs by session
+	Established        map[string]int // of these, the ones that stood
+	EstablishedByClass map[string]int // sessions that stood, by class
+	Teardowns          map[string]int // TEARDOWNs by session
 }
 
-// NewBill returns an empty Bill.
-func NewBill() *Bill {
-	return &Bill{SetUp: map[string]int{}, Ran: map[string]int{}, Class: map[string]int{}, Ended: map[string]int{}}
+// NewCounts returns an empty Bill.
+func NewCounts() *Counts {
+	return &Counts{SetUps: map[string]int{}, Established: map[string]int{}, EstablishedByClass: map[string]int{}, Teardowns: map[string]int{}}
 }
 
-// Read calls f while the bill stands still.
-func (b *Bill) Read(f func(*Bill)) {
+// WithLock calls f while the bill stands still.
+func (b *Counts) WithLock(f func(*Counts)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b)
@@ -43,8 +43,8 @@
 // Node answers on the connections it is given.
 type Node struct {
 	// Decide says what becomes of the nth SETUP of a session, from 1.
-	Decide func(session string, nth int) Verdict
-	Bill   *Bill
+	Decide func(session string, nth int) Response
+	Counts *Counts
 }
 
 // Serve accepts until l is closed.
@@ -84,7 +84,7 @@
 		case "SETUP":
 			n.setUp(c, session, string(m.Get("Call-Kind")), string(m.Body))
 		case "TEARDOWN":
-			n.Bill.Read(func(b *Bill) { b.Ended[session]++ })
+			n.Counts.WithLock(func(b *Counts) { b.Teardowns[session]++ })
 			c.send(reply(200, "2", session, ""))
 		case "OPTIONS":
 			b := rtsp.AppendResponse(nil, 200, "OK")
@@ -96,13 +96,13 @@
 }
 
 func (n *Node) setUp(c *line, session, class, description string) {
-	var v Verdict
-	n.Bill.Read(func(b *Bill) {
-		b.SetUp[session]++
-		v = n.Decide(session, b.SetUp[session])
+	var v Response
+	n.Counts.WithLock(func(b *Counts) {
+		b.SetUps[session]++
+		v = n.Decide(session, b.SetUps[session])
 		if v.Status == 200 {
-			b.Ran[session]++
-			b.Class[class]++
+			b.Established[session]++
+			b.EstablishedByClass[class]++
 		}
 	})
 	if v.Status == 0 {
@@ -114,8 +114,8 @@
 			return
 		}
 		c.send(reply(200, "1", session, "node;"+description))
-		if v.Length > 0 {
-			time.AfterFunc(v.Length, func() { c.send(end(session)) })
+		if v.SessionLength > 0 {
+			time.AfterFunc(v.SessionLength, func() { c.send(end(session)) })
 		}
 	}
 	if v.Delay > 0 {
--- a/internal/standin/shy.go
+++ b/internal/standin/shy.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Shy fills a listener's queue: what connects to it hears nothing, and comes up only once
+// FillAcceptQueue fills a listener's queue: what connects to it hears nothing, and comes up only once
 // it is served, a second or so later, when the first packet is sent again. The returned
 // function closes what fills it.
-func Shy(l *net.TCPListener) (end func(), err error) {
+func FillAcceptQueue(l *net.TCPListener) (end func(), err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
