--- a/internal/fleettest/calls.go
+++ b/internal/fleettest/calls.go
@@ -22,19 +22,19 @@
 	PoolEjected int            `json:"pool_ejected"`
 }
 
-// caller makes one call a connection, and waits for an answer for longer than it may
+// adminClient makes one call a connection, and waits for an answer for longer than it may
 // take: how late one is has to be seen.
-var caller = http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
+var adminClient = http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
 
-// call makes a call at an address. Status 0: none was answered; text says why.
-func call(addr, method, path string) (status int, text []byte, took time.Duration) {
+// callAdmin makes a call at an address. Status 0: none was answered; text says why.
+func callAdmin(addr, method, path string) (status int, text []byte, took time.Duration) {
 	began := time.Now()
 	fail := func(err error) (int, []byte, time.Duration) { return 0, []byte(err.Error()), time.Since(began) }
 	q, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return fail(err)
 	}
-	a, err := caller.Do(q)
+	a, err := adminClient.Do(q)
 	if err != nil {
 		return fail(err)
 	}
@@ -48,11 +48,11 @@
 // Call makes a call to a manager's newest process that is ready and records it. node is whom the
 // call names, or empty.
 func (f *Fleet) Call(manager, method, path, node string) (status int, text []byte, err error) {
-	b := f.Managers[manager].called()
-	if b == nil || b.admin == "" {
+	b := f.Managers[manager].adminProcess()
+	if b == nil || b.adminAddr == "" {
 		return 0, nil, fmt.Errorf("%s doesn't run, or has no address for calls", manager)
 	}
-	status, text, took := call(b.admin, method, path)
+	status, text, took := callAdmin(b.adminAddr, method, path)
 	f.Record.Add(Event{Kind: Called, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Took: took})
 	return status, text, nil
 }
@@ -67,10 +67,10 @@
 	return err
 }
 
-// scrape fetches the figures of each process of a manager that has said it is ready.
-func (f *Fleet) scrape(manager string) {
-	for b, owes := range f.Managers[manager].figured() {
-		status, text, took := call(b.admin, "GET", "/metrics")
+// scrapeMetrics fetches the figures of each process of a manager that has said it is ready.
+func (f *Fleet) scrapeMetrics(manager string) {
+	for b, owes := range f.Managers[manager].metricsProcesses() {
+		status, text, took := callAdmin(b.adminAddr, "GET", "/metrics")
 		select {
 		case <-b.exited: // it owes no answer any more
 			continue
@@ -91,19 +91,19 @@
 	}
 }
 
-// watchFigures fetches a manager's figures each second, and more often while it has
+// watchMetrics fetches a manager's figures each second, and more often while it has
 // two processes, so that little happens between the last look at one and its end.
-func (f *Fleet) watchFigures(manager string) {
+func (f *Fleet) watchMetrics(manager string) {
 	for {
 		pause := time.Second
-		if len(f.Managers[manager].running()) > 1 {
+		if len(f.Managers[manager].runningProcesses()) > 1 {
 			pause /= 5
 		}
 		select {
 		case <-f.done:
 			return
 		case <-time.After(pause):
-			f.scrape(manager)
+			f.scrapeMetrics(manager)
 			mb, files, _ := f.Managers[manager].Usage()
 			f.Record.Add(Event{Kind: Used, Manager: manager, Files: files, MB: mb})
 		}
@@ -115,7 +115,7 @@
 // nobody wants).
 func (f *Fleet) StartStalledCallers(manager string, n int, kind string) {
 	for range n {
-		f.group.Go(func() {
+		f.goroutines.Go(func() {
 			for {
 				select {
 				case <-f.done:
@@ -124,7 +124,7 @@
 				}
 				began := time.Now()
 				if b := f.Managers[manager].newest(); b != nil {
-					f.bother(b.admin, kind)
+					f.stalledCall(b.adminAddr, kind)
 				}
 				select { // one that is refused doesn't ask again at once
 				case <-f.done:
@@ -135,8 +135,8 @@
 	}
 }
 
-// bother is one such caller's connection.
-func (f *Fleet) bother(addr, kind string) {
+// stalledCall is one such caller's connection.
+func (f *Fleet) stalledCall(addr, kind string) {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return
@@ -186,7 +186,7 @@
 	if err := p.StartSuccessor(kill, after); err != nil || kill == "new" {
 		return err
 	}
-	f.scrape(manager)
+	f.scrapeMetrics(manager)
 	p.StopPredecessors(f.Config.Load.TimeLeft + 700*time.Millisecond)
 	return f.Viewers.ReportEstablished(manager, func(name string) string { return f.Nodes[name].ID })
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -51,15 +51,15 @@
 	CoordinatorRelays map[string]*Relay
 	ViewerRelays      map[string]*Relay // of viewers
 
-	mu    sync.Mutex
-	fails []error
-	done  chan struct{}
-	group sync.WaitGroup
-	held  []int // sockets that hold the managers' ports
+	mu          sync.Mutex
+	failures    []error
+	done        chan struct{}
+	goroutines  sync.WaitGroup
+	portHolders []int // sockets that hold the managers' ports
 }
 
-// managerMB is what a manager may hold of memory.
-const managerMB = 128
+// managerMemoryMB is what a manager may hold of memory.
+const managerMemoryMB = 128
 
 // DefaultNodeModel is a small node that sets up quickly.
 var DefaultNodeModel = NodeModel{
@@ -84,7 +84,7 @@
 	}
 	for _, h := range p.Halls {
 		for _, m := range h.Managers {
-			if err := f.manager(m, h.Name, binary, folder); err != nil {
+			if err := f.addManager(m, h.Name, binary, folder); err != nil {
 				return f, err
 			}
 			addr[m] = f.ViewerRelays[m].Addr()
@@ -99,18 +99,18 @@
 	for range f.Managers {
 		err = cmp.Or(err, <-errs)
 	}
-	f.group.Go(f.notes)
+	f.goroutines.Go(f.announceShortfalls)
 	if p.Admin && err == nil {
-		f.group.Go(func() { f.Viewers.front(f.done) })
+		f.goroutines.Go(func() { f.Viewers.pollReadiness(f.done) })
 		for m := range f.Managers {
-			f.group.Go(func() { f.watchFigures(m) })
+			f.goroutines.Go(func() { f.watchMetrics(m) })
 		}
 	}
 	return f, err
 }
 
-// manager makes one manager, not yet started, with its relays and its list.
-func (f *Fleet) manager(name, hall, binary, folder string) error {
+// addManager makes one manager, not yet started, with its relays and its list.
+func (f *Fleet) addManager(name, hall, binary, folder string) error {
 	f.NodeRelays[name] = map[string]*Relay{}
 	var members []ListEntry
 	for _, n := range f.nodeNames() {
@@ -123,11 +123,11 @@
 		if err != nil {
 			return err
 		}
-		r.OnData = f.sniff(name, n)
+		r.OnData = f.recordMessages(name, n)
 		f.NodeRelays[name][n] = r
 		if !slices.Contains(f.Config.Unlisted, n) {
-			members = append(members, f.member(name, n, inService))
-			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: inService})
+			members = append(members, f.listEntry(name, n, phaseInService))
+			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: phaseInService})
 		}
 	}
 	list, err := NewCoordinator(members)
@@ -143,14 +143,14 @@
 		return err
 	}
 	p := &Manager{Name: name, Binary: binary, Dir: own, OperatorConfig: f.Config.OperatorConfig, LogLevel: f.Config.LogLevel, Env: f.Config.Env, KnownUpdates: list.KnownUpdates,
-		Record: f.Record, OnUnexpectedExit: f.fail, Config: f.config(name, hall)}
+		Record: f.Record, OnUnexpectedExit: f.reportFailure, Config: f.managerConfig(name, hall)}
 	f.Managers[name] = p
 	if f.Config.Admin {
-		fd, addr, err := hold()
+		fd, addr, err := holdPort()
 		if err != nil {
 			return err
 		}
-		f.held, p.Config["listen"], p.NewAdminAddr = append(f.held, fd), addr, freeAdmin
+		f.portHolders, p.Config["listen"], p.NewAdminAddr = append(f.portHolders, fd), addr, freeAdminAddr
 	}
 	f.ViewerRelays[name], err = NewRelay(func() (net.Conn, error) {
 		if a := p.Addr(); a != "" {
@@ -161,9 +161,9 @@
 	return err
 }
 
-// freeAdmin is a free address. It is not of 127.0.0.1, where a connection might take
+// freeAdminAddr is a free address. It is not of 127.0.0.1, where a connection might take
 // the port before the manager does.
-func freeAdmin() (string, error) {
+func freeAdminAddr() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.9:0")
 	if err != nil {
 		return "", fmt.Errorf("fleettest: %w", err)
@@ -172,8 +172,8 @@
 	return l.Addr().String(), nil
 }
 
-// config is the platform's configuration of a manager.
-func (f *Fleet) config(name, hall string) map[string]any {
+// managerConfig is the platform's configuration of a manager.
+func (f *Fleet) managerConfig(name, hall string) map[string]any {
 	m, zones := f.Config.NodeModel, []string{}
 	zone, managers, racks := 0, 0, 0
 	for i, h := range f.Config.Halls {
@@ -191,7 +191,7 @@
 	nodes := len(f.Nodes)
 	return map[string]any{
 		"name": name, "listen": "127.0.0.1:0", "coordinator": f.CoordinatorRelays[name].Addr(),
-		"limits": map[string]any{"cores": 1, "memory_mb": managerMB, "sockets": cmp.Or(f.Config.Sockets, 1024)},
+		"limits": map[string]any{"cores": 1, "memory_mb": managerMemoryMB, "sockets": cmp.Or(f.Config.Sockets, 1024)},
 		"settings": map[string]any{
 			"balancers": managers, "zone": zone, "discovery": "automatic", "weights": "rough", "localities": zones, "flavors": []string{"std"},
 			"lanes": []any{lane("clip", "at_most_once", 2), lane("feed", "idempotent", 1)},
@@ -209,19 +209,19 @@
 	}
 }
 
-func (f *Fleet) member(manager, node, phase string) ListEntry {
+func (f *Fleet) listEntry(manager, node, phase string) ListEntry {
 	n := f.Nodes[node]
 	m := ListEntry{ID: n.ID, HostPort: f.NodeRelays[manager][node].Addr(), Locality: n.Hall, Flavor: "std", Cell: n.Cell, Phase: phase, Size: 1}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cold {
-		m.UpSince = n.since.UnixMilli()
+		m.UpSince = n.startedAt.UnixMilli()
 	}
 	return m
 }
 
-// sniff returns what reads a manager's messages to a node on their way.
-func (f *Fleet) sniff(manager, node string) func(int, Direction, []byte) {
+// recordMessages returns what reads a manager's messages to a node on their way.
+func (f *Fleet) recordMessages(manager, node string) func(int, Direction, []byte) {
 	var mu sync.Mutex
 	type stream struct {
 		rest []byte
@@ -257,7 +257,7 @@
 			switch string(m.Method) {
 			case "SETUP":
 				s.ids = append(s.ids, id)
-				f.Record.Add(Event{Kind: Sent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rung(&m)})
+				f.Record.Add(Event{Kind: Sent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rungOf(&m)})
 			case "TEARDOWN":
 				f.Record.Add(Event{Kind: Withdrawn, Manager: manager, Node: node, ID: id})
 			}
@@ -266,8 +266,8 @@
 	}
 }
 
-// notes has nodes tell of short delivery each second.
-func (f *Fleet) notes() {
+// announceShortfalls has nodes tell of short delivery each second.
+func (f *Fleet) announceShortfalls() {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for {
@@ -282,17 +282,17 @@
 	}
 }
 
-func (f *Fleet) fail(err error) {
+func (f *Fleet) reportFailure(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.fails = append(f.fails, err)
+	f.failures = append(f.failures, err)
 }
 
 // Failures are the ends of managers that nobody asked for.
 func (f *Fleet) Failures() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.fails)
+	return slices.Clone(f.failures)
 }
 
 // Close ends all of it, whatever state it is in.
@@ -328,8 +328,8 @@
 	for _, n := range f.Nodes {
 		n.Close()
 	}
-	f.group.Wait()
-	for _, fd := range f.held {
+	f.goroutines.Wait()
+	for _, fd := range f.portHolders {
 		syscall.Close(fd)
 	}
 }
@@ -385,9 +385,9 @@
 	return g, nil
 }
 
-// between calls f for each relay between a and b, with the direction that leads
+// eachRelay calls f for each relay between a and b, with the direction that leads
 // from a to b and the manager whose viewers it carries, if it does.
-func (f *Fleet) between(a, b Group, do func(r *Relay, from Direction, viewersOf string)) {
+func (f *Fleet) eachRelay(a, b Group, do func(r *Relay, from Direction, viewersOf string)) {
 	for i, pair := range [][2]Group{{a, b}, {b, a}} {
 		out, back := ToTarget, FromTarget
 		if i == 1 {
@@ -410,7 +410,7 @@
 // Cut holds all that passes between two groups, or with oneWay only what goes from
 // a to b.
 func (f *Fleet) Cut(a, b Group, oneWay bool) {
-	f.between(a, b, func(r *Relay, from Direction, viewersOf string) {
+	f.eachRelay(a, b, func(r *Relay, from Direction, viewersOf string) {
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
 		}
@@ -424,7 +424,7 @@
 
 // Heal ends all cuts between two groups.
 func (f *Fleet) Heal(a, b Group) {
-	f.between(a, b, func(r *Relay, _ Direction, viewersOf string) {
+	f.eachRelay(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		r.Heal()
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
@@ -434,7 +434,7 @@
 
 // Reset breaks what is open between two groups.
 func (f *Fleet) Reset(a, b Group) {
-	f.between(a, b, func(r *Relay, _ Direction, viewersOf string) {
+	f.eachRelay(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		if viewersOf != "" {
 			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
 			f.Viewers.NoteReset(viewersOf)
@@ -456,7 +456,7 @@
 // SetNodePhase tells the lists of managers of a node's state.
 func (f *Fleet) SetNodePhase(managers []string, node, phase string) {
 	for _, m := range managers {
-		f.Coordinators[m].Update(f.member(m, node, phase), func() {
+		f.Coordinators[m].Update(f.listEntry(m, node, phase), func() {
 			f.Record.Add(Event{Kind: Told, Manager: m, Node: node, Text: phase})
 		})
 	}
--- a/internal/fleettest/front.go
+++ b/internal/fleettest/front.go
@@ -12,20 +12,20 @@
 
 // Times of the platform's front.
 const (
-	asksEvery = 100 * time.Millisecond // whether a manager is ready
-	goesOn    = 200 * time.Millisecond // to send new connections after a no
-	deadAfter = 2 * time.Second        // without a word a manager counts as dead
-	idleAfter = 500 * time.Millisecond // a connection with nothing open counts as idle: 0.2 s, and what a busy machine adds
-	freshFor  = 2 * time.Second        // a request counts as of late
+	readyPollInterval  = 100 * time.Millisecond // whether a manager is ready
+	rerouteDelay       = 200 * time.Millisecond // to send new connections after a no
+	unreachableTimeout = 2 * time.Second        // without a word a manager counts as dead
+	connIdleTime       = 500 * time.Millisecond // a connection with nothing open counts as idle: 0.2 s, and what a busy machine adds
+	recentRequestAge   = 2 * time.Second        // a request counts as of late
 )
 
-// front asks each manager whether it takes viewers, and has new connections go
+// pollReadiness asks each manager whether it takes viewers, and has new connections go
 // elsewhere while one does not. It records what it hears and what viewers hold.
-func (c *Viewers) front(done <-chan struct{}) {
+func (c *Viewers) pollReadiness(done <-chan struct{}) {
 	for m, addr := range c.ManagerAddrs {
-		c.group.Go(func() {
+		c.goroutines.Go(func() {
 			word := time.Now()
-			tick := time.NewTicker(asksEvery)
+			tick := time.NewTicker(readyPollInterval)
 			defer tick.Stop()
 			for {
 				select {
@@ -35,27 +35,27 @@
 					return
 				case <-tick.C:
 				}
-				heard, ready := askReady(addr)
+				heard, ready := pingReady(addr)
 				now := time.Now()
 				if heard {
 					word = now
 				}
 				c.mu.Lock()
-				switch _, refuses := c.refuses[m]; {
+				switch _, refuses := c.notReadySince[m]; {
 				case ready:
-					delete(c.refuses, m)
-				case !refuses && (heard || now.Sub(word) > deadAfter):
-					c.refuses[m] = now
+					delete(c.notReadySince, m)
+				case !refuses && (heard || now.Sub(word) > unreachableTimeout):
+					c.notReadySince[m] = now
 				}
 				e := Event{Kind: Fronted, Manager: m, Ready: ready}
 				for _, v := range c.conns[m] {
-					if v.dead {
+					if v.closed {
 						continue
 					}
-					if len(v.open) == 0 && v.stands == 0 && now.Sub(v.used) > idleAfter {
+					if len(v.openSetUps) == 0 && v.established == 0 && now.Sub(v.lastUsedAt) > connIdleTime {
 						e.Idle++
 					}
-					if c.fresh(v, now) {
+					if c.hasRecentRequest(v, now) {
 						e.Fresh++
 					}
 				}
@@ -66,19 +66,19 @@
 	}
 }
 
-// fresh tells, with the lock held, whether a connection holds a request of late. One
+// hasRecentRequest tells, with the lock held, whether a connection holds a request of late. One
 // that was refused counts as none, and one that is just on its way may be.
-func (c *Viewers) fresh(v *viewerConn, now time.Time) bool {
-	for id := range v.open {
-		if age := now.Sub(c.asks[id].at); age > asksEvery && age < freshFor {
+func (c *Viewers) hasRecentRequest(v *viewerConn, now time.Time) bool {
+	for id := range v.openSetUps {
+		if age := now.Sub(c.requests[id].sentAt); age > readyPollInterval && age < recentRequestAge {
 			return true
 		}
 	}
-	return now.Sub(v.took) < freshFor
+	return now.Sub(v.lastTakenAt) < recentRequestAge
 }
 
-// askReady asks once, on a connection of its own.
-func askReady(addr string) (heard, ready bool) {
+// pingReady asks once, on a connection of its own.
+func pingReady(addr string) (heard, ready bool) {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return false, false
@@ -94,18 +94,18 @@
 	return true, m.Cause == 1
 }
 
-// takes tells, with the lock held, whether new connections go to a manager.
-func (c *Viewers) takes(manager string) bool {
-	since, refuses := c.refuses[manager]
-	return !refuses || time.Since(since) < goesOn
+// acceptsConns tells, with the lock held, whether new connections go to a manager.
+func (c *Viewers) acceptsConns(manager string) bool {
+	since, refuses := c.notReadySince[manager]
+	return !refuses || time.Since(since) < rerouteDelay
 }
 
-// elsewhere is, with the lock held, a manager for what can't go to one: of its hall or
+// pickAccepting is, with the lock held, a manager for what can't go to one: of its hall or
 // of any, and that one where none takes viewers.
-func (c *Viewers) elsewhere(hall, manager string) string {
+func (c *Viewers) pickAccepting(hall, manager string) string {
 	for _, h := range []string{hall, ""} {
 		for range 20 {
-			if m := c.pick(h); c.takes(m) {
+			if m := c.pickManager(h); c.acceptsConns(m) {
 				return m
 			}
 		}
@@ -122,7 +122,7 @@
 	}
 	c.mu.Lock()
 	var all []byte
-	for s, a := range c.asks {
+	for s, a := range c.requests {
 		if a.manager != manager || !a.served || a.over {
 			continue
 		}
@@ -130,15 +130,15 @@
 			"class": a.class, "left": strconv.FormatInt(c.Load.TimeLeft.Milliseconds(), 10), "key": a.key,
 			"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s;at:%s", c.TitleCopies, s, id(a.node))}, "sdp": "c=" + s + "\r\n"})
 		all = append(append(all, line...), '\n')
-		v.holds(a)
+		v.addEstablished(a)
 	}
 	c.mu.Unlock()
 	_, err = v.Write(all)
 	return err
 }
 
-// nodeOf is the node that made a description.
-func nodeOf(sdp string) string {
+// nodeOfDescription is the node that made a description.
+func nodeOfDescription(sdp string) string {
 	node, _, _ := strings.Cut(sdp, ";")
 	return node
 }
--- a/internal/fleettest/judge.go
+++ b/internal/fleettest/judge.go
@@ -191,7 +191,7 @@
 	if len(s.answers) > 0 || early || due.After(j.until) {
 		return
 	}
-	if u := j.during(s.asked.Manager, s.asked.At); u != nil && s.dropped != nil && s.dropped.Text == unread && len(s.sent) == 0 {
+	if u := j.during(s.asked.Manager, s.asked.At); u != nil && s.dropped != nil && s.dropped.Text == connNeverAnswered && len(s.sent) == 0 {
 		u.unheard++ // nobody had read it
 		return
 	}
@@ -302,7 +302,7 @@
 		e := &events[i]
 		at := pair{e.Manager, e.Node}
 		switch {
-		case e.Kind == Told && e.Text == inService:
+		case e.Kind == Told && e.Text == phaseInService:
 			delete(told, at)
 		case e.Kind == Told:
 			if _, ok := told[at]; !ok {
--- a/internal/fleettest/judge_ops.go
+++ b/internal/fleettest/judge_ops.go
@@ -25,7 +25,7 @@
 
 // DefaultOps are those of the operators' page.
 var DefaultOps = OpsTerms{Call: 2 * time.Second, Binds: time.Second, Ban: 250 * time.Millisecond, Back: 7 * time.Second,
-	Emptied: 4500 * time.Millisecond, Filled: 3 * time.Second, Ready: 10 * time.Second, Learns: 2 * time.Second, Unheard: 2, Files: 1024, MB: managerMB}
+	Emptied: 4500 * time.Millisecond, Filled: 3 * time.Second, Ready: 10 * time.Second, Learns: 2 * time.Second, Unheard: 2, Files: 1024, MB: managerMemoryMB}
 
 // upgrade is a time in which a manager has two processes.
 type upgrade struct {
@@ -125,7 +125,7 @@
 			}
 		case Down, Up, Told: // who is away is not used; a start makes it cold, which is judged elsewhere
 			for p := range again {
-				if p.node == e.Node && (e.Kind == Down || e.Kind == Told && e.Manager == p.manager && e.Text != inService) {
+				if p.node == e.Node && (e.Kind == Down || e.Kind == Told && e.Manager == p.manager && e.Text != phaseInService) {
 					delete(again, p)
 				}
 			}
@@ -408,7 +408,7 @@
 	}
 	size, out := 0, 0
 	for n, phase := range h.listed {
-		if phase == terminated {
+		if phase == phaseTerminated {
 			continue
 		}
 		size++
--- a/internal/fleettest/judge_ops_test.go
+++ b/internal/fleettest/judge_ops_test.go
@@ -63,7 +63,7 @@
 		}
 		return all
 	}
-	told := Event{At: at(-9000), Kind: Told, Manager: "m", Node: "a", Text: inService}
+	told := Event{At: at(-9000), Kind: Told, Manager: "m", Node: "a", Text: phaseInService}
 	upgrade := l(did(1000, Renewing, ""), did(2000, Renewed, ""), did(4000, Replaced, "ended"))
 	turned := Event{At: at(2100), Kind: TurnedBack, Manager: "m", Text: "closed"}
 	lost := func(ms int, text string) []Event {
@@ -99,10 +99,10 @@
 		"two turned back in an upgrade":       {join(upgrade, many(turned, 2, 10)), ""},
 		"three turned back in an upgrade":     {join(upgrade, many(turned, 3, 10)), "turned back"},
 		"three turned back in none":           {many(turned, 3, 10), ""},
-		"an unread one is no lost one":        {join(upgrade, lost(3000, unread)), ""},
-		"but counts":                          {join(upgrade, many(turned, 2, 10), lost(3000, unread)), "turned back"},
+		"an unread one is no lost one":        {join(upgrade, lost(3000, connNeverAnswered)), ""},
+		"but counts":                          {join(upgrade, many(turned, 2, 10), lost(3000, connNeverAnswered)), "turned back"},
 		"one that was read is lost":           {join(upgrade, lost(3000, "")), "one answer"},
-		"an unread one without an upgrade":    {lost(3000, unread), "one answer"},
+		"an unread one without an upgrade":    {lost(3000, connNeverAnswered), "one answer"},
 		"late with the yes":                   {l(did(0, Renewing, ""), did(11000, Renewed, "")), "turned back"},
 		"within the limits":                   {l(Event{At: at(0), Kind: Used, Manager: "m", Files: 1024, MB: 128}), ""},
 		"too many descriptors":                {l(Event{At: at(0), Kind: Used, Manager: "m", Files: 1025}), "limits"},
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		panic(err)
 	}
-	var cfg struct{ Known updates }
+	var cfg struct{ Known listUpdates }
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		panic(err)
 	}
--- a/internal/fleettest/list.go
+++ b/internal/fleettest/list.go
@@ -11,9 +11,9 @@
 
 // Phases of a media node on the list.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated"
+	phaseInService   = "in_service"
+	phaseTerminating = "terminating"
+	phaseTerminated  = "terminated"
 )
 
 // ListEntry is one line of the list.
@@ -28,33 +28,33 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
-type endpoints struct {
+type listEndpoints struct {
 	Revision int         `json:"revision"`
 	Complete bool        `json:"complete"`
 	Members  []ListEntry `json:"members"`
 }
 
-type update struct {
-	Index     int        `json:"index"`
-	Endpoints *endpoints `json:"endpoints"`
+type listUpdate struct {
+	Index     int            `json:"index"`
+	Endpoints *listEndpoints `json:"endpoints"`
 }
 
-type updates struct {
-	Index   int      `json:"index"`
-	Updates []update `json:"updates"`
+type listUpdates struct {
+	Index   int          `json:"index"`
+	Updates []listUpdate `json:"updates"`
 }
 
 // Coordinator is the coordinator as one manager sees it. Each manager has its own, so that
 // a list may be late, wrong or silent for some.
 type Coordinator struct {
-	mu      sync.Mutex
-	all     updates
-	changed chan struct{}
-	late    time.Duration
-	silent  bool
-	lis     net.Listener
-	server  *http.Server
-	done    chan struct{}
+	mu       sync.Mutex
+	history  listUpdates
+	changed  chan struct{}
+	delay    time.Duration
+	silent   bool
+	listener net.Listener
+	server   *http.Server
+	done     chan struct{}
 }
 
 // NewCoordinator returns a list that holds members from its start.
@@ -63,10 +63,10 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Coordinator{changed: make(chan struct{}), lis: l, done: make(chan struct{})}
-	c.add(&endpoints{Complete: true, Members: members})
+	c := &Coordinator{changed: make(chan struct{}), listener: l, done: make(chan struct{})}
+	c.appendUpdate(&listEndpoints{Complete: true, Members: members})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v2/stream", c.stream)
+	mux.HandleFunc("GET /v2/stream", c.serveStream)
 	c.server = &http.Server{Handler: mux}
 	go func() {
 		c.server.Serve(l)
@@ -76,7 +76,7 @@
 }
 
 // Addr is where it answers.
-func (l *Coordinator) Addr() string { return l.lis.Addr().String() }
+func (l *Coordinator) Addr() string { return l.listener.Addr().String() }
 
 // Close ends it.
 func (l *Coordinator) Close() {
@@ -88,7 +88,7 @@
 func (l *Coordinator) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.late = d
+	l.delay = d
 }
 
 // SetSilent has polls stay open and unanswered, or ends that.
@@ -96,19 +96,19 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = on
-	l.wake()
+	l.notifyChanged()
 }
 
 // Update tells of a change, at once or as late as the list is. told runs when it is
 // there for the manager to read.
 func (l *Coordinator) Update(m ListEntry, told func()) {
 	l.mu.Lock()
-	late := l.late
+	late := l.delay
 	l.mu.Unlock()
 	do := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.add(&endpoints{Members: []ListEntry{m}})
+		l.appendUpdate(&listEndpoints{Members: []ListEntry{m}})
 		told()
 	}
 	if late > 0 {
@@ -118,35 +118,35 @@
 	do()
 }
 
-// add is called with the lock held, or before the list is used.
-func (l *Coordinator) add(e *endpoints) {
-	l.all.Index++
-	e.Revision = l.all.Index
-	l.all.Updates = append(l.all.Updates, update{l.all.Index, e})
-	l.wake()
+// appendUpdate is called with the lock held, or before the list is used.
+func (l *Coordinator) appendUpdate(e *listEndpoints) {
+	l.history.Index++
+	e.Revision = l.history.Index
+	l.history.Updates = append(l.history.Updates, listUpdate{l.history.Index, e})
+	l.notifyChanged()
 }
 
-func (l *Coordinator) wake() {
+func (l *Coordinator) notifyChanged() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
 // KnownUpdates is what a manager that starts now is told.
-func (l *Coordinator) KnownUpdates() updates {
+func (l *Coordinator) KnownUpdates() listUpdates {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return updates{l.all.Index, append([]update(nil), l.all.Updates...)}
+	return listUpdates{l.history.Index, append([]listUpdate(nil), l.history.Updates...)}
 }
 
-func (l *Coordinator) stream(w http.ResponseWriter, r *http.Request) {
+func (l *Coordinator) serveStream(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("follow"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	until := time.After(time.Duration(min(max(ms, 0), 5000)) * time.Millisecond)
-	var out updates
+	var out listUpdates
 	for waiting := true; waiting; {
 		l.mu.Lock()
-		out = updates{Index: l.all.Index, Updates: []update{}}
-		for _, u := range l.all.Updates {
+		out = listUpdates{Index: l.history.Index, Updates: []listUpdate{}}
+		for _, u := range l.history.Updates {
 			if u.Index > after {
 				out.Updates = append(out.Updates, u)
 			}
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -47,7 +47,7 @@
 	}
 	for _, h := range halls {
 		for _, name := range h.Managers {
-			if err := f.manager(name, h.Name, binary, folder); err != nil {
+			if err := f.addManager(name, h.Name, binary, folder); err != nil {
 				return m, err
 			}
 			text := "fleet {\n" + named + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
@@ -74,7 +74,7 @@
 	if err := m.Managers[name].Start(); err != nil {
 		return err
 	}
-	l, ok := m.told(name, func(l logged) bool { return l.What == "listening" })
+	l, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == "listening" })
 	if !ok {
 		return fmt.Errorf("fleettest: %s does not say where it listens for others", name)
 	}
@@ -88,28 +88,28 @@
 	return m.Managers[name].Kill()
 }
 
-// logged is a line of a manager's log about its fleet.
-type logged struct {
+// membershipLogLine is a line of a manager's log about its fleet.
+type membershipLogLine struct {
 	Logger, What, Member, Listen string
 	View                         int64
 	InView                       string `json:"in_view"`
 	Alone                        bool
 }
 
-// told is the last such line that fits.
-func (m *MembershipFleet) told(name string, fits func(logged) bool) (last logged, ok bool) {
+// lastLogged is the last such line that fits.
+func (m *MembershipFleet) lastLogged(name string, fits func(membershipLogLine) bool) (last membershipLogLine, ok bool) {
 	for _, line := range slices.Backward(m.Managers[name].Log()) {
-		var l logged
+		var l membershipLogLine
 		if json.Unmarshal([]byte(line), &l) == nil && l.Logger == "fleet" && l.What != "" && fits(l) {
 			return l, true
 		}
 	}
-	return logged{}, false
+	return membershipLogLine{}, false
 }
 
 // HasLogged tells whether a manager has logged an event of a member.
 func (m *MembershipFleet) HasLogged(name, what, of string) bool {
-	_, ok := m.told(name, func(l logged) bool { return l.What == what && l.Member == of })
+	_, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == what && l.Member == of })
 	return ok
 }
 
@@ -121,7 +121,7 @@
 		views = ""
 		settled := true
 		for _, n := range who {
-			l, _ := m.told(n, func(l logged) bool { return l.View > 0 })
+			l, _ := m.lastLogged(n, func(l membershipLogLine) bool { return l.View > 0 })
 			settled = settled && l.InView == strings.Join(want, " ") && l.Alone == alone
 			views += fmt.Sprintf("\n%s: view %d of %s, alone %v", n, l.View, l.InView, l.Alone)
 		}
--- a/internal/fleettest/members_test.go
+++ b/internal/fleettest/members_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestMembers plays five managers that ask each other who is there, with faults between
+// TestMembershipView plays five managers that ask each other who is there, with faults between
 // them: each one's view, as it logs it, settles at who can be reached.
-func TestMembers(t *testing.T) {
+func TestMembershipView(t *testing.T) {
 	if testing.Short() {
 		t.Skip("the race detector's run: the processes are built without it")
 	}
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -40,25 +40,25 @@
 	seed   uint64
 	record *Record
 
-	mu       sync.Mutex
-	up       bool
-	cold     bool
-	since    time.Time
-	hung     chan struct{} // it stands still until this is closed
-	failing  float64       // share of set-ups that it fails at once
-	conns    map[string]map[*nodeConn]bool
-	sessions map[string]*nodeSession
-	pending  map[string][]string // by manager: ends to be said again on the next connection
-	group    sync.WaitGroup
-	lis      []net.Listener
+	mu          sync.Mutex
+	running     bool
+	cold        bool
+	startedAt   time.Time
+	hangEnded   chan struct{} // it stands still until this is closed
+	failShare   float64       // share of set-ups that it fails at once
+	conns       map[string]map[*nodeConn]bool
+	sessions    map[string]*nodeSession
+	pendingEnds map[string][]string // by manager: ends to be said again on the next connection
+	goroutines  sync.WaitGroup
+	listeners   []net.Listener
 }
 
 type nodeConn struct {
 	net.Conn
-	manager string
-	wmu     sync.Mutex
-	open    map[string]bool // set-ups that wait for their answer
-	closed  bool
+	manager    string
+	writeMu    sync.Mutex
+	openSetUps map[string]bool // set-ups that wait for their answer
+	closed     bool
 }
 
 type nodeSession struct {
@@ -72,8 +72,8 @@
 // NewNode returns a node that runs and is warm. Listen has it serve managers.
 func NewNode(name, id, hall string, cell int, m NodeModel, seed uint64, record *Record) *Node {
 	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addrs: map[string]string{}, model: m, seed: seed, record: record,
-		up: true, since: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
-		sessions: map[string]*nodeSession{}, pending: map[string][]string{}}
+		running: true, startedAt: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
+		sessions: map[string]*nodeSession{}, pendingEnds: map[string][]string{}}
 	record.Add(Event{Kind: Up, Node: name})
 	return n
 }
@@ -86,16 +86,16 @@
 	}
 	n.mu.Lock()
 	n.Addrs[manager] = l.Addr().String()
-	n.lis = append(n.lis, l)
+	n.listeners = append(n.listeners, l)
 	n.conns[manager] = map[*nodeConn]bool{}
 	n.mu.Unlock()
-	n.group.Go(func() {
+	n.goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			n.group.Go(func() { n.talk(&nodeConn{Conn: c, manager: manager, open: map[string]bool{}}) })
+			n.goroutines.Go(func() { n.serveConn(&nodeConn{Conn: c, manager: manager, openSetUps: map[string]bool{}}) })
 		}
 	})
 	return nil
@@ -105,11 +105,11 @@
 func (n *Node) Close() {
 	n.Kill()
 	n.mu.Lock()
-	for _, l := range n.lis {
+	for _, l := range n.listeners {
 		l.Close()
 	}
 	n.mu.Unlock()
-	n.group.Wait()
+	n.goroutines.Wait()
 }
 
 // Kill ends its process: connections are reset, sessions cut. What is said after it
@@ -117,17 +117,17 @@
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.up {
+	if !n.running {
 		return
 	}
-	n.up = false
+	n.running = false
 	n.unhang()
 	for id, s := range n.sessions {
 		s.timer.Stop()
 		n.record.Add(Event{Kind: Cut, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	clear(n.sessions)
-	clear(n.pending)
+	clear(n.pendingEnds)
 	for _, l := range n.conns {
 		for c := range l {
 			c.closed = true
@@ -145,7 +145,7 @@
 func (n *Node) Start() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.up, n.cold, n.since = true, true, time.Now()
+	n.running, n.cold, n.startedAt = true, true, time.Now()
 	n.record.Add(Event{Kind: Up, Node: n.Name, Cold: true})
 }
 
@@ -153,15 +153,15 @@
 func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.since
+	return n.startedAt
 }
 
 // Hang has it stand still: it takes connections and answers nothing.
 func (n *Node) Hang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.hung == nil {
-		n.hung = make(chan struct{})
+	if n.hangEnded == nil {
+		n.hangEnded = make(chan struct{})
 	}
 }
 
@@ -173,9 +173,9 @@
 }
 
 func (n *Node) unhang() {
-	if n.hung != nil {
-		close(n.hung)
-		n.hung = nil
+	if n.hangEnded != nil {
+		close(n.hangEnded)
+		n.hangEnded = nil
 	}
 }
 
@@ -183,7 +183,7 @@
 func (n *Node) SetFailShare(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.failing = share
+	n.failShare = share
 }
 
 // EstablishedSessions is how many sessions it plays.
@@ -203,42 +203,42 @@
 		if done < most && (manager == "" || s.manager == manager) {
 			done++
 			s.timer.Stop()
-			n.end(id)
+			n.endSession(id)
 		}
 	}
 	return done
 }
 
-// wait holds while the node stands still.
-func (n *Node) wait() {
+// waitWhileHung holds while the node stands still.
+func (n *Node) waitWhileHung() {
 	n.mu.Lock()
-	hung := n.hung
+	hung := n.hangEnded
 	n.mu.Unlock()
 	if hung != nil {
 		<-hung
 	}
 }
 
-func (n *Node) talk(c *nodeConn) {
+func (n *Node) serveConn(c *nodeConn) {
 	defer c.Close()
-	n.wait()
+	n.waitWhileHung()
 	n.mu.Lock()
-	if !n.up {
+	if !n.running {
 		n.mu.Unlock()
 		return
 	}
 	n.conns[c.manager][c] = true
-	for _, id := range n.pending[c.manager] { // once more on the next connection that opens
-		c.say(endOf(id, 16))
+	for _, id := range n.pendingEnds[c.manager] { // once more on the next connection that opens
+		c.send(buildTeardown(id, 16))
 	}
-	delete(n.pending, c.manager)
+	delete(n.pendingEnds, c.manager)
 	n.mu.Unlock()
 	in := stream.NewReader(c, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
 		c.SetReadDeadline(time.Now().Add(n.model.ConnIdleTimeout))
 		err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) })
-		n.wait()
+		n.waitWhileHung()
 		if err != nil {
 			break
 		}
@@ -249,19 +249,19 @@
 		case "TEARDOWN":
 			n.tearDown(c, session)
 		case "SET_PARAMETER":
-			n.rate(session, rung(&m))
+			n.setRung(session, rungOf(&m))
 		case "OPTIONS":
-			c.say(n.report(string(m.Get("CSeq")), session))
+			c.send(n.loadReport(string(m.Get("CSeq")), session))
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c.closed = true
-	clear(c.open) // a closed connection gives up the set-ups open on it
+	clear(c.openSetUps) // a closed connection gives up the set-ups open on it
 	delete(n.conns[c.manager], c)
 }
 
-func rung(m *rtsp.Message) int {
+func rungOf(m *rtsp.Message) int {
 	v, ok := header.ParseDecimal(m.Get("X-Quality"))
 	if !ok {
 		return -1
@@ -269,66 +269,66 @@
 	return int(v)
 }
 
-// draw is a number from 0 to 1 that a session has with this node, whatever the order
+// fraction is a number from 0 to 1 that a session has with this node, whatever the order
 // in which things happen.
-func (n *Node) draw(id, what string) float64 {
+func (n *Node) fraction(id, what string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(n.Name + id + what))
 	return rand.New(rand.NewPCG(n.seed, h.Sum64())).Float64()
 }
 
-func between(l [2]time.Duration, at float64) time.Duration {
+func interpolate(l [2]time.Duration, at float64) time.Duration {
 	return l[0] + time.Duration(at*float64(l[1]-l[0]))
 }
 
 func (n *Node) setUp(c *nodeConn, id string, m *rtsp.Message) {
-	class, q, body := string(m.Get("Call-Kind")), rung(m), string(m.Body)
+	class, q, body := string(m.Get("Call-Kind")), rungOf(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Rung: q})
 	status := 200
 	switch {
-	case n.draw(id, "fails") < n.failing:
+	case n.fraction(id, "fails") < n.failShare:
 		status = 500
-	case len(n.sessions) >= n.model.MaxStreams || n.asked() >= n.model.FullAtUtilization*n.link():
+	case len(n.sessions) >= n.model.MaxStreams || n.demandKB() >= n.model.FullAtUtilization*n.linkKB():
 		status = 453
 	}
-	c.open[id] = true
-	time.AfterFunc(between(n.model.AnswerDelay, n.draw(id, "answer")), func() {
-		n.wait()
+	c.openSetUps[id] = true
+	time.AfterFunc(interpolate(n.model.AnswerDelay, n.fraction(id, "answer")), func() {
+		n.waitWhileHung()
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if !n.up || !c.open[id] {
+		if !n.running || !c.openSetUps[id] {
 			return // given up
 		}
-		delete(c.open, id)
+		delete(c.openSetUps, id)
 		text := ""
 		if status == 200 {
 			text = n.Name + ";" + body
-			length := between(n.model.SessionLength, n.draw(id, "length"))
+			length := interpolate(n.model.SessionLength, n.fraction(id, "length"))
 			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(q, 0), class: class, timer: time.AfterFunc(length, func() {
-				n.wait()
+				n.waitWhileHung()
 				n.mu.Lock()
 				defer n.mu.Unlock()
-				n.end(id)
+				n.endSession(id)
 			})}
 			n.record.Add(Event{Kind: Ran, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Text: text})
 		}
 		n.record.Add(Event{Kind: Said, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
-		c.say(answer(status, "1", id, text))
+		c.send(buildResponse(status, "1", id, text))
 	})
 }
 
-// end brings a session to its end, and says so on the connection of its set-up or
+// endSession brings a session to its end, and says so on the connection of its set-up or
 // else on any open one, and once more on the next that opens.
-func (n *Node) end(id string) {
+func (n *Node) endSession(id string) {
 	s := n.sessions[id]
 	if s == nil {
 		return
 	}
 	delete(n.sessions, id)
 	n.record.Add(Event{Kind: Ended, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
-	n.pending[s.manager] = append(n.pending[s.manager], id)
+	n.pendingEnds[s.manager] = append(n.pendingEnds[s.manager], id)
 	c := s.conn
 	if c.closed {
 		c = nil
@@ -338,7 +338,7 @@
 		}
 	}
 	if c != nil {
-		c.say(endOf(id, 16))
+		c.send(buildTeardown(id, 16))
 	}
 }
 
@@ -346,17 +346,17 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for o := range n.conns[c.manager] {
-		delete(o.open, id) // the set-up is given up
+		delete(o.openSetUps, id) // the set-up is given up
 	}
 	if s := n.sessions[id]; s != nil && s.manager == c.manager {
 		s.timer.Stop()
 		delete(n.sessions, id)
 		n.record.Add(Event{Kind: Released, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
 	}
-	c.say(answer(200, "2", id, ""))
+	c.send(buildResponse(200, "2", id, ""))
 }
 
-func (n *Node) rate(id string, q int) {
+func (n *Node) setRung(id string, q int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s := n.sessions[id]; s != nil && q >= 0 {
@@ -364,29 +364,29 @@
 	}
 }
 
-func (n *Node) asked() (kb float64) {
+func (n *Node) demandKB() (kb float64) {
 	for _, s := range n.sessions {
 		kb += n.model.RatesKB[min(s.rung, len(n.model.RatesKB)-1)]
 	}
 	return kb
 }
 
-// link is what its link gives at present.
-func (n *Node) link() float64 {
+// linkKB is what its link gives at present.
+func (n *Node) linkKB() float64 {
 	if !n.cold {
 		return n.model.LinkKB
 	}
-	warm := min(time.Since(n.since).Seconds()/n.model.WarmUpTime.Seconds(), 1)
+	warm := min(time.Since(n.startedAt).Seconds()/n.model.WarmUpTime.Seconds(), 1)
 	return n.model.LinkKB * (n.model.StartCapacityShare + (1-n.model.StartCapacityShare)*warm)
 }
 
-func (n *Node) report(seq, id string) []byte {
+func (n *Node) loadReport(seq, id string) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := rtsp.AppendResponse(nil, 200, "OK")
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
-	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.asked()/n.link())), nil)
+	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.demandKB()/n.linkKB())), nil)
 }
 
 // AnnounceShortfall tells each manager with sessions here what share is delivered, on one of its
@@ -394,8 +394,8 @@
 func (n *Node) AnnounceShortfall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	asked := n.asked()
-	if !n.up || n.hung != nil || asked <= n.link() {
+	asked := n.demandKB()
+	if !n.running || n.hangEnded != nil || asked <= n.linkKB() {
 		return
 	}
 	told := map[string]bool{}
@@ -408,26 +408,26 @@
 		b = rtsp.AppendHeader(b, "CSeq", "4")
 		b = rtsp.AppendHeader(b, "Session", id)
 		b = rtsp.AppendHeader(b, "Fail-Word", "delivered")
-		s.conn.say(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.link()/asked)), nil))
+		s.conn.send(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.linkKB()/asked)), nil))
 	}
 }
 
-// say writes one message. A manager that reads nothing is not waited for.
-func (c *nodeConn) say(b []byte) {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+// send writes one message. A manager that reads nothing is not waited for.
+func (c *nodeConn) send(b []byte) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
 	c.Write(b) // one that is gone needs no answer
 }
 
-func answer(code int, seq, id, body string) []byte {
+func buildResponse(code int, seq, id, body string) []byte {
 	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
 	return rtsp.AppendBody(b, []byte(body))
 }
 
-func endOf(id string, cause int) []byte {
+func buildTeardown(id string, cause int) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+id)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", id)
--- a/internal/fleettest/packets.go
+++ b/internal/fleettest/packets.go
@@ -15,19 +15,19 @@
 type DatagramRelay struct {
 	target func() string
 
-	mu     sync.Mutex
-	in     *net.UDPConn
-	out    map[string]*net.UDPConn // by who sent
-	src    *rand.Rand
-	cut    [2]bool
-	lose   [2]float64
-	repeat [2]float64
-	swap   [2]float64
-	delay  [2]time.Duration
-	held   [2]func() // a datagram that the next one overtakes
-	closed bool
-	passed [2]int
-	group  sync.WaitGroup
+	mu             sync.Mutex
+	listener       *net.UDPConn
+	upstreams      map[string]*net.UDPConn // by who sent
+	rng            *rand.Rand
+	cut            [2]bool
+	lossShare      [2]float64
+	duplicateShare [2]float64
+	reorderShare   [2]float64
+	delay          [2]time.Duration
+	heldBack       [2]func() // a datagram that the next one overtakes
+	closed         bool
+	forwarded      [2]int
+	goroutines     sync.WaitGroup
 }
 
 // NewDatagramRelay returns a relay for datagrams to the address that target tells, which may
@@ -37,22 +37,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
-	p := &DatagramRelay{target: target, in: in, out: map[string]*net.UDPConn{}, src: rand.New(rand.NewPCG(seed, 7))}
-	p.group.Go(p.take)
+	p := &DatagramRelay{target: target, listener: in, upstreams: map[string]*net.UDPConn{}, rng: rand.New(rand.NewPCG(seed, 7))}
+	p.goroutines.Go(p.receive)
 	return p, nil
 }
 
 // Addr is where it takes datagrams.
-func (p *DatagramRelay) Addr() string { return p.in.LocalAddr().String() }
+func (p *DatagramRelay) Addr() string { return p.listener.LocalAddr().String() }
 
 // Forwarded is how many datagrams went on in a direction.
 func (p *DatagramRelay) Forwarded(way Direction) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.passed[way]
+	return p.forwarded[way]
 }
 
-func (p *DatagramRelay) set(f func()) {
+func (p *DatagramRelay) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
@@ -60,7 +60,7 @@
 
 // Cut loses all in some directions; Heal ends that.
 func (p *DatagramRelay) Cut(ways ...Direction) {
-	p.set(func() {
+	p.update(func() {
 		for _, w := range ways {
 			p.cut[w] = true
 		}
@@ -68,41 +68,45 @@
 }
 
 // Heal ends a cut.
-func (p *DatagramRelay) Heal() { p.set(func() { p.cut = [2]bool{} }) }
+func (p *DatagramRelay) Heal() { p.update(func() { p.cut = [2]bool{} }) }
 
 // Lose, Repeat and Swap have a share of what passes in a direction be lost, come twice,
 // or come after the one that follows. Delay has all come so much later.
-func (p *DatagramRelay) Lose(way Direction, share float64) { p.set(func() { p.lose[way] = share }) }
+func (p *DatagramRelay) Lose(way Direction, share float64) {
+	p.update(func() { p.lossShare[way] = share })
+}
 func (p *DatagramRelay) Duplicate(way Direction, share float64) {
-	p.set(func() { p.repeat[way] = share })
+	p.update(func() { p.duplicateShare[way] = share })
+}
+func (p *DatagramRelay) Reorder(way Direction, share float64) {
+	p.update(func() { p.reorderShare[way] = share })
 }
-func (p *DatagramRelay) Reorder(way Direction, share float64) { p.set(func() { p.swap[way] = share }) }
 func (p *DatagramRelay) Delay(way Direction, after time.Duration) {
-	p.set(func() { p.delay[way] = after })
+	p.update(func() { p.delay[way] = after })
 }
 
 // Close ends it.
 func (p *DatagramRelay) Close() {
-	p.set(func() {
+	p.update(func() {
 		p.closed = true
-		p.in.Close()
-		for _, o := range p.out {
+		p.listener.Close()
+		for _, o := range p.upstreams {
 			o.Close()
 		}
 	})
-	p.group.Wait()
+	p.goroutines.Wait()
 }
 
-func (p *DatagramRelay) take() {
+func (p *DatagramRelay) receive() {
 	b := make([]byte, 64<<10)
 	for {
-		n, from, err := p.in.ReadFromUDP(b)
+		n, from, err := p.listener.ReadFromUDP(b)
 		if err != nil {
 			return
 		}
-		if o := p.onwards(from); o != nil {
+		if o := p.upstreamFor(from); o != nil {
 			m := append([]byte(nil), b[:n]...)
-			p.pass(ToTarget, func() {
+			p.forward(ToTarget, func() {
 				if to, err := net.ResolveUDPAddr("udp4", p.target()); err == nil && to.Port != 0 {
 					o.WriteToUDP(m, to) // as a network, it tells nobody what it loses
 				}
@@ -111,11 +115,11 @@
 	}
 }
 
-// onwards is the socket for who sent from an address.
-func (p *DatagramRelay) onwards(from *net.UDPAddr) *net.UDPConn {
+// upstreamFor is the socket for who sent from an address.
+func (p *DatagramRelay) upstreamFor(from *net.UDPAddr) *net.UDPConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	o := p.out[from.String()]
+	o := p.upstreams[from.String()]
 	if o != nil || p.closed {
 		return o
 	}
@@ -123,8 +127,8 @@
 	if err != nil {
 		return nil
 	}
-	p.out[from.String()] = o
-	p.group.Go(func() {
+	p.upstreams[from.String()] = o
+	p.goroutines.Go(func() {
 		b := make([]byte, 64<<10)
 		for {
 			n, _, err := o.ReadFromUDP(b)
@@ -132,28 +136,28 @@
 				return
 			}
 			m := append([]byte(nil), b[:n]...)
-			p.pass(FromTarget, func() { p.in.WriteToUDP(m, from) })
+			p.forward(FromTarget, func() { p.listener.WriteToUDP(m, from) })
 		}
 	})
 	return o
 }
 
-// pass sends a datagram by what holds at the moment.
-func (p *DatagramRelay) pass(way Direction, send func()) {
+// forward sends a datagram by what holds at the moment.
+func (p *DatagramRelay) forward(way Direction, send func()) {
 	p.mu.Lock()
-	if p.cut[way] || p.src.Float64() < p.lose[way] {
+	if p.cut[way] || p.rng.Float64() < p.lossShare[way] {
 		p.mu.Unlock()
 		return
 	}
 	times := 1
-	if p.src.Float64() < p.repeat[way] {
+	if p.rng.Float64() < p.duplicateShare[way] {
 		times = 2
 	}
-	before := p.held[way]
-	p.held[way] = nil
-	hold := before == nil && p.src.Float64() < p.swap[way]
+	before := p.heldBack[way]
+	p.heldBack[way] = nil
+	hold := before == nil && p.rng.Float64() < p.reorderShare[way]
 	delay := p.delay[way]
-	p.passed[way] += times
+	p.forwarded[way] += times
 	out := func() {
 		for range times {
 			send()
@@ -163,7 +167,7 @@
 		}
 	}
 	if hold {
-		p.held[way] = out
+		p.heldBack[way] = out
 	}
 	p.mu.Unlock()
 	switch {
@@ -181,13 +185,13 @@
 	TCP map[string]map[string]*Relay // by who connects, and to whom
 	UDP map[string]map[string]*DatagramRelay
 
-	mu   sync.Mutex
-	addr map[string][2]string
+	mu          sync.Mutex
+	listenAddrs map[string][2]string
 }
 
 // NewPeerNetwork links managers with each other.
 func NewPeerNetwork(names []string, seed uint64) (*PeerNetwork, error) {
-	p := &PeerNetwork{TCP: map[string]map[string]*Relay{}, UDP: map[string]map[string]*DatagramRelay{}, addr: map[string][2]string{}}
+	p := &PeerNetwork{TCP: map[string]map[string]*Relay{}, UDP: map[string]map[string]*DatagramRelay{}, listenAddrs: map[string][2]string{}}
 	for i, a := range names {
 		p.TCP[a], p.UDP[a] = map[string]*Relay{}, map[string]*DatagramRelay{}
 		for k, b := range names {
@@ -196,13 +200,13 @@
 			}
 			var err error
 			p.TCP[a][b], err = NewRelay(func() (net.Conn, error) {
-				if to := p.at(b)[0]; to != "" {
+				if to := p.addrsOf(b)[0]; to != "" {
 					return net.Dial("tcp4", to)
 				}
 				return nil, fmt.Errorf("%s listens nowhere", b)
 			})
 			if err == nil {
-				p.UDP[a][b], err = NewDatagramRelay(seed<<16+uint64(i<<8+k), func() string { return p.at(b)[1] })
+				p.UDP[a][b], err = NewDatagramRelay(seed<<16+uint64(i<<8+k), func() string { return p.addrsOf(b)[1] })
 			}
 			if err != nil {
 				p.Close()
@@ -213,23 +217,23 @@
 	return p, nil
 }
 
-func (p *PeerNetwork) at(name string) [2]string {
+func (p *PeerNetwork) addrsOf(name string) [2]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.addr[name]
+	return p.listenAddrs[name]
 }
 
 // SetListenAddrs tells where a manager listens for others; empty: nowhere.
 func (p *PeerNetwork) SetListenAddrs(name, tcp, udp string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.addr[name] = [2]string{tcp, udp}
+	p.listenAddrs[name] = [2]string{tcp, udp}
 }
 
 // Cut holds or loses all between two groups of managers, or with oneWay what goes from
 // a to b.
 func (p *PeerNetwork) Cut(a, b []string, oneWay bool) {
-	p.between(a, b, func(t *Relay, u *DatagramRelay, from Direction) {
+	p.eachLink(a, b, func(t *Relay, u *DatagramRelay, from Direction) {
 		if oneWay {
 			t.Cut(from)
 			u.Cut(from)
@@ -242,13 +246,13 @@
 
 // Heal ends all cuts between two groups.
 func (p *PeerNetwork) Heal(a, b []string) {
-	p.between(a, b, func(t *Relay, u *DatagramRelay, _ Direction) {
+	p.eachLink(a, b, func(t *Relay, u *DatagramRelay, _ Direction) {
 		t.Heal()
 		u.Heal()
 	})
 }
 
-func (p *PeerNetwork) between(a, b []string, do func(*Relay, *DatagramRelay, Direction)) {
+func (p *PeerNetwork) eachLink(a, b []string, do func(*Relay, *DatagramRelay, Direction)) {
 	for _, x := range a {
 		for _, y := range b {
 			if x != y {
--- a/internal/fleettest/packets_test.go
+++ b/internal/fleettest/packets_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// hears is a peer that notes the datagrams it gets, and answers each.
-func hears(t *testing.T) (*net.UDPConn, chan string) {
+// newDatagramPeer is a peer that notes the datagrams it gets, and answers each.
+func newDatagramPeer(t *testing.T) (*net.UDPConn, chan string) {
 	t.Helper()
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -31,8 +31,8 @@
 	return c, got
 }
 
-// take reads until a datagram with last in it has come, or nothing more does.
-func take(t *testing.T, got chan string, last string) (all []string) {
+// receiveUntil reads until a datagram with last in it has come, or nothing more does.
+func receiveUntil(t *testing.T, got chan string, last string) (all []string) {
 	t.Helper()
 	for {
 		select {
@@ -46,8 +46,8 @@
 	}
 }
 
-func TestPackets(t *testing.T) {
-	peer, got := hears(t)
+func TestDatagramRelayFaults(t *testing.T) {
+	peer, got := newDatagramPeer(t)
 	p, err := NewDatagramRelay(1, func() string { return peer.LocalAddr().String() })
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		}
 	}
 	send(0, 3)
-	if all := take(t, got, "2"); !slices.Equal(all, []string{"0", "1", "2"}) {
+	if all := receiveUntil(t, got, "2"); !slices.Equal(all, []string{"0", "1", "2"}) {
 		t.Error(all)
 	}
 	b := make([]byte, 100)
@@ -87,33 +87,33 @@
 	time.Sleep(20 * time.Millisecond) // what was sent while it was cut has been read by then
 	p.Heal()
 	send(10, 11)
-	if all := take(t, got, "10"); len(all) != 1 {
+	if all := receiveUntil(t, got, "10"); len(all) != 1 {
 		t.Errorf("came after the cut: %v", all)
 	}
 	p.Lose(ToTarget, 0.3)
 	send(1000, 1200)
 	p.Lose(ToTarget, 0)
 	send(11, 12)
-	if n := len(take(t, got, "11")); n < 100 || n > 180 {
+	if n := len(receiveUntil(t, got, "11")); n < 100 || n > 180 {
 		t.Errorf("%d of 200 came where 3 in 10 are lost", n-1)
 	}
 	p.Duplicate(ToTarget, 1)
 	send(12, 13)
-	if all := take(t, got, "12"); len(all) != 1 {
+	if all := receiveUntil(t, got, "12"); len(all) != 1 {
 		t.Error(all)
 	}
-	if all := take(t, got, "12"); len(all) != 1 {
+	if all := receiveUntil(t, got, "12"); len(all) != 1 {
 		t.Error("not twice")
 	}
 	p.Duplicate(ToTarget, 0)
 	p.Reorder(ToTarget, 1)
 	send(14, 16)
-	if all := take(t, got, "14"); !slices.Equal(all, []string{"15", "14"}) {
+	if all := receiveUntil(t, got, "14"); !slices.Equal(all, []string{"15", "14"}) {
 		t.Errorf("not in the other order: %v", all)
 	}
 }
 
-func TestPeers(t *testing.T) {
+func TestPeerNetworkCutAndHeal(t *testing.T) {
 	p, err := NewPeerNetwork([]string{"m1", "m2", "m3"}, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 			c.Write([]byte("m2"))
 		}
 	}()
-	peer, got := hears(t)
+	peer, got := newDatagramPeer(t)
 	p.SetListenAddrs("m2", l.Addr().String(), peer.LocalAddr().String())
 	reach := func(from string) bool {
 		c, err := net.DialTimeout("tcp4", p.TCP[from]["m2"].Addr(), 50*time.Millisecond)
@@ -163,10 +163,10 @@
 	}
 	defer c.Close()
 	fmt.Fprint(c, "hello")
-	take(t, got, "hello")
+	receiveUntil(t, got, "hello")
 	p.Cut([]string{"m2"}, []string{"m3"}, true) // what m2 says does not arrive
 	fmt.Fprint(c, "again")
-	take(t, got, "again")
+	receiveUntil(t, got, "again")
 	if p.UDP["m3"]["m2"].Forwarded(FromTarget) > 1 {
 		t.Error("the answer has passed")
 	}
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -49,28 +49,28 @@
 	OperatorConfig   string         // text of an operator's file, or empty
 	LogLevel         string         // least level of its log
 	Env              []string       // beside what the platform sets
-	KnownUpdates     func() updates
+	KnownUpdates     func() listUpdates
 	NewAdminAddr     func() (string, error) // a free address for operators' calls; nil: none is given
 	Record           *Record
 	OnUnexpectedExit func(error) // told of an end that nobody asked for
 
-	mu      sync.Mutex
-	bodies  []*body // that run, the newest last
-	lines   []string
-	changed chan struct{}
-	starve  chan struct{}
-	starts  int
+	mu          sync.Mutex
+	processes   []*process // that run, the newest last
+	logLines    []string
+	changed     chan struct{}
+	endStarving chan struct{}
+	starts      int
 }
 
-// body is one process of the program.
-type body struct {
-	number int // of the manager's starts
-	cmd    *exec.Cmd
-	addr   string // where it listens for viewers; empty: not yet
-	admin  string
-	exited chan struct{}
-	asked  bool // its end is wanted
-	ready  bool // it has said that it can serve
+// process is one process of the program.
+type process struct {
+	number        int // of the manager's starts
+	cmd           *exec.Cmd
+	viewerAddr    string // where it listens for viewers; empty: not yet
+	adminAddr     string
+	exited        chan struct{}
+	stopRequested bool // its end is wanted
+	ready         bool // it has said that it can serve
 }
 
 // Start starts it and waits until it serves.
@@ -82,16 +82,16 @@
 	if err != nil {
 		return err
 	}
-	return p.await(b, func() bool {
+	return p.awaitReady(b, func() bool {
 		p.mu.Lock()
-		served := b.addr != ""
+		served := b.viewerAddr != ""
 		p.mu.Unlock()
-		return served && b.saysReady()
+		return served && b.reportsReady()
 	}, func() { p.Record.Add(Event{Kind: Running, Manager: p.Name}) })
 }
 
-// await waits until a body is ready, or has ended.
-func (p *Manager) await(b *body, ready func() bool, then func()) error {
+// awaitReady waits until a body is ready, or has ended.
+func (p *Manager) awaitReady(b *process, ready func() bool, then func()) error {
 	deadline := time.After(patience)
 	for {
 		p.mu.Lock()
@@ -116,23 +116,23 @@
 }
 
 // launch starts a process as the platform does, beside what runs.
-func (p *Manager) launch() (*body, error) {
+func (p *Manager) launch() (*process, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.changed == nil {
 		p.changed = make(chan struct{})
 	}
 	p.starts++
-	b := &body{number: p.starts, exited: make(chan struct{})}
-	if len(p.bodies) == 0 { // else all is the same but for the second address
+	b := &process{number: p.starts, exited: make(chan struct{})}
+	if len(p.processes) == 0 { // else all is the same but for the second address
 		p.Config["seed"] = fmt.Sprintf("%x", 0x5eed0000+p.starts*256+len(p.Name)+int(p.Name[len(p.Name)-1]))
 	}
 	if p.NewAdminAddr != nil {
 		var err error
-		if b.admin, err = p.NewAdminAddr(); err != nil {
+		if b.adminAddr, err = p.NewAdminAddr(); err != nil {
 			return nil, err
 		}
-		p.Config["admin"] = b.admin
+		p.Config["admin"] = b.adminAddr
 	}
 	p.Config["known"] = p.KnownUpdates()
 	text, err := json.Marshal(p.Config)
@@ -160,13 +160,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleettest: %s: %w", p.Name, err)
 	}
-	p.bodies = append(p.bodies, b)
-	go p.watch(b, out)
+	p.processes = append(p.processes, b)
+	go p.readLog(b, out)
 	return b, nil
 }
 
-// watch reads its log until it ends.
-func (p *Manager) watch(b *body, out io.Reader) {
+// readLog reads its log until it ends.
+func (p *Manager) readLog(b *process, out io.Reader) {
 	in := bufio.NewScanner(out)
 	in.Buffer(make([]byte, 64<<10), 1<<20)
 	// Nothing reads this file: it is for whoever keeps the folder.
@@ -178,22 +178,22 @@
 		var l struct{ Msg, Listen string }
 		json.Unmarshal([]byte(line), &l) // a panic is no JSON
 		p.mu.Lock()
-		p.lines = append(p.lines, line)
+		p.logLines = append(p.logLines, line)
 		if l.Msg == "serving" {
-			b.addr = l.Listen
+			b.viewerAddr = l.Listen
 		}
-		p.wake()
+		p.notifyChanged()
 		p.mu.Unlock()
 	}
 	err := b.cmd.Wait()
 	p.mu.Lock()
-	asked := b.asked
-	p.bodies = slices.DeleteFunc(p.bodies, func(o *body) bool { return o == b })
+	asked := b.stopRequested
+	p.processes = slices.DeleteFunc(p.processes, func(o *process) bool { return o == b })
 	e := Event{Kind: Replaced, Manager: p.Name, Process: b.number, Text: fmt.Sprint("ended: ", err)}
-	if len(p.bodies) == 0 {
+	if len(p.processes) == 0 {
 		e.Kind = Stopped
 	}
-	p.wake()
+	p.notifyChanged()
 	p.mu.Unlock()
 	p.Record.Add(e)
 	close(b.exited)
@@ -202,8 +202,8 @@
 	}
 }
 
-// wake is called with the lock held.
-func (p *Manager) wake() {
+// notifyChanged is called with the lock held.
+func (p *Manager) notifyChanged() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -230,13 +230,13 @@
 			// What it had taken is lost with it; the other one runs, or soon does.
 			p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed beside its successor"})
 		}
-		p.end(doomed, syscall.SIGKILL)
+		p.signalStop(doomed, syscall.SIGKILL)
 		<-doomed.exited
 		if kill == "new" {
 			return nil
 		}
 	}
-	return p.await(b, b.saysReady, func() {
+	return p.awaitReady(b, b.reportsReady, func() {
 		p.Record.Add(Event{Kind: Renewed, Manager: p.Name, Process: b.number})
 		if kill == "old" {
 			p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "its successor"})
@@ -246,33 +246,33 @@
 
 // StopPredecessors has all processes but the newest end: SIGTERM, and SIGKILL after grace.
 func (p *Manager) StopPredecessors(grace time.Duration) {
-	bodies := p.running()
+	bodies := p.runningProcesses()
 	for _, b := range bodies[:max(len(bodies)-1, 0)] {
-		p.end(b, syscall.SIGTERM)
+		p.signalStop(b, syscall.SIGTERM)
 		select {
 		case <-b.exited:
 		case <-time.After(grace):
-			p.end(b, syscall.SIGKILL)
+			p.signalStop(b, syscall.SIGKILL)
 			<-b.exited
 		}
 	}
 }
 
-// saysReady asks a body whether it can serve; one without an address for calls serves
+// reportsReady asks a body whether it can serve; one without an address for calls serves
 // once its log says so.
-func (b *body) saysReady() bool {
-	if b.admin == "" {
+func (b *process) reportsReady() bool {
+	if b.adminAddr == "" {
 		return true
 	}
-	status, _, _ := call(b.admin, "GET", "/ready")
+	status, _, _ := callAdmin(b.adminAddr, "GET", "/ready")
 	return status/100 == 2
 }
 
-// called is the process that operators call: the newest that is ready.
-func (p *Manager) called() (c *body) {
+// adminProcess is the process that operators call: the newest that is ready.
+func (p *Manager) adminProcess() (c *process) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.bodies {
+	for _, b := range p.processes {
 		if b.ready {
 			c = b
 		}
@@ -280,37 +280,37 @@
 	return c
 }
 
-// figured are the processes whose figures are fetched, and whether they need answer:
+// metricsProcesses are the processes whose figures are fetched, and whether they need answer:
 // not one that was asked to end.
-func (p *Manager) figured() map[*body]bool {
+func (p *Manager) metricsProcesses() map[*process]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := map[*body]bool{}
-	for _, b := range p.bodies {
+	l := map[*process]bool{}
+	for _, b := range p.processes {
 		if b.ready {
-			l[b] = !b.asked
+			l[b] = !b.stopRequested
 		}
 	}
 	return l
 }
 
-// end sends a signal to a body whose end is wanted.
-func (p *Manager) end(b *body, s syscall.Signal) {
+// signalStop sends a signal to a body whose end is wanted.
+func (p *Manager) signalStop(b *process, s syscall.Signal) {
 	p.mu.Lock()
-	b.asked = true
+	b.stopRequested = true
 	p.mu.Unlock()
 	b.cmd.Process.Signal(syscall.SIGCONT)
 	b.cmd.Process.Signal(s) // one that is gone needs none
 }
 
-func (p *Manager) running() []*body {
+func (p *Manager) runningProcesses() []*process {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Clone(p.bodies)
+	return slices.Clone(p.processes)
 }
 
-func (p *Manager) newest() *body {
-	if l := p.running(); len(l) > 0 {
+func (p *Manager) newest() *process {
+	if l := p.runningProcesses(); len(l) > 0 {
 		return l[len(l)-1]
 	}
 	return nil
@@ -321,9 +321,9 @@
 func (p *Manager) Addr() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, b := range p.bodies {
-		if b.addr != "" {
-			return b.addr
+	for _, b := range p.processes {
+		if b.viewerAddr != "" {
+			return b.viewerAddr
 		}
 	}
 	return ""
@@ -341,18 +341,18 @@
 func (p *Manager) LogTail(n int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return strings.Join(p.lines[max(0, len(p.lines)-n):], "\n")
+	return strings.Join(p.logLines[max(0, len(p.logLines)-n):], "\n")
 }
 
 // Log is all that it has logged, over all its starts.
 func (p *Manager) Log() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.lines...)
+	return append([]string(nil), p.logLines...)
 }
 
-func (p *Manager) signal(s syscall.Signal) error {
-	l := p.running()
+func (p *Manager) signalAll(s syscall.Signal) error {
+	l := p.runningProcesses()
 	if len(l) == 0 {
 		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
 	}
@@ -364,13 +364,13 @@
 }
 
 // Kill ends it at once and waits until it is gone.
-func (p *Manager) Kill() error { return p.stop(syscall.SIGKILL) }
+func (p *Manager) Kill() error { return p.stopAll(syscall.SIGKILL) }
 
 // Terminate asks it to end, and waits until it has.
-func (p *Manager) Terminate() error { return p.stop(syscall.SIGTERM) }
+func (p *Manager) Terminate() error { return p.stopAll(syscall.SIGTERM) }
 
-func (p *Manager) stop(s syscall.Signal) error {
-	l := p.running()
+func (p *Manager) stopAll(s syscall.Signal) error {
+	l := p.runningProcesses()
 	if len(l) == 0 {
 		return nil
 	}
@@ -381,7 +381,7 @@
 		p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed"})
 	}
 	for _, b := range l {
-		p.end(b, s)
+		p.signalStop(b, s)
 	}
 	late := time.After(patience)
 	for _, b := range l {
@@ -399,12 +399,12 @@
 // Pause stops it as it stands: it hears nothing and its clock goes on.
 func (p *Manager) Pause() error {
 	p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "paused"})
-	return p.signal(syscall.SIGSTOP)
+	return p.signalAll(syscall.SIGSTOP)
 }
 
 // Resume lets it go on, as if no time had passed.
 func (p *Manager) Resume() error {
-	err := p.signal(syscall.SIGCONT)
+	err := p.signalAll(syscall.SIGCONT)
 	p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "resumed"})
 	return err
 }
@@ -413,17 +413,17 @@
 func (p *Manager) Starve(share float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.starve != nil {
+	if p.endStarving != nil {
 		return
 	}
 	stop := make(chan struct{})
-	p.starve = stop
+	p.endStarving = stop
 	go func() {
 		const slice = 20 * time.Millisecond
 		for {
-			p.signal(syscall.SIGSTOP)
+			p.signalAll(syscall.SIGSTOP)
 			time.Sleep(time.Duration((1 - share) * float64(slice)))
-			p.signal(syscall.SIGCONT)
+			p.signalAll(syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
@@ -437,16 +437,16 @@
 func (p *Manager) StopStarving() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.starve != nil {
-		close(p.starve)
-		p.starve = nil
+	if p.endStarving != nil {
+		close(p.endStarving)
+		p.endStarving = nil
 	}
 }
 
 // Usage is its memory in MB, its open descriptors and the processor time it has
 // used, of all its processes.
 func (p *Manager) Usage() (mb float64, descriptors int, cpu time.Duration) {
-	for _, b := range p.running() {
+	for _, b := range p.runningProcesses() {
 		m, d, c := usage(b.cmd.Process.Pid)
 		mb, descriptors, cpu = mb+m, descriptors+d, cpu+c
 	}
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -34,34 +34,34 @@
 	// it goes on; with none, of the side's end. It must not wait. Nil: nobody is.
 	OnData func(conn int, way Direction, b []byte)
 
-	addr   string
-	target func() (net.Conn, error)
-
-	mu      sync.Mutex
-	changed chan struct{} // closed and made anew with each change
-	cut     [2]bool       // what leaves is held; no connection comes up
-	delay   [2]time.Duration
-	drip    [2]int // bytes a millisecond; 0: all at once
-	traps   []*trap
-	refuse  bool
-	closed  bool
-	holder  int // a socket that is bound and never listens: the port stays ours
-	lis     *net.TCPListener
-	blocked bool       // the listener's queue is kept full
-	filler  []net.Conn // by these
-	links   map[*link]bool
-	opened  int
-	group   sync.WaitGroup
+	addr       string
+	dialTarget func() (net.Conn, error)
+
+	mu            sync.Mutex
+	changed       chan struct{} // closed and made anew with each change
+	cut           [2]bool       // what leaves is held; no connection comes up
+	delay         [2]time.Duration
+	bytesPerMs    [2]int // bytes a millisecond; 0: all at once
+	traps         []*trap
+	refusing      bool
+	closed        bool
+	portHolder    int // a socket that is bound and never listens: the port stays ours
+	listener      *net.TCPListener
+	queueFilled   bool       // the listener's queue is kept full
+	queueFillers  []net.Conn // by these
+	conns         map[*relayedConn]bool
+	connsAccepted int
+	goroutines    sync.WaitGroup
 }
 
 // trap strikes when something passes.
 type trap struct {
-	way   Direction
-	token []byte
-	bytes int // or when so many have passed on one connection
-	act   TrapAction
-	left  int // how often it strikes yet; -1: always
-	hit   func()
+	direction  Direction
+	token      []byte
+	afterBytes int // or when so many have passed on one connection
+	action     TrapAction
+	remaining  int // how often it strikes yet; -1: always
+	onHit      func()
 }
 
 // TrapAction is what a trap does to the connection that steps on it.
@@ -76,12 +76,12 @@
 
 // NewRelay returns a relay on loopback to what target connects to.
 func NewRelay(target func() (net.Conn, error)) (*Relay, error) {
-	r := &Relay{target: target, changed: make(chan struct{}), links: make(map[*link]bool)}
-	fd, addr, err := hold()
+	r := &Relay{dialTarget: target, changed: make(chan struct{}), conns: make(map[*relayedConn]bool)}
+	fd, addr, err := holdPort()
 	if err != nil {
 		return nil, err
 	}
-	r.holder, r.addr = fd, addr
+	r.portHolder, r.addr = fd, addr
 	if err := r.listen(); err != nil {
 		syscall.Close(fd)
 		return nil, err
@@ -89,14 +89,14 @@
 	return r, nil
 }
 
-// hold binds a socket that never listens to a free port, which stays ours until it is
+// holdPort binds a socket that never listens to a free port, which stays ours until it is
 // closed. Who listens there has to share it.
-func hold() (fd int, addr string, err error) {
+func holdPort() (fd int, addr string, err error) {
 	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return 0, "", fmt.Errorf("fleettest: socket: %w", err)
 	}
-	err = errorsOf(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, soReusePort, 1), syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
+	err = firstError(syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, soReusePort, 1), syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
 	var name syscall.Sockaddr
 	if err == nil {
 		name, err = syscall.Getsockname(fd)
@@ -111,7 +111,7 @@
 // soReusePort lets a listener share its port with the socket that holds it.
 const soReusePort = 0xf
 
-func errorsOf(errs ...error) error {
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
@@ -127,7 +127,7 @@
 func (r *Relay) ConnsAccepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.opened
+	return r.connsAccepted
 }
 
 func (r *Relay) listen() error {
@@ -141,8 +141,8 @@
 	if err != nil {
 		return fmt.Errorf("fleettest: %w", err)
 	}
-	r.lis = l.(*net.TCPListener)
-	r.group.Go(func() { r.accept(r.lis) })
+	r.listener = l.(*net.TCPListener)
+	r.goroutines.Go(func() { r.accept(r.listener) })
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		c, err := l.AcceptTCP()
 		r.mu.Lock()
 		switch {
-		case err == nil && r.isFiller(c):
+		case err == nil && r.takeQueueFiller(c):
 			r.mu.Unlock()
 			c.Close()
 			continue
@@ -169,28 +169,28 @@
 			r.mu.Unlock()
 			return
 		}
-		r.opened++
-		k := &link{relay: r, near: c, number: r.opened}
-		r.links[k] = true
+		r.connsAccepted++
+		k := &relayedConn{relay: r, client: c, number: r.connsAccepted}
+		r.conns[k] = true
 		r.mu.Unlock()
-		r.group.Go(k.run)
+		r.goroutines.Go(k.run)
 	}
 }
 
-// isFiller takes a connection out of those that fill the queue, if it is one.
-func (r *Relay) isFiller(c net.Conn) bool {
-	for i, f := range r.filler {
+// takeQueueFiller takes a connection out of those that fill the queue, if it is one.
+func (r *Relay) takeQueueFiller(c net.Conn) bool {
+	for i, f := range r.queueFillers {
 		if f.LocalAddr().String() == c.RemoteAddr().String() {
 			f.Close()
-			r.filler = append(r.filler[:i], r.filler[i+1:]...)
+			r.queueFillers = append(r.queueFillers[:i], r.queueFillers[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// change applies f and lets all that waits look again.
-func (r *Relay) change(f func()) {
+// update applies f and lets all that waits look again.
+func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -204,48 +204,48 @@
 // Cut holds what leaves in a direction, and lets no new connection come up: as
 // when a machine vanishes, or a cable does. Nobody is told.
 func (r *Relay) Cut(ways ...Direction) {
-	r.change(func() {
+	r.update(func() {
 		for _, w := range ways {
 			r.cut[w] = true
 		}
-		r.block()
+		r.fillQueue()
 	})
 }
 
 // Heal ends a cut. What was held goes on its way.
 func (r *Relay) Heal() {
-	r.change(func() {
+	r.update(func() {
 		r.cut = [2]bool{}
-		if r.blocked && r.lis != nil {
-			r.backlog(1 << 10)
-			r.lis.SetDeadline(time.Time{})
+		if r.queueFilled && r.listener != nil {
+			r.setBacklog(1 << 10)
+			r.listener.SetDeadline(time.Time{})
 		}
-		r.blocked = false
+		r.queueFilled = false
 	})
 }
 
-// block keeps connections from coming up: the listener's queue takes one, which is
+// fillQueue keeps connections from coming up: the listener's queue takes one, which is
 // ours, and the kernel drops the first packet of all others. A connect that is
 // refused or reset would tell more than a machine that is cut off does.
-func (r *Relay) block() {
-	if r.lis == nil || r.blocked {
+func (r *Relay) fillQueue() {
+	if r.listener == nil || r.queueFilled {
 		return
 	}
-	r.blocked = true
-	r.lis.SetDeadline(time.Unix(1, 0))
-	r.backlog(0)
+	r.queueFilled = true
+	r.listener.SetDeadline(time.Unix(1, 0))
+	r.setBacklog(0)
 	for range 2 { // a queue of length 0 takes one; the second makes sure that it is full
 		c, err := net.DialTimeout("tcp4", r.addr, 50*time.Millisecond)
 		if err != nil {
 			break
 		}
-		r.filler = append(r.filler, c)
+		r.queueFillers = append(r.queueFillers, c)
 	}
 }
 
-// backlog sets the length of the listener's queue anew.
-func (r *Relay) backlog(n int) {
-	raw, err := r.lis.SyscallConn()
+// setBacklog sets the length of the listener's queue anew.
+func (r *Relay) setBacklog(n int) {
+	raw, err := r.listener.SyscallConn()
 	if err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), n) })
 	}
@@ -254,24 +254,24 @@
 // Refuse has connects refused, as where no process listens, and resets what is
 // open. Accept ends it.
 func (r *Relay) Refuse() {
-	r.change(func() {
-		r.refuse = true
-		if r.lis != nil {
-			r.lis.Close()
-			r.lis, r.blocked = nil, false
+	r.update(func() {
+		r.refusing = true
+		if r.listener != nil {
+			r.listener.Close()
+			r.listener, r.queueFilled = nil, false
 		}
-		r.reset()
+		r.resetAll()
 	})
 }
 
 // StopRefusing takes connections again after Refuse.
 func (r *Relay) StopRefusing() error {
 	var err error
-	r.change(func() {
-		if r.refuse {
-			r.refuse = false
+	r.update(func() {
+		if r.refusing {
+			r.refusing = false
 			if err = r.listen(); err == nil && (r.cut[ToTarget] || r.cut[FromTarget]) {
-				r.block()
+				r.fillQueue()
 			}
 		}
 	})
@@ -279,67 +279,69 @@
 }
 
 // Reset breaks all that is open. What is on its way is lost.
-func (r *Relay) Reset() { r.change(r.reset) }
+func (r *Relay) Reset() { r.update(r.resetAll) }
 
-func (r *Relay) reset() {
-	for k := range r.links {
+func (r *Relay) resetAll() {
+	for k := range r.conns {
 		k.reset()
 	}
 }
 
 // Delay has all that leaves in a direction arrive so much later, in order.
-func (r *Relay) Delay(way Direction, d time.Duration) { r.change(func() { r.delay[way] = d }) }
+func (r *Relay) Delay(way Direction, d time.Duration) { r.update(func() { r.delay[way] = d }) }
 
 // Throttle lets so many bytes a millisecond through in a direction; 0: all.
-func (r *Relay) Throttle(way Direction, bytes int) { r.change(func() { r.drip[way] = bytes }) }
+func (r *Relay) Throttle(way Direction, bytes int) { r.update(func() { r.bytesPerMs[way] = bytes }) }
 
 // Trap does act to each of the next n connections on which token passes in a
 // direction; with n under 0 to all. hit, if not nil, is called each time.
 func (r *Relay) Trap(way Direction, token string, n int, act TrapAction, hit func()) {
-	r.change(func() { r.traps = append(r.traps, &trap{way: way, token: []byte(token), left: n, act: act, hit: hit}) })
+	r.update(func() {
+		r.traps = append(r.traps, &trap{direction: way, token: []byte(token), remaining: n, action: act, onHit: hit})
+	})
 }
 
 // TrapAt is Trap at the first piece that takes a connection past so many bytes.
 func (r *Relay) TrapAt(way Direction, bytes, n int, act TrapAction) {
-	r.change(func() { r.traps = append(r.traps, &trap{way: way, bytes: bytes, left: n, act: act}) })
+	r.update(func() { r.traps = append(r.traps, &trap{direction: way, afterBytes: bytes, remaining: n, action: act}) })
 }
 
 // Untrap takes all traps back.
-func (r *Relay) Untrap() { r.change(func() { r.traps = nil }) }
+func (r *Relay) Untrap() { r.update(func() { r.traps = nil }) }
 
 // Close ends the relay and all that is open on it.
 func (r *Relay) Close() {
-	r.change(func() {
-		if r.lis != nil {
-			r.lis.Close()
-			r.lis = nil
+	r.update(func() {
+		if r.listener != nil {
+			r.listener.Close()
+			r.listener = nil
 		}
-		for _, c := range r.filler {
+		for _, c := range r.queueFillers {
 			c.Close()
 		}
-		r.reset()
-		syscall.Close(r.holder)
+		r.resetAll()
+		syscall.Close(r.portHolder)
 	})
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
-	r.group.Wait()
+	r.goroutines.Wait()
 }
 
-// link is one connection through a relay.
-type link struct {
+// relayedConn is one connection through a relay.
+type relayedConn struct {
 	relay  *Relay
 	number int
-	near   *net.TCPConn
-	far    *net.TCPConn
-	gone   bool // under the relay's lock
-	mute   [2]bool
+	client *net.TCPConn
+	server *net.TCPConn
+	ended  bool // under the relay's lock
+	muted  [2]bool
 }
 
 // reset is called with the relay's lock held.
-func (k *link) reset() {
-	k.gone = true
-	for _, c := range []*net.TCPConn{k.near, k.far} {
+func (k *relayedConn) reset() {
+	k.ended = true
+	for _, c := range []*net.TCPConn{k.client, k.server} {
 		if c != nil {
 			c.SetLinger(0)
 			c.Close()
@@ -347,16 +349,16 @@
 	}
 }
 
-func (k *link) run() {
+func (k *relayedConn) run() {
 	r := k.relay
 	defer func() {
 		r.mu.Lock()
-		delete(r.links, k)
+		delete(r.conns, k)
 		r.mu.Unlock()
 	}()
-	c, err := r.target()
+	c, err := r.dialTarget()
 	r.mu.Lock()
-	if err != nil || k.gone {
+	if err != nil || k.ended {
 		k.reset()
 		r.mu.Unlock()
 		if c != nil {
@@ -364,29 +366,29 @@
 		}
 		return
 	}
-	k.far = c.(*net.TCPConn)
+	k.server = c.(*net.TCPConn)
 	r.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.carry(ToTarget, k.near, k.far) })
-	both.Go(func() { k.carry(FromTarget, k.far, k.near) })
+	both.Go(func() { k.forward(ToTarget, k.client, k.server) })
+	both.Go(func() { k.forward(FromTarget, k.server, k.client) })
 	both.Wait()
-	k.near.Close()
-	k.far.Close()
+	k.client.Close()
+	k.server.Close()
 }
 
-// piece is what was read at once; end: why nothing follows.
-type piece struct {
-	b   []byte
-	at  time.Time
-	end error
+// chunk is what was read at once; end: why nothing follows.
+type chunk struct {
+	data   []byte
+	readAt time.Time
+	err    error
 }
 
-// carry passes on what leaves in one direction until that ends. It reads ahead of
+// forward passes on what leaves in one direction until that ends. It reads ahead of
 // what is held, as a network's buffers do, so that what a party wrote is seen when
 // it wrote it.
-func (k *link) carry(way Direction, from, to *net.TCPConn) {
+func (k *relayedConn) forward(way Direction, from, to *net.TCPConn) {
 	r := k.relay
-	queue := make(chan piece, 1<<12)
+	queue := make(chan chunk, 1<<12)
 	done := make(chan struct{})
 	defer close(done)
 	go func() {
@@ -400,7 +402,7 @@
 				r.OnData(k.number, way, nil)
 			}
 			select {
-			case queue <- piece{b[:n], time.Now(), err}:
+			case queue <- chunk{b[:n], time.Now(), err}:
 			case <-done:
 			}
 			if err != nil {
@@ -410,17 +412,17 @@
 	}()
 	passed := 0
 	for p := range queue {
-		if passed += len(p.b); len(p.b) > 0 && !k.pass(way, to, p, passed) {
+		if passed += len(p.data); len(p.data) > 0 && !k.forwardChunk(way, to, p, passed) {
 			return
 		}
-		if p.end == nil {
+		if p.err == nil {
 			continue
 		}
-		k.wait(way)
+		k.waitWhileCut(way)
 		r.mu.Lock()
 		switch {
-		case k.gone:
-		case p.end == io.EOF:
+		case k.ended:
+		case p.err == io.EOF:
 			to.CloseWrite()
 		default:
 			k.reset()
@@ -430,25 +432,25 @@
 	}
 }
 
-// pass sends a piece on by what holds at the moment. False: the link is gone.
-func (k *link) pass(way Direction, to *net.TCPConn, p piece, passed int) bool {
-	r, b := k.relay, p.b
+// forwardChunk sends a piece on by what holds at the moment. False: the link is gone.
+func (k *relayedConn) forwardChunk(way Direction, to *net.TCPConn, p chunk, passed int) bool {
+	r, b := k.relay, p.data
 	r.mu.Lock()
-	delay, drip := r.delay[way], r.drip[way]
-	act, struck := k.strike(way, b, passed)
+	delay, drip := r.delay[way], r.bytesPerMs[way]
+	act, struck := k.matchTrap(way, b, passed)
 	if struck {
 		switch act {
 		case ResetBefore:
 			k.reset()
 		case CloseBefore:
-			k.gone = true
-			k.near.Close()
-			k.far.Close()
+			k.ended = true
+			k.client.Close()
+			k.server.Close()
 		case Mute:
-			k.mute[way] = true
+			k.muted[way] = true
 		}
 	}
-	mute, gone := k.mute[way], k.gone
+	mute, gone := k.muted[way], k.ended
 	r.mu.Unlock()
 	if gone {
 		return false
@@ -457,9 +459,9 @@
 		return true
 	}
 	if delay > 0 {
-		time.Sleep(time.Until(p.at.Add(delay)))
+		time.Sleep(time.Until(p.readAt.Add(delay)))
 	}
-	if !k.wait(way) {
+	if !k.waitWhileCut(way) {
 		return false
 	}
 	for len(b) > 0 {
@@ -485,12 +487,12 @@
 	return true
 }
 
-// wait holds while a direction is cut. False: the link is gone.
-func (k *link) wait(way Direction) bool {
+// waitWhileCut holds while a direction is cut. False: the link is gone.
+func (k *relayedConn) waitWhileCut(way Direction) bool {
 	r := k.relay
 	for {
 		r.mu.Lock()
-		cut, gone, changed := r.cut[way] && !r.closed, k.gone, r.changed
+		cut, gone, changed := r.cut[way] && !r.closed, k.ended, r.changed
 		r.mu.Unlock()
 		if gone || !cut {
 			return !gone
@@ -499,22 +501,22 @@
 	}
 }
 
-// strike looks whether a trap strikes, with the relay's lock held.
-func (k *link) strike(way Direction, b []byte, passed int) (TrapAction, bool) {
+// matchTrap looks whether a trap strikes, with the relay's lock held.
+func (k *relayedConn) matchTrap(way Direction, b []byte, passed int) (TrapAction, bool) {
 	for _, t := range k.relay.traps {
-		if t.way != way || t.left == 0 {
+		if t.direction != way || t.remaining == 0 {
 			continue
 		}
-		if t.token != nil && !bytes.Contains(b, t.token) || t.token == nil && passed < t.bytes {
+		if t.token != nil && !bytes.Contains(b, t.token) || t.token == nil && passed < t.afterBytes {
 			continue
 		}
-		if t.left > 0 {
-			t.left--
+		if t.remaining > 0 {
+			t.remaining--
 		}
-		if t.hit != nil {
-			t.hit()
+		if t.onHit != nil {
+			t.onHit()
 		}
-		return t.act, true
+		return t.action, true
 	}
 	return 0, false
 }
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// echo is a server that sends back what it gets, behind a relay.
-func echo(t *testing.T) *Relay {
+// newEchoRelay is a server that sends back what it gets, behind a relay.
+func newEchoRelay(t *testing.T) *Relay {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return r
 }
 
-func dial(t *testing.T, r *Relay) *net.TCPConn {
+func dialRelay(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp4", r.Addr(), patience)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return c.(*net.TCPConn)
 }
 
-// says writes text and reads what comes back within d.
-func says(c net.Conn, text string, d time.Duration) (string, error) {
+// exchange writes text and reads what comes back within d.
+func exchange(c net.Conn, text string, d time.Duration) (string, error) {
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
 	}
@@ -58,14 +58,14 @@
 
 func TestRelayFaults(t *testing.T) {
 	const short = 50 * time.Millisecond // for what must not come; nothing fails by being late
-	r := echo(t)
-	c := dial(t, r)
-	if got, err := says(c, "hello", patience); got != "hello" {
+	r := newEchoRelay(t)
+	c := dialRelay(t, r)
+	if got, err := exchange(c, "hello", patience); got != "hello" {
 		t.Fatal(got, err)
 	}
 	for _, way := range []Direction{ToTarget, FromTarget} {
 		r.Cut(way)
-		if got, err := says(c, "cut", short); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
+		if got, err := exchange(c, "cut", short); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("cut %v: %q, %v", way, got, err)
 		}
 		if n, err := net.DialTimeout("tcp4", r.Addr(), short); !os.IsTimeout(err) {
@@ -77,12 +77,12 @@
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "cut" {
 			t.Errorf("healed %v: %q, %v", way, b, err)
 		}
-		if got, err := says(dial(t, r), "new", patience); got != "new" {
+		if got, err := exchange(dialRelay(t, r), "new", patience); got != "new" {
 			t.Errorf("healed %v: %q, %v", way, got, err)
 		}
 	}
 	r.Refuse()
-	if _, err := says(c, "x", patience); err == nil {
+	if _, err := exchange(c, "x", patience); err == nil {
 		t.Error("still open after Refuse")
 	}
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -91,7 +91,7 @@
 	if err := r.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := says(dial(t, r), "again", patience); got != "again" {
+	if got, err := exchange(dialRelay(t, r), "again", patience); got != "again" {
 		t.Errorf("%q, %v", got, err)
 	}
 
@@ -109,37 +109,37 @@
 	} {
 		hits := 0
 		r.Trap(e.way, "end", 1, e.act, func() { hits++ })
-		c, other := dial(t, r), dial(t, r)
-		if got, err := says(c, "fin", patience); got != "fin" {
+		c, other := dialRelay(t, r), dialRelay(t, r)
+		if got, err := exchange(c, "fin", patience); got != "fin" {
 			t.Fatal(got, err)
 		}
 		wait := patience
 		if e.act == Mute {
 			wait = short
 		}
-		if got, err := says(c, "end", wait); got != e.got || !errors.Is(err, e.fail) {
+		if got, err := exchange(c, "end", wait); got != e.got || !errors.Is(err, e.fail) {
 			t.Errorf("%v %v: %q, %v", e.way, e.act, got, err)
 		}
-		if got, err := says(other, "end", patience); got != "end" || hits != 1 {
+		if got, err := exchange(other, "end", patience); got != "end" || hits != 1 {
 			t.Errorf("%v %v: %d hits, the other got %q, %v", e.way, e.act, hits, got, err)
 		}
 	}
 	r.TrapAt(ToTarget, 4, 1, ResetBefore)
-	c = dial(t, r)
-	if got, err := says(c, "abc", patience); got != "abc" {
+	c = dialRelay(t, r)
+	if got, err := exchange(c, "abc", patience); got != "abc" {
 		t.Fatal(got, err)
 	}
-	if got, err := says(c, "d", patience); err == nil {
+	if got, err := exchange(c, "d", patience); err == nil {
 		t.Errorf("byte 4 passed: %q", got)
 	}
 }
 
 // What is held or dripped keeps its order, and a close comes after all of it.
-func TestRelayHoldsInOrder(t *testing.T) {
-	r := echo(t)
+func TestRelayKeepsOrder(t *testing.T) {
+	r := newEchoRelay(t)
 	r.Delay(ToTarget, time.Millisecond)
 	r.Throttle(FromTarget, 7)
-	c := dial(t, r)
+	c := dialRelay(t, r)
 	var want []byte
 	for i := range 200 {
 		want = append(want, byte(i), byte(i>>4))
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -268,7 +268,7 @@
 	if s.Plan.Admin {
 		time.Sleep(600 * time.Millisecond) // what is older has to be in the figures
 		for m := range f.Managers {
-			f.scrape(m)
+			f.scrapeMetrics(m)
 		}
 	}
 	events := f.Record.Events()
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -10,10 +10,10 @@
 
 var sizes = flag.Bool("sizes", false, "measure how many managers this machine bears as processes")
 
-// TestSizes measures what 4, 16 and 40 managers cost as processes: time to start,
+// TestManagerProcessCost measures what 4, 16 and 40 managers cost as processes: time to start,
 // memory, descriptors, and set-ups a second that are all answered. It is long, and its
 // figures are the machine's: it fails by broken rules alone.
-func TestSizes(t *testing.T) {
+func TestManagerProcessCost(t *testing.T) {
 	if !*sizes {
 		t.Skip("with -sizes only")
 	}
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -57,7 +57,7 @@
 		st.do = s.trap(d, word)
 	case "untrap":
 		st.do = func(r *run) error {
-			r.between(r.All(), r.All(), func(l *Relay, _ Direction, _ string) { l.Untrap() })
+			r.eachRelay(r.All(), r.All(), func(l *Relay, _ Direction, _ string) { l.Untrap() })
 			return nil
 		}
 	case "rate":
@@ -94,7 +94,7 @@
 		st.do = func(r *run) error {
 			r.aside.Go(func() {
 				if err := inner.do(r); err != nil {
-					r.fail(fmt.Errorf("aside %s: %w", inner.what, err))
+					r.reportFailure(fmt.Errorf("aside %s: %w", inner.what, err))
 				}
 			})
 			return nil
@@ -315,7 +315,7 @@
 		case "reset":
 			r.Reset(from, to)
 		case "delay":
-			r.between(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, by) })
+			r.eachRelay(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, by) })
 		}
 		return nil
 	}
@@ -347,7 +347,7 @@
 		if way == FromTarget {
 			from, to = ns, ms
 		}
-		r.between(from, to, func(l *Relay, w Direction, viewersOf string) {
+		r.eachRelay(from, to, func(l *Relay, w Direction, viewersOf string) {
 			if viewersOf != "" {
 				r.Viewers.NoteReset(viewersOf)
 			}
@@ -367,7 +367,7 @@
 	if stop != "" {
 		lists, _ = s.rest(d)
 	}
-	phase := map[string]string{"drain": terminating, "gone": terminated, "join": inService}[word]
+	phase := map[string]string{"drain": phaseTerminating, "gone": phaseTerminated, "join": phaseInService}[word]
 	return func(r *run) error {
 		nodes, err := r.Find(names...)
 		if err != nil {
--- a/internal/fleettest/viewer.go
+++ b/internal/fleettest/viewer.go
@@ -22,16 +22,16 @@
 	TitleCopies    int                         // cells that hold each title
 	OnMessage      func(id string, m *Message) // told of what came; for tests; may be nil
 
-	mu      sync.Mutex
-	src     *rand.Rand
-	conns   map[string][]*viewerConn
-	asks    map[string]*ask
-	reset   map[string]time.Time // when a manager's connections were broken on their way
-	refuses map[string]time.Time // since when a manager takes no viewers
-	closed  bool
-	number  uint64
-	group   sync.WaitGroup
-	stop    chan struct{}
+	mu            sync.Mutex
+	rng           *rand.Rand
+	conns         map[string][]*viewerConn
+	requests      map[string]*viewerRequest
+	resetAt       map[string]time.Time // when a manager's connections were broken on their way
+	notReadySince map[string]time.Time // since when a manager takes no viewers
+	closed        bool
+	requestCount  uint64
+	goroutines    sync.WaitGroup
+	stop          chan struct{}
 }
 
 // Load is what viewers do.
@@ -55,66 +55,66 @@
 
 type viewerConn struct {
 	net.Conn
-	manager string
-	open    map[string]bool // set-ups without an answer
-	took    time.Time       // when the last set-up went on it that was not refused
-	stands  int             // sessions whose answer came on it
-	used    time.Time       // when one was last open on it, or a session stood by it
-	heard   bool            // a line came
-	dead    bool
+	manager     string
+	openSetUps  map[string]bool // set-ups without an answer
+	lastTakenAt time.Time       // when the last set-up went on it that was not refused
+	established int             // sessions whose answer came on it
+	lastUsedAt  time.Time       // when one was last open on it, or a session stood by it
+	received    bool            // a line came
+	closed      bool
 }
 
-// close takes a set-up off what is open, with the crowd's lock held.
-func (v *viewerConn) close(id string) {
-	if v.open[id] {
-		delete(v.open, id)
-		v.used = time.Now()
+// closeSetUp takes a set-up off what is open, with the crowd's lock held.
+func (v *viewerConn) closeSetUp(id string) {
+	if v.openSetUps[id] {
+		delete(v.openSetUps, id)
+		v.lastUsedAt = time.Now()
 	}
 }
 
-// holds notes, with the crowd's lock held, that a session stands by this connection.
-func (v *viewerConn) holds(a *ask) {
-	if a.conn != nil {
-		a.conn.lets()
+// addEstablished notes, with the crowd's lock held, that a session stands by this connection.
+func (v *viewerConn) addEstablished(a *viewerRequest) {
+	if a.establishedConn != nil {
+		a.establishedConn.removeEstablished()
 	}
-	a.served, a.conn = true, v
-	v.stands++
+	a.served, a.establishedConn = true, v
+	v.established++
 }
 
-// lets notes, likewise, that one no longer does.
-func (v *viewerConn) lets() {
-	v.stands--
-	v.used = time.Now()
+// removeEstablished notes, likewise, that one no longer does.
+func (v *viewerConn) removeEstablished() {
+	v.established--
+	v.lastUsedAt = time.Now()
 }
 
-// unread marks what was lost on a connection from which no word ever came.
-const unread = "unread"
+// connNeverAnswered marks what was lost on a connection from which no word ever came.
+const connNeverAnswered = "unread"
 
-// ask is one try of one viewer.
-type ask struct {
-	class, key, hall, manager string
-	tries                     int
-	at                        time.Time // when it was sent
-	crossed                   bool      // it went again, since it had crossed a close
-	served, over, done        bool
-	node                      string      // that plays it
-	conn                      *viewerConn // on which its answer came
+// viewerRequest is one try of one viewer.
+type viewerRequest struct {
+	class, key, hall, manager  string
+	retries                    int
+	sentAt                     time.Time // when it was sent
+	resent                     bool      // it went again, since it had crossed a close
+	served, over, retryDecided bool
+	node                       string      // that plays it
+	establishedConn            *viewerConn // on which its answer came
 }
 
-// connsToManager is how many connections viewers keep to one manager.
-const connsToManager = 3
+// connsPerManager is how many connections viewers keep to one manager.
+const connsPerManager = 3
 
-// crossing is how long after a set-up a close of its connection is taken to have
+// closeRaceWindow is how long after a set-up a close of its connection is taken to have
 // crossed it. It goes again then, on a new connection, once.
-const crossing = 100 * time.Millisecond
+const closeRaceWindow = 100 * time.Millisecond
 
 // NewViewers returns a Crowd that begins nothing by itself.
 func NewViewers(c *Viewers, seed uint64) *Viewers {
-	c.src = rand.New(rand.NewPCG(seed, 3))
+	c.rng = rand.New(rand.NewPCG(seed, 3))
 	c.conns = map[string][]*viewerConn{}
-	c.asks = map[string]*ask{}
-	c.reset = map[string]time.Time{}
-	c.refuses = map[string]time.Time{}
+	c.requests = map[string]*viewerRequest{}
+	c.resetAt = map[string]time.Time{}
+	c.notReadySince = map[string]time.Time{}
 	c.stop = make(chan struct{})
 	return c
 }
@@ -134,18 +134,18 @@
 		}
 	}
 	c.mu.Unlock()
-	c.group.Wait()
+	c.goroutines.Wait()
 }
 
 // Run has new viewers come at the load's rate until done is closed. Arrivals don't
 // wait for answers.
 func (c *Viewers) Run(done <-chan struct{}) {
-	c.group.Go(func() {
+	c.goroutines.Go(func() {
 		next := time.Now()
 		for {
 			c.mu.Lock()
 			rate := c.Load.SessionsPerSecond
-			gap := time.Duration(c.src.ExpFloat64() / max(rate, 0.001) * float64(time.Second))
+			gap := time.Duration(c.rng.ExpFloat64() / max(rate, 0.001) * float64(time.Second))
 			c.mu.Unlock()
 			if rate <= 0 {
 				gap, next = 20*time.Millisecond, time.Now()
@@ -180,23 +180,23 @@
 func (c *Viewers) NoteReset(manager string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reset[manager] = time.Now()
+	c.resetAt[manager] = time.Now()
 }
 
 // Arrive has one new viewer ask a manager, or with "" one of a hall drawn by weight.
 func (c *Viewers) Arrive(manager string) string {
 	c.mu.Lock()
-	a := &ask{class: "feed", manager: manager}
-	if c.src.Float64() < c.Load.ClipShare {
+	a := &viewerRequest{class: "feed", manager: manager}
+	if c.rng.Float64() < c.Load.ClipShare {
 		a.class = "clip"
 	}
-	a.key = fmt.Sprintf("%016x", 0x7f00+c.src.IntN(max(c.Load.Titles, 1)))
+	a.key = fmt.Sprintf("%016x", 0x7f00+c.rng.IntN(max(c.Load.Titles, 1)))
 	if manager == "" {
-		a.manager = c.pick("")
+		a.manager = c.pickManager("")
 	}
 	a.hall = c.hallOf(a.manager)
 	c.mu.Unlock()
-	return c.ask(a, "")
+	return c.sendSetUp(a, "")
 }
 
 func (c *Viewers) hallOf(manager string) string {
@@ -210,8 +210,8 @@
 	return ""
 }
 
-// pick draws a manager of a hall, or of any, by weight.
-func (c *Viewers) pick(hall string) string {
+// pickManager draws a manager of a hall, or of any, by weight.
+func (c *Viewers) pickManager(hall string) string {
 	var names []string
 	sum := 0.0
 	for _, h := range sortedKeys(c.ManagersByHall) {
@@ -223,7 +223,7 @@
 			sum += c.weight(m)
 		}
 	}
-	at := c.src.Float64() * sum
+	at := c.rng.Float64() * sum
 	for _, m := range names {
 		if at -= c.weight(m); at < 0 {
 			return m
@@ -239,37 +239,37 @@
 	return 1
 }
 
-// ask sends a set-up, on a connection that is open or on a new one. With an id it is
+// sendSetUp sends a set-up, on a connection that is open or on a new one. With an id it is
 // one that goes again.
-func (c *Viewers) ask(a *ask, id string) string {
+func (c *Viewers) sendSetUp(a *viewerRequest, id string) string {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return ""
 	}
 	left, moved := c.Load.TimeLeft, false
-	if len(c.conns[a.manager]) == 0 && !c.takes(a.manager) {
-		other := c.elsewhere(a.hall, a.manager)
+	if len(c.conns[a.manager]) == 0 && !c.acceptsConns(a.manager) {
+		other := c.pickAccepting(a.hall, a.manager)
 		a.manager, moved = other, other != a.manager
 	}
 	manager := a.manager
 	if id == "" {
-		c.number++
-		id = fmt.Sprintf("%08x%08x", c.src.Uint32(), c.number)
-		c.asks[id] = a
+		c.requestCount++
+		id = fmt.Sprintf("%08x%08x", c.rng.Uint32(), c.requestCount)
+		c.requests[id] = a
 	}
 	var v *viewerConn
 	live := 0
 	for _, o := range c.conns[manager] {
-		if !o.dead {
+		if !o.closed {
 			live++
 			v = o
 		}
 	}
 	if live > 0 {
-		n := c.src.IntN(live)
+		n := c.rng.IntN(live)
 		for _, o := range c.conns[manager] {
-			if !o.dead {
+			if !o.closed {
 				if n == 0 {
 					v = o
 				}
@@ -277,7 +277,7 @@
 			}
 		}
 	}
-	if live < connsToManager && (live == 0 || c.takes(manager)) {
+	if live < connsPerManager && (live == 0 || c.acceptsConns(manager)) {
 		v = nil
 	}
 	c.mu.Unlock()
@@ -286,8 +286,8 @@
 		if v, err = c.dial(manager); err != nil {
 			c.Record.Add(Event{Kind: TurnedBack, Manager: manager, ID: id, Text: "refused"})
 			c.Record.Add(Event{Kind: Dropped, Manager: manager, ID: id})
-			a.hall = ""   // it looks elsewhere
-			c.again(a, 0) // nobody has taken it
+			a.hall = ""        // it looks elsewhere
+			c.retryLater(a, 0) // nobody has taken it
 			return ""
 		}
 		if v == nil {
@@ -296,19 +296,19 @@
 	}
 	fields := map[string]string{"class": a.class, "left": strconv.FormatInt(left.Milliseconds(), 10), "key": a.key,
 		"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s", c.TitleCopies, id)}
-	if a.tries > 0 {
+	if a.retries > 0 {
 		fields["retry"] = "1"
 		fields["extras"] += ";again:1"
 	}
 	line, _ := json.Marshal(map[string]any{"type": "setup", "id": id, "fields": fields, "sdp": "c=" + id + "\r\n"})
 	c.mu.Lock()
-	if v.dead { // it ended since it was picked: nothing was written on it
+	if v.closed { // it ended since it was picked: nothing was written on it
 		c.mu.Unlock()
-		return c.ask(a, id)
+		return c.sendSetUp(a, id)
 	}
-	v.open[id] = true
-	a.at = time.Now()
-	crossed := a.crossed
+	v.openSetUps[id] = true
+	a.sentAt = time.Now()
+	crossed := a.resent
 	c.mu.Unlock()
 	if !crossed || moved {
 		c.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: a.class, Paid: c.BilledClasses[a.class], Left: left})
@@ -316,7 +316,7 @@
 	if _, err := v.Write(append(line, '\n')); err != nil {
 		v.Close() // its reader tells of what was open
 	}
-	time.AfterFunc(left, func() { c.leave(v, id, a) })
+	time.AfterFunc(left, func() { c.abandonSetUp(v, id, a) })
 	return id
 }
 
@@ -326,7 +326,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &viewerConn{Conn: nc, manager: manager, open: map[string]bool{}, used: time.Now()}
+	v := &viewerConn{Conn: nc, manager: manager, openSetUps: map[string]bool{}, lastUsedAt: time.Now()}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -334,15 +334,15 @@
 		return nil, nil
 	}
 	c.conns[manager] = append(c.conns[manager], v)
-	c.group.Go(func() { c.read(v) })
+	c.goroutines.Go(func() { c.readConn(v) })
 	return v, nil
 }
 
-// leave gives a set-up up that is not answered when its viewer's time is up.
-func (c *Viewers) leave(v *viewerConn, id string, a *ask) {
+// abandonSetUp gives a set-up up that is not answered when its viewer's time is up.
+func (c *Viewers) abandonSetUp(v *viewerConn, id string, a *viewerRequest) {
 	c.mu.Lock()
-	waits := v.open[id] && !c.closed
-	v.close(id)
+	waits := v.openSetUps[id] && !c.closed
+	v.closeSetUp(id)
 	c.mu.Unlock()
 	if !waits {
 		return
@@ -350,33 +350,33 @@
 	c.Record.Add(Event{Kind: Left, Manager: v.manager, ID: id})
 	line, _ := json.Marshal(map[string]any{"type": "release", "id": id, "fields": map[string]string{}, "cause": 16})
 	v.Write(append(line, '\n')) // a manager that is gone needs no word
-	c.again(a, 0)
+	c.retryLater(a, 0)
 }
 
-// again has a viewer come again, after what it was told to wait, to any manager of
+// retryLater has a viewer come again, after what it was told to wait, to any manager of
 // its hall.
-func (c *Viewers) again(a *ask, wait time.Duration) {
+func (c *Viewers) retryLater(a *viewerRequest, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || a.done {
+	if c.closed || a.retryDecided {
 		return
 	}
-	a.done = true
-	if c.src.Float64() >= c.Load.RetryShare {
+	a.retryDecided = true
+	if c.rng.Float64() >= c.Load.RetryShare {
 		return
 	}
-	next := &ask{class: a.class, key: a.key, hall: a.hall, manager: c.pick(a.hall), tries: a.tries + 1}
-	after := max(wait, 620*time.Millisecond+time.Duration(c.src.Float64()*float64(2380*time.Millisecond)))
-	c.group.Go(func() {
+	next := &viewerRequest{class: a.class, key: a.key, hall: a.hall, manager: c.pickManager(a.hall), retries: a.retries + 1}
+	after := max(wait, 620*time.Millisecond+time.Duration(c.rng.Float64()*float64(2380*time.Millisecond)))
+	c.goroutines.Go(func() {
 		select {
 		case <-c.stop:
 		case <-time.After(after):
-			c.ask(next, "")
+			c.sendSetUp(next, "")
 		}
 	})
 }
 
-func (c *Viewers) read(v *viewerConn) {
+func (c *Viewers) readConn(v *viewerConn) {
 	in := bufio.NewReaderSize(v, 32<<10)
 	for {
 		line, err := in.ReadBytes('\n')
@@ -391,24 +391,24 @@
 			c.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
 			continue
 		}
-		c.heard(v, &m)
+		c.handleMessage(v, &m)
 	}
 	v.Close()
 	c.mu.Lock()
-	v.dead = true
-	var lost []*ask
-	crossed := map[string]*ask{}
-	for id := range v.open {
-		a := c.asks[id]
-		if !a.crossed && time.Since(a.at) < crossing && time.Since(c.reset[v.manager]) > 2*crossing {
+	v.closed = true
+	var lost []*viewerRequest
+	crossed := map[string]*viewerRequest{}
+	for id := range v.openSetUps {
+		a := c.requests[id]
+		if !a.resent && time.Since(a.sentAt) < closeRaceWindow && time.Since(c.resetAt[v.manager]) > 2*closeRaceWindow {
 			c.Record.Add(Event{Kind: TurnedBack, Manager: v.manager, ID: id, Text: "closed"})
-			a.crossed = true
+			a.resent = true
 			crossed[id] = a
 			continue
 		}
 		e := Event{Kind: Dropped, Manager: v.manager, ID: id}
-		if !v.heard {
-			e.Text = unread
+		if !v.received {
+			e.Text = connNeverAnswered
 		}
 		c.Record.Add(e)
 		lost = append(lost, a)
@@ -421,39 +421,39 @@
 	}
 	c.mu.Unlock()
 	for id, a := range crossed {
-		c.ask(a, id)
+		c.sendSetUp(a, id)
 	}
 	for _, a := range lost {
 		a.hall = ""
-		c.again(a, 0)
+		c.retryLater(a, 0)
 	}
 }
 
-func (c *Viewers) heard(v *viewerConn, m *Message) {
+func (c *Viewers) handleMessage(v *viewerConn, m *Message) {
 	if c.OnMessage != nil {
 		c.OnMessage(m.ID, m)
 	}
 	c.mu.Lock()
-	v.heard = true
-	a := c.asks[m.ID]
+	v.received = true
+	a := c.requests[m.ID]
 	if a == nil {
 		c.mu.Unlock()
 		return
 	}
 	served := a.served
 	if m.Type == "answer" {
-		a.node = nodeOf(m.SDP)
-		v.holds(a)
+		a.node = nodeOfDescription(m.SDP)
+		v.addEstablished(a)
 	}
 	if m.Type == "answer" || m.Type == "release" && m.Cause != 34 && m.Cause != 42 && m.Cause != 102 {
-		v.took = a.at
+		v.lastTakenAt = a.sentAt
 	}
 	if served && !a.over && (m.Type == "release" || m.Type == "move") {
 		a.over = true
-		a.conn.lets()
+		a.establishedConn.removeEstablished()
 	}
 	if m.Type != "progress" {
-		v.close(m.ID)
+		v.closeSetUp(m.ID)
 	}
 	c.mu.Unlock()
 	e := Event{Kind: Answered, Manager: v.manager, ID: m.ID, Cause: m.Cause}
@@ -480,6 +480,6 @@
 		v.Write(append(line, '\n'))
 	}
 	if e.Kind == Moved || e.Kind == Over && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
-		c.again(a, wait)
+		c.retryLater(a, wait)
 	}
 }
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -11,16 +11,16 @@
 
 // DNSServer is a DNSServer server of a few records, for tests.
 type DNSServer struct {
-	mu      sync.Mutex
-	records []dnsmessage.Resource
-	cut     bool // answers over UDP come truncated
+	mu          sync.Mutex
+	records     []dnsmessage.Resource
+	truncateUDP bool // answers over UDP come truncated
 }
 
 // SetRecords replaces the records. Cut: they come over TCP only.
 func (d *DNSServer) SetRecords(cut bool, records ...dnsmessage.Resource) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.records, d.cut = records, cut
+	d.records, d.truncateUDP = records, cut
 }
 
 // Serve answers until both sockets are closed.
@@ -31,7 +31,7 @@
 			if err != nil {
 				return
 			}
-			go d.talk(c)
+			go d.serveTCP(c)
 		}
 	}()
 	b := make([]byte, 4096)
@@ -40,13 +40,13 @@
 		if err != nil {
 			return
 		}
-		if out := d.answer(b[:n], true); out != nil {
+		if out := d.buildAnswer(b[:n], true); out != nil {
 			udp.WriteTo(out, from) // a client that is gone needs no answer
 		}
 	}
 }
 
-func (d *DNSServer) talk(c net.Conn) {
+func (d *DNSServer) serveTCP(c net.Conn) {
 	defer c.Close()
 	var size [2]byte
 	if _, err := io.ReadFull(c, size[:]); err != nil {
@@ -56,11 +56,11 @@
 	if _, err := io.ReadFull(c, b); err != nil {
 		return
 	}
-	out := d.answer(b, false)
+	out := d.buildAnswer(b, false)
 	c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(out))), out...))
 }
 
-func (d *DNSServer) answer(b []byte, mayCut bool) []byte {
+func (d *DNSServer) buildAnswer(b []byte, mayCut bool) []byte {
 	var m dnsmessage.Message
 	if err := m.Unpack(b); err != nil || len(m.Questions) != 1 {
 		return nil
@@ -77,7 +77,7 @@
 			}
 		}
 	}
-	if mayCut && d.cut {
+	if mayCut && d.truncateUDP {
 		m.Truncated, m.Answers = true, nil
 	}
 	out, err := m.Pack()
@@ -92,7 +92,7 @@
 func ServiceRecords(service, name string, ttl uint32, port uint16, text ...string) []dnsmessage.Resource {
 	record := func(owner string, body dnsmessage.ResourceBody) dnsmessage.Resource {
 		return dnsmessage.Resource{Body: body, Header: dnsmessage.ResourceHeader{
-			Name: dnsmessage.MustNewName(owner), Class: dnsmessage.ClassINET, TTL: ttl, Type: typeOf(body)}}
+			Name: dnsmessage.MustNewName(owner), Class: dnsmessage.ClassINET, TTL: ttl, Type: recordType(body)}}
 	}
 	full, host := name+"."+service+".", "host.example."
 	return []dnsmessage.Resource{
@@ -103,7 +103,7 @@
 	}
 }
 
-func typeOf(body dnsmessage.ResourceBody) dnsmessage.Type {
+func recordType(body dnsmessage.ResourceBody) dnsmessage.Type {
 	switch body.(type) {
 	case *dnsmessage.PTRResource:
 		return dnsmessage.TypePTR
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -22,7 +22,7 @@
 	NodeZones     []int   // of the nodes; nil: all 0
 
 	mu             sync.Mutex
-	src            *rand.Rand
+	rng            *rand.Rand
 	nodes          []*fleetNode
 	sessions       map[control.SessionID]*fleetSession
 	timers         []*time.Timer
@@ -33,40 +33,40 @@
 }
 
 type fleetNode struct {
-	link     float64
-	zone     int
-	asked    float64
-	down     bool // it is cut off: it answers nothing, and no connection comes up
-	downAt   time.Time
-	falls    int       // set-ups beyond what it bore while it was cold
-	cold     time.Time // until when
-	began    time.Time
-	sent     int // since
-	sessions map[control.SessionID]*fleetSession
+	linkKB           float64
+	zone             int
+	demandKB         float64
+	down             bool // it is cut off: it answers nothing, and no connection comes up
+	downAt           time.Time
+	excessColdSetUps int       // set-ups beyond what it bore while it was cold
+	coldUntil        time.Time // until when
+	startedAt        time.Time
+	setUpsSinceStart int // since
+	sessions         map[control.SessionID]*fleetSession
 }
 
 type fleetSession struct {
-	id      control.SessionID
-	class   int
-	number  int
-	rung    int
-	factor  float64 // of its true rate
-	home    int     // zone of its manager
-	node    *fleetNode
-	server  control.ServerID
-	to      *broker.Broker
-	began   time.Time
-	ends    time.Time
-	earned  float64 // rung's worth times seconds
-	counted time.Time
+	id            control.SessionID
+	class         int
+	attemptNumber int
+	rung          int
+	rateFactor    float64 // of its true rate
+	managerZone   int     // zone of its manager
+	node          *fleetNode
+	server        control.ServerID
+	broker        *broker.Broker
+	startedAt     time.Time
+	endsAt        time.Time
+	earnedWorth   float64 // rung's worth times seconds
+	accruedUntil  time.Time
 }
 
 // NewFleet returns a fleet with a seed of its own.
 func NewFleet(f *Fleet, seed uint64) *Fleet {
-	f.src = rand.New(rand.NewPCG(seed, 9))
+	f.rng = rand.New(rand.NewPCG(seed, 9))
 	f.sessions = make(map[control.SessionID]*fleetSession)
 	for i, kb := range f.LinksKB {
-		n := &fleetNode{link: kb, sessions: make(map[control.SessionID]*fleetSession)}
+		n := &fleetNode{linkKB: kb, sessions: make(map[control.SessionID]*fleetSession)}
 		if f.NodeZones != nil {
 			n.zone = f.NodeZones[i]
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// after runs do later, with the lock held.
-func (f *Fleet) after(d time.Duration, do func()) {
+// schedule runs do later, with the lock held.
+func (f *Fleet) schedule(d time.Duration, do func()) {
 	f.timers = append(f.timers, time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -109,9 +109,9 @@
 
 // Times of managers towards a node that can't be reached.
 const (
-	openTime    = 500 * time.Millisecond // its open connections are silent, later ones don't come up
-	connectTime = 250 * time.Millisecond
-	lostTime    = 3 * time.Second // until what stood there is given up
+	silentConnTime     = 500 * time.Millisecond // its open connections are silent, later ones don't come up
+	connectTimeout     = 250 * time.Millisecond
+	sessionLossTimeout = 3 * time.Second // until what stood there is given up
 )
 
 // FailZone cuts a zone's nodes off, which end what plays there.
@@ -124,9 +124,9 @@
 		}
 		n.down, n.downAt = true, time.Now()
 		for _, p := range n.sessions {
-			f.end(p)
-			f.after(lostTime, func() {
-				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.number, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
+			f.endSession(p)
+			f.schedule(sessionLossTimeout, func() {
+				p.broker.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.attemptNumber, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 			})
 		}
 	}
@@ -138,8 +138,8 @@
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.zone == zone {
-			n.down, n.began, n.sent = false, time.Now(), 0
-			n.cold = n.began.Add(time.Duration(f.Settings.WarmAfterS * float64(time.Second)))
+			n.down, n.startedAt, n.setUpsSinceStart = false, time.Now(), 0
+			n.coldUntil = n.startedAt.Add(time.Duration(f.Settings.WarmAfterS * float64(time.Second)))
 		}
 	}
 }
@@ -150,22 +150,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range f.nodes {
-		n += o.falls
+		n += o.excessColdSetUps
 	}
 	return n
 }
 
-// bears counts a set-up against the fall-over rule.
-func (f *Fleet) bears(n *fleetNode) {
-	if !time.Now().Before(n.cold) || len(f.Settings.MaxStreamsByKind) == 0 {
+// countColdSetUp counts a set-up against the fall-over rule.
+func (f *Fleet) countColdSetUp(n *fleetNode) {
+	if !time.Now().Before(n.coldUntil) || len(f.Settings.MaxStreamsByKind) == 0 {
 		return
 	}
-	t, warm := time.Since(n.began).Seconds(), f.Settings.WarmAfterS
+	t, warm := time.Since(n.startedAt).Seconds(), f.Settings.WarmAfterS
 	streams, start := float64(f.Settings.MaxStreamsByKind[0]), f.Settings.StartCapacityShare
 	// What it bore so far: the pace grows from the start's share to the whole.
 	bore := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
-	if n.sent++; float64(n.sent) > bore+2 {
-		n.falls++
+	if n.setUpsSinceStart++; float64(n.setUpsSinceStart) > bore+2 {
+		n.excessColdSetUps++
 	}
 }
 
@@ -174,11 +174,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
-		part := n.part()
+		part := n.worthShare()
 		for _, p := range n.sessions {
 			k := &f.Settings.Classes[p.class]
 			w += k.Worth * f.Settings.LadderWorth[p.rung] * part
-			if p.home != n.zone {
+			if p.managerZone != n.zone {
 				w -= k.Worth * f.Settings.CrossZoneCost
 			}
 		}
@@ -186,12 +186,12 @@
 	return w
 }
 
-// part is what sessions there get of their worth: under 98% of their rate they lose 7
+// worthShare is what sessions there get of their worth: under 98% of their rate they lose 7
 // points for each that is missing.
-func (n *fleetNode) part() float64 {
+func (n *fleetNode) worthShare() float64 {
 	share := 1.0
-	if n.asked > n.link {
-		share = n.link / n.asked
+	if n.demandKB > n.linkKB {
+		share = n.linkKB / n.demandKB
 	}
 	return max(1-7*max(0.98-share, 0), 0)
 }
@@ -211,71 +211,71 @@
 	if n == nil {
 		return false
 	}
-	m.after(m.OneWayDelay, func() {
+	m.schedule(m.OneWayDelay, func() {
 		if n.down {
-			if time.Since(n.downAt) > openTime {
-				m.after(connectTime, func() {
+			if time.Since(n.downAt) > silentConnTime {
+				m.schedule(connectTimeout, func() {
 					m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectFailed})
 				})
 			}
 			return
 		}
-		m.bears(n)
-		if n.asked >= m.Settings.FullAtUtilization*n.link {
+		m.countColdSetUp(n)
+		if n.demandKB >= m.Settings.FullAtUtilization*n.linkKB {
 			m.RefusedFull++
-			m.after(m.OneWayDelay, func() {
-				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.load(n)})
+			m.schedule(m.OneWayDelay, func() {
+				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.loadReport(n)})
 			})
 			return
 		}
-		p := &fleetSession{id: a.ID, class: a.Class, number: a.Number, rung: a.Rung, node: n, server: s, to: m.Broker, home: m.Zone,
-			factor: 1 + m.RateSpread*(2*m.src.Float64()-1), began: time.Now(), counted: time.Now()}
+		p := &fleetSession{id: a.ID, class: a.Class, attemptNumber: a.Number, rung: a.Rung, node: n, server: s, broker: m.Broker, managerZone: m.Zone,
+			rateFactor: 1 + m.RateSpread*(2*m.rng.Float64()-1), startedAt: time.Now(), accruedUntil: time.Now()}
 		length := m.SessionLength(a.ID, a.Class)
-		p.ends = p.began.Add(length)
-		m.settle(n)
+		p.endsAt = p.startedAt.Add(length)
+		m.accrueWorth(n)
 		n.sessions[a.ID], m.sessions[a.ID] = p, p
-		m.recount(n)
-		m.after(m.OneWayDelay, func() {
+		m.updateDemand(n)
+		m.schedule(m.OneWayDelay, func() {
 			m.Broker.Report(broker.Report{Kind: broker.ReportStarted, Server: s, ID: a.ID, AttemptNumber: a.Number, Description: []byte("d")})
 		})
-		m.after(length, func() {
-			if m.end(p) {
-				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
+		m.schedule(length, func() {
+			if m.endSession(p) {
+				p.broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
 			}
 		})
 	})
 	return true
 }
 
-// settle counts what the sessions of a node have earned until now.
-func (f *Fleet) settle(n *fleetNode) {
+// accrueWorth counts what the sessions of a node have earned until now.
+func (f *Fleet) accrueWorth(n *fleetNode) {
 	now := time.Now()
-	part := n.part()
+	part := n.worthShare()
 	for _, p := range n.sessions {
 		k := &f.Settings.Classes[p.class]
-		p.earned += k.Worth * f.Settings.LadderWorth[p.rung] * part * now.Sub(p.counted).Seconds()
-		p.counted = now
+		p.earnedWorth += k.Worth * f.Settings.LadderWorth[p.rung] * part * now.Sub(p.accruedUntil).Seconds()
+		p.accruedUntil = now
 	}
 }
 
-func (f *Fleet) recount(n *fleetNode) {
-	n.asked = 0
+func (f *Fleet) updateDemand(n *fleetNode) {
+	n.demandKB = 0
 	for _, p := range n.sessions {
-		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.factor
+		n.demandKB += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.rateFactor
 	}
 }
 
-// end takes a session off its node. False: it is not there.
-func (f *Fleet) end(p *fleetSession) bool {
+// endSession takes a session off its node. False: it is not there.
+func (f *Fleet) endSession(p *fleetSession) bool {
 	if f.sessions[p.id] != p {
 		return false
 	}
-	f.settle(p.node)
+	f.accrueWorth(p.node)
 	delete(f.sessions, p.id)
 	delete(p.node.sessions, p.id)
-	f.recount(p.node)
-	if s := p.counted.Sub(p.began).Seconds(); s > 0 {
-		f.EarnedWorth += p.earned / s
+	f.updateDemand(p.node)
+	if s := p.accruedUntil.Sub(p.startedAt).Seconds(); s > 0 {
+		f.EarnedWorth += p.earnedWorth / s
 		f.SessionsPlayed++
 	}
 	return true
@@ -286,9 +286,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
-		m.end(p)
+		m.endSession(p)
 	}
-	m.after(m.OneWayDelay, func() {
+	m.schedule(m.OneWayDelay, func() {
 		m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: id, AttemptNumber: number, Status: control.TimedOut})
 	})
 }
@@ -301,7 +301,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
-		m.end(p)
+		m.endSession(p)
 	}
 }
 
@@ -310,10 +310,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil && p.rung != rung {
-		m.settle(p.node)
-		p.earned -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
+		m.accrueWorth(p.node)
+		p.earnedWorth -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
 		p.rung = rung
-		m.recount(p.node)
+		m.updateDemand(p.node)
 	}
 }
 
@@ -322,7 +322,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
-	m.after(2*m.OneWayDelay, func() {
+	m.schedule(2*m.OneWayDelay, func() {
 		if n == nil {
 			return
 		}
@@ -330,12 +330,12 @@
 			m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.ConnectFailed})
 			return
 		}
-		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.load(n)})
+		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.loadReport(n)})
 	})
 }
 
-// load is a report: the link's use and the uplink's, which is never short here.
-func (f *Fleet) load(n *fleetNode) []float64 { return []float64{n.asked / n.link, 0.1} }
+// loadReport is a report: the link's use and the uplink's, which is never short here.
+func (f *Fleet) loadReport(n *fleetNode) []float64 { return []float64{n.demandKB / n.linkKB, 0.1} }
 
 // AnnounceShortfalls tells each session on a node that delivers short its share, as nodes do each
 // second. It is to be called as often.
@@ -343,9 +343,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
-		if share := n.link / math.Max(n.asked, 1); share < 0.98 {
+		if share := n.linkKB / math.Max(n.demandKB, 1); share < 0.98 {
 			for _, p := range n.sessions {
-				p.to.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.number, Note: control.NoteDeliveredShare, Value: share})
+				p.broker.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.attemptNumber, Note: control.NoteDeliveredShare, Value: share})
 			}
 		}
 	}
@@ -357,7 +357,7 @@
 	defer f.mu.Unlock()
 	asked, links := 0.0, 0.0
 	for _, n := range f.nodes {
-		asked, links = asked+n.asked, links+n.link
+		asked, links = asked+n.demandKB, links+n.linkKB
 	}
 	return asked / links
 }
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -15,9 +15,9 @@
 
 // The time of a SiteLoss: links fill, one of two sites is lost, and comes back cold.
 const (
-	lossAt  = 100 * time.Second
-	lossFor = 30 * time.Second
-	lossEnd = lossAt + lossFor + 60*time.Second
+	lossAt       = 100 * time.Second
+	lossDuration = 30 * time.Second
+	runDuration  = lossAt + lossDuration + 60*time.Second
 )
 
 // SiteLoss is brokers and viewers of two sites, of which the second one's nodes are lost
@@ -69,12 +69,12 @@
 		}
 		sites.Classes = append(sites.Classes, class)
 	}
-	if out.Optimum, err = bestWithout(sites, set, links, zones, rate, e.LoseManagers); err != nil {
+	if out.Optimum, err = optimumDuringLoss(sites, set, links, zones, rate, e.LoseManagers); err != nil {
 		return out, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	c := &lossCrowd{rng: rng, out: &out, set: set, nodes: nodes}
+	c := &lossViewers{rng: rng, result: &out, settings: set, nodes: nodes}
 	for i := range e.Managers {
 		set := set
 		set.Zone = i % 2
@@ -103,22 +103,22 @@
 		}
 	})
 	running.Go(func() { // what is earned
-		var sums [4]total
+		var sums [4]average
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
 			w := fleet.WorthPerSecond()
 			switch at := time.Since(c.start); {
 			case at > lossAt-30*time.Second && at < lossAt:
 				sums[0].add(w)
-			case at > lossAt+3*time.Second && at < lossAt+lossFor:
+			case at > lossAt+3*time.Second && at < lossAt+lossDuration:
 				sums[1].add(w)
 				if at > lossAt+10*time.Second {
 					sums[3].add(w)
 				}
-			case at > lossEnd-30*time.Second && at < lossEnd:
+			case at > runDuration-30*time.Second && at < runDuration:
 				sums[2].add(w)
 			}
-			if at := time.Since(c.start) - lossAt - lossFor; at > 0 && out.RecoveryTime == 0 && w >= 0.98*sums[0].mean() {
+			if at := time.Since(c.start) - lossAt - lossDuration; at > 0 && out.RecoveryTime == 0 && w >= 0.98*sums[0].mean() {
 				out.RecoveryTime = at
 			}
 		}
@@ -127,10 +127,10 @@
 	time.AfterFunc(lossAt, func() {
 		fleet.FailZone(1)
 		if e.LoseManagers {
-			c.lose()
+			c.loseManagers()
 		}
 	})
-	time.AfterFunc(lossAt+lossFor, func() {
+	time.AfterFunc(lossAt+lossDuration, func() {
 		fleet.RestoreZone(1)
 		var back []control.Entry
 		for _, n := range entries {
@@ -142,11 +142,11 @@
 		for _, b := range c.brokers {
 			b.UpdateList(broker.ListUpdate{Entries: back})
 		}
-		c.comeBack()
+		c.restoreManagers()
 	})
-	for time.Since(c.start) < lossEnd {
+	for time.Since(c.start) < runDuration {
 		time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-		c.come(rng.Float64() >= 0.35)
+		c.arrive(rng.Float64() >= 0.35)
 	}
 	cancel()
 	time.Sleep(5 * time.Second)
@@ -155,14 +155,14 @@
 	return out, nil
 }
 
-type total struct{ sum, n float64 }
+type average struct{ sum, count float64 }
 
-func (s *total) add(v float64) { s.sum, s.n = s.sum+v, s.n+1 }
-func (s *total) mean() float64 { return s.sum / max(s.n, 1) }
+func (s *average) add(v float64) { s.sum, s.count = s.sum+v, s.count+1 }
+func (s *average) mean() float64 { return s.sum / max(s.count, 1) }
 
-// bestWithout is the optimum for the loss of the second site by the true links and
+// optimumDuringLoss is the optimum for the loss of the second site by the true links and
 // demand, as far as slots may fill.
-func bestWithout(s broker.SiteConfig, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
+func optimumDuringLoss(s broker.SiteConfig, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
 	var nodes []site.Node
 	for i, kb := range links {
 		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(set.MaxStreamsByKind[0])})
@@ -176,45 +176,45 @@
 	return p.Worth, err
 }
 
-// lossCrowd is the viewers: each has a site, and asks its managers, or where these are
+// lossViewers is the viewers: each has a site, and asks its managers, or where these are
 // lost all others.
-type lossCrowd struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	start   time.Time
-	out     *SiteLossResult
-	set     control.Settings
-	nodes   int
-	brokers []*broker.Broker
-	weights []float64
-	gone    bool // the managers of the second site
-	last    control.SessionID
-	stood   []*lossViewer
+type lossViewers struct {
+	mu           sync.Mutex
+	rng          *rand.Rand
+	start        time.Time
+	result       *SiteLossResult
+	settings     control.Settings
+	nodes        int
+	brokers      []*broker.Broker
+	weights      []float64
+	managersLost bool // the managers of the second site
+	lastID       control.SessionID
+	viewers      []*lossViewer
 }
 
 type lossViewer struct {
-	*lossCrowd
+	*lossViewers
 	class, zone, manager, tries int
 	id                          control.SessionID
 	served                      bool
 }
 
-func (c *lossCrowd) come(feed bool) {
+func (c *lossViewers) arrive(feed bool) {
 	c.mu.Lock()
-	v := &lossViewer{lossCrowd: c, zone: c.rng.IntN(2)}
+	v := &lossViewer{lossViewers: c, zone: c.rng.IntN(2)}
 	if feed {
 		v.class = 1
 	}
 	c.mu.Unlock()
-	v.ask()
+	v.sendRequest()
 }
 
-// ask goes to a manager of the viewer's site.
-func (v *lossViewer) ask() {
-	c := v.lossCrowd
+// sendRequest goes to a manager of the viewer's site.
+func (v *lossViewer) sendRequest() {
+	c := v.lossViewers
 	c.mu.Lock()
 	zone := v.zone
-	if c.gone {
+	if c.managersLost {
 		zone = 0
 	}
 	sum := 0.0
@@ -228,13 +228,13 @@
 		}
 		at -= c.weights[i]
 	}
-	c.last++
-	v.id, v.served = c.last<<8, false
+	c.lastID++
+	v.id, v.served = c.lastID<<8, false
 	title := uint64(c.rng.IntN(50)) + 1
-	if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossFor {
-		c.out.Requests[v.class]++
+	if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossDuration {
+		c.result.Requests[v.class]++
 	}
-	c.stood = append(c.stood, v)
+	c.viewers = append(c.viewers, v)
 	b, again := c.brokers[v.manager], v.tries > 0
 	v.tries++
 	c.mu.Unlock()
@@ -247,7 +247,7 @@
 
 // Deliver is part of broker.Client. Most come again after a refusal or a break.
 func (v *lossViewer) Deliver(r broker.Reply) bool {
-	c := v.lossCrowd
+	c := v.lossViewers
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pause := 600*time.Millisecond + time.Duration(c.rng.Float64()*2.4*float64(time.Second))
@@ -256,33 +256,33 @@
 		v.served = false
 	}
 	switch {
-	case c.gone && v.manager%2 == 1: // a process that is gone tells nothing
+	case c.managersLost && v.manager%2 == 1: // a process that is gone tells nothing
 	case r.Kind == broker.ReplyServed:
 		v.served = true
-		if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossFor {
-			c.out.Served[v.class]++
+		if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossDuration {
+			c.result.Served[v.class]++
 		}
 	case r.Kind == broker.ReplyEnded && r.Cause != broker.CauseEnded && again, r.Kind == broker.ReplyRefused && again:
-		time.AfterFunc(max(r.RetryAfter, pause), v.ask)
+		time.AfterFunc(max(r.RetryAfter, pause), v.sendRequest)
 	}
 	return true
 }
 
-// lose ends the managers of the second site; their viewers come again elsewhere.
-func (c *lossCrowd) lose() {
+// loseManagers ends the managers of the second site; their viewers come again elsewhere.
+func (c *lossViewers) loseManagers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = true
-	for _, v := range c.stood {
+	c.managersLost = true
+	for _, v := range c.viewers {
 		if v.served && v.manager%2 == 1 && c.rng.Float64() < 0.9 {
 			v.served = false
-			time.AfterFunc(600*time.Millisecond+time.Duration(c.rng.Float64()*2.4*float64(time.Second)), v.ask)
+			time.AfterFunc(600*time.Millisecond+time.Duration(c.rng.Float64()*2.4*float64(time.Second)), v.sendRequest)
 		}
 	}
 }
 
-func (c *lossCrowd) comeBack() {
+func (c *lossViewers) restoreManagers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.gone = false
+	c.managersLost = false
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -54,25 +54,25 @@
 		if err != nil {
 			return
 		}
-		go n.talk(c)
+		go n.serveConn(c)
 	}
 }
 
-// line is a connection that several sessions write to.
-type line struct {
+// sharedConn is a connection that several sessions write to.
+type sharedConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
-func (l *line) send(b []byte) {
+func (l *sharedConn) send(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.Write(b) // a manager that is gone needs no answer
 }
 
-func (n *Node) talk(nc net.Conn) {
+func (n *Node) serveConn(nc net.Conn) {
 	defer nc.Close()
-	c := &line{Conn: nc}
+	c := &sharedConn{Conn: nc}
 	in := stream.NewReader(nc, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
@@ -85,7 +85,7 @@
 			n.setUp(c, session, string(m.Get("Call-Kind")), string(m.Body))
 		case "TEARDOWN":
 			n.Counts.WithLock(func(b *Counts) { b.Teardowns[session]++ })
-			c.send(reply(200, "2", session, ""))
+			c.send(buildResponse(200, "2", session, ""))
 		case "OPTIONS":
 			b := rtsp.AppendResponse(nil, 200, "OK")
 			b = rtsp.AppendHeader(b, "CSeq", string(m.Get("CSeq")))
@@ -95,7 +95,7 @@
 	}
 }
 
-func (n *Node) setUp(c *line, session, class, description string) {
+func (n *Node) setUp(c *sharedConn, session, class, description string) {
 	var v Response
 	n.Counts.WithLock(func(b *Counts) {
 		b.SetUps[session]++
@@ -110,12 +110,12 @@
 	}
 	act := func() {
 		if v.Status != 200 {
-			c.send(reply(v.Status, "1", session, ""))
+			c.send(buildResponse(v.Status, "1", session, ""))
 			return
 		}
-		c.send(reply(200, "1", session, "node;"+description))
+		c.send(buildResponse(200, "1", session, "node;"+description))
 		if v.SessionLength > 0 {
-			time.AfterFunc(v.SessionLength, func() { c.send(end(session)) })
+			time.AfterFunc(v.SessionLength, func() { c.send(buildTeardown(session)) })
 		}
 	}
 	if v.Delay > 0 {
@@ -125,14 +125,14 @@
 	act()
 }
 
-func reply(code int, seq, session, body string) []byte {
+func buildResponse(code int, seq, session, body string) []byte {
 	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", session)
 	return rtsp.AppendBody(b, []byte(body))
 }
 
-func end(session string) []byte {
+func buildTeardown(session string) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+session)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", session)
