--- a/example/medianode/main.go
+++ b/example/medianode/main.go
@@ -1,5 +1,5 @@
-// Command medianode is a toy media node to try millethinge with: it answers
-// every SETUP, and ends each session after a while. It plays nothing.
+// Command medianode is a stand-in media node to try millethinge with. It answers every SETUP and
+// ends each session after a while. It plays no media.
 package main
 
 import (
--- a/internal/fleettest/calls.go
+++ b/internal/fleettest/calls.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Metrics are what a manager reports of itself, counted from its process's start.
+// Metrics is the content of /metrics. The counters start with the process.
 type Metrics struct {
-	OK          map[string]int `json:"ok"` // by class
+	OK          map[string]int `json:"ok"` // by class, like Shed and Errors
 	Shed        map[string]int `json:"shed"`
 	Errors      map[string]int `json:"errors"`
 	Tries       int            `json:"tries"`
@@ -22,44 +22,45 @@
 	PoolEjected int            `json:"pool_ejected"`
 }
 
-// adminClient makes one call a connection, and waits for an answer for longer than it may
-// take: how late one is has to be seen.
+// adminClient uses one connection for each call. Its timeout exceeds the time that a call may take,
+// so that the lateness of an answer is measured.
 var adminClient = http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
 
-// callAdmin makes a call at an address. Status 0: none was answered; text says why.
+// callAdmin makes a call at an address. A status of 0 means that no answer came; text is then the
+// error.
 func callAdmin(addr, method, path string) (status int, text []byte, took time.Duration) {
 	began := time.Now()
 	fail := func(err error) (int, []byte, time.Duration) { return 0, []byte(err.Error()), time.Since(began) }
-	q, err := http.NewRequest(method, "http://"+addr+path, nil)
+	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	if err != nil {
 		return fail(err)
 	}
-	a, err := adminClient.Do(q)
+	response, err := adminClient.Do(request)
 	if err != nil {
 		return fail(err)
 	}
-	defer a.Body.Close()
-	if text, err = io.ReadAll(io.LimitReader(a.Body, 1<<20)); err != nil {
+	defer response.Body.Close()
+	if text, err = io.ReadAll(io.LimitReader(response.Body, 1<<20)); err != nil {
 		return fail(err)
 	}
-	return a.StatusCode, text, time.Since(began)
+	return response.StatusCode, text, time.Since(began)
 }
 
-// Call makes a call to a manager's newest process that is ready and records it. node is whom the
+// Call makes a call to a manager's newest ready process and records it. node is the node that the
 // call names, or empty.
 func (f *Fleet) Call(manager, method, path, node string) (status int, text []byte, err error) {
-	b := f.Managers[manager].adminProcess()
-	if b == nil || b.adminAddr == "" {
-		return 0, nil, fmt.Errorf("%s doesn't run, or has no address for calls", manager)
+	p := f.Managers[manager].adminProcess()
+	if p == nil || p.adminAddr == "" {
+		return 0, nil, fmt.Errorf("%s is not running, or has no address for operators' calls", manager)
 	}
-	status, text, took := callAdmin(b.adminAddr, method, path)
+	status, text, took := callAdmin(p.adminAddr, method, path)
 	f.Record.Add(Event{Kind: Called, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Took: took})
 	return status, text, nil
 }
 
-// SetNodeDisabled takes a node out at a manager by hand, or puts it back.
-func (f *Fleet) SetNodeDisabled(manager, node string, out bool) error {
-	what := map[bool]string{true: "disable", false: "enable"}[out]
+// SetNodeDisabled disables or enables a node at a manager by an operator override.
+func (f *Fleet) SetNodeDisabled(manager, node string, disabled bool) error {
+	what := map[bool]string{true: "disable", false: "enable"}[disabled]
 	status, text, err := f.Call(manager, "POST", "/media-servers/"+what+"?member="+f.Nodes[node].ID, node)
 	if err == nil && status/100 != 2 {
 		err = fmt.Errorf("%s of %s at %s: %d %s", what, node, manager, status, text)
@@ -67,32 +68,32 @@
 	return err
 }
 
-// scrapeMetrics fetches the figures of each process of a manager that has said it is ready.
+// scrapeMetrics fetches the metrics of each process of a manager that has reported ready.
 func (f *Fleet) scrapeMetrics(manager string) {
-	for b, owes := range f.Managers[manager].metricsProcesses() {
-		status, text, took := callAdmin(b.adminAddr, "GET", "/metrics")
+	for p, mustAnswer := range f.Managers[manager].metricsProcesses() {
+		status, text, took := callAdmin(p.adminAddr, "GET", "/metrics")
 		select {
-		case <-b.exited: // it owes no answer any more
+		case <-p.exited: // it need not answer any more
 			continue
 		default:
 		}
-		if status == 200 || owes {
+		if status == 200 || mustAnswer {
 			f.Record.Add(Event{Kind: Called, Manager: manager, Text: "GET /metrics", Cause: status, Took: took})
 		}
 		if status != 200 {
 			continue
 		}
-		var g Metrics
-		if err := json.Unmarshal(text, &g); err != nil {
+		var metrics Metrics
+		if err := json.Unmarshal(text, &metrics); err != nil {
 			f.Record.Add(Event{Kind: Called, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Took: took})
 			continue
 		}
-		f.Record.Add(Event{Kind: Figured, Manager: manager, Process: b.number, Took: took, Figures: &g})
+		f.Record.Add(Event{Kind: Figured, Manager: manager, Process: p.number, Took: took, Figures: &metrics})
 	}
 }
 
-// watchMetrics fetches a manager's figures each second, and more often while it has
-// two processes, so that little happens between the last look at one and its end.
+// watchMetrics fetches a manager's metrics each second, and five times as often while it has two
+// processes, so that little happens between the last fetch from a process and its end.
 func (f *Fleet) watchMetrics(manager string) {
 	for {
 		pause := time.Second
@@ -110,9 +111,9 @@
 	}
 }
 
-// StartStalledCallers keeps n callers at a manager that never finish a call, for 4 s each and then
-// again: of kind part (half a call), drip (a byte at a time) or body (60 MB that
-// nobody wants).
+// StartStalledCallers starts n callers that never complete a call to a manager. Each keeps its
+// connection for up to 4 s and then connects again. kind is part (half a request), drip (a byte at
+// a time) or body (a body of 60 MB that the call does not need).
 func (f *Fleet) StartStalledCallers(manager string, n int, kind string) {
 	for range n {
 		f.goroutines.Go(func() {
@@ -123,10 +124,10 @@
 				default:
 				}
 				began := time.Now()
-				if b := f.Managers[manager].newest(); b != nil {
-					f.stalledCall(b.adminAddr, kind)
+				if p := f.Managers[manager].newest(); p != nil {
+					f.stalledCall(p.adminAddr, kind)
 				}
-				select { // one that is refused doesn't ask again at once
+				select { // a caller that is refused does not connect again at once
 				case <-f.done:
 				case <-time.After(500*time.Millisecond - time.Since(began)):
 				}
@@ -135,7 +136,7 @@
 	}
 }
 
-// stalledCall is one such caller's connection.
+// stalledCall makes one connection of such a caller.
 func (f *Fleet) stalledCall(addr, kind string) {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
@@ -152,20 +153,20 @@
 	case "body":
 		pieces, gap = append([]string{head + "\r\nContent-Length: 60000000\r\n\r\n"}, slices.Repeat([]string{strings.Repeat("x", 60_000)}, 1000)...), 0
 	}
-	hung := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
-		defer close(hung)
-		io.Copy(io.Discard, c) // an answer, until the manager hangs up
+		defer close(closed)
+		io.Copy(io.Discard, c) // until the manager closes the connection
 	}()
-	for _, p := range pieces {
-		if _, err := io.WriteString(c, p); err != nil {
+	for _, piece := range pieces {
+		if _, err := io.WriteString(c, piece); err != nil {
 			return
 		}
 		if gap == 0 {
 			continue
 		}
 		select {
-		case <-hung:
+		case <-closed:
 			return
 		case <-f.done:
 			return
@@ -174,19 +175,19 @@
 	}
 }
 
-// Upgrade puts a second process of a manager in the place of the one that runs: it
-// waits for its yes, then the old one gets SIGTERM and, once the longest deadline and
-// 0.7 s have passed, SIGKILL; what stands then is handed on. With kill "old" or "new"
-// that one is killed so long after the second one's start.
+// Upgrade replaces the running process of a manager by a second one: it waits until the second one
+// reports ready, sends the first one SIGTERM and, once the longest deadline and 0.7 s have passed,
+// SIGKILL, and then reports the established sessions to the second one. With kill "old" or "new"
+// that process is killed the given time after the start of the second one.
 func (f *Fleet) Upgrade(manager, kill string, after time.Duration) error {
-	p := f.Managers[manager]
+	m := f.Managers[manager]
 	if kill == "old" {
-		time.AfterFunc(after, func() { f.Viewers.NoteReset(manager) }) // no set-up crosses a close, then
+		time.AfterFunc(after, func() { f.Viewers.NoteReset(manager) }) // the end of its connections is a fault, not an ordinary close
 	}
-	if err := p.StartSuccessor(kill, after); err != nil || kill == "new" {
+	if err := m.StartSuccessor(kill, after); err != nil || kill == "new" {
 		return err
 	}
 	f.scrapeMetrics(manager)
-	p.StopPredecessors(f.Config.Load.TimeLeft + 700*time.Millisecond)
+	m.StopPredecessors(f.Config.Load.TimeLeft + 700*time.Millisecond)
 	return f.Viewers.ReportEstablished(manager, func(name string) string { return f.Nodes[name].ID })
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -16,30 +16,31 @@
 	"millethinge/internal/rtsp"
 )
 
-// Hall is what stands in one place.
+// Hall is one data hall, the managers and media nodes of one zone.
 type Hall struct {
 	Name     string
 	Managers []string
 	Nodes    []string
 }
 
-// FleetConfig is a fleet before it stands.
+// FleetConfig says what a fleet consists of and how its parties behave.
 type FleetConfig struct {
 	Seed           uint64
 	Halls          []Hall
 	NodeModel      NodeModel
 	Load           Load
 	Terms          Terms
-	OperatorConfig string // text of the operator's file of each manager; empty: none
-	LogLevel       string // least level of the managers' logs
-	Sockets        int
-	Env            []string      // of each manager, beside what the platform sets
-	WaitTimeout    time.Duration // bounds what is waited for
-	Unlisted       []string      // nodes that the list doesn't name at the start
-	Admin          bool          // managers have an address for operators' calls, and viewers a front that asks who is ready
+	OperatorConfig string        // text of each manager's operator file; empty: no file
+	LogLevel       string        // minimum level of the managers' logs
+	Sockets        int           // descriptor limit in the platform's configuration; 0: 1024
+	Env            []string      // of each manager, in addition to what the platform sets
+	WaitTimeout    time.Duration // limit of WaitFor
+	Unlisted       []string      // nodes that are missing from the list at the start
+	Admin          bool          // managers get an address for operators' calls, and viewers poll whether a manager is ready
 }
 
-// Fleet is processes of the program with all that they talk to.
+// Fleet is a set of running managers with the stand-ins for all their peers: media nodes,
+// coordinators and viewers.
 type Fleet struct {
 	Config            FleetConfig
 	Record            *Record
@@ -48,51 +49,51 @@
 	Coordinators      map[string]*Coordinator
 	Viewers           *Viewers
 	NodeRelays        map[string]map[string]*Relay // by manager and node
-	CoordinatorRelays map[string]*Relay
-	ViewerRelays      map[string]*Relay // of viewers
+	CoordinatorRelays map[string]*Relay            // by manager
+	ViewerRelays      map[string]*Relay            // from viewers, by manager
 
 	mu          sync.Mutex
 	failures    []error
 	done        chan struct{}
 	goroutines  sync.WaitGroup
-	portHolders []int // sockets that hold the managers' ports
+	portHolders []int // sockets that reserve the managers' viewer ports
 }
 
-// managerMemoryMB is what a manager may hold of memory.
+// managerMemoryMB is the memory limit of a manager.
 const managerMemoryMB = 128
 
-// DefaultNodeModel is a small node that sets up quickly.
+// DefaultNodeModel describes a small node that answers set-ups quickly.
 var DefaultNodeModel = NodeModel{
 	LinkKB: 20_000, MaxStreams: 40, FullAtUtilization: 1.2, WarmUpTime: 3 * time.Second, StartCapacityShare: 0.2, RatesKB: []float64{170, 360, 770, 1600},
 	AnswerDelay: [2]time.Duration{5 * time.Millisecond, 25 * time.Millisecond}, SessionLength: [2]time.Duration{2 * time.Second, 5 * time.Second},
 	ConnIdleTimeout: 10 * time.Second, StreamsPerConn: 8, BilledClasses: map[string]bool{"clip": true},
 }
 
-// New builds a fleet whose processes run the program at binary, with their files
-// below folder, and starts it. It is to be closed also where an error is returned.
-func New(p FleetConfig, binary, folder string) (*Fleet, error) {
-	f := &Fleet{Config: p, Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
+// New builds and starts a fleet whose managers run the program at binary and keep their files below
+// folder. The caller must close the fleet even when New returns an error.
+func New(config FleetConfig, binary, folder string) (*Fleet, error) {
+	f := &Fleet{Config: config, Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
 		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
-	addr, halls := map[string]string{}, map[string][]string{}
+	viewerAddrs, managersByHall := map[string]string{}, map[string][]string{}
 	cell := 0
-	for _, h := range p.Halls {
-		halls[h.Name] = h.Managers
+	for _, h := range config.Halls {
+		managersByHall[h.Name] = h.Managers
 		for _, name := range h.Nodes {
-			f.Nodes[name] = NewNode(name, "s-"+name, h.Name, cell, p.NodeModel, p.Seed, f.Record)
+			f.Nodes[name] = NewNode(name, "s-"+name, h.Name, cell, config.NodeModel, config.Seed, f.Record)
 			cell++
 		}
 	}
-	for _, h := range p.Halls {
+	for _, h := range config.Halls {
 		for _, m := range h.Managers {
 			if err := f.addManager(m, h.Name, binary, folder); err != nil {
 				return f, err
 			}
-			addr[m] = f.ViewerRelays[m].Addr()
+			viewerAddrs[m] = f.ViewerRelays[m].Addr()
 		}
 	}
-	f.Viewers = NewViewers(&Viewers{Record: f.Record, ManagerAddrs: addr, ManagersByHall: halls, BilledClasses: p.NodeModel.BilledClasses, Load: p.Load, TitleCopies: len(f.Nodes)}, p.Seed)
+	f.Viewers = NewViewers(&Viewers{Record: f.Record, ManagerAddrs: viewerAddrs, ManagersByHall: managersByHall, BilledClasses: config.NodeModel.BilledClasses, Load: config.Load, TitleCopies: len(f.Nodes)}, config.Seed)
 	errs := make(chan error, len(f.Managers))
-	for _, m := range f.Managers { // together: they start side by side
+	for _, m := range f.Managers { // the managers of a fleet start concurrently
 		go func() { errs <- m.Start() }()
 	}
 	var err error
@@ -100,7 +101,7 @@
 		err = cmp.Or(err, <-errs)
 	}
 	f.goroutines.Go(f.announceShortfalls)
-	if p.Admin && err == nil {
+	if config.Admin && err == nil {
 		f.goroutines.Go(func() { f.Viewers.pollReadiness(f.done) })
 		for m := range f.Managers {
 			f.goroutines.Go(func() { f.watchMetrics(m) })
@@ -109,10 +110,10 @@
 	return f, err
 }
 
-// addManager makes one manager, not yet started, with its relays and its list.
+// addManager creates one manager with its relays and its coordinator, without starting it.
 func (f *Fleet) addManager(name, hall, binary, folder string) error {
 	f.NodeRelays[name] = map[string]*Relay{}
-	var members []ListEntry
+	var entries []ListEntry
 	for _, n := range f.nodeNames() {
 		node := f.Nodes[n]
 		if err := node.Listen(name); err != nil {
@@ -126,43 +127,43 @@
 		r.OnData = f.recordMessages(name, n)
 		f.NodeRelays[name][n] = r
 		if !slices.Contains(f.Config.Unlisted, n) {
-			members = append(members, f.listEntry(name, n, phaseInService))
+			entries = append(entries, f.listEntry(name, n, phaseInService))
 			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: phaseInService})
 		}
 	}
-	list, err := NewCoordinator(members)
+	coordinator, err := NewCoordinator(entries)
 	if err != nil {
 		return err
 	}
-	f.Coordinators[name] = list
-	if f.CoordinatorRelays[name], err = NewRelay(func() (net.Conn, error) { return net.Dial("tcp4", list.Addr()) }); err != nil {
+	f.Coordinators[name] = coordinator
+	if f.CoordinatorRelays[name], err = NewRelay(func() (net.Conn, error) { return net.Dial("tcp4", coordinator.Addr()) }); err != nil {
 		return err
 	}
-	own := filepath.Join(folder, name)
-	if err := os.MkdirAll(own, 0o700); err != nil {
+	dir := filepath.Join(folder, name)
+	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	p := &Manager{Name: name, Binary: binary, Dir: own, OperatorConfig: f.Config.OperatorConfig, LogLevel: f.Config.LogLevel, Env: f.Config.Env, KnownUpdates: list.KnownUpdates,
+	m := &Manager{Name: name, Binary: binary, Dir: dir, OperatorConfig: f.Config.OperatorConfig, LogLevel: f.Config.LogLevel, Env: f.Config.Env, KnownUpdates: coordinator.KnownUpdates,
 		Record: f.Record, OnUnexpectedExit: f.reportFailure, Config: f.managerConfig(name, hall)}
-	f.Managers[name] = p
+	f.Managers[name] = m
 	if f.Config.Admin {
 		fd, addr, err := holdPort()
 		if err != nil {
 			return err
 		}
-		f.portHolders, p.Config["listen"], p.NewAdminAddr = append(f.portHolders, fd), addr, freeAdminAddr
+		f.portHolders, m.Config["listen"], m.NewAdminAddr = append(f.portHolders, fd), addr, freeAdminAddr
 	}
 	f.ViewerRelays[name], err = NewRelay(func() (net.Conn, error) {
-		if a := p.Addr(); a != "" {
+		if a := m.Addr(); a != "" {
 			return net.Dial("tcp4", a)
 		}
-		return nil, fmt.Errorf("%s doesn't run", name)
+		return nil, fmt.Errorf("%s is not running", name)
 	})
 	return err
 }
 
-// freeAdminAddr is a free address. It is not of 127.0.0.1, where a connection might take
-// the port before the manager does.
+// freeAdminAddr returns a free address. It is outside 127.0.0.1, where an outgoing connection could
+// be given the port before the manager binds it.
 func freeAdminAddr() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.9:0")
 	if err != nil {
@@ -172,7 +173,7 @@
 	return l.Addr().String(), nil
 }
 
-// managerConfig is the platform's configuration of a manager.
+// managerConfig returns a manager's configuration as the platform writes it.
 func (f *Fleet) managerConfig(name, hall string) map[string]any {
 	m, zones := f.Config.NodeModel, []string{}
 	zone, managers, racks := 0, 0, 0
@@ -220,16 +221,17 @@
 	return m
 }
 
-// recordMessages returns what reads a manager's messages to a node on their way.
+// recordMessages returns a callback for Relay.OnData that records the RTSP messages of a manager to
+// a node, and for each connection that ends the set-ups sent on it.
 func (f *Fleet) recordMessages(manager, node string) func(int, Direction, []byte) {
 	var mu sync.Mutex
 	type stream struct {
 		rest []byte
-		ids  []string // of the set-ups that went on it
+		ids  []string // of the set-ups sent on it
 	}
 	streams := map[int]*stream{}
-	return func(conn int, way Direction, b []byte) {
-		if way != ToTarget {
+	return func(conn int, direction Direction, b []byte) {
+		if direction != ToTarget {
 			return
 		}
 		mu.Lock()
@@ -249,8 +251,8 @@
 		s.rest = append(s.rest, b...)
 		var m rtsp.Message
 		for {
-			n, err := rtsp.Parse(s.rest, &m)
-			if err != nil || n == 0 {
+			size, err := rtsp.Parse(s.rest, &m)
+			if err != nil || size == 0 {
 				return
 			}
 			id := string(m.Get("Session"))
@@ -261,12 +263,12 @@
 			case "TEARDOWN":
 				f.Record.Add(Event{Kind: Withdrawn, Manager: manager, Node: node, ID: id})
 			}
-			s.rest = s.rest[n:]
+			s.rest = s.rest[size:]
 		}
 	}
 }
 
-// announceShortfalls has nodes tell of short delivery each second.
+// announceShortfalls has the nodes announce short delivery once a second.
 func (f *Fleet) announceShortfalls() {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -288,14 +290,15 @@
 	f.failures = append(f.failures, err)
 }
 
-// Failures are the ends of managers that nobody asked for.
+// Failures returns the unexpected exits of managers and the failures of steps that run in the
+// background.
 func (f *Fleet) Failures() []error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.failures)
 }
 
-// Close ends all of it, whatever state it is in.
+// Close stops all parties, whatever state they are in.
 func (f *Fleet) Close() {
 	select {
 	case <-f.done:
@@ -340,11 +343,13 @@
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Group is parties of a fleet: managers, nodes, lists and the viewers of managers.
+// Group is a set of parties of a fleet: managers, nodes, the coordinators of managers, and the
+// viewers of managers.
 type Group struct{ managers, nodes, lists, viewers []string }
 
-// Find returns what names name: a hall, a manager, a node, or managers, nodes,
-// lists, viewers, each also behind a hall's or a manager's name as in "a.nodes".
+// Find resolves names to a Group. A name is a hall, a manager, a node, or one of managers, nodes,
+// lists, viewers and all; the first four may also follow the name of a hall or a manager, as in
+// "a.nodes".
 func (f *Fleet) Find(names ...string) (g Group, err error) {
 	for _, name := range names {
 		place, kind, _ := strings.Cut(name, ".")
@@ -363,7 +368,7 @@
 		default:
 			i := slices.IndexFunc(f.Config.Halls, func(h Hall) bool { return h.Name == place })
 			if i < 0 {
-				return g, fmt.Errorf("%q is no hall, manager, node, managers, nodes, lists or viewers", name)
+				return g, fmt.Errorf("%q is not a hall, manager or node, nor one of managers, nodes, lists, viewers and all", name)
 			}
 			managers, nodes = f.Config.Halls[i].Managers, f.Config.Halls[i].Nodes
 		}
@@ -376,22 +381,22 @@
 			g.lists = append(g.lists, managers...)
 		case "viewers":
 			g.viewers = append(g.viewers, managers...)
-		case "", "all": // a hall: what stands in it, with its viewers
+		case "", "all": // a hall: its managers and nodes, and the viewers of its managers
 			g.managers, g.nodes, g.viewers = append(g.managers, managers...), append(g.nodes, nodes...), append(g.viewers, managers...)
 		default:
-			return g, fmt.Errorf("%q: %q is not managers, nodes, lists or viewers", name, kind)
+			return g, fmt.Errorf("%q: %q is not one of managers, nodes, lists and viewers", name, kind)
 		}
 	}
 	return g, nil
 }
 
-// eachRelay calls f for each relay between a and b, with the direction that leads
-// from a to b and the manager whose viewers it carries, if it does.
+// eachRelay calls do for each relay between a and b, with the direction that leads from a to b.
+// viewersOf is the manager if the relay carries its viewers, or empty.
 func (f *Fleet) eachRelay(a, b Group, do func(r *Relay, from Direction, viewersOf string)) {
 	for i, pair := range [][2]Group{{a, b}, {b, a}} {
 		out, back := ToTarget, FromTarget
 		if i == 1 {
-			out, back = FromTarget, ToTarget // the side that connects is b's
+			out, back = FromTarget, ToTarget // b's side opens the connections
 		}
 		for _, m := range pair[0].managers {
 			for _, n := range pair[1].nodes {
@@ -407,8 +412,7 @@
 	}
 }
 
-// Cut holds all that passes between two groups, or with oneWay only what goes from
-// a to b.
+// Cut holds everything that passes between two groups, or with oneWay only what goes from a to b.
 func (f *Fleet) Cut(a, b Group, oneWay bool) {
 	f.eachRelay(a, b, func(r *Relay, from Direction, viewersOf string) {
 		if viewersOf != "" {
@@ -432,7 +436,7 @@
 	})
 }
 
-// Reset breaks what is open between two groups.
+// Reset resets the open connections between two groups.
 func (f *Fleet) Reset(a, b Group) {
 	f.eachRelay(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		if viewersOf != "" {
@@ -446,14 +450,14 @@
 	})
 }
 
-// All is everything.
+// All returns the group of all parties.
 func (f *Fleet) All() Group {
 	g := Group{managers: sortedKeys(f.Managers), nodes: f.nodeNames()}
 	g.lists, g.viewers = g.managers, g.managers
 	return g
 }
 
-// SetNodePhase tells the lists of managers of a node's state.
+// SetNodePhase updates the phase of a node on the lists of some managers.
 func (f *Fleet) SetNodePhase(managers []string, node, phase string) {
 	for _, m := range managers {
 		f.Coordinators[m].Update(f.listEntry(m, node, phase), func() {
@@ -462,7 +466,7 @@
 	}
 }
 
-// KillNode ends a node's process: connects are refused, and what was open is reset.
+// KillNode simulates the crash of a node: its open connections are reset and new ones are refused.
 func (f *Fleet) KillNode(name string) {
 	for _, l := range f.NodeRelays {
 		l[name].Refuse()
@@ -470,7 +474,7 @@
 	f.Nodes[name].Kill()
 }
 
-// StartNode starts a node's process again, cold, under its address.
+// StartNode starts a killed node again, cold and at the same address.
 func (f *Fleet) StartNode(name string) error {
 	f.Nodes[name].Start()
 	for _, l := range f.NodeRelays {
@@ -481,7 +485,8 @@
 	return nil
 }
 
-// WaitFor holds until what was recorded fulfils ready, or gives up.
+// WaitFor blocks until ready returns true, which is checked at each recorded event and every 20 ms.
+// After Config.WaitTimeout it returns an error that names what was waited for.
 func (f *Fleet) WaitFor(what string, ready func() bool) error {
 	deadline := time.Now().Add(f.Config.WaitTimeout)
 	for {
@@ -499,7 +504,7 @@
 	}
 }
 
-// EstablishedSessions is how many sessions play at nodes, of all managers.
+// EstablishedSessions returns how many sessions the nodes play, of all managers.
 func (f *Fleet) EstablishedSessions() (n int) {
 	for _, node := range f.Nodes {
 		n += node.EstablishedSessions()
--- a/internal/fleettest/front.go
+++ b/internal/fleettest/front.go
@@ -10,75 +10,76 @@
 	"time"
 )
 
-// Times of the platform's front.
+// Times of the platform's load balancer, which the viewers follow.
 const (
-	readyPollInterval  = 100 * time.Millisecond // whether a manager is ready
-	rerouteDelay       = 200 * time.Millisecond // to send new connections after a no
-	unreachableTimeout = 2 * time.Second        // without a word a manager counts as dead
-	connIdleTime       = 500 * time.Millisecond // a connection with nothing open counts as idle: 0.2 s, and what a busy machine adds
-	recentRequestAge   = 2 * time.Second        // a request counts as of late
+	readyPollInterval  = 100 * time.Millisecond // between two readiness requests to a manager
+	rerouteDelay       = 200 * time.Millisecond // after a manager stops being ready, during which new connections still go to it
+	unreachableTimeout = 2 * time.Second        // without an answer, after which a manager counts as not ready
+	connIdleTime       = 500 * time.Millisecond // without open set-ups and sessions, after which a connection counts as idle: 0.2 s and a margin for a busy machine
+	recentRequestAge   = 2 * time.Second        // up to which a request counts as recent
 )
 
-// pollReadiness asks each manager whether it takes viewers, and has new connections go
-// elsewhere while one does not. It records what it hears and what viewers hold.
-func (c *Viewers) pollReadiness(done <-chan struct{}) {
-	for m, addr := range c.ManagerAddrs {
-		c.goroutines.Go(func() {
-			word := time.Now()
+// pollReadiness polls each manager whether it takes viewers, so that new connections avoid those
+// that do not. It records the answers and what connections the viewers hold.
+func (vs *Viewers) pollReadiness(done <-chan struct{}) {
+	for m, addr := range vs.ManagerAddrs {
+		vs.goroutines.Go(func() {
+			lastAnswer := time.Now()
 			tick := time.NewTicker(readyPollInterval)
 			defer tick.Stop()
 			for {
 				select {
 				case <-done:
 					return
-				case <-c.stop:
+				case <-vs.stop:
 					return
 				case <-tick.C:
 				}
-				heard, ready := pingReady(addr)
+				answered, ready := pingReady(addr)
 				now := time.Now()
-				if heard {
-					word = now
+				if answered {
+					lastAnswer = now
 				}
-				c.mu.Lock()
-				switch _, refuses := c.notReadySince[m]; {
+				vs.mu.Lock()
+				switch _, notReady := vs.notReadySince[m]; {
 				case ready:
-					delete(c.notReadySince, m)
-				case !refuses && (heard || now.Sub(word) > unreachableTimeout):
-					c.notReadySince[m] = now
+					delete(vs.notReadySince, m)
+				case !notReady && (answered || now.Sub(lastAnswer) > unreachableTimeout):
+					vs.notReadySince[m] = now
 				}
 				e := Event{Kind: Fronted, Manager: m, Ready: ready}
-				for _, v := range c.conns[m] {
+				for _, v := range vs.conns[m] {
 					if v.closed {
 						continue
 					}
 					if len(v.openSetUps) == 0 && v.established == 0 && now.Sub(v.lastUsedAt) > connIdleTime {
 						e.Idle++
 					}
-					if c.hasRecentRequest(v, now) {
+					if vs.hasRecentRequest(v, now) {
 						e.Fresh++
 					}
 				}
-				c.mu.Unlock()
-				c.Record.Add(e)
+				vs.mu.Unlock()
+				vs.Record.Add(e)
 			}
 		})
 	}
 }
 
-// hasRecentRequest tells, with the lock held, whether a connection holds a request of late. One
-// that was refused counts as none, and one that is just on its way may be.
-func (c *Viewers) hasRecentRequest(v *viewerConn, now time.Time) bool {
+// hasRecentRequest reports whether a connection carries a recent request. A request that was
+// refused does not count, nor does an unanswered one that is younger than readyPollInterval, which
+// may still be refused. vs.mu must be held.
+func (vs *Viewers) hasRecentRequest(v *viewerConn, now time.Time) bool {
 	for id := range v.openSetUps {
-		if age := now.Sub(c.requests[id].sentAt); age > readyPollInterval && age < recentRequestAge {
+		if age := now.Sub(vs.requests[id].sentAt); age > readyPollInterval && age < recentRequestAge {
 			return true
 		}
 	}
 	return now.Sub(v.lastTakenAt) < recentRequestAge
 }
 
-// pingReady asks once, on a connection of its own.
-func pingReady(addr string) (heard, ready bool) {
+// pingReady asks once, on a connection of its own, whether a manager is ready.
+func pingReady(addr string) (answered, ready bool) {
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
 	if err != nil {
 		return false, false
@@ -94,18 +95,18 @@
 	return true, m.Cause == 1
 }
 
-// acceptsConns tells, with the lock held, whether new connections go to a manager.
-func (c *Viewers) acceptsConns(manager string) bool {
-	since, refuses := c.notReadySince[manager]
-	return !refuses || time.Since(since) < rerouteDelay
+// acceptsConns reports whether new connections go to a manager. vs.mu must be held.
+func (vs *Viewers) acceptsConns(manager string) bool {
+	since, notReady := vs.notReadySince[manager]
+	return !notReady || time.Since(since) < rerouteDelay
 }
 
-// pickAccepting is, with the lock held, a manager for what can't go to one: of its hall or
-// of any, and that one where none takes viewers.
-func (c *Viewers) pickAccepting(hall, manager string) string {
+// pickAccepting returns a manager for a set-up that cannot go to the given one: one of its hall,
+// else of any hall, else the given one if none accepts viewers. vs.mu must be held.
+func (vs *Viewers) pickAccepting(hall, manager string) string {
 	for _, h := range []string{hall, ""} {
 		for range 20 {
-			if m := c.pickManager(h); c.acceptsConns(m) {
+			if m := vs.pickManager(h); vs.acceptsConns(m) {
 				return m
 			}
 		}
@@ -113,31 +114,31 @@
 	return manager
 }
 
-// ReportEstablished tells a manager by set-ups with `at` what stands of its sessions, as is done
-// once the process that had them is gone. id is a node's on the list.
-func (c *Viewers) ReportEstablished(manager string, id func(node string) string) error {
-	v, err := c.dial(manager)
+// ReportEstablished sends a manager set-ups with the extra `at` for its established sessions, as
+// the platform does once the process that held them has ended. id returns a node's id on the list.
+func (vs *Viewers) ReportEstablished(manager string, id func(node string) string) error {
+	v, err := vs.dial(manager)
 	if v == nil || err != nil {
 		return err
 	}
-	c.mu.Lock()
+	vs.mu.Lock()
 	var all []byte
-	for s, a := range c.requests {
-		if a.manager != manager || !a.served || a.over {
+	for s, r := range vs.requests {
+		if r.manager != manager || !r.served || r.over {
 			continue
 		}
 		line, _ := json.Marshal(map[string]any{"type": "setup", "id": s, "fields": map[string]string{
-			"class": a.class, "left": strconv.FormatInt(c.Load.TimeLeft.Milliseconds(), 10), "key": a.key,
-			"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s;at:%s", c.TitleCopies, s, id(a.node))}, "sdp": "c=" + s + "\r\n"})
+			"class": r.class, "left": strconv.FormatInt(vs.Load.TimeLeft.Milliseconds(), 10), "key": r.key,
+			"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s;at:%s", vs.TitleCopies, s, id(r.node))}, "sdp": "c=" + s + "\r\n"})
 		all = append(append(all, line...), '\n')
-		v.addEstablished(a)
+		v.addEstablished(r)
 	}
-	c.mu.Unlock()
+	vs.mu.Unlock()
 	_, err = v.Write(all)
 	return err
 }
 
-// nodeOfDescription is the node that made a description.
+// nodeOfDescription returns the node that made a session description.
 func nodeOfDescription(sdp string) string {
 	node, _, _ := strings.Cut(sdp, ";")
 	return node
--- a/internal/fleettest/list.go
+++ b/internal/fleettest/list.go
@@ -16,7 +16,7 @@
 	phaseTerminated  = "terminated"
 )
 
-// ListEntry is one line of the list.
+// ListEntry is one media node of the list.
 type ListEntry struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
@@ -28,141 +28,148 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
+// listEndpoints is the content of one update: entries that replace those of the same id, or with
+// Complete the whole list.
 type listEndpoints struct {
 	Revision int         `json:"revision"`
 	Complete bool        `json:"complete"`
 	Members  []ListEntry `json:"members"`
 }
 
+// listUpdate is one numbered update.
 type listUpdate struct {
 	Index     int            `json:"index"`
 	Endpoints *listEndpoints `json:"endpoints"`
 }
 
+// listUpdates is the answer to a poll: the updates after the requested index.
 type listUpdates struct {
 	Index   int          `json:"index"`
 	Updates []listUpdate `json:"updates"`
 }
 
-// Coordinator is the coordinator as one manager sees it. Each manager has its own, so that
-// a list may be late, wrong or silent for some.
+// Coordinator is the coordinator as one manager sees it. Each manager has one of its own, so that
+// the list can be late, wrong or unavailable for some managers only.
 type Coordinator struct {
 	mu       sync.Mutex
-	history  listUpdates
-	changed  chan struct{}
-	delay    time.Duration
-	silent   bool
+	history  listUpdates   // all updates so far
+	changed  chan struct{} // closed and replaced at each change
+	delay    time.Duration // of updates
+	silent   bool          // polls are not answered
 	listener net.Listener
 	server   *http.Server
 	done     chan struct{}
 }
 
-// NewCoordinator returns a list that holds members from its start.
-func NewCoordinator(members []ListEntry) (*Coordinator, error) {
+// NewCoordinator returns a running coordinator whose first update lists entries.
+func NewCoordinator(entries []ListEntry) (*Coordinator, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &Coordinator{changed: make(chan struct{}), listener: l, done: make(chan struct{})}
-	c.appendUpdate(&listEndpoints{Complete: true, Members: members})
+	coordinator := &Coordinator{changed: make(chan struct{}), listener: l, done: make(chan struct{})}
+	coordinator.appendUpdate(&listEndpoints{Complete: true, Members: entries})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v2/stream", c.serveStream)
-	c.server = &http.Server{Handler: mux}
+	mux.HandleFunc("GET /v2/stream", coordinator.serveStream)
+	coordinator.server = &http.Server{Handler: mux}
 	go func() {
-		c.server.Serve(l)
-		close(c.done)
+		coordinator.server.Serve(l)
+		close(coordinator.done)
 	}()
-	return c, nil
+	return coordinator, nil
 }
 
-// Addr is where it answers.
-func (l *Coordinator) Addr() string { return l.listener.Addr().String() }
+// Addr returns the address at which the coordinator answers.
+func (c *Coordinator) Addr() string { return c.listener.Addr().String() }
 
-// Close ends it.
-func (l *Coordinator) Close() {
-	l.server.Close()
-	<-l.done
+// Close stops the coordinator.
+func (c *Coordinator) Close() {
+	c.server.Close()
+	<-c.done
 }
 
-// SetDelay has what changes from now on be told so much later.
-func (l *Coordinator) SetDelay(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.delay = d
+// SetDelay delays updates that are made from now on.
+func (c *Coordinator) SetDelay(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.delay = d
 }
 
-// SetSilent has polls stay open and unanswered, or ends that.
-func (l *Coordinator) SetSilent(on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.silent = on
-	l.notifyChanged()
+// SetSilent sets whether polls stay open without an answer.
+func (c *Coordinator) SetSilent(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent = on
+	c.notifyChanged()
 }
 
-// Update tells of a change, at once or as late as the list is. told runs when it is
-// there for the manager to read.
-func (l *Coordinator) Update(m ListEntry, told func()) {
-	l.mu.Lock()
-	late := l.delay
-	l.mu.Unlock()
+// Update publishes the state of a node, after the delay that SetDelay set. told is called when the
+// manager can read it.
+func (c *Coordinator) Update(entry ListEntry, told func()) {
+	c.mu.Lock()
+	delay := c.delay
+	c.mu.Unlock()
 	do := func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.appendUpdate(&listEndpoints{Members: []ListEntry{m}})
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.appendUpdate(&listEndpoints{Members: []ListEntry{entry}})
 		told()
 	}
-	if late > 0 {
-		time.AfterFunc(late, do)
+	if delay > 0 {
+		time.AfterFunc(delay, do)
 		return
 	}
 	do()
 }
 
-// appendUpdate is called with the lock held, or before the list is used.
-func (l *Coordinator) appendUpdate(e *listEndpoints) {
-	l.history.Index++
-	e.Revision = l.history.Index
-	l.history.Updates = append(l.history.Updates, listUpdate{l.history.Index, e})
-	l.notifyChanged()
+// appendUpdate appends to the history. l.mu must be held, unless the coordinator is not in use yet.
+func (c *Coordinator) appendUpdate(e *listEndpoints) {
+	c.history.Index++
+	e.Revision = c.history.Index
+	c.history.Updates = append(c.history.Updates, listUpdate{c.history.Index, e})
+	c.notifyChanged()
 }
 
-func (l *Coordinator) notifyChanged() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+// notifyChanged wakes open polls. l.mu must be held.
+func (c *Coordinator) notifyChanged() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// KnownUpdates is what a manager that starts now is told.
-func (l *Coordinator) KnownUpdates() listUpdates {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return listUpdates{l.history.Index, append([]listUpdate(nil), l.history.Updates...)}
+// KnownUpdates returns the list that a starting manager is given in its configuration.
+func (c *Coordinator) KnownUpdates() listUpdates {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return listUpdates{c.history.Index, append([]listUpdate(nil), c.history.Updates...)}
 }
 
-func (l *Coordinator) serveStream(w http.ResponseWriter, r *http.Request) {
+// serveStream answers a long poll: at once if there are updates after the index that the manager
+// has, else after the next update or the requested waiting time, of at most 5 s.
+func (c *Coordinator) serveStream(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("follow"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	until := time.After(time.Duration(min(max(ms, 0), 5000)) * time.Millisecond)
 	var out listUpdates
 	for waiting := true; waiting; {
-		l.mu.Lock()
-		out = listUpdates{Index: l.history.Index, Updates: []listUpdate{}}
-		for _, u := range l.history.Updates {
+		c.mu.Lock()
+		out = listUpdates{Index: c.history.Index, Updates: []listUpdate{}}
+		for _, u := range c.history.Updates {
 			if u.Index > after {
 				out.Updates = append(out.Updates, u)
 			}
 		}
-		changed, silent := l.changed, l.silent
-		l.mu.Unlock()
+		changed, silent := c.changed, c.silent
+		c.mu.Unlock()
 		if len(out.Updates) > 0 && !silent {
 			break
 		}
-		var late <-chan time.Time
+		var timeout <-chan time.Time
 		if !silent {
-			late = until
+			timeout = until
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -174,5 +181,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(b) // a manager that is gone asks again
+	w.Write(b) // a manager whose connection broke polls again
 }
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// MembershipFleet is managers that tell each other who is there, each pair through relays of
-// Peers. They have a list, and nobody to serve. What each has in view is read from its
-// log: nothing else shows it.
+// MembershipFleet is a fleet of managers that exchange membership, each pair through the relays of
+// Network. They have media nodes on their list, and no viewers. The view of each is read from its
+// log, which is the only place that shows it.
 type MembershipFleet struct {
 	*Fleet
 	Network      *PeerNetwork
 	ManagerNames []string
-	Timings      []string // what was settled, and after how long
+	Timings      []string // what AwaitView waited for, and for how long
 }
 
-// NewMembershipFleet builds such a fleet and starts it. It is to be closed also where an error
-// is returned.
+// NewMembershipFleet builds and starts such a fleet. The caller must close it even when an error is
+// returned.
 func NewMembershipFleet(halls []Hall, seed uint64, binary, folder string) (*MembershipFleet, error) {
 	f := &Fleet{Config: FleetConfig{Seed: seed, Halls: halls, NodeModel: DefaultNodeModel, Load: Load{TimeLeft: 3 * time.Second}, Terms: DefaultTerms, WaitTimeout: 2 * patience},
 		Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
 		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
 	m := &MembershipFleet{Fleet: f}
-	named := "members"
+	membersLine := "members"
 	for i, h := range halls {
 		for _, n := range h.Nodes {
 			f.Nodes[n] = NewNode(n, "s-"+n, h.Name, i, f.Config.NodeModel, seed, f.Record)
 		}
 		for _, name := range h.Managers {
 			m.ManagerNames = append(m.ManagerNames, name)
-			named += " " + name + " " + h.Name
+			membersLine += " " + name + " " + h.Name
 		}
 	}
 	key := filepath.Join(folder, "key")
@@ -50,8 +50,8 @@
 			if err := f.addManager(name, h.Name, binary, folder); err != nil {
 				return m, err
 			}
-			text := "fleet {\n" + named + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
-			// They tell of addresses at which nobody is, and reach each other at relays.
+			text := "fleet {\n" + membersLine + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
+			// The managers announce addresses at which nobody listens, and reach each other at the relays.
 			text += fmt.Sprintf("address 127.0.0.1:%d\n", 1+slices.Index(m.ManagerNames, name))
 			for _, to := range m.ManagerNames {
 				if to != name {
@@ -76,19 +76,19 @@
 	}
 	l, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == "listening" })
 	if !ok {
-		return fmt.Errorf("fleettest: %s does not say where it listens for others", name)
+		return fmt.Errorf("fleettest: %s has not logged where it listens for other managers", name)
 	}
 	m.Network.SetListenAddrs(name, l.Listen, l.Listen)
 	return nil
 }
 
-// Kill ends a manager at once.
+// Kill kills a manager.
 func (m *MembershipFleet) Kill(name string) error {
 	m.Network.SetListenAddrs(name, "", "")
 	return m.Managers[name].Kill()
 }
 
-// membershipLogLine is a line of a manager's log about its fleet.
+// membershipLogLine is a line of a manager's log about membership.
 type membershipLogLine struct {
 	Logger, What, Member, Listen string
 	View                         int64
@@ -96,7 +96,7 @@
 	Alone                        bool
 }
 
-// lastLogged is the last such line that fits.
+// lastLogged returns the last such line of a manager that matches fits.
 func (m *MembershipFleet) lastLogged(name string, fits func(membershipLogLine) bool) (last membershipLogLine, ok bool) {
 	for _, line := range slices.Backward(m.Managers[name].Log()) {
 		var l membershipLogLine
@@ -107,14 +107,14 @@
 	return membershipLogLine{}, false
 }
 
-// HasLogged tells whether a manager has logged an event of a member.
+// HasLogged reports whether a manager has logged an event of a member.
 func (m *MembershipFleet) HasLogged(name, what, of string) bool {
 	_, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == what && l.Member == of })
 	return ok
 }
 
-// AwaitView waits until the last view that each of who has logged is of want alone, and
-// tells of each whether it is alone.
+// AwaitView waits until the last view that each manager of who has logged consists of exactly want
+// and has the given value of alone. what names the step in errors and Timings.
 func (m *MembershipFleet) AwaitView(what string, alone bool, who []string, want ...string) error {
 	views, began := "", time.Now()
 	err := m.WaitFor(what, func() bool {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// Close ends all of it.
+// Close stops all parties and the relays between managers.
 func (m *MembershipFleet) Close() {
 	m.Fleet.Close()
 	if m.Network != nil {
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -14,27 +14,27 @@
 	"millethinge/internal/stream"
 )
 
-// NodeModel is what media nodes are like.
+// NodeModel describes how media nodes behave.
 type NodeModel struct {
-	LinkKB             float64       // a second, at full warmth
-	MaxStreams         int           // streams at most
-	FullAtUtilization  float64       // refuses as full at this use of its link
-	WarmUpTime         time.Duration // until a node that started late is warm
-	StartCapacityShare float64       // of its link and pace that is warm at the start
-	RatesKB            []float64     // of the ladder
-	AnswerDelay        [2]time.Duration
-	SessionLength      [2]time.Duration // of sessions
-	ConnIdleTimeout    time.Duration    // after which it closes a connection
+	LinkKB             float64          // kB/s, of a node that is warm
+	MaxStreams         int              // concurrent sessions
+	FullAtUtilization  float64          // link utilization from which set-ups are refused as full
+	WarmUpTime         time.Duration    // from a start until the whole capacity is available
+	StartCapacityShare float64          // share of the link and of the set-up rate that is available at a start
+	RatesKB            []float64        // kB/s by rung of the rate ladder
+	AnswerDelay        [2]time.Duration // least and most time from a SETUP to its answer
+	SessionLength      [2]time.Duration // least and most
+	ConnIdleTimeout    time.Duration    // a connection without messages is closed after it
 	StreamsPerConn     int              // set-ups that may be open on one connection
-	BilledClasses      map[string]bool  // classes that are billed
+	BilledClasses      map[string]bool  // classes whose set-ups are billed
 }
 
-// Node is a stand-in media node. It serves each manager at a listener of its own,
-// so that it knows whose each connection is.
+// Node is a stand-in media node. It has one listener for each manager, which tells it to which
+// manager a connection belongs.
 type Node struct {
-	Name, ID, Hall string // ID is the list's
+	Name, ID, Hall string // ID is the one on the list
 	Cell           int
-	Addrs          map[string]string // where its listener for each manager is
+	Addrs          map[string]string // of the listeners, by manager
 
 	model  NodeModel
 	seed   uint64
@@ -44,11 +44,11 @@
 	running     bool
 	cold        bool
 	startedAt   time.Time
-	hangEnded   chan struct{} // it stands still until this is closed
-	failShare   float64       // share of set-ups that it fails at once
+	hangEnded   chan struct{} // closed when the current hang ends; nil: the node does not hang
+	failShare   float64       // share of set-ups that are answered with an error
 	conns       map[string]map[*nodeConn]bool
 	sessions    map[string]*nodeSession
-	pendingEnds map[string][]string // by manager: ends to be said again on the next connection
+	pendingEnds map[string][]string // by manager: sessions whose TEARDOWN is sent again on the next connection
 	goroutines  sync.WaitGroup
 	listeners   []net.Listener
 }
@@ -57,19 +57,19 @@
 	net.Conn
 	manager    string
 	writeMu    sync.Mutex
-	openSetUps map[string]bool // set-ups that wait for their answer
+	openSetUps map[string]bool // set-ups without an answer
 	closed     bool
 }
 
 type nodeSession struct {
 	manager string
-	conn    *nodeConn // of its set-up
+	conn    *nodeConn // on which it was set up
 	rung    int
 	class   string
 	timer   *time.Timer
 }
 
-// NewNode returns a node that runs and is warm. Listen has it serve managers.
+// NewNode returns a node that runs and is warm. Listen makes it accept connections.
 func NewNode(name, id, hall string, cell int, m NodeModel, seed uint64, record *Record) *Node {
 	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addrs: map[string]string{}, model: m, seed: seed, record: record,
 		running: true, startedAt: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
@@ -78,7 +78,7 @@
 	return n
 }
 
-// Listen serves one manager.
+// Listen accepts connections of one manager, at an address that Addrs then holds.
 func (n *Node) Listen(manager string) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// Close ends the node for good.
+// Close stops the node and its listeners.
 func (n *Node) Close() {
 	n.Kill()
 	n.mu.Lock()
@@ -112,8 +112,8 @@
 	n.goroutines.Wait()
 }
 
-// Kill ends its process: connections are reset, sessions cut. What is said after it
-// is up to the relays before it, which refuse until it is started again.
+// Kill simulates a crash: connections are reset and sessions end without a message. The listeners
+// stay open; the relays before them have to refuse connections until Start.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,7 +141,7 @@
 	n.record.Add(Event{Kind: Down, Node: n.Name})
 }
 
-// Start has it run again, from nothing and cold.
+// Start starts a killed node again, cold and without sessions.
 func (n *Node) Start() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,14 +149,14 @@
 	n.record.Add(Event{Kind: Up, Node: n.Name, Cold: true})
 }
 
-// StartedAt is when it last started.
+// StartedAt returns the time of the last start.
 func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.startedAt
 }
 
-// Hang has it stand still: it takes connections and answers nothing.
+// Hang makes the node accept connections and answer nothing until Unhang.
 func (n *Node) Hang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -165,7 +165,7 @@
 	}
 }
 
-// Unhang has it go on.
+// Unhang ends a hang.
 func (n *Node) Unhang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -179,22 +179,21 @@
 	}
 }
 
-// SetFailShare has it fail a share of its set-ups at once.
+// SetFailShare makes the node answer a share of its set-ups with status 500.
 func (n *Node) SetFailShare(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.failShare = share
 }
 
-// EstablishedSessions is how many sessions it plays.
+// EstablishedSessions returns how many sessions the node plays.
 func (n *Node) EstablishedSessions() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.sessions)
 }
 
-// EndSessions has up to so many of its sessions of a manager ("" for any) come to their
-// end now, and tells how many did.
+// EndSessions ends up to most sessions of a manager ("": of any) and returns how many it ended.
 func (n *Node) EndSessions(manager string, most int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,7 +208,7 @@
 	return done
 }
 
-// waitWhileHung holds while the node stands still.
+// waitWhileHung blocks while the node hangs.
 func (n *Node) waitWhileHung() {
 	n.mu.Lock()
 	hung := n.hangEnded
@@ -228,7 +227,7 @@
 		return
 	}
 	n.conns[c.manager][c] = true
-	for _, id := range n.pendingEnds[c.manager] { // once more on the next connection that opens
+	for _, id := range n.pendingEnds[c.manager] { // repeated on the next connection that opens
 		c.send(buildTeardown(id, 16))
 	}
 	delete(n.pendingEnds, c.manager)
@@ -257,10 +256,11 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c.closed = true
-	clear(c.openSetUps) // a closed connection gives up the set-ups open on it
+	clear(c.openSetUps) // a closed connection abandons the set-ups open on it
 	delete(n.conns[c.manager], c)
 }
 
+// rungOf returns the rung that a message names, or -1.
 func rungOf(m *rtsp.Message) int {
 	v, ok := header.ParseDecimal(m.Get("X-Quality"))
 	if !ok {
@@ -269,23 +269,24 @@
 	return int(v)
 }
 
-// fraction is a number from 0 to 1 that a session has with this node, whatever the order
-// in which things happen.
+// fraction returns a pseudo-random number from 0 to 1 for one use (what) of a session at this node.
+// It does not depend on the order of events.
 func (n *Node) fraction(id, what string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(n.Name + id + what))
 	return rand.New(rand.NewPCG(n.seed, h.Sum64())).Float64()
 }
 
+// interpolate returns the duration at a fraction of the way from l[0] to l[1].
 func interpolate(l [2]time.Duration, at float64) time.Duration {
 	return l[0] + time.Duration(at*float64(l[1]-l[0]))
 }
 
 func (n *Node) setUp(c *nodeConn, id string, m *rtsp.Message) {
-	class, q, body := string(m.Get("Call-Kind")), rungOf(m), string(m.Body)
+	class, rung, body := string(m.Get("Call-Kind")), rungOf(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Rung: q})
+	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Rung: rung})
 	status := 200
 	switch {
 	case n.fraction(id, "fails") < n.failShare:
@@ -299,14 +300,14 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		if !n.running || !c.openSetUps[id] {
-			return // given up
+			return // abandoned
 		}
 		delete(c.openSetUps, id)
 		text := ""
 		if status == 200 {
 			text = n.Name + ";" + body
 			length := interpolate(n.model.SessionLength, n.fraction(id, "length"))
-			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(q, 0), class: class, timer: time.AfterFunc(length, func() {
+			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(rung, 0), class: class, timer: time.AfterFunc(length, func() {
 				n.waitWhileHung()
 				n.mu.Lock()
 				defer n.mu.Unlock()
@@ -319,8 +320,8 @@
 	})
 }
 
-// endSession brings a session to its end, and says so on the connection of its set-up or
-// else on any open one, and once more on the next that opens.
+// endSession ends a session by the node's own decision. It sends TEARDOWN on the connection of the
+// set-up, or if that is closed on any open one, and once more on the next connection that opens.
 func (n *Node) endSession(id string) {
 	s := n.sessions[id]
 	if s == nil {
@@ -346,7 +347,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for o := range n.conns[c.manager] {
-		delete(o.openSetUps, id) // the set-up is given up
+		delete(o.openSetUps, id) // abandon the set-up
 	}
 	if s := n.sessions[id]; s != nil && s.manager == c.manager {
 		s.timer.Stop()
@@ -356,14 +357,15 @@
 	c.send(buildResponse(200, "2", id, ""))
 }
 
-func (n *Node) setRung(id string, q int) {
+func (n *Node) setRung(id string, rung int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if s := n.sessions[id]; s != nil && q >= 0 {
-		s.rung = q
+	if s := n.sessions[id]; s != nil && rung >= 0 {
+		s.rung = rung
 	}
 }
 
+// demandKB returns the kB/s that the sessions need.
 func (n *Node) demandKB() (kb float64) {
 	for _, s := range n.sessions {
 		kb += n.model.RatesKB[min(s.rung, len(n.model.RatesKB)-1)]
@@ -371,7 +373,7 @@
 	return kb
 }
 
-// linkKB is what its link gives at present.
+// linkKB returns the kB/s that the link gives at present, which grows during the warm-up.
 func (n *Node) linkKB() float64 {
 	if !n.cold {
 		return n.model.LinkKB
@@ -380,6 +382,7 @@
 	return n.model.LinkKB * (n.model.StartCapacityShare + (1-n.model.StartCapacityShare)*warm)
 }
 
+// loadReport returns the answer to an OPTIONS request.
 func (n *Node) loadReport(seq, id string) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -389,35 +392,36 @@
 	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.demandKB()/n.linkKB())), nil)
 }
 
-// AnnounceShortfall tells each manager with sessions here what share is delivered, on one of its
-// sessions, while that is short. It is to be called each second.
+// AnnounceShortfall tells each manager on one of its sessions which share of the rate is delivered,
+// if the link is too small for the demand. The caller calls it once a second.
 func (n *Node) AnnounceShortfall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	asked := n.demandKB()
-	if !n.running || n.hangEnded != nil || asked <= n.linkKB() {
+	demandKB := n.demandKB()
+	if !n.running || n.hangEnded != nil || demandKB <= n.linkKB() {
 		return
 	}
-	told := map[string]bool{}
+	announced := map[string]bool{}
 	for id, s := range n.sessions {
-		if told[s.manager] || s.conn.closed {
+		if announced[s.manager] || s.conn.closed {
 			continue
 		}
-		told[s.manager] = true
+		announced[s.manager] = true
 		b := rtsp.AppendRequest(nil, "ANNOUNCE", "rtsp://media/"+id)
 		b = rtsp.AppendHeader(b, "CSeq", "4")
 		b = rtsp.AppendHeader(b, "Session", id)
 		b = rtsp.AppendHeader(b, "Fail-Word", "delivered")
-		s.conn.send(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.linkKB()/asked)), nil))
+		s.conn.send(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.linkKB()/demandKB)), nil))
 	}
 }
 
-// send writes one message. A manager that reads nothing is not waited for.
+// send writes one message. The write deadline keeps a manager that reads nothing from blocking the
+// node.
 func (c *nodeConn) send(b []byte) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	c.Write(b) // one that is gone needs no answer
+	c.Write(b) // the peer may have closed
 }
 
 func buildResponse(code int, seq, id, body string) []byte {
--- a/internal/fleettest/packets.go
+++ b/internal/fleettest/packets.go
@@ -8,127 +8,134 @@
 	"time"
 )
 
-// DatagramRelay carries datagrams of one pair and puts faults between them. It takes them at
-// an address of its own; for each that sends there it sends onwards from an address of
-// its own, and what comes back there goes back. What it loses, repeats and holds is
-// drawn from a seed.
+// DatagramRelay carries the datagrams of one pair of parties and puts faults between them. It
+// receives at an address of its own. For each sender it forwards from a separate socket, and what
+// that socket receives goes back to the sender. Which datagrams it loses, duplicates and holds back
+// is drawn from a seed.
 type DatagramRelay struct {
-	target func() string
+	target func() string // returns the address to forward to
 
 	mu             sync.Mutex
 	listener       *net.UDPConn
-	upstreams      map[string]*net.UDPConn // by who sent
+	upstreams      map[string]*net.UDPConn // by the address of the sender
 	rng            *rand.Rand
 	cut            [2]bool
 	lossShare      [2]float64
 	duplicateShare [2]float64
 	reorderShare   [2]float64
 	delay          [2]time.Duration
-	heldBack       [2]func() // a datagram that the next one overtakes
+	heldBack       [2]func() // by direction: sends a datagram that the next one overtakes
 	closed         bool
 	forwarded      [2]int
 	goroutines     sync.WaitGroup
 }
 
-// NewDatagramRelay returns a relay for datagrams to the address that target tells, which may
-// change. An empty one loses them.
+// NewDatagramRelay returns a relay for datagrams to the address that target returns, which may
+// change. Datagrams are lost while it is empty.
 func NewDatagramRelay(seed uint64, target func() string) (*DatagramRelay, error) {
 	in, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil, fmt.Errorf("fleettest: %w", err)
 	}
-	p := &DatagramRelay{target: target, listener: in, upstreams: map[string]*net.UDPConn{}, rng: rand.New(rand.NewPCG(seed, 7))}
-	p.goroutines.Go(p.receive)
-	return p, nil
+	r := &DatagramRelay{target: target, listener: in, upstreams: map[string]*net.UDPConn{}, rng: rand.New(rand.NewPCG(seed, 7))}
+	r.goroutines.Go(r.receive)
+	return r, nil
 }
 
-// Addr is where it takes datagrams.
-func (p *DatagramRelay) Addr() string { return p.listener.LocalAddr().String() }
+// Addr returns the address at which the relay receives datagrams.
+func (r *DatagramRelay) Addr() string { return r.listener.LocalAddr().String() }
 
-// Forwarded is how many datagrams went on in a direction.
-func (p *DatagramRelay) Forwarded(way Direction) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.forwarded[way]
+// Forwarded returns how many datagrams were forwarded in a direction.
+func (r *DatagramRelay) Forwarded(direction Direction) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.forwarded[direction]
 }
 
-func (p *DatagramRelay) update(f func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (r *DatagramRelay) update(f func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	f()
 }
 
-// Cut loses all in some directions; Heal ends that.
-func (p *DatagramRelay) Cut(ways ...Direction) {
-	p.update(func() {
-		for _, w := range ways {
-			p.cut[w] = true
+// Cut loses all datagrams of some directions until Heal.
+func (r *DatagramRelay) Cut(directions ...Direction) {
+	r.update(func() {
+		for _, w := range directions {
+			r.cut[w] = true
 		}
 	})
 }
 
 // Heal ends a cut.
-func (p *DatagramRelay) Heal() { p.update(func() { p.cut = [2]bool{} }) }
+func (r *DatagramRelay) Heal() { r.update(func() { r.cut = [2]bool{} }) }
 
-// Lose, Repeat and Swap have a share of what passes in a direction be lost, come twice,
-// or come after the one that follows. Delay has all come so much later.
-func (p *DatagramRelay) Lose(way Direction, share float64) {
-	p.update(func() { p.lossShare[way] = share })
+// Lose sets the share of datagrams that are lost in a direction.
+func (r *DatagramRelay) Lose(direction Direction, share float64) {
+	r.update(func() { r.lossShare[direction] = share })
 }
-func (p *DatagramRelay) Duplicate(way Direction, share float64) {
-	p.update(func() { p.duplicateShare[way] = share })
+
+// Duplicate sets the share of datagrams that are sent twice in a direction.
+func (r *DatagramRelay) Duplicate(direction Direction, share float64) {
+	r.update(func() { r.duplicateShare[direction] = share })
 }
-func (p *DatagramRelay) Reorder(way Direction, share float64) {
-	p.update(func() { p.reorderShare[way] = share })
+
+// Reorder sets the share of datagrams that are sent after the one that follows them.
+func (r *DatagramRelay) Reorder(direction Direction, share float64) {
+	r.update(func() { r.reorderShare[direction] = share })
 }
-func (p *DatagramRelay) Delay(way Direction, after time.Duration) {
-	p.update(func() { p.delay[way] = after })
+
+// Delay sets by how much the datagrams of a direction are delayed.
+func (r *DatagramRelay) Delay(direction Direction, after time.Duration) {
+	r.update(func() { r.delay[direction] = after })
 }
 
-// Close ends it.
-func (p *DatagramRelay) Close() {
-	p.update(func() {
-		p.closed = true
-		p.listener.Close()
-		for _, o := range p.upstreams {
+// Close stops the relay.
+func (r *DatagramRelay) Close() {
+	r.update(func() {
+		r.closed = true
+		r.listener.Close()
+		for _, o := range r.upstreams {
 			o.Close()
 		}
 	})
-	p.goroutines.Wait()
+	r.goroutines.Wait()
 }
 
-func (p *DatagramRelay) receive() {
+// receive forwards datagrams to the target until the listener is closed.
+func (r *DatagramRelay) receive() {
 	b := make([]byte, 64<<10)
 	for {
-		n, from, err := p.listener.ReadFromUDP(b)
+		n, from, err := r.listener.ReadFromUDP(b)
 		if err != nil {
 			return
 		}
-		if o := p.upstreamFor(from); o != nil {
+		if o := r.upstreamFor(from); o != nil {
 			m := append([]byte(nil), b[:n]...)
-			p.forward(ToTarget, func() {
-				if to, err := net.ResolveUDPAddr("udp4", p.target()); err == nil && to.Port != 0 {
-					o.WriteToUDP(m, to) // as a network, it tells nobody what it loses
+			r.forward(ToTarget, func() {
+				if to, err := net.ResolveUDPAddr("udp4", r.target()); err == nil && to.Port != 0 {
+					o.WriteToUDP(m, to) // like a network, the relay reports no loss
 				}
 			})
 		}
 	}
 }
 
-// upstreamFor is the socket for who sent from an address.
-func (p *DatagramRelay) upstreamFor(from *net.UDPAddr) *net.UDPConn {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	o := p.upstreams[from.String()]
-	if o != nil || p.closed {
+// upstreamFor returns the socket that forwards the datagrams of a sender, or nil if there is none
+// and none can be opened.
+func (r *DatagramRelay) upstreamFor(from *net.UDPAddr) *net.UDPConn {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	o := r.upstreams[from.String()]
+	if o != nil || r.closed {
 		return o
 	}
 	o, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return nil
 	}
-	p.upstreams[from.String()] = o
-	p.goroutines.Go(func() {
+	r.upstreams[from.String()] = o
+	r.goroutines.Go(func() {
 		b := make([]byte, 64<<10)
 		for {
 			n, _, err := o.ReadFromUDP(b)
@@ -136,28 +143,28 @@
 				return
 			}
 			m := append([]byte(nil), b[:n]...)
-			p.forward(FromTarget, func() { p.listener.WriteToUDP(m, from) })
+			r.forward(FromTarget, func() { r.listener.WriteToUDP(m, from) })
 		}
 	})
 	return o
 }
 
-// forward sends a datagram by what holds at the moment.
-func (p *DatagramRelay) forward(way Direction, send func()) {
-	p.mu.Lock()
-	if p.cut[way] || p.rng.Float64() < p.lossShare[way] {
-		p.mu.Unlock()
+// forward sends a datagram under the faults of the moment.
+func (r *DatagramRelay) forward(direction Direction, send func()) {
+	r.mu.Lock()
+	if r.cut[direction] || r.rng.Float64() < r.lossShare[direction] {
+		r.mu.Unlock()
 		return
 	}
 	times := 1
-	if p.rng.Float64() < p.duplicateShare[way] {
+	if r.rng.Float64() < r.duplicateShare[direction] {
 		times = 2
 	}
-	before := p.heldBack[way]
-	p.heldBack[way] = nil
-	hold := before == nil && p.rng.Float64() < p.reorderShare[way]
-	delay := p.delay[way]
-	p.forwarded[way] += times
+	before := r.heldBack[direction]
+	r.heldBack[direction] = nil
+	hold := before == nil && r.rng.Float64() < r.reorderShare[direction]
+	delay := r.delay[direction]
+	r.forwarded[direction] += times
 	out := func() {
 		for range times {
 			send()
@@ -167,9 +174,9 @@
 		}
 	}
 	if hold {
-		p.heldBack[way] = out
+		r.heldBack[direction] = out
 	}
-	p.mu.Unlock()
+	r.mu.Unlock()
 	switch {
 	case hold:
 	case delay > 0:
@@ -179,17 +186,17 @@
 	}
 }
 
-// PeerNetwork is the links between managers, each pair with a relay for connections and one
-// for datagrams in each direction. Managers listen where SetPeer says.
+// PeerNetwork is the links between managers: each ordered pair has one relay for connections and
+// one for datagrams. SetListenAddrs tells it where the managers listen.
 type PeerNetwork struct {
-	TCP map[string]map[string]*Relay // by who connects, and to whom
-	UDP map[string]map[string]*DatagramRelay
+	TCP map[string]map[string]*Relay         // by the manager that connects, and the one that listens
+	UDP map[string]map[string]*DatagramRelay // by the manager that sends first, and the one that listens
 
 	mu          sync.Mutex
-	listenAddrs map[string][2]string
+	listenAddrs map[string][2]string // by manager: TCP and UDP
 }
 
-// NewPeerNetwork links managers with each other.
+// NewPeerNetwork links each manager with each other one.
 func NewPeerNetwork(names []string, seed uint64) (*PeerNetwork, error) {
 	p := &PeerNetwork{TCP: map[string]map[string]*Relay{}, UDP: map[string]map[string]*DatagramRelay{}, listenAddrs: map[string][2]string{}}
 	for i, a := range names {
@@ -203,7 +210,7 @@
 				if to := p.addrsOf(b)[0]; to != "" {
 					return net.Dial("tcp4", to)
 				}
-				return nil, fmt.Errorf("%s listens nowhere", b)
+				return nil, fmt.Errorf("%s has no listen address", b)
 			})
 			if err == nil {
 				p.UDP[a][b], err = NewDatagramRelay(seed<<16+uint64(i<<8+k), func() string { return p.addrsOf(b)[1] })
@@ -223,15 +230,15 @@
 	return p.listenAddrs[name]
 }
 
-// SetListenAddrs tells where a manager listens for others; empty: nowhere.
+// SetListenAddrs sets where a manager listens for the others; empty: it does not listen.
 func (p *PeerNetwork) SetListenAddrs(name, tcp, udp string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.listenAddrs[name] = [2]string{tcp, udp}
 }
 
-// Cut holds or loses all between two groups of managers, or with oneWay what goes from
-// a to b.
+// Cut cuts all relays between two groups of managers, or with oneWay only in the direction from a
+// to b. Connections hold their data; datagrams are lost.
 func (p *PeerNetwork) Cut(a, b []string, oneWay bool) {
 	p.eachLink(a, b, func(t *Relay, u *DatagramRelay, from Direction) {
 		if oneWay {
@@ -244,7 +251,7 @@
 	})
 }
 
-// Heal ends all cuts between two groups.
+// Heal ends all cuts between two groups of managers.
 func (p *PeerNetwork) Heal(a, b []string) {
 	p.eachLink(a, b, func(t *Relay, u *DatagramRelay, _ Direction) {
 		t.Heal()
@@ -252,6 +259,8 @@
 	})
 }
 
+// eachLink calls do for the relays of each pair between a and b, with the direction that leads from
+// a to b.
 func (p *PeerNetwork) eachLink(a, b []string, do func(*Relay, *DatagramRelay, Direction)) {
 	for _, x := range a {
 		for _, y := range b {
@@ -263,7 +272,7 @@
 	}
 }
 
-// Close ends all links.
+// Close stops all relays.
 func (p *PeerNetwork) Close() {
 	for _, l := range p.TCP {
 		for _, r := range l {
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// Build builds the program as deploy/balancer.toml says, into a folder, and returns
-// the path of the session manager. root is the repository's folder; flags go to go
-// build beside those of the deploy file.
+// Build compiles the program with the build line of deploy/balancer.toml into a folder and returns
+// the path of the session manager. root is the repository's folder; flags are added to the go build
+// of that line.
 func Build(root, folder string, flags ...string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
@@ -39,185 +39,186 @@
 	return filepath.Join(folder, "millethinge"), nil
 }
 
-// Manager is one manager: a process of the program that may be ended and started
-// again under its name, or replaced by a second one while it runs.
+// Manager is one manager of a fleet. Its process may be stopped and started again under the same
+// name, or be replaced by a successor that starts while it runs.
 type Manager struct {
 	Name             string
 	Binary           string
-	Dir              string         // for its files, its home and its $TMPDIR; kept over all its starts
-	Config           map[string]any // of the platform, but for what changes with a start
-	OperatorConfig   string         // text of an operator's file, or empty
-	LogLevel         string         // least level of its log
-	Env              []string       // beside what the platform sets
-	KnownUpdates     func() listUpdates
-	NewAdminAddr     func() (string, error) // a free address for operators' calls; nil: none is given
+	Dir              string                 // working folder, home and $TMPDIR; kept over all starts
+	Config           map[string]any         // the platform's configuration, without the keys that each start sets
+	OperatorConfig   string                 // text of the operator file; empty: no file
+	LogLevel         string                 // minimum level of the log
+	Env              []string               // in addition to what the platform sets
+	KnownUpdates     func() listUpdates     // the list that a starting process is given
+	NewAdminAddr     func() (string, error) // returns a free address for operators' calls; nil: no such address
 	Record           *Record
-	OnUnexpectedExit func(error) // told of an end that nobody asked for
+	OnUnexpectedExit func(error) // called when a process ends without being told to
 
 	mu          sync.Mutex
-	processes   []*process // that run, the newest last
+	processes   []*process // those that run, the newest last
 	logLines    []string
-	changed     chan struct{}
-	endStarving chan struct{}
+	changed     chan struct{} // closed and replaced at each change of processes or logLines
+	endStarving chan struct{} // closed to end Starve; nil: not starved
 	starts      int
 }
 
-// process is one process of the program.
+// process is one operating-system process of a manager.
 type process struct {
-	number        int // of the manager's starts
+	number        int // counts the starts of the manager, from 1
 	cmd           *exec.Cmd
-	viewerAddr    string // where it listens for viewers; empty: not yet
-	adminAddr     string
+	viewerAddr    string // address of the listener for viewers; empty: not listening yet
+	adminAddr     string // address for operators' calls; empty: none
 	exited        chan struct{}
-	stopRequested bool // its end is wanted
-	ready         bool // it has said that it can serve
+	stopRequested bool // it was told to end
+	ready         bool // it has reported that it is ready
 }
 
-// Start starts it and waits until it serves.
-func (p *Manager) Start() error {
-	if p.newest() != nil {
-		return fmt.Errorf("fleettest: %s runs already", p.Name)
+// Start starts the manager and waits until it serves.
+func (m *Manager) Start() error {
+	if m.newest() != nil {
+		return fmt.Errorf("fleettest: %s is already running", m.Name)
 	}
-	b, err := p.launch()
+	p, err := m.launch()
 	if err != nil {
 		return err
 	}
-	return p.awaitReady(b, func() bool {
-		p.mu.Lock()
-		served := b.viewerAddr != ""
-		p.mu.Unlock()
-		return served && b.reportsReady()
-	}, func() { p.Record.Add(Event{Kind: Running, Manager: p.Name}) })
+	return m.awaitReady(p, func() bool {
+		m.mu.Lock()
+		served := p.viewerAddr != ""
+		m.mu.Unlock()
+		return served && p.reportsReady()
+	}, func() { m.Record.Add(Event{Kind: Running, Manager: m.Name}) })
 }
 
-// awaitReady waits until a body is ready, or has ended.
-func (p *Manager) awaitReady(b *process, ready func() bool, then func()) error {
+// awaitReady waits until a process is ready, marks it as such and calls then. It fails when the
+// process ends or the time runs out.
+func (m *Manager) awaitReady(p *process, ready func() bool, then func()) error {
 	deadline := time.After(patience)
 	for {
-		p.mu.Lock()
-		changed := p.changed
-		p.mu.Unlock()
+		m.mu.Lock()
+		changed := m.changed
+		m.mu.Unlock()
 		if ready() {
-			p.mu.Lock()
-			b.ready = true
-			p.mu.Unlock()
+			m.mu.Lock()
+			p.ready = true
+			m.mu.Unlock()
 			then()
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-time.After(50 * time.Millisecond):
-		case <-b.exited:
-			return fmt.Errorf("fleettest: %s ended at its start:\n%s", p.Name, p.LogTail(20))
+		case <-p.exited:
+			return fmt.Errorf("fleettest: %s ended during its start:\n%s", m.Name, m.LogTail(20))
 		case <-deadline:
-			return fmt.Errorf("fleettest: %s does not serve after %v:\n%s", p.Name, patience, p.LogTail(20))
+			return fmt.Errorf("fleettest: %s is not ready after %v:\n%s", m.Name, patience, m.LogTail(20))
 		}
 	}
 }
 
-// launch starts a process as the platform does, beside what runs.
-func (p *Manager) launch() (*process, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.changed == nil {
-		p.changed = make(chan struct{})
+// launch starts a process as the platform does, while any earlier one keeps running.
+func (m *Manager) launch() (*process, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.changed == nil {
+		m.changed = make(chan struct{})
 	}
-	p.starts++
-	b := &process{number: p.starts, exited: make(chan struct{})}
-	if len(p.processes) == 0 { // else all is the same but for the second address
-		p.Config["seed"] = fmt.Sprintf("%x", 0x5eed0000+p.starts*256+len(p.Name)+int(p.Name[len(p.Name)-1]))
+	m.starts++
+	p := &process{number: m.starts, exited: make(chan struct{})}
+	if len(m.processes) == 0 { // a successor gets the same configuration except for the admin address and the list
+		m.Config["seed"] = fmt.Sprintf("%x", 0x5eed0000+m.starts*256+len(m.Name)+int(m.Name[len(m.Name)-1]))
 	}
-	if p.NewAdminAddr != nil {
+	if m.NewAdminAddr != nil {
 		var err error
-		if b.adminAddr, err = p.NewAdminAddr(); err != nil {
+		if p.adminAddr, err = m.NewAdminAddr(); err != nil {
 			return nil, err
 		}
-		p.Config["admin"] = b.adminAddr
+		m.Config["admin"] = p.adminAddr
 	}
-	p.Config["known"] = p.KnownUpdates()
-	text, err := json.Marshal(p.Config)
+	m.Config["known"] = m.KnownUpdates()
+	text, err := json.Marshal(m.Config)
 	if err != nil {
 		return nil, err
 	}
-	config := filepath.Join(p.Dir, fmt.Sprintf("config-%d.json", b.number))
-	env := append(p.Env, "BALANCER_CONFIG="+config, "HOME="+p.Dir, "TMPDIR="+p.Dir)
+	config := filepath.Join(m.Dir, fmt.Sprintf("config-%d.json", p.number))
+	env := append(m.Env, "BALANCER_CONFIG="+config, "HOME="+m.Dir, "TMPDIR="+m.Dir)
 	err = os.WriteFile(config, text, 0o600)
-	if err == nil && p.OperatorConfig != "" {
-		env = append(env, "MILLETHINGE_OPERATOR="+filepath.Join(p.Dir, "operator.conf"))
-		err = os.WriteFile(filepath.Join(p.Dir, "operator.conf"), []byte(p.OperatorConfig), 0o600)
+	if err == nil && m.OperatorConfig != "" {
+		env = append(env, "MILLETHINGE_OPERATOR="+filepath.Join(m.Dir, "operator.conf"))
+		err = os.WriteFile(filepath.Join(m.Dir, "operator.conf"), []byte(m.OperatorConfig), 0o600)
 	}
 	if err != nil {
 		return nil, err
 	}
-	b.cmd = exec.Command(p.Binary, "serve", "--log-level", cmp.Or(p.LogLevel, "info"))
-	b.cmd.Dir, b.cmd.Env = p.Dir, env
-	// Whatever becomes of the test, no manager outlives it.
-	b.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	out, err := b.cmd.StderrPipe()
+	p.cmd = exec.Command(m.Binary, "serve", "--log-level", cmp.Or(m.LogLevel, "info"))
+	p.cmd.Dir, p.cmd.Env = m.Dir, env
+	// Ends the manager with the test, however the test ends.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	out, err := p.cmd.StderrPipe()
 	if err == nil {
-		err = b.cmd.Start()
+		err = p.cmd.Start()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("fleettest: %s: %w", p.Name, err)
+		return nil, fmt.Errorf("fleettest: %s: %w", m.Name, err)
 	}
-	p.processes = append(p.processes, b)
-	go p.readLog(b, out)
-	return b, nil
+	m.processes = append(m.processes, p)
+	go m.readLog(p, out)
+	return p, nil
 }
 
-// readLog reads its log until it ends.
-func (p *Manager) readLog(b *process, out io.Reader) {
+// readLog reads the log of a process until the process ends.
+func (m *Manager) readLog(p *process, out io.Reader) {
 	in := bufio.NewScanner(out)
 	in.Buffer(make([]byte, 64<<10), 1<<20)
-	// Nothing reads this file: it is for whoever keeps the folder.
-	file, _ := os.Create(filepath.Join(p.Dir, fmt.Sprintf("log-%d.json", b.number)))
+	// Nothing reads this file: it is for people who keep the folder for inspection.
+	file, _ := os.Create(filepath.Join(m.Dir, fmt.Sprintf("log-%d.json", p.number)))
 	defer file.Close()
 	for in.Scan() {
 		line := in.Text()
 		fmt.Fprintln(file, line)
 		var l struct{ Msg, Listen string }
-		json.Unmarshal([]byte(line), &l) // a panic is no JSON
-		p.mu.Lock()
-		p.logLines = append(p.logLines, line)
+		json.Unmarshal([]byte(line), &l) // the lines of a panic are not JSON
+		m.mu.Lock()
+		m.logLines = append(m.logLines, line)
 		if l.Msg == "serving" {
-			b.viewerAddr = l.Listen
+			p.viewerAddr = l.Listen
 		}
-		p.notifyChanged()
-		p.mu.Unlock()
-	}
-	err := b.cmd.Wait()
-	p.mu.Lock()
-	asked := b.stopRequested
-	p.processes = slices.DeleteFunc(p.processes, func(o *process) bool { return o == b })
-	e := Event{Kind: Replaced, Manager: p.Name, Process: b.number, Text: fmt.Sprint("ended: ", err)}
-	if len(p.processes) == 0 {
+		m.notifyChanged()
+		m.mu.Unlock()
+	}
+	err := p.cmd.Wait()
+	m.mu.Lock()
+	stopRequested := p.stopRequested
+	m.processes = slices.DeleteFunc(m.processes, func(other *process) bool { return other == p })
+	e := Event{Kind: Replaced, Manager: m.Name, Process: p.number, Text: fmt.Sprint("ended: ", err)}
+	if len(m.processes) == 0 {
 		e.Kind = Stopped
 	}
-	p.notifyChanged()
-	p.mu.Unlock()
-	p.Record.Add(e)
-	close(b.exited)
-	if !asked && p.OnUnexpectedExit != nil {
-		p.OnUnexpectedExit(fmt.Errorf("%s ended by itself: %v\n%s", p.Name, err, p.LogTail(30)))
+	m.notifyChanged()
+	m.mu.Unlock()
+	m.Record.Add(e)
+	close(p.exited)
+	if !stopRequested && m.OnUnexpectedExit != nil {
+		m.OnUnexpectedExit(fmt.Errorf("%s ended by itself: %v\n%s", m.Name, err, m.LogTail(30)))
 	}
 }
 
-// notifyChanged is called with the lock held.
-func (p *Manager) notifyChanged() {
-	close(p.changed)
-	p.changed = make(chan struct{})
+// notifyChanged wakes the goroutines that wait for a change. m.mu must be held.
+func (m *Manager) notifyChanged() {
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-// StartSuccessor starts a second process beside the one that runs, and waits until it says at
-// its admin address that it is ready. With kill "old" or "new" that one is killed so
-// long after the start, ready or not.
-func (p *Manager) StartSuccessor(kill string, after time.Duration) error {
-	old := p.newest()
+// StartSuccessor starts a second process beside the running one and waits until the second one
+// reports ready at its admin address. With kill "old" or "new" the first or the second one is
+// killed that long after the start of the second, whether or not it is ready.
+func (m *Manager) StartSuccessor(kill string, after time.Duration) error {
+	old := m.newest()
 	if old == nil {
-		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
+		return fmt.Errorf("fleettest: %s is not running", m.Name)
 	}
-	p.Record.Add(Event{Kind: Renewing, Manager: p.Name})
-	b, err := p.launch()
+	m.Record.Add(Event{Kind: Renewing, Manager: m.Name})
+	p, err := m.launch()
 	if err != nil {
 		return err
 	}
@@ -225,205 +226,209 @@
 		time.Sleep(after)
 		doomed := old
 		if kill == "new" {
-			doomed = b
+			doomed = p
 		} else {
-			// What it had taken is lost with it; the other one runs, or soon does.
-			p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed beside its successor"})
+			// What the old process had accepted is lost with it. The successor serves or soon does.
+			m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "killed beside its successor"})
 		}
-		p.signalStop(doomed, syscall.SIGKILL)
+		m.signalStop(doomed, syscall.SIGKILL)
 		<-doomed.exited
 		if kill == "new" {
 			return nil
 		}
 	}
-	return p.awaitReady(b, b.reportsReady, func() {
-		p.Record.Add(Event{Kind: Renewed, Manager: p.Name, Process: b.number})
+	return m.awaitReady(p, p.reportsReady, func() {
+		m.Record.Add(Event{Kind: Renewed, Manager: m.Name, Process: p.number})
 		if kill == "old" {
-			p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "its successor"})
+			m.Record.Add(Event{Kind: Running, Manager: m.Name, Text: "its successor"})
 		}
 	})
 }
 
-// StopPredecessors has all processes but the newest end: SIGTERM, and SIGKILL after grace.
-func (p *Manager) StopPredecessors(grace time.Duration) {
-	bodies := p.runningProcesses()
-	for _, b := range bodies[:max(len(bodies)-1, 0)] {
-		p.signalStop(b, syscall.SIGTERM)
+// StopPredecessors ends all processes but the newest, by SIGTERM and after the grace time by
+// SIGKILL.
+func (m *Manager) StopPredecessors(grace time.Duration) {
+	running := m.runningProcesses()
+	for _, p := range running[:max(len(running)-1, 0)] {
+		m.signalStop(p, syscall.SIGTERM)
 		select {
-		case <-b.exited:
+		case <-p.exited:
 		case <-time.After(grace):
-			p.signalStop(b, syscall.SIGKILL)
-			<-b.exited
+			m.signalStop(p, syscall.SIGKILL)
+			<-p.exited
 		}
 	}
 }
 
-// reportsReady asks a body whether it can serve; one without an address for calls serves
-// once its log says so.
-func (b *process) reportsReady() bool {
-	if b.adminAddr == "" {
+// reportsReady reports whether a process says at its admin address that it is ready. A process
+// without such an address counts as ready: Start waits for its log to say that it serves.
+func (p *process) reportsReady() bool {
+	if p.adminAddr == "" {
 		return true
 	}
-	status, _, _ := callAdmin(b.adminAddr, "GET", "/ready")
+	status, _, _ := callAdmin(p.adminAddr, "GET", "/ready")
 	return status/100 == 2
 }
 
-// adminProcess is the process that operators call: the newest that is ready.
-func (p *Manager) adminProcess() (c *process) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, b := range p.processes {
-		if b.ready {
-			c = b
+// adminProcess returns the process that operators call, which is the newest ready one.
+func (m *Manager) adminProcess() (c *process) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, p := range m.processes {
+		if p.ready {
+			c = p
 		}
 	}
 	return c
 }
 
-// metricsProcesses are the processes whose figures are fetched, and whether they need answer:
-// not one that was asked to end.
-func (p *Manager) metricsProcesses() map[*process]bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// metricsProcesses returns the processes whose metrics are fetched, and whether each must answer:
+// one that was told to end need not.
+func (m *Manager) metricsProcesses() map[*process]bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	l := map[*process]bool{}
-	for _, b := range p.processes {
-		if b.ready {
-			l[b] = !b.stopRequested
+	for _, p := range m.processes {
+		if p.ready {
+			l[p] = !p.stopRequested
 		}
 	}
 	return l
 }
 
-// signalStop sends a signal to a body whose end is wanted.
-func (p *Manager) signalStop(b *process, s syscall.Signal) {
-	p.mu.Lock()
-	b.stopRequested = true
-	p.mu.Unlock()
-	b.cmd.Process.Signal(syscall.SIGCONT)
-	b.cmd.Process.Signal(s) // one that is gone needs none
+// signalStop sends a process that is to end a signal. SIGCONT goes first, since a stopped process
+// would not handle SIGTERM.
+func (m *Manager) signalStop(p *process, s syscall.Signal) {
+	m.mu.Lock()
+	p.stopRequested = true
+	m.mu.Unlock()
+	p.cmd.Process.Signal(syscall.SIGCONT)
+	p.cmd.Process.Signal(s) // fails if the process has already ended
 }
 
-func (p *Manager) runningProcesses() []*process {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return slices.Clone(p.processes)
+func (m *Manager) runningProcesses() []*process {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Clone(m.processes)
 }
 
-func (p *Manager) newest() *process {
-	if l := p.runningProcesses(); len(l) > 0 {
+func (m *Manager) newest() *process {
+	if l := m.runningProcesses(); len(l) > 0 {
 		return l[len(l)-1]
 	}
 	return nil
 }
 
-// Addr is where it listens; empty while it doesn't run. Two processes listen at the
-// same address.
-func (p *Manager) Addr() string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, b := range p.processes {
-		if b.viewerAddr != "" {
-			return b.viewerAddr
+// Addr returns the address of the listener for viewers, or an empty string if no process listens. A
+// process and its successor listen at the same address.
+func (m *Manager) Addr() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, p := range m.processes {
+		if p.viewerAddr != "" {
+			return p.viewerAddr
 		}
 	}
 	return ""
 }
 
-// PID is the newest's process id, or 0.
-func (p *Manager) PID() int {
-	if b := p.newest(); b != nil {
-		return b.cmd.Process.Pid
+// PID returns the id of the newest process, or 0 if none runs.
+func (m *Manager) PID() int {
+	if p := m.newest(); p != nil {
+		return p.cmd.Process.Pid
 	}
 	return 0
 }
 
-// LogTail is the end of its log.
-func (p *Manager) LogTail(n int) string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return strings.Join(p.logLines[max(0, len(p.logLines)-n):], "\n")
+// LogTail returns the last n lines of the log.
+func (m *Manager) LogTail(n int) string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return strings.Join(m.logLines[max(0, len(m.logLines)-n):], "\n")
 }
 
-// Log is all that it has logged, over all its starts.
-func (p *Manager) Log() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return append([]string(nil), p.logLines...)
+// Log returns all log lines, over all starts.
+func (m *Manager) Log() []string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return append([]string(nil), m.logLines...)
 }
 
-func (p *Manager) signalAll(s syscall.Signal) error {
-	l := p.runningProcesses()
+func (m *Manager) signalAll(s syscall.Signal) error {
+	l := m.runningProcesses()
 	if len(l) == 0 {
-		return fmt.Errorf("fleettest: %s doesn't run", p.Name)
+		return fmt.Errorf("fleettest: %s is not running", m.Name)
 	}
 	var err error
-	for _, b := range l {
-		err = cmp.Or(err, b.cmd.Process.Signal(s))
+	for _, p := range l {
+		err = cmp.Or(err, p.cmd.Process.Signal(s))
 	}
 	return err
 }
 
-// Kill ends it at once and waits until it is gone.
-func (p *Manager) Kill() error { return p.stopAll(syscall.SIGKILL) }
+// Kill sends SIGKILL and waits until all processes have ended.
+func (m *Manager) Kill() error { return m.stopAll(syscall.SIGKILL) }
 
-// Terminate asks it to end, and waits until it has.
-func (p *Manager) Terminate() error { return p.stopAll(syscall.SIGTERM) }
+// Terminate sends SIGTERM and waits until all processes have ended.
+func (m *Manager) Terminate() error { return m.stopAll(syscall.SIGTERM) }
 
-func (p *Manager) stopAll(s syscall.Signal) error {
-	l := p.runningProcesses()
+func (m *Manager) stopAll(s syscall.Signal) error {
+	l := m.runningProcesses()
 	if len(l) == 0 {
 		return nil
 	}
 	if s == syscall.SIGTERM {
-		p.Record.Add(Event{Kind: Ending, Manager: p.Name})
+		m.Record.Add(Event{Kind: Ending, Manager: m.Name})
 	}
 	if s == syscall.SIGKILL {
-		p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "killed"})
+		m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "killed"})
 	}
-	for _, b := range l {
-		p.signalStop(b, s)
+	for _, p := range l {
+		m.signalStop(p, s)
 	}
-	late := time.After(patience)
-	for _, b := range l {
+	timeout := time.After(patience)
+	for _, p := range l {
 		select {
-		case <-b.exited:
-		case <-late:
-			b.cmd.Process.Kill()
-			<-b.exited
-			return fmt.Errorf("fleettest: %s has not ended %v after %v", p.Name, patience, s)
+		case <-p.exited:
+		case <-timeout:
+			p.cmd.Process.Kill()
+			<-p.exited
+			return fmt.Errorf("fleettest: %s is still running %v after %v", m.Name, patience, s)
 		}
 	}
 	return nil
 }
 
-// Pause stops it as it stands: it hears nothing and its clock goes on.
-func (p *Manager) Pause() error {
-	p.Record.Add(Event{Kind: Stopped, Manager: p.Name, Text: "paused"})
-	return p.signalAll(syscall.SIGSTOP)
+// Pause stops the manager by SIGSTOP: it receives nothing while the clock goes on.
+func (m *Manager) Pause() error {
+	m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "paused"})
+	return m.signalAll(syscall.SIGSTOP)
 }
 
-// Resume lets it go on, as if no time had passed.
-func (p *Manager) Resume() error {
-	err := p.signalAll(syscall.SIGCONT)
-	p.Record.Add(Event{Kind: Running, Manager: p.Name, Text: "resumed"})
+// Resume ends Pause by SIGCONT. The process cannot tell how long it was stopped except by its
+// clock.
+func (m *Manager) Resume() error {
+	err := m.signalAll(syscall.SIGCONT)
+	m.Record.Add(Event{Kind: Running, Manager: m.Name, Text: "resumed"})
 	return err
 }
 
-// Starve leaves it a share of the time, in slices of 20 ms, until Feed.
-func (p *Manager) Starve(share float64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.endStarving != nil {
+// Starve gives the manager only a share of the processor time, by SIGSTOP and SIGCONT within each
+// 20 ms, until StopStarving.
+func (m *Manager) Starve(share float64) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.endStarving != nil {
 		return
 	}
 	stop := make(chan struct{})
-	p.endStarving = stop
+	m.endStarving = stop
 	go func() {
 		const slice = 20 * time.Millisecond
 		for {
-			p.signalAll(syscall.SIGSTOP)
+			m.signalAll(syscall.SIGSTOP)
 			time.Sleep(time.Duration((1 - share) * float64(slice)))
-			p.signalAll(syscall.SIGCONT)
+			m.signalAll(syscall.SIGCONT)
 			select {
 			case <-stop:
 				return
@@ -434,25 +439,26 @@
 }
 
 // StopStarving ends Starve.
-func (p *Manager) StopStarving() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.endStarving != nil {
-		close(p.endStarving)
-		p.endStarving = nil
+func (m *Manager) StopStarving() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.endStarving != nil {
+		close(m.endStarving)
+		m.endStarving = nil
 	}
 }
 
-// Usage is its memory in MB, its open descriptors and the processor time it has
-// used, of all its processes.
-func (p *Manager) Usage() (mb float64, descriptors int, cpu time.Duration) {
-	for _, b := range p.runningProcesses() {
-		m, d, c := usage(b.cmd.Process.Pid)
-		mb, descriptors, cpu = mb+m, descriptors+d, cpu+c
+// Usage returns the resident memory in MB, the open descriptors and the processor time used, summed
+// over all running processes.
+func (m *Manager) Usage() (mb float64, descriptors int, cpu time.Duration) {
+	for _, p := range m.runningProcesses() {
+		memory, files, used := usage(p.cmd.Process.Pid)
+		mb, descriptors, cpu = mb+memory, descriptors+files, cpu+used
 	}
 	return mb, descriptors, cpu
 }
 
+// usage reads the usage of one process from /proc. What cannot be read is 0.
 func usage(pid int) (mb float64, descriptors int, cpu time.Duration) {
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		if m := regexp.MustCompile(`VmRSS:\s+(\d+) kB`).FindSubmatch(text); m != nil {
@@ -470,7 +476,7 @@
 				var user, system int64
 				fmt.Sscan(f[11], &user)
 				fmt.Sscan(f[12], &system)
-				cpu = time.Duration(user+system) * 10 * time.Millisecond
+				cpu = time.Duration(user+system) * 10 * time.Millisecond // /proc counts in ticks of 10 ms
 			}
 		}
 	}
--- a/internal/fleettest/relay.go
+++ b/internal/fleettest/relay.go
@@ -15,66 +15,67 @@
 // Direction is a direction through a relay.
 type Direction int
 
+// Directions as seen from the side that opens the connections.
 const (
-	ToTarget Direction = iota // from the side that connects
-	FromTarget
+	ToTarget   Direction = iota // from the side that connects
+	FromTarget                  // to the side that connects
 )
 
-func (w Direction) String() string { return [...]string{"out", "back"}[w] }
+func (d Direction) String() string { return [...]string{"out", "back"}[d] }
 
-// Relay carries the connections of one pair, such as a manager and a node, and puts
-// faults between them. It accepts at an address of its own and connects onwards for
-// each connection. Each fault holds until it is taken back; a fault of one direction
-// leaves the other as it is.
+// Relay carries the connections of one pair of parties, such as a manager and a node, and puts
+// faults between them. It accepts connections at an address of its own and opens one to the target
+// for each. Each fault lasts until it is ended; a fault of one direction does not affect the other.
 //
-// Closing one side closes the other in the same manner: what was written before a
-// close still arrives, a reset arrives as a reset.
+// When one side closes, the relay closes the other in the same way: what was written before the
+// close still arrives, and a reset arrives as a reset.
 type Relay struct {
-	// Seen is told of each piece that leaves either side of the nth connection, before
-	// it goes on; with none, of the side's end. It must not wait. Nil: nobody is.
-	OnData func(conn int, way Direction, b []byte)
+	// OnData is called with each piece of data that either side of connection number conn sends,
+	// before it is forwarded, and with nil when that side ends. It must not block. It may be nil.
+	OnData func(conn int, direction Direction, b []byte)
 
 	addr       string
 	dialTarget func() (net.Conn, error)
 
 	mu            sync.Mutex
-	changed       chan struct{} // closed and made anew with each change
-	cut           [2]bool       // what leaves is held; no connection comes up
+	changed       chan struct{} // closed and replaced at each change of a fault
+	cut           [2]bool       // data is held and no connection is established
 	delay         [2]time.Duration
-	bytesPerMs    [2]int // bytes a millisecond; 0: all at once
+	bytesPerMs    [2]int // 0: no limit
 	traps         []*trap
 	refusing      bool
 	closed        bool
-	portHolder    int // a socket that is bound and never listens: the port stays ours
+	portHolder    int // a socket that is bound and never listens, which reserves the port
 	listener      *net.TCPListener
-	queueFilled   bool       // the listener's queue is kept full
-	queueFillers  []net.Conn // by these
+	queueFilled   bool       // the listener's accept queue is kept full
+	queueFillers  []net.Conn // the connections that fill it
 	conns         map[*relayedConn]bool
 	connsAccepted int
 	goroutines    sync.WaitGroup
 }
 
-// trap strikes when something passes.
+// trap acts on a connection when certain data passes.
 type trap struct {
 	direction  Direction
-	token      []byte
-	afterBytes int // or when so many have passed on one connection
+	token      []byte // that triggers it
+	afterBytes int    // triggers it instead, once so many bytes have passed on one connection
 	action     TrapAction
-	remaining  int // how often it strikes yet; -1: always
+	remaining  int // how many more times it acts; -1: no limit
 	onHit      func()
 }
 
-// TrapAction is what a trap does to the connection that steps on it.
+// TrapAction is what a trap does to the connection that triggers it.
 type TrapAction int
 
+// Actions of traps.
 const (
-	ResetBefore TrapAction = iota // what was seen is lost, and both sides see a reset
-	CloseBefore                   // what was seen is lost, and both sides see an ordinary close
-	Mute                          // what was seen and all after it in this direction is lost; the connection stays open
-	ResetAfter                    // what was seen goes on, and both sides see a reset
+	ResetBefore TrapAction = iota // the triggering data is lost, and both sides see a reset
+	CloseBefore                   // the triggering data is lost, and both sides see an ordinary close
+	Mute                          // the triggering data and all after it in this direction is lost; the connection stays open
+	ResetAfter                    // the triggering data is forwarded, then both sides see a reset
 )
 
-// NewRelay returns a relay on loopback to what target connects to.
+// NewRelay returns a relay that listens on loopback and opens its onward connections with target.
 func NewRelay(target func() (net.Conn, error)) (*Relay, error) {
 	r := &Relay{dialTarget: target, changed: make(chan struct{}), conns: make(map[*relayedConn]bool)}
 	fd, addr, err := holdPort()
@@ -89,8 +90,8 @@
 	return r, nil
 }
 
-// holdPort binds a socket that never listens to a free port, which stays ours until it is
-// closed. Who listens there has to share it.
+// holdPort reserves a free port by a bound socket that never listens, until the socket is closed.
+// Listeners on that port have to set SO_REUSEPORT.
 func holdPort() (fd int, addr string, err error) {
 	fd, err = syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -108,9 +109,11 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port), nil
 }
 
-// soReusePort lets a listener share its port with the socket that holds it.
+// soReusePort is SO_REUSEPORT, which lets a listener share its port with the socket that reserves
+// it.
 const soReusePort = 0xf
 
+// firstError returns the first error that is not nil.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -120,10 +123,10 @@
 	return nil
 }
 
-// Addr is where the relay accepts. It stays the same whatever is done to it.
+// Addr returns the address at which the relay accepts. No fault changes it.
 func (r *Relay) Addr() string { return r.addr }
 
-// ConnsAccepted is how many connections have come up so far.
+// ConnsAccepted returns how many connections have been accepted so far.
 func (r *Relay) ConnsAccepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,7 +158,7 @@
 			r.mu.Unlock()
 			c.Close()
 			continue
-		case err != nil && os.IsTimeout(err): // cut: nothing comes up until that changes
+		case err != nil && os.IsTimeout(err): // cut: accept nothing until that changes
 			changed := r.changed
 			if !r.cut[ToTarget] && !r.cut[FromTarget] {
 				l.SetDeadline(time.Time{})
@@ -170,14 +173,15 @@
 			return
 		}
 		r.connsAccepted++
-		k := &relayedConn{relay: r, client: c, number: r.connsAccepted}
-		r.conns[k] = true
+		rc := &relayedConn{relay: r, client: c, number: r.connsAccepted}
+		r.conns[rc] = true
 		r.mu.Unlock()
-		r.goroutines.Go(k.run)
+		r.goroutines.Go(rc.run)
 	}
 }
 
-// takeQueueFiller takes a connection out of those that fill the queue, if it is one.
+// takeQueueFiller reports whether a connection is one of the queue fillers, and if so closes and
+// forgets it. r.mu must be held.
 func (r *Relay) takeQueueFiller(c net.Conn) bool {
 	for i, f := range r.queueFillers {
 		if f.LocalAddr().String() == c.RemoteAddr().String() {
@@ -189,7 +193,7 @@
 	return false
 }
 
-// update applies f and lets all that waits look again.
+// update applies f to an open relay and wakes the goroutines that wait for a change.
 func (r *Relay) update(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,18 +205,18 @@
 	r.changed = make(chan struct{})
 }
 
-// Cut holds what leaves in a direction, and lets no new connection come up: as
-// when a machine vanishes, or a cable does. Nobody is told.
-func (r *Relay) Cut(ways ...Direction) {
+// Cut holds the data of some directions and establishes no new connection, as when a machine or a
+// cable vanishes: neither side is told.
+func (r *Relay) Cut(directions ...Direction) {
 	r.update(func() {
-		for _, w := range ways {
+		for _, w := range directions {
 			r.cut[w] = true
 		}
 		r.fillQueue()
 	})
 }
 
-// Heal ends a cut. What was held goes on its way.
+// Heal ends a cut. Data that was held is forwarded.
 func (r *Relay) Heal() {
 	r.update(func() {
 		r.cut = [2]bool{}
@@ -224,9 +228,9 @@
 	})
 }
 
-// fillQueue keeps connections from coming up: the listener's queue takes one, which is
-// ours, and the kernel drops the first packet of all others. A connect that is
-// refused or reset would tell more than a machine that is cut off does.
+// fillQueue keeps connections from being established: one connection of the relay fills the accept
+// queue, and the kernel drops the first packet of all others. Refusing or resetting them would tell
+// the peer more than a machine that is cut off does.
 func (r *Relay) fillQueue() {
 	if r.listener == nil || r.queueFilled {
 		return
@@ -243,7 +247,7 @@
 	}
 }
 
-// setBacklog sets the length of the listener's queue anew.
+// setBacklog changes the length of the accept queue.
 func (r *Relay) setBacklog(n int) {
 	raw, err := r.listener.SyscallConn()
 	if err == nil {
@@ -251,8 +255,8 @@
 	}
 }
 
-// Refuse has connects refused, as where no process listens, and resets what is
-// open. Accept ends it.
+// Refuse refuses connections, as when no process listens, and resets the open ones. StopRefusing
+// ends it.
 func (r *Relay) Refuse() {
 	r.update(func() {
 		r.refusing = true
@@ -264,7 +268,7 @@
 	})
 }
 
-// StopRefusing takes connections again after Refuse.
+// StopRefusing accepts connections again after Refuse.
 func (r *Relay) StopRefusing() error {
 	var err error
 	r.update(func() {
@@ -278,38 +282,47 @@
 	return err
 }
 
-// Reset breaks all that is open. What is on its way is lost.
+// Reset resets all open connections. Data in transit is lost.
 func (r *Relay) Reset() { r.update(r.resetAll) }
 
+// resetAll is Reset with r.mu held.
 func (r *Relay) resetAll() {
-	for k := range r.conns {
-		k.reset()
+	for rc := range r.conns {
+		rc.reset()
 	}
 }
 
-// Delay has all that leaves in a direction arrive so much later, in order.
-func (r *Relay) Delay(way Direction, d time.Duration) { r.update(func() { r.delay[way] = d }) }
+// Delay delays the data of a direction by d, in order.
+func (r *Relay) Delay(direction Direction, d time.Duration) {
+	r.update(func() { r.delay[direction] = d })
+}
 
-// Throttle lets so many bytes a millisecond through in a direction; 0: all.
-func (r *Relay) Throttle(way Direction, bytes int) { r.update(func() { r.bytesPerMs[way] = bytes }) }
+// Throttle limits a direction to so many bytes a millisecond; 0: no limit.
+func (r *Relay) Throttle(direction Direction, bytes int) {
+	r.update(func() { r.bytesPerMs[direction] = bytes })
+}
 
-// Trap does act to each of the next n connections on which token passes in a
-// direction; with n under 0 to all. hit, if not nil, is called each time.
-func (r *Relay) Trap(way Direction, token string, n int, act TrapAction, hit func()) {
+// Trap does action to each of the next n connections on which token passes in a direction; if n is
+// negative, to all. hit, if not nil, is called each time. A token that is split between two reads
+// is not found.
+func (r *Relay) Trap(direction Direction, token string, n int, action TrapAction, hit func()) {
 	r.update(func() {
-		r.traps = append(r.traps, &trap{direction: way, token: []byte(token), remaining: n, action: act, onHit: hit})
+		r.traps = append(r.traps, &trap{direction: direction, token: []byte(token), remaining: n, action: action, onHit: hit})
 	})
 }
 
-// TrapAt is Trap at the first piece that takes a connection past so many bytes.
-func (r *Relay) TrapAt(way Direction, bytes, n int, act TrapAction) {
-	r.update(func() { r.traps = append(r.traps, &trap{direction: way, afterBytes: bytes, remaining: n, action: act}) })
+// TrapAt is like Trap, but is triggered by the first piece of data that takes a connection past so
+// many bytes.
+func (r *Relay) TrapAt(direction Direction, bytes, n int, action TrapAction) {
+	r.update(func() {
+		r.traps = append(r.traps, &trap{direction: direction, afterBytes: bytes, remaining: n, action: action})
+	})
 }
 
-// Untrap takes all traps back.
+// Untrap removes all traps.
 func (r *Relay) Untrap() { r.update(func() { r.traps = nil }) }
 
-// Close ends the relay and all that is open on it.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.update(func() {
 		if r.listener != nil {
@@ -332,16 +345,16 @@
 type relayedConn struct {
 	relay  *Relay
 	number int
-	client *net.TCPConn
-	server *net.TCPConn
-	ended  bool // under the relay's lock
+	client *net.TCPConn // the accepted side
+	server *net.TCPConn // the side opened to the target; nil until then
+	ended  bool         // guarded by the relay's mutex, like muted
 	muted  [2]bool
 }
 
-// reset is called with the relay's lock held.
-func (k *relayedConn) reset() {
-	k.ended = true
-	for _, c := range []*net.TCPConn{k.client, k.server} {
+// reset resets both sides. The relay's mutex must be held.
+func (rc *relayedConn) reset() {
+	rc.ended = true
+	for _, c := range []*net.TCPConn{rc.client, rc.server} {
 		if c != nil {
 			c.SetLinger(0)
 			c.Close()
@@ -349,45 +362,45 @@
 	}
 }
 
-func (k *relayedConn) run() {
-	r := k.relay
+// run opens the onward connection and forwards until both directions have ended.
+func (rc *relayedConn) run() {
+	r := rc.relay
 	defer func() {
 		r.mu.Lock()
-		delete(r.conns, k)
+		delete(r.conns, rc)
 		r.mu.Unlock()
 	}()
 	c, err := r.dialTarget()
 	r.mu.Lock()
-	if err != nil || k.ended {
-		k.reset()
+	if err != nil || rc.ended {
+		rc.reset()
 		r.mu.Unlock()
 		if c != nil {
 			c.Close()
 		}
 		return
 	}
-	k.server = c.(*net.TCPConn)
+	rc.server = c.(*net.TCPConn)
 	r.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.forward(ToTarget, k.client, k.server) })
-	both.Go(func() { k.forward(FromTarget, k.server, k.client) })
+	both.Go(func() { rc.forward(ToTarget, rc.client, rc.server) })
+	both.Go(func() { rc.forward(FromTarget, rc.server, rc.client) })
 	both.Wait()
-	k.client.Close()
-	k.server.Close()
+	rc.client.Close()
+	rc.server.Close()
 }
 
-// chunk is what was read at once; end: why nothing follows.
+// chunk is the result of one read. A non-nil err means that nothing follows.
 type chunk struct {
 	data   []byte
 	readAt time.Time
 	err    error
 }
 
-// forward passes on what leaves in one direction until that ends. It reads ahead of
-// what is held, as a network's buffers do, so that what a party wrote is seen when
-// it wrote it.
-func (k *relayedConn) forward(way Direction, from, to *net.TCPConn) {
-	r := k.relay
+// forward forwards one direction until it ends. It reads ahead while data is held, as the buffers
+// of a network do, so that OnData sees data when a party writes it.
+func (rc *relayedConn) forward(direction Direction, from, to *net.TCPConn) {
+	r := rc.relay
 	queue := make(chan chunk, 1<<12)
 	done := make(chan struct{})
 	defer close(done)
@@ -396,10 +409,10 @@
 			b := make([]byte, 4<<10)
 			n, err := from.Read(b)
 			if r.OnData != nil && n > 0 {
-				r.OnData(k.number, way, b[:n])
+				r.OnData(rc.number, direction, b[:n])
 			}
 			if r.OnData != nil && err != nil {
-				r.OnData(k.number, way, nil)
+				r.OnData(rc.number, direction, nil)
 			}
 			select {
 			case queue <- chunk{b[:n], time.Now(), err}:
@@ -411,100 +424,102 @@
 		}
 	}()
 	passed := 0
-	for p := range queue {
-		if passed += len(p.data); len(p.data) > 0 && !k.forwardChunk(way, to, p, passed) {
+	for c := range queue {
+		if passed += len(c.data); len(c.data) > 0 && !rc.forwardChunk(direction, to, c, passed) {
 			return
 		}
-		if p.err == nil {
+		if c.err == nil {
 			continue
 		}
-		k.waitWhileCut(way)
+		rc.waitWhileCut(direction)
 		r.mu.Lock()
 		switch {
-		case k.ended:
-		case p.err == io.EOF:
+		case rc.ended:
+		case c.err == io.EOF:
 			to.CloseWrite()
 		default:
-			k.reset()
+			rc.reset()
 		}
 		r.mu.Unlock()
 		return
 	}
 }
 
-// forwardChunk sends a piece on by what holds at the moment. False: the link is gone.
-func (k *relayedConn) forwardChunk(way Direction, to *net.TCPConn, p chunk, passed int) bool {
-	r, b := k.relay, p.data
+// forwardChunk forwards a chunk under the faults of the moment. It returns false if the connection
+// has ended. passed is the number of bytes up to the end of the chunk.
+func (rc *relayedConn) forwardChunk(direction Direction, to *net.TCPConn, c chunk, passed int) bool {
+	r, b := rc.relay, c.data
 	r.mu.Lock()
-	delay, drip := r.delay[way], r.bytesPerMs[way]
-	act, struck := k.matchTrap(way, b, passed)
+	delay, bytesPerMs := r.delay[direction], r.bytesPerMs[direction]
+	action, struck := rc.matchTrap(direction, b, passed)
 	if struck {
-		switch act {
+		switch action {
 		case ResetBefore:
-			k.reset()
+			rc.reset()
 		case CloseBefore:
-			k.ended = true
-			k.client.Close()
-			k.server.Close()
+			rc.ended = true
+			rc.client.Close()
+			rc.server.Close()
 		case Mute:
-			k.muted[way] = true
+			rc.muted[direction] = true
 		}
 	}
-	mute, gone := k.muted[way], k.ended
+	muted, ended := rc.muted[direction], rc.ended
 	r.mu.Unlock()
-	if gone {
+	if ended {
 		return false
 	}
-	if mute {
+	if muted {
 		return true
 	}
 	if delay > 0 {
-		time.Sleep(time.Until(p.readAt.Add(delay)))
+		time.Sleep(time.Until(c.readAt.Add(delay)))
 	}
-	if !k.waitWhileCut(way) {
+	if !rc.waitWhileCut(direction) {
 		return false
 	}
 	for len(b) > 0 {
 		n := len(b)
-		if drip > 0 {
-			n = min(n, drip)
+		if bytesPerMs > 0 {
+			n = min(n, bytesPerMs)
 			time.Sleep(time.Millisecond)
 		}
 		if _, err := to.Write(b[:n]); err != nil {
 			r.mu.Lock()
-			k.reset()
+			rc.reset()
 			r.mu.Unlock()
 			return false
 		}
 		b = b[n:]
 	}
-	if struck && act == ResetAfter {
+	if struck && action == ResetAfter {
 		r.mu.Lock()
-		k.reset()
+		rc.reset()
 		r.mu.Unlock()
 		return false
 	}
 	return true
 }
 
-// waitWhileCut holds while a direction is cut. False: the link is gone.
-func (k *relayedConn) waitWhileCut(way Direction) bool {
-	r := k.relay
+// waitWhileCut blocks while a direction is cut. It returns false if the connection has ended.
+func (rc *relayedConn) waitWhileCut(direction Direction) bool {
+	r := rc.relay
 	for {
 		r.mu.Lock()
-		cut, gone, changed := r.cut[way] && !r.closed, k.ended, r.changed
+		cut, ended, changed := r.cut[direction] && !r.closed, rc.ended, r.changed
 		r.mu.Unlock()
-		if gone || !cut {
-			return !gone
+		if ended || !cut {
+			return !ended
 		}
 		<-changed
 	}
 }
 
-// matchTrap looks whether a trap strikes, with the relay's lock held.
-func (k *relayedConn) matchTrap(way Direction, b []byte, passed int) (TrapAction, bool) {
-	for _, t := range k.relay.traps {
-		if t.direction != way || t.remaining == 0 {
+// matchTrap returns the action of the first trap that the data triggers, and whether there is one.
+// The relay's mutex must be held.
+func (rc *relayedConn) matchTrap(direction Direction, b []byte, passed int) (TrapAction, bool) {
+	for _, t := range rc.relay.traps {
+		if t.direction != direction || t.remaining == 0 {
 			continue
 		}
 		if t.token != nil && !bytes.Contains(b, t.token) || t.token == nil && passed < t.afterBytes {
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// newEchoRelay is a server that sends back what it gets, behind a relay.
+// newEchoRelay starts a server that sends back what it receives, and returns a relay to it.
 func newEchoRelay(t *testing.T) *Relay {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	return c.(*net.TCPConn)
 }
 
-// exchange writes text and reads what comes back within d.
+// exchange writes text and reads the echo within d.
 func exchange(c net.Conn, text string, d time.Duration) (string, error) {
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
@@ -56,50 +56,51 @@
 	return string(b[:n]), err
 }
 
+// TestRelayFaults applies each fault of a relay and checks what both sides see of it.
 func TestRelayFaults(t *testing.T) {
-	const short = 50 * time.Millisecond // for what must not come; nothing fails by being late
+	const briefly = 50 * time.Millisecond // waits for what must not come; being slow cannot make the test fail
 	r := newEchoRelay(t)
 	c := dialRelay(t, r)
 	if got, err := exchange(c, "hello", patience); got != "hello" {
 		t.Fatal(got, err)
 	}
-	for _, way := range []Direction{ToTarget, FromTarget} {
-		r.Cut(way)
-		if got, err := exchange(c, "cut", short); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("cut %v: %q, %v", way, got, err)
+	for _, direction := range []Direction{ToTarget, FromTarget} {
+		r.Cut(direction)
+		if got, err := exchange(c, "cut", briefly); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("cut %v: got %q, %v; want a timeout", direction, got, err)
 		}
-		if n, err := net.DialTimeout("tcp4", r.Addr(), short); !os.IsTimeout(err) {
-			t.Errorf("cut %v: a connection came up: %v, %v", way, n, err)
+		if n, err := net.DialTimeout("tcp4", r.Addr(), briefly); !os.IsTimeout(err) {
+			t.Errorf("cut %v: dial: %v, %v; want a timeout", direction, n, err)
 		}
 		r.Heal()
 		b := make([]byte, 3)
 		c.SetReadDeadline(time.Now().Add(patience))
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "cut" {
-			t.Errorf("healed %v: %q, %v", way, b, err)
+			t.Errorf("healed %v: got %q, %v; want the data held back", direction, b, err)
 		}
 		if got, err := exchange(dialRelay(t, r), "new", patience); got != "new" {
-			t.Errorf("healed %v: %q, %v", way, got, err)
+			t.Errorf("healed %v: a new connection got %q, %v", direction, got, err)
 		}
 	}
 	r.Refuse()
 	if _, err := exchange(c, "x", patience); err == nil {
-		t.Error("still open after Refuse")
+		t.Error("a connection is still open after Refuse")
 	}
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("not refused: %v", err)
+		t.Errorf("dial after Refuse: %v; want ECONNREFUSED", err)
 	}
 	if err := r.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := exchange(dialRelay(t, r), "again", patience); got != "again" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("after StopRefusing: got %q, %v", got, err)
 	}
 
 	for _, e := range []struct {
-		way  Direction
-		act  TrapAction
-		got  string
-		fail error
+		direction Direction
+		action    TrapAction
+		want      string
+		wantErr   error
 	}{
 		{FromTarget, ResetBefore, "", syscall.ECONNRESET},
 		{ToTarget, ResetBefore, "", syscall.ECONNRESET},
@@ -108,20 +109,20 @@
 		{FromTarget, ResetAfter, "end", nil},
 	} {
 		hits := 0
-		r.Trap(e.way, "end", 1, e.act, func() { hits++ })
+		r.Trap(e.direction, "end", 1, e.action, func() { hits++ })
 		c, other := dialRelay(t, r), dialRelay(t, r)
 		if got, err := exchange(c, "fin", patience); got != "fin" {
 			t.Fatal(got, err)
 		}
 		wait := patience
-		if e.act == Mute {
-			wait = short
+		if e.action == Mute {
+			wait = briefly
 		}
-		if got, err := exchange(c, "end", wait); got != e.got || !errors.Is(err, e.fail) {
-			t.Errorf("%v %v: %q, %v", e.way, e.act, got, err)
+		if got, err := exchange(c, "end", wait); got != e.want || !errors.Is(err, e.wantErr) {
+			t.Errorf("direction %v, action %v: got %q, %v", e.direction, e.action, got, err)
 		}
 		if got, err := exchange(other, "end", patience); got != "end" || hits != 1 {
-			t.Errorf("%v %v: %d hits, the other got %q, %v", e.way, e.act, hits, got, err)
+			t.Errorf("direction %v, action %v: %d hits; the second connection got %q, %v", e.direction, e.action, hits, got, err)
 		}
 	}
 	r.TrapAt(ToTarget, 4, 1, ResetBefore)
@@ -130,11 +131,12 @@
 		t.Fatal(got, err)
 	}
 	if got, err := exchange(c, "d", patience); err == nil {
-		t.Errorf("byte 4 passed: %q", got)
+		t.Errorf("byte 4 passed a trap at 4 bytes: %q", got)
 	}
 }
 
-// What is held or dripped keeps its order, and a close comes after all of it.
+// TestRelayKeepsOrder checks that delayed and throttled data keeps its order, and that a close
+// arrives after all of it.
 func TestRelayKeepsOrder(t *testing.T) {
 	r := newEchoRelay(t)
 	r.Delay(ToTarget, time.Millisecond)
@@ -153,6 +155,6 @@
 	c.SetReadDeadline(time.Now().Add(patience))
 	got, err := io.ReadAll(c)
 	if err != nil || string(got) != string(want) {
-		t.Errorf("got %d bytes, %v", len(got), err)
+		t.Errorf("got %d bytes, %v; want all bytes sent, in order", len(got), err)
 	}
 }
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-var sizes = flag.Bool("sizes", false, "measure how many managers this machine bears as processes")
+var sizes = flag.Bool("sizes", false, "measure how many manager processes this machine can run")
 
 // TestManagerProcessCost measures what 4, 16 and 40 managers cost as processes: time to start,
-// memory, descriptors, and set-ups a second that are all answered. It is long, and its
-// figures are the machine's: it fails by broken rules alone.
+// memory, descriptors, and set-ups a second that are all answered. It is slow, and its figures
+// depend on the machine: it fails only if a rule of the judge is broken.
 func TestManagerProcessCost(t *testing.T) {
 	if !*sizes {
-		t.Skip("with -sizes only")
+		t.Skip("runs only with -sizes")
 	}
 	binary, err := program()
 	if err != nil {
@@ -44,7 +44,7 @@
 		}
 		started := time.Since(began)
 		f.Viewers.Run(f.done)
-		best := 0.0
+		bestRate := 0.0
 		for rate := 250.0; rate <= 4000; rate *= 2 {
 			f.Viewers.SetRate(rate)
 			time.Sleep(time.Second)
@@ -65,14 +65,14 @@
 			if float64(served) < 0.98*float64(asked) || float64(asked) < 0.9*rate*3 {
 				break
 			}
-			best = rate
+			bestRate = rate
 		}
 		var memory []float64
-		most, cpu := 0, time.Duration(0)
+		maxDescriptors, cpu := 0, time.Duration(0)
 		for _, m := range f.Managers {
-			mb, fds, c := m.Usage()
+			mb, descriptors, c := m.Usage()
 			memory = append(memory, mb)
-			most, cpu = max(most, fds), cpu+c
+			maxDescriptors, cpu = max(maxDescriptors, descriptors), cpu+c
 		}
 		slices.Sort(memory)
 		f.Viewers.SetRate(0.001)
@@ -81,7 +81,7 @@
 			t.Error(Report(found, f.Record.Events()))
 		}
 		f.Close()
-		t.Logf("%d managers: started in %v; memory %.0f MB in the middle, %.0f at most; %d descriptors at most; %.0f set-ups a second all served; %v of processor time",
-			n, started.Round(time.Millisecond), memory[len(memory)/2], memory[len(memory)-1], most, best, cpu)
+		t.Logf("%d managers: started in %v; memory %.0f MB median, %.0f MB at most; %d descriptors at most; %.0f set-ups a second, all served; %v of processor time",
+			n, started.Round(time.Millisecond), memory[len(memory)/2], memory[len(memory)-1], maxDescriptors, bestRate, cpu)
 	}
 }
--- a/internal/fleettest/viewer.go
+++ b/internal/fleettest/viewer.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// Viewers is the viewers of all halls. Like the platform's front it keeps a few
-// connections to each manager, and each carries many sessions.
+// Viewers simulates the viewers of all halls. Like the platform's load balancer they share a few
+// connections to each manager, and each connection carries many sessions.
 type Viewers struct {
 	Record         *Record
-	ManagerAddrs   map[string]string   // of each manager, as viewers reach it
-	ManagersByHall map[string][]string // managers by hall
-	BilledClasses  map[string]bool
+	ManagerAddrs   map[string]string // by manager, as viewers reach it
+	ManagersByHall map[string][]string
+	BilledClasses  map[string]bool // classes whose set-ups are billed
 	Load           Load
-	TitleCopies    int                         // cells that hold each title
-	OnMessage      func(id string, m *Message) // told of what came; for tests; may be nil
+	TitleCopies    int                         // number of cells that hold each title
+	OnMessage      func(id string, m *Message) // called with each message received; for tests; may be nil
 
 	mu            sync.Mutex
 	rng           *rand.Rand
-	conns         map[string][]*viewerConn
-	requests      map[string]*viewerRequest
-	resetAt       map[string]time.Time // when a manager's connections were broken on their way
-	notReadySince map[string]time.Time // since when a manager takes no viewers
+	conns         map[string][]*viewerConn  // by manager
+	requests      map[string]*viewerRequest // by session id
+	resetAt       map[string]time.Time      // by manager: when a fault last reset its connections
+	notReadySince map[string]time.Time      // by manager: since when it reports that it takes no viewers
 	closed        bool
 	requestCount  uint64
 	goroutines    sync.WaitGroup
-	stop          chan struct{}
+	stop          chan struct{} // closed by Close
 }
 
-// Load is what viewers do.
+// Load is the load that viewers offer.
 type Load struct {
-	SessionsPerSecond float64 // new sessions a second, over all halls
-	ClipShare         float64 // share of class clip
-	TimeLeft          time.Duration
-	RetryShare        float64            // share that comes again after a break or a refusal
-	ManagerWeights    map[string]float64 // by manager; 1 where not named
-	Titles            int
+	SessionsPerSecond float64            // new sessions, over all halls
+	ClipShare         float64            // share of class clip; the others are of class feed
+	TimeLeft          time.Duration      // within which a viewer wants its answer
+	RetryShare        float64            // share that tries again after a break or a refusal
+	ManagerWeights    map[string]float64 // by manager; 1 where it is not named
+	Titles            int                // number of titles
 }
 
-// Message is one line of a manager.
+// Message is one message of a manager.
 type Message struct {
 	Type   string            `json:"type"`
 	ID     string            `json:"id"`
@@ -53,18 +53,19 @@
 	SDP    string            `json:"sdp"`
 }
 
+// viewerConn is a connection of viewers to a manager. The mutex of Viewers guards its fields.
 type viewerConn struct {
 	net.Conn
 	manager     string
 	openSetUps  map[string]bool // set-ups without an answer
-	lastTakenAt time.Time       // when the last set-up went on it that was not refused
-	established int             // sessions whose answer came on it
-	lastUsedAt  time.Time       // when one was last open on it, or a session stood by it
-	received    bool            // a line came
+	lastTakenAt time.Time       // when the last set-up that was not refused was sent on it
+	established int             // number of established sessions whose answer came on it
+	lastUsedAt  time.Time       // when it last had an open set-up or an established session
+	received    bool            // a message has come on it
 	closed      bool
 }
 
-// closeSetUp takes a set-up off what is open, with the crowd's lock held.
+// closeSetUp removes a set-up from the open ones. The mutex of Viewers must be held.
 func (v *viewerConn) closeSetUp(id string) {
 	if v.openSetUps[id] {
 		delete(v.openSetUps, id)
@@ -72,81 +73,82 @@
 	}
 }
 
-// addEstablished notes, with the crowd's lock held, that a session stands by this connection.
-func (v *viewerConn) addEstablished(a *viewerRequest) {
-	if a.establishedConn != nil {
-		a.establishedConn.removeEstablished()
+// addEstablished assigns an established session to this connection. The mutex of Viewers must be
+// held.
+func (v *viewerConn) addEstablished(r *viewerRequest) {
+	if r.establishedConn != nil {
+		r.establishedConn.removeEstablished()
 	}
-	a.served, a.establishedConn = true, v
+	r.served, r.establishedConn = true, v
 	v.established++
 }
 
-// removeEstablished notes, likewise, that one no longer does.
+// removeEstablished undoes addEstablished. The mutex of Viewers must be held.
 func (v *viewerConn) removeEstablished() {
 	v.established--
 	v.lastUsedAt = time.Now()
 }
 
-// connNeverAnswered marks what was lost on a connection from which no word ever came.
+// connNeverAnswered is the text of a Dropped event if its connection never delivered a message.
 const connNeverAnswered = "unread"
 
-// viewerRequest is one try of one viewer.
+// viewerRequest is one request of a viewer. A retry is another request.
 type viewerRequest struct {
 	class, key, hall, manager  string
 	retries                    int
-	sentAt                     time.Time // when it was sent
-	resent                     bool      // it went again, since it had crossed a close
-	served, over, retryDecided bool
-	node                       string      // that plays it
-	establishedConn            *viewerConn // on which its answer came
+	sentAt                     time.Time
+	resent                     bool        // it was sent again since the connection was closed while it was on its way
+	served, over, retryDecided bool        // it was served, its session is over, and it was decided whether the viewer retries
+	node                       string      // that plays the session
+	establishedConn            *viewerConn // on which the answer came
 }
 
 // connsPerManager is how many connections viewers keep to one manager.
 const connsPerManager = 3
 
-// closeRaceWindow is how long after a set-up a close of its connection is taken to have
-// crossed it. It goes again then, on a new connection, once.
+// closeRaceWindow is how long after a set-up a close of its connection counts as concurrent with
+// it: the manager need not have read it. The set-up is then sent once more, on a new connection.
 const closeRaceWindow = 100 * time.Millisecond
 
-// NewViewers returns a Crowd that begins nothing by itself.
-func NewViewers(c *Viewers, seed uint64) *Viewers {
-	c.rng = rand.New(rand.NewPCG(seed, 3))
-	c.conns = map[string][]*viewerConn{}
-	c.requests = map[string]*viewerRequest{}
-	c.resetAt = map[string]time.Time{}
-	c.notReadySince = map[string]time.Time{}
-	c.stop = make(chan struct{})
-	return c
+// NewViewers initializes and returns vs. No viewer arrives before Run or Arrive is called.
+func NewViewers(vs *Viewers, seed uint64) *Viewers {
+	vs.rng = rand.New(rand.NewPCG(seed, 3))
+	vs.conns = map[string][]*viewerConn{}
+	vs.requests = map[string]*viewerRequest{}
+	vs.resetAt = map[string]time.Time{}
+	vs.notReadySince = map[string]time.Time{}
+	vs.stop = make(chan struct{})
+	return vs
 }
 
-// Close ends all.
-func (c *Viewers) Close() {
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
+// Close stops all viewers and closes their connections.
+func (vs *Viewers) Close() {
+	vs.mu.Lock()
+	if vs.closed {
+		vs.mu.Unlock()
 		return
 	}
-	c.closed = true
-	close(c.stop)
-	for _, l := range c.conns {
+	vs.closed = true
+	close(vs.stop)
+	for _, l := range vs.conns {
 		for _, v := range l {
 			v.Close()
 		}
 	}
-	c.mu.Unlock()
-	c.goroutines.Wait()
+	vs.mu.Unlock()
+	vs.goroutines.Wait()
 }
 
-// Run has new viewers come at the load's rate until done is closed. Arrivals don't
-// wait for answers.
-func (c *Viewers) Run(done <-chan struct{}) {
-	c.goroutines.Go(func() {
+// Run lets new viewers arrive at the rate of the load until done is closed. Arrivals do not wait
+// for answers.
+func (vs *Viewers) Run(done <-chan struct{}) {
+	vs.goroutines.Go(func() {
 		next := time.Now()
 		for {
-			c.mu.Lock()
-			rate := c.Load.SessionsPerSecond
-			gap := time.Duration(c.rng.ExpFloat64() / max(rate, 0.001) * float64(time.Second))
-			c.mu.Unlock()
+			vs.mu.Lock()
+			rate := vs.Load.SessionsPerSecond
+			gap := time.Duration(vs.rng.ExpFloat64() / max(rate, 0.001) * float64(time.Second))
+			vs.mu.Unlock()
 			if rate <= 0 {
 				gap, next = 20*time.Millisecond, time.Now()
 			}
@@ -154,53 +156,55 @@
 			select {
 			case <-done:
 				return
-			case <-c.stop:
+			case <-vs.stop:
 				return
 			case <-time.After(time.Until(next)):
 			}
 			if rate > 0 {
-				c.Arrive("")
+				vs.Arrive("")
 			}
 		}
 	})
 }
 
-// SetRate changes how many come. With 0 nobody comes again either.
-func (c *Viewers) SetRate(rate float64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// SetRate changes the rate of arrivals. A rate of 0 also ends retries.
+func (vs *Viewers) SetRate(rate float64) {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
 	if rate == 0 {
-		c.Load.RetryShare = 0
+		vs.Load.RetryShare = 0
 	}
-	c.Load.SessionsPerSecond = rate
+	vs.Load.SessionsPerSecond = rate
 }
 
-// NoteReset tells that a fault breaks the connections to a manager: nothing has crossed
-// a close, then.
-func (c *Viewers) NoteReset(manager string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.resetAt[manager] = time.Now()
+// NoteReset announces that a fault resets the connections to a manager, so that their end is not
+// taken for an ordinary close that is concurrent with set-ups.
+func (vs *Viewers) NoteReset(manager string) {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	vs.resetAt[manager] = time.Now()
 }
 
-// Arrive has one new viewer ask a manager, or with "" one of a hall drawn by weight.
-func (c *Viewers) Arrive(manager string) string {
-	c.mu.Lock()
-	a := &viewerRequest{class: "feed", manager: manager}
-	if c.rng.Float64() < c.Load.ClipShare {
-		a.class = "clip"
-	}
-	a.key = fmt.Sprintf("%016x", 0x7f00+c.rng.IntN(max(c.Load.Titles, 1)))
+// Arrive sends the request of one new viewer to a manager, or with "" to one drawn by weight, and
+// returns the session id.
+func (vs *Viewers) Arrive(manager string) string {
+	vs.mu.Lock()
+	r := &viewerRequest{class: "feed", manager: manager}
+	if vs.rng.Float64() < vs.Load.ClipShare {
+		r.class = "clip"
+	}
+	r.key = fmt.Sprintf("%016x", 0x7f00+vs.rng.IntN(max(vs.Load.Titles, 1)))
 	if manager == "" {
-		a.manager = c.pickManager("")
+		r.manager = vs.pickManager("")
 	}
-	a.hall = c.hallOf(a.manager)
-	c.mu.Unlock()
-	return c.sendSetUp(a, "")
+	r.hall = vs.hallOf(r.manager)
+	vs.mu.Unlock()
+	return vs.sendSetUp(r, "")
 }
 
-func (c *Viewers) hallOf(manager string) string {
-	for h, l := range c.ManagersByHall {
+// hallOf returns the hall of a manager.
+func (vs *Viewers) hallOf(manager string) string {
+	for h, l := range vs.ManagersByHall {
 		for _, m := range l {
 			if m == manager {
 				return h
@@ -210,65 +214,65 @@
 	return ""
 }
 
-// pickManager draws a manager of a hall, or of any, by weight.
-func (c *Viewers) pickManager(hall string) string {
+// pickManager draws a manager of a hall, or with "" of any, by weight.
+func (vs *Viewers) pickManager(hall string) string {
 	var names []string
 	sum := 0.0
-	for _, h := range sortedKeys(c.ManagersByHall) {
+	for _, h := range sortedKeys(vs.ManagersByHall) {
 		if hall != "" && h != hall {
 			continue
 		}
-		for _, m := range c.ManagersByHall[h] {
+		for _, m := range vs.ManagersByHall[h] {
 			names = append(names, m)
-			sum += c.weight(m)
+			sum += vs.weight(m)
 		}
 	}
-	at := c.rng.Float64() * sum
+	at := vs.rng.Float64() * sum
 	for _, m := range names {
-		if at -= c.weight(m); at < 0 {
+		if at -= vs.weight(m); at < 0 {
 			return m
 		}
 	}
 	return names[len(names)-1]
 }
 
-func (c *Viewers) weight(m string) float64 {
-	if w, ok := c.Load.ManagerWeights[m]; ok {
+func (vs *Viewers) weight(m string) float64 {
+	if w, ok := vs.Load.ManagerWeights[m]; ok {
 		return w
 	}
 	return 1
 }
 
-// sendSetUp sends a set-up, on a connection that is open or on a new one. With an id it is
-// one that goes again.
-func (c *Viewers) sendSetUp(a *viewerRequest, id string) string {
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
+// sendSetUp sends a set-up on an open connection or a new one. A non-empty id is that of a request
+// that is sent again.
+func (vs *Viewers) sendSetUp(r *viewerRequest, id string) string {
+	vs.mu.Lock()
+	if vs.closed {
+		vs.mu.Unlock()
 		return ""
 	}
-	left, moved := c.Load.TimeLeft, false
-	if len(c.conns[a.manager]) == 0 && !c.acceptsConns(a.manager) {
-		other := c.pickAccepting(a.hall, a.manager)
-		a.manager, moved = other, other != a.manager
+	left, moved := vs.Load.TimeLeft, false
+	if len(vs.conns[r.manager]) == 0 && !vs.acceptsConns(r.manager) {
+		other := vs.pickAccepting(r.hall, r.manager)
+		r.manager, moved = other, other != r.manager
 	}
-	manager := a.manager
+	manager := r.manager
 	if id == "" {
-		c.requestCount++
-		id = fmt.Sprintf("%08x%08x", c.rng.Uint32(), c.requestCount)
-		c.requests[id] = a
+		vs.requestCount++
+		id = fmt.Sprintf("%08x%08x", vs.rng.Uint32(), vs.requestCount)
+		vs.requests[id] = r
 	}
 	var v *viewerConn
 	live := 0
-	for _, o := range c.conns[manager] {
+	for _, o := range vs.conns[manager] {
 		if !o.closed {
 			live++
 			v = o
 		}
 	}
 	if live > 0 {
-		n := c.rng.IntN(live)
-		for _, o := range c.conns[manager] {
+		n := vs.rng.IntN(live)
+		for _, o := range vs.conns[manager] {
 			if !o.closed {
 				if n == 0 {
 					v = o
@@ -277,185 +281,187 @@
 			}
 		}
 	}
-	if live < connsPerManager && (live == 0 || c.acceptsConns(manager)) {
+	if live < connsPerManager && (live == 0 || vs.acceptsConns(manager)) {
 		v = nil
 	}
-	c.mu.Unlock()
+	vs.mu.Unlock()
 	if v == nil {
 		var err error
-		if v, err = c.dial(manager); err != nil {
-			c.Record.Add(Event{Kind: TurnedBack, Manager: manager, ID: id, Text: "refused"})
-			c.Record.Add(Event{Kind: Dropped, Manager: manager, ID: id})
-			a.hall = ""        // it looks elsewhere
-			c.retryLater(a, 0) // nobody has taken it
+		if v, err = vs.dial(manager); err != nil {
+			vs.Record.Add(Event{Kind: TurnedBack, Manager: manager, ID: id, Text: "refused"})
+			vs.Record.Add(Event{Kind: Dropped, Manager: manager, ID: id})
+			r.hall = ""         // retry in any hall
+			vs.retryLater(r, 0) // no manager has accepted it
 			return ""
 		}
 		if v == nil {
 			return ""
 		}
 	}
-	fields := map[string]string{"class": a.class, "left": strconv.FormatInt(left.Milliseconds(), 10), "key": a.key,
-		"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s", c.TitleCopies, id)}
-	if a.retries > 0 {
+	fields := map[string]string{"class": r.class, "left": strconv.FormatInt(left.Milliseconds(), 10), "key": r.key,
+		"extras": fmt.Sprintf("home:0;copies:%d;top:3;viewer:%s", vs.TitleCopies, id)}
+	if r.retries > 0 {
 		fields["retry"] = "1"
 		fields["extras"] += ";again:1"
 	}
 	line, _ := json.Marshal(map[string]any{"type": "setup", "id": id, "fields": fields, "sdp": "c=" + id + "\r\n"})
-	c.mu.Lock()
-	if v.closed { // it ended since it was picked: nothing was written on it
-		c.mu.Unlock()
-		return c.sendSetUp(a, id)
+	vs.mu.Lock()
+	if v.closed { // it was closed since it was picked, and nothing was written on it
+		vs.mu.Unlock()
+		return vs.sendSetUp(r, id)
 	}
 	v.openSetUps[id] = true
-	a.sentAt = time.Now()
-	crossed := a.resent
-	c.mu.Unlock()
-	if !crossed || moved {
-		c.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: a.class, Paid: c.BilledClasses[a.class], Left: left})
+	r.sentAt = time.Now()
+	resent := r.resent
+	vs.mu.Unlock()
+	if !resent || moved {
+		vs.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: r.class, Paid: vs.BilledClasses[r.class], Left: left})
 	}
 	if _, err := v.Write(append(line, '\n')); err != nil {
-		v.Close() // its reader tells of what was open
+		v.Close() // readConn then handles the open set-ups
 	}
-	time.AfterFunc(left, func() { c.abandonSetUp(v, id, a) })
+	time.AfterFunc(left, func() { vs.abandonSetUp(v, id, r) })
 	return id
 }
 
-// dial opens a connection to a manager; nil: the crowd is closed.
-func (c *Viewers) dial(manager string) (*viewerConn, error) {
-	nc, err := net.DialTimeout("tcp4", c.ManagerAddrs[manager], time.Second)
+// dial opens a connection to a manager. It returns nil without an error if Viewers is closed.
+func (vs *Viewers) dial(manager string) (*viewerConn, error) {
+	conn, err := net.DialTimeout("tcp4", vs.ManagerAddrs[manager], time.Second)
 	if err != nil {
 		return nil, err
 	}
-	v := &viewerConn{Conn: nc, manager: manager, openSetUps: map[string]bool{}, lastUsedAt: time.Now()}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed {
-		nc.Close()
+	v := &viewerConn{Conn: conn, manager: manager, openSetUps: map[string]bool{}, lastUsedAt: time.Now()}
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	if vs.closed {
+		conn.Close()
 		return nil, nil
 	}
-	c.conns[manager] = append(c.conns[manager], v)
-	c.goroutines.Go(func() { c.readConn(v) })
+	vs.conns[manager] = append(vs.conns[manager], v)
+	vs.goroutines.Go(func() { vs.readConn(v) })
 	return v, nil
 }
 
-// abandonSetUp gives a set-up up that is not answered when its viewer's time is up.
-func (c *Viewers) abandonSetUp(v *viewerConn, id string, a *viewerRequest) {
-	c.mu.Lock()
-	waits := v.openSetUps[id] && !c.closed
+// abandonSetUp abandons a set-up that has no answer when its viewer's time is up.
+func (vs *Viewers) abandonSetUp(v *viewerConn, id string, r *viewerRequest) {
+	vs.mu.Lock()
+	unanswered := v.openSetUps[id] && !vs.closed
 	v.closeSetUp(id)
-	c.mu.Unlock()
-	if !waits {
+	vs.mu.Unlock()
+	if !unanswered {
 		return
 	}
-	c.Record.Add(Event{Kind: Left, Manager: v.manager, ID: id})
+	vs.Record.Add(Event{Kind: Left, Manager: v.manager, ID: id})
 	line, _ := json.Marshal(map[string]any{"type": "release", "id": id, "fields": map[string]string{}, "cause": 16})
-	v.Write(append(line, '\n')) // a manager that is gone needs no word
-	c.retryLater(a, 0)
+	v.Write(append(line, '\n')) // the manager may have gone
+	vs.retryLater(r, 0)
 }
 
-// retryLater has a viewer come again, after what it was told to wait, to any manager of
-// its hall.
-func (c *Viewers) retryLater(a *viewerRequest, wait time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed || a.retryDecided {
+// retryLater lets the viewer of a request retry at any manager of its hall, after the time that it
+// was told to wait.
+func (vs *Viewers) retryLater(r *viewerRequest, wait time.Duration) {
+	vs.mu.Lock()
+	defer vs.mu.Unlock()
+	if vs.closed || r.retryDecided {
 		return
 	}
-	a.retryDecided = true
-	if c.rng.Float64() >= c.Load.RetryShare {
+	r.retryDecided = true
+	if vs.rng.Float64() >= vs.Load.RetryShare {
 		return
 	}
-	next := &viewerRequest{class: a.class, key: a.key, hall: a.hall, manager: c.pickManager(a.hall), retries: a.retries + 1}
-	after := max(wait, 620*time.Millisecond+time.Duration(c.rng.Float64()*float64(2380*time.Millisecond)))
-	c.goroutines.Go(func() {
+	next := &viewerRequest{class: r.class, key: r.key, hall: r.hall, manager: vs.pickManager(r.hall), retries: r.retries + 1}
+	after := max(wait, 620*time.Millisecond+time.Duration(vs.rng.Float64()*float64(2380*time.Millisecond)))
+	vs.goroutines.Go(func() {
 		select {
-		case <-c.stop:
+		case <-vs.stop:
 		case <-time.After(after):
-			c.sendSetUp(next, "")
+			vs.sendSetUp(next, "")
 		}
 	})
 }
 
-func (c *Viewers) readConn(v *viewerConn) {
+// readConn handles the messages on a connection and, once it ends, the set-ups that are open on it.
+func (vs *Viewers) readConn(v *viewerConn) {
 	in := bufio.NewReaderSize(v, 32<<10)
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
 			if len(line) > 0 {
-				c.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+				vs.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
 			}
 			break
 		}
 		var m Message
 		if err := json.Unmarshal(line, &m); err != nil {
-			c.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+			vs.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
 			continue
 		}
-		c.handleMessage(v, &m)
+		vs.handleMessage(v, &m)
 	}
 	v.Close()
-	c.mu.Lock()
+	vs.mu.Lock()
 	v.closed = true
 	var lost []*viewerRequest
-	crossed := map[string]*viewerRequest{}
+	resending := map[string]*viewerRequest{}
 	for id := range v.openSetUps {
-		a := c.requests[id]
-		if !a.resent && time.Since(a.sentAt) < closeRaceWindow && time.Since(c.resetAt[v.manager]) > 2*closeRaceWindow {
-			c.Record.Add(Event{Kind: TurnedBack, Manager: v.manager, ID: id, Text: "closed"})
-			a.resent = true
-			crossed[id] = a
+		r := vs.requests[id]
+		if !r.resent && time.Since(r.sentAt) < closeRaceWindow && time.Since(vs.resetAt[v.manager]) > 2*closeRaceWindow {
+			vs.Record.Add(Event{Kind: TurnedBack, Manager: v.manager, ID: id, Text: "closed"})
+			r.resent = true
+			resending[id] = r
 			continue
 		}
 		e := Event{Kind: Dropped, Manager: v.manager, ID: id}
 		if !v.received {
 			e.Text = connNeverAnswered
 		}
-		c.Record.Add(e)
-		lost = append(lost, a)
+		vs.Record.Add(e)
+		lost = append(lost, r)
 	}
-	for i, o := range c.conns[v.manager] {
+	for i, o := range vs.conns[v.manager] {
 		if o == v {
-			c.conns[v.manager] = append(c.conns[v.manager][:i], c.conns[v.manager][i+1:]...)
+			vs.conns[v.manager] = append(vs.conns[v.manager][:i], vs.conns[v.manager][i+1:]...)
 			break
 		}
 	}
-	c.mu.Unlock()
-	for id, a := range crossed {
-		c.sendSetUp(a, id)
+	vs.mu.Unlock()
+	for id, r := range resending {
+		vs.sendSetUp(r, id)
 	}
-	for _, a := range lost {
-		a.hall = ""
-		c.retryLater(a, 0)
+	for _, r := range lost {
+		r.hall = ""
+		vs.retryLater(r, 0)
 	}
 }
 
-func (c *Viewers) handleMessage(v *viewerConn, m *Message) {
-	if c.OnMessage != nil {
-		c.OnMessage(m.ID, m)
+// handleMessage handles one message of a manager.
+func (vs *Viewers) handleMessage(v *viewerConn, m *Message) {
+	if vs.OnMessage != nil {
+		vs.OnMessage(m.ID, m)
 	}
-	c.mu.Lock()
+	vs.mu.Lock()
 	v.received = true
-	a := c.requests[m.ID]
-	if a == nil {
-		c.mu.Unlock()
+	r := vs.requests[m.ID]
+	if r == nil {
+		vs.mu.Unlock()
 		return
 	}
-	served := a.served
+	served := r.served
 	if m.Type == "answer" {
-		a.node = nodeOfDescription(m.SDP)
-		v.addEstablished(a)
+		r.node = nodeOfDescription(m.SDP)
+		v.addEstablished(r)
 	}
 	if m.Type == "answer" || m.Type == "release" && m.Cause != 34 && m.Cause != 42 && m.Cause != 102 {
-		v.lastTakenAt = a.sentAt
+		v.lastTakenAt = r.sentAt
 	}
-	if served && !a.over && (m.Type == "release" || m.Type == "move") {
-		a.over = true
-		a.establishedConn.removeEstablished()
+	if served && !r.over && (m.Type == "release" || m.Type == "move") {
+		r.over = true
+		r.establishedConn.removeEstablished()
 	}
 	if m.Type != "progress" {
 		v.closeSetUp(m.ID)
 	}
-	c.mu.Unlock()
+	vs.mu.Unlock()
 	e := Event{Kind: Answered, Manager: v.manager, ID: m.ID, Cause: m.Cause}
 	wait := time.Duration(0)
 	switch {
@@ -474,12 +480,12 @@
 	default:
 		return
 	}
-	c.Record.Add(e)
-	if e.Kind == Moved || e.Kind == Over { // what it heard, it says
+	vs.Record.Add(e)
+	if e.Kind == Moved || e.Kind == Over { // acknowledge the end of the session
 		line, _ := json.Marshal(map[string]any{"type": "released", "id": m.ID, "fields": map[string]string{}})
 		v.Write(append(line, '\n'))
 	}
 	if e.Kind == Moved || e.Kind == Over && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
-		c.retryLater(a, wait)
+		vs.retryLater(r, wait)
 	}
 }
--- a/internal/standin/dns.go
+++ b/internal/standin/dns.go
@@ -9,21 +9,21 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// DNSServer is a DNSServer server of a few records, for tests.
+// DNSServer is a DNS server that answers from a few fixed records.
 type DNSServer struct {
 	mu          sync.Mutex
 	records     []dnsmessage.Resource
-	truncateUDP bool // answers over UDP come truncated
+	truncateUDP bool // answers over UDP are empty and marked as truncated
 }
 
-// SetRecords replaces the records. Cut: they come over TCP only.
-func (d *DNSServer) SetRecords(cut bool, records ...dnsmessage.Resource) {
+// SetRecords replaces the records. With truncateUDP they can be read over TCP only.
+func (d *DNSServer) SetRecords(truncateUDP bool, records ...dnsmessage.Resource) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.records, d.truncateUDP = records, cut
+	d.records, d.truncateUDP = records, truncateUDP
 }
 
-// Serve answers until both sockets are closed.
+// Serve answers requests until both sockets are closed.
 func (d *DNSServer) Serve(udp net.PacketConn, tcp net.Listener) {
 	go func() {
 		for {
@@ -41,11 +41,12 @@
 			return
 		}
 		if out := d.buildAnswer(b[:n], true); out != nil {
-			udp.WriteTo(out, from) // a client that is gone needs no answer
+			udp.WriteTo(out, from) // the client may have gone
 		}
 	}
 }
 
+// serveTCP answers one request on a connection.
 func (d *DNSServer) serveTCP(c net.Conn) {
 	defer c.Close()
 	var size [2]byte
@@ -60,7 +61,8 @@
 	c.Write(append(binary.BigEndian.AppendUint16(nil, uint16(len(out))), out...))
 }
 
-func (d *DNSServer) buildAnswer(b []byte, mayCut bool) []byte {
+// buildAnswer returns the answer to a request, or nil if the request is malformed.
+func (d *DNSServer) buildAnswer(b []byte, overUDP bool) []byte {
 	var m dnsmessage.Message
 	if err := m.Unpack(b); err != nil || len(m.Questions) != 1 {
 		return nil
@@ -77,7 +79,7 @@
 			}
 		}
 	}
-	if mayCut && d.truncateUDP {
+	if overUDP && d.truncateUDP {
 		m.Truncated, m.Answers = true, nil
 	}
 	out, err := m.Pack()
@@ -87,22 +89,23 @@
 	return out
 }
 
-// ServiceRecords is the records of one instance of a service, at host.example, which is
-// 127.0.0.1. They live for ttl seconds.
-func ServiceRecords(service, name string, ttl uint32, port uint16, text ...string) []dnsmessage.Resource {
+// ServiceRecords returns the PTR, SRV, TXT and A records of one service instance at host.example,
+// which is 127.0.0.1. ttl is in seconds.
+func ServiceRecords(service, instance string, ttl uint32, port uint16, text ...string) []dnsmessage.Resource {
 	record := func(owner string, body dnsmessage.ResourceBody) dnsmessage.Resource {
 		return dnsmessage.Resource{Body: body, Header: dnsmessage.ResourceHeader{
 			Name: dnsmessage.MustNewName(owner), Class: dnsmessage.ClassINET, TTL: ttl, Type: recordType(body)}}
 	}
-	full, host := name+"."+service+".", "host.example."
+	fullName, host := instance+"."+service+".", "host.example."
 	return []dnsmessage.Resource{
-		record(service+".", &dnsmessage.PTRResource{PTR: dnsmessage.MustNewName(full)}),
-		record(full, &dnsmessage.SRVResource{Port: port, Target: dnsmessage.MustNewName(host)}),
-		record(full, &dnsmessage.TXTResource{TXT: text}),
+		record(service+".", &dnsmessage.PTRResource{PTR: dnsmessage.MustNewName(fullName)}),
+		record(fullName, &dnsmessage.SRVResource{Port: port, Target: dnsmessage.MustNewName(host)}),
+		record(fullName, &dnsmessage.TXTResource{TXT: text}),
 		record(host, &dnsmessage.AResource{A: [4]byte{127, 0, 0, 1}}),
 	}
 }
 
+// recordType returns the type of a record body.
 func recordType(body dnsmessage.ResourceBody) dnsmessage.Type {
 	switch body.(type) {
 	case *dnsmessage.PTRResource:
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -10,16 +10,16 @@
 	"millethinge/internal/broker"
 )
 
-// Fleet is media nodes without a wire, for brokers that run in virtual time: it
-// takes their attempts, shares each link equally among what plays there, refuses
-// over the guard, reports loads and tells of short delivery.
+// Fleet simulates media nodes without a network, for brokers that run in virtual time. It accepts
+// attempts, shares each link equally among the sessions on it, refuses set-ups above the
+// utilization limit, reports loads and announces short delivery.
 type Fleet struct {
 	Settings      control.Settings
-	LinksKB       []float64     // true links of the nodes, which are servers 1 and on
-	OneWayDelay   time.Duration // one way
+	LinksKB       []float64     // kB/s: true link capacities of the nodes, which are servers 1 to n
+	OneWayDelay   time.Duration // between a manager and a node
 	SessionLength func(session control.SessionID, class int) time.Duration
-	RateSpread    float64 // true rates lie so much above or below the ladder
-	NodeZones     []int   // of the nodes; nil: all 0
+	RateSpread    float64 // largest relative difference of a session's true rate from the rate ladder
+	NodeZones     []int   // zone of each node; nil: all in zone 0
 
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -27,21 +27,21 @@
 	sessions       map[control.SessionID]*fleetSession
 	timers         []*time.Timer
 	closed         bool
-	EarnedWorth    float64 // worth of what played, by rung and delivery
-	SessionsPlayed int
-	RefusedFull    int // set-ups refused as full
+	EarnedWorth    float64 // sum over the ended sessions of their average worth by rung and delivery
+	SessionsPlayed int     // number of sessions in EarnedWorth
+	RefusedFull    int     // number of set-ups refused as full
 }
 
 type fleetNode struct {
-	linkKB           float64
+	linkKB           float64 // kB/s
 	zone             int
-	demandKB         float64
-	down             bool // it is cut off: it answers nothing, and no connection comes up
+	demandKB         float64 // kB/s that the sessions need
+	down             bool    // it answers nothing, and no connection is established
 	downAt           time.Time
-	excessColdSetUps int       // set-ups beyond what it bore while it was cold
-	coldUntil        time.Time // until when
+	excessColdSetUps int // set-ups beyond what it could take while it was cold
+	coldUntil        time.Time
 	startedAt        time.Time
-	setUpsSinceStart int // since
+	setUpsSinceStart int // counted while it is cold
 	sessions         map[control.SessionID]*fleetSession
 }
 
@@ -50,18 +50,18 @@
 	class         int
 	attemptNumber int
 	rung          int
-	rateFactor    float64 // of its true rate
-	managerZone   int     // zone of its manager
+	rateFactor    float64 // true rate relative to the rate ladder
+	managerZone   int
 	node          *fleetNode
 	server        control.ServerID
 	broker        *broker.Broker
 	startedAt     time.Time
 	endsAt        time.Time
-	earnedWorth   float64 // rung's worth times seconds
+	earnedWorth   float64 // worth multiplied by seconds
 	accruedUntil  time.Time
 }
 
-// NewFleet returns a fleet with a seed of its own.
+// NewFleet initializes and returns f, with random numbers drawn from seed.
 func NewFleet(f *Fleet, seed uint64) *Fleet {
 	f.rng = rand.New(rand.NewPCG(seed, 9))
 	f.sessions = make(map[control.SessionID]*fleetSession)
@@ -75,7 +75,7 @@
 	return f
 }
 
-// Close stops what is still to happen.
+// Close cancels all pending events.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,7 @@
 	}
 }
 
-// schedule runs do later, with the lock held.
+// schedule runs do after d, with f.mu held.
 func (f *Fleet) schedule(d time.Duration, do func()) {
 	f.timers = append(f.timers, time.AfterFunc(d, func() {
 		f.mu.Lock()
@@ -95,26 +95,25 @@
 		}
 	}))
 	if len(f.timers) > 1<<16 {
-		f.timers = append(f.timers[:0], f.timers[1<<15:]...) // the oldest have run
+		f.timers = append(f.timers[:0], f.timers[1<<15:]...) // the oldest have fired
 	}
 }
 
-// ManagerNodes is the nodes as one broker sees them. It has to be given the broker
-// before that runs.
+// ManagerNodes is the nodes as one broker sees them. Broker has to be set before the broker runs.
 type ManagerNodes struct {
 	*Fleet
 	Broker *broker.Broker
 	Zone   int
 }
 
-// Times of managers towards a node that can't be reached.
+// Times of managers towards a node that cannot be reached.
 const (
-	silentConnTime     = 500 * time.Millisecond // its open connections are silent, later ones don't come up
-	connectTimeout     = 250 * time.Millisecond
-	sessionLossTimeout = 3 * time.Second // until what stood there is given up
+	silentConnTime     = 500 * time.Millisecond // during which connections to it stay open and silent; later set-ups need a new one
+	connectTimeout     = 250 * time.Millisecond // of a new connection
+	sessionLossTimeout = 3 * time.Second        // after which its established sessions are given up
 )
 
-// FailZone cuts a zone's nodes off, which end what plays there.
+// FailZone cuts off the nodes of a zone, which ends their sessions.
 func (f *Fleet) FailZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -132,7 +131,7 @@
 	}
 }
 
-// RestoreZone brings a zone's nodes back, cold where the settings have a warm-up.
+// RestoreZone brings the nodes of a zone back, cold if the settings have a warm-up time.
 func (f *Fleet) RestoreZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,8 +143,9 @@
 	}
 }
 
-// ExcessColdSetUps is how many set-ups came to cold nodes beyond what these bear: a multiple of
-// what has warmed of their streams over the warm-up, over all managers, and two more.
+// ExcessColdSetUps returns how many set-ups cold nodes received beyond what they can take. Over all
+// managers, a cold node can take ColdSetupMultiple times the streams that are warm at the moment
+// per warm-up time, and two more set-ups in all.
 func (f *Fleet) ExcessColdSetUps() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -155,29 +155,30 @@
 	return n
 }
 
-// countColdSetUp counts a set-up against the fall-over rule.
+// countColdSetUp counts a set-up of a node that is cold against what it can take.
 func (f *Fleet) countColdSetUp(n *fleetNode) {
 	if !time.Now().Before(n.coldUntil) || len(f.Settings.MaxStreamsByKind) == 0 {
 		return
 	}
 	t, warm := time.Since(n.startedAt).Seconds(), f.Settings.WarmAfterS
 	streams, start := float64(f.Settings.MaxStreamsByKind[0]), f.Settings.StartCapacityShare
-	// What it bore so far: the pace grows from the start's share to the whole.
-	bore := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
-	if n.setUpsSinceStart++; float64(n.setUpsSinceStart) > bore+2 {
+	// What it could take so far: the rate grows linearly from the start capacity to the whole.
+	allowed := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
+	if n.setUpsSinceStart++; float64(n.setUpsSinceStart) > allowed+2 {
 		n.excessColdSetUps++
 	}
 }
 
-// WorthPerSecond is what plays earns a second, less what crossing zones costs.
+// WorthPerSecond returns the worth that the present sessions earn each second, less the cost of
+// crossing zones.
 func (f *Fleet) WorthPerSecond() (w float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
-		part := n.worthShare()
+		share := n.worthShare()
 		for _, p := range n.sessions {
 			k := &f.Settings.Classes[p.class]
-			w += k.Worth * f.Settings.LadderWorth[p.rung] * part
+			w += k.Worth * f.Settings.LadderWorth[p.rung] * share
 			if p.managerZone != n.zone {
 				w -= k.Worth * f.Settings.CrossZoneCost
 			}
@@ -186,8 +187,8 @@
 	return w
 }
 
-// worthShare is what sessions there get of their worth: under 98% of their rate they lose 7
-// points for each that is missing.
+// worthShare returns the share of their worth that the sessions of a node earn. Below 98% of their
+// rate they lose 7 points for each missing point.
 func (n *fleetNode) worthShare() float64 {
 	share := 1.0
 	if n.demandKB > n.linkKB {
@@ -196,6 +197,7 @@
 	return max(1-7*max(0.98-share, 0), 0)
 }
 
+// node returns a server's node, or nil if there is none.
 func (m *ManagerNodes) node(s control.ServerID) *fleetNode {
 	if s < 1 || int(s) > len(m.nodes) {
 		return nil
@@ -203,7 +205,7 @@
 	return m.nodes[s-1]
 }
 
-// SetUp sends an attempt.
+// SetUp implements broker.Nodes: it sends an attempt.
 func (m *ManagerNodes) SetUp(s control.ServerID, a broker.Attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -247,17 +249,18 @@
 	return true
 }
 
-// accrueWorth counts what the sessions of a node have earned until now.
+// accrueWorth adds what the sessions of a node have earned since the last call.
 func (f *Fleet) accrueWorth(n *fleetNode) {
 	now := time.Now()
-	part := n.worthShare()
+	share := n.worthShare()
 	for _, p := range n.sessions {
 		k := &f.Settings.Classes[p.class]
-		p.earnedWorth += k.Worth * f.Settings.LadderWorth[p.rung] * part * now.Sub(p.accruedUntil).Seconds()
+		p.earnedWorth += k.Worth * f.Settings.LadderWorth[p.rung] * share * now.Sub(p.accruedUntil).Seconds()
 		p.accruedUntil = now
 	}
 }
 
+// updateDemand computes the demand of a node from its sessions.
 func (f *Fleet) updateDemand(n *fleetNode) {
 	n.demandKB = 0
 	for _, p := range n.sessions {
@@ -265,7 +268,7 @@
 	}
 }
 
-// endSession takes a session off its node. False: it is not there.
+// endSession removes a session from its node. It returns false if the session has already ended.
 func (f *Fleet) endSession(p *fleetSession) bool {
 	if f.sessions[p.id] != p {
 		return false
@@ -281,7 +284,7 @@
 	return true
 }
 
-// Abandon ends an attempt.
+// Abandon implements broker.Nodes: it abandons an attempt.
 func (m *ManagerNodes) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -293,10 +296,10 @@
 	})
 }
 
-// AddEstablished knows of no session from before the start.
+// AddEstablished implements broker.Nodes. No session is older than the manager.
 func (m *ManagerNodes) AddEstablished(control.ServerID, control.SessionID) bool { return false }
 
-// Release ends a session that stands.
+// Release implements broker.Nodes: it ends an established session.
 func (m *ManagerNodes) Release(_ control.ServerID, id control.SessionID, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -305,7 +308,7 @@
 	}
 }
 
-// SetRung changes a rung, which costs a part of the session's worth.
+// SetRung implements broker.Nodes. A change of rung costs a part of the session's worth.
 func (m *ManagerNodes) SetRung(_ control.ServerID, id control.SessionID, rung int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,7 +320,7 @@
 	}
 }
 
-// Probe reports a node's load.
+// Probe implements broker.Nodes: it reports a node's load.
 func (m *ManagerNodes) Probe(s control.ServerID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -334,11 +337,11 @@
 	})
 }
 
-// loadReport is a report: the link's use and the uplink's, which is never short here.
+// loadReport returns the utilization of the link and of the uplink, which is never short here.
 func (f *Fleet) loadReport(n *fleetNode) []float64 { return []float64{n.demandKB / n.linkKB, 0.1} }
 
-// AnnounceShortfalls tells each session on a node that delivers short its share, as nodes do each
-// second. It is to be called as often.
+// AnnounceShortfalls tells each session on a node that delivers less than 98% which share is
+// delivered. The caller calls it once a second, as often as nodes announce it.
 func (f *Fleet) AnnounceShortfalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -351,13 +354,13 @@
 	}
 }
 
-// Utilization is the part of all links that is asked for.
+// Utilization returns the demand on all links relative to their capacity.
 func (f *Fleet) Utilization() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	asked, links := 0.0, 0.0
+	demand, capacity := 0.0, 0.0
 	for _, n := range f.nodes {
-		asked, links = asked+n.demandKB, links+n.linkKB
+		demand, capacity = demand+n.demandKB, capacity+n.linkKB
 	}
-	return asked / links
+	return demand / capacity
 }
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -13,73 +13,74 @@
 	"millethinge/internal/site"
 )
 
-// The time of a SiteLoss: links fill, one of two sites is lost, and comes back cold.
+// Course of a SiteLoss: the links fill, one of two sites fails, and it comes back cold.
 const (
 	lossAt       = 100 * time.Second
 	lossDuration = 30 * time.Second
 	runDuration  = lossAt + lossDuration + 60*time.Second
 )
 
-// SiteLoss is brokers and viewers of two sites, of which the second one's nodes are lost
-// for half a minute and come back cold.
+// SiteLoss simulates brokers and viewers of two sites. The nodes of the second site fail for half a
+// minute and come back cold.
 type SiteLoss struct {
-	Settings        control.Settings // of every manager, but for its zone
+	Settings        control.Settings // of every manager, except for the zone
 	Managers, Nodes int
-	SitePlanning    bool    // the program has sites to look after
-	LoseManagers    bool    // the managers of the lost site are lost as well
-	Utilization     float64 // of all links, at the middle rate
+	SitePlanning    bool    // the managers have a site configuration
+	LoseManagers    bool    // the managers of the second site fail with its nodes
+	Utilization     float64 // demand on all links at the middle rate, relative to their capacity
 	Seed            uint64
 }
 
-// SiteLossResult is worth a second, and tries by class during the loss.
+// SiteLossResult holds the worth per second in phases of a run, and the requests by class during
+// the loss.
 type SiteLossResult struct {
-	Before, During, After float64 // During: from 3 s after the loss on
-	DuringSettled         float64 // from 10 s on: by then those who were cut off have come again
-	Optimum               float64 // the optimum of the plan for the loss
-	Requests, Served      [2]float64
-	ExcessColdSetUps      int           // set-ups beyond what cold nodes bear
-	RecoveryTime          time.Duration // until 98% of the worth before
+	Before, During, After float64       // means over the last 30 s before the loss, from 3 s into the loss on, and over the last 30 s of the run
+	DuringSettled         float64       // mean from 10 s into the loss on, when the viewers that were cut off have retried
+	Optimum               float64       // worth of the best site plan for the loss
+	Requests, Served      [2]float64    // sent and served from 3 s into the loss on, by class
+	ExcessColdSetUps      int           // set-ups beyond what cold nodes can take
+	RecoveryTime          time.Duration // from the end of the loss until 98% of the worth before it
 }
 
-// Run plays it, in real time or in that of a synctest bubble.
-func (e SiteLoss) Run() (out SiteLossResult, err error) {
-	set, nodes := e.Settings, e.Nodes
+// Run runs the simulation, in real time or in the time of a synctest bubble.
+func (e SiteLoss) Run() (result SiteLossResult, err error) {
+	settings, nodes := e.Settings, e.Nodes
 	rng := rand.New(rand.NewPCG(e.Seed, 7))
 	links, zones := make([]float64, nodes), make([]int, nodes)
 	var entries []control.Entry
 	for i := range links {
-		links[i], zones[i] = set.LinkKBPerWeight*(0.85+0.3*rng.Float64()), i%2
+		links[i], zones[i] = settings.LinkKBPerWeight*(0.85+0.3*rng.Float64()), i%2
 		entries = append(entries, control.Entry{Server: control.ServerID(i + 1), State: control.Ready, Cell: i, Zone: i % 2, Weight: 1})
 	}
-	lasts := [][2]float64{{26, 65}, {20, 50}} // s
-	fleet := NewFleet(&Fleet{Settings: set, LinksKB: links, NodeZones: zones, OneWayDelay: 2 * time.Millisecond, RateSpread: 0.15,
+	sessionLengths := [][2]float64{{26, 65}, {20, 50}} // s
+	fleet := NewFleet(&Fleet{Settings: settings, LinksKB: links, NodeZones: zones, OneWayDelay: 2 * time.Millisecond, RateSpread: 0.15,
 		SessionLength: func(id control.SessionID, class int) time.Duration {
-			u := lasts[class]
+			bounds := sessionLengths[class]
 			part := float64(uint64(id>>8)*0x9e3779b97f4a7c15>>11) / (1 << 53)
-			return time.Duration((u[0] + part*(u[1]-u[0])) * float64(time.Second))
+			return time.Duration((bounds[0] + part*(bounds[1]-bounds[0])) * float64(time.Second))
 		}}, e.Seed)
 	defer fleet.Close()
-	rate := e.Utilization * set.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
+	rate := e.Utilization * settings.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
 	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
 		Rules: []site.Rule{{Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}, {Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}}}
-	for k, c := range set.Classes {
-		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.FloorRung, Top: c.TopRung, RatesKB: set.RatesKB}
-		for _, w := range set.LadderWorth {
+	for k, c := range settings.Classes {
+		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.FloorRung, Top: c.TopRung, RatesKB: settings.RatesKB}
+		for _, w := range settings.LadderWorth {
 			class.Worth = append(class.Worth, c.Worth*w)
 		}
 		sites.Classes = append(sites.Classes, class)
 	}
-	if out.Optimum, err = optimumDuringLoss(sites, set, links, zones, rate, e.LoseManagers); err != nil {
-		return out, err
+	if result.Optimum, err = optimumDuringLoss(sites, settings, links, zones, rate, e.LoseManagers); err != nil {
+		return result, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
-	c := &lossViewers{rng: rng, result: &out, settings: set, nodes: nodes}
+	c := &lossViewers{rng: rng, result: &result, settings: settings, nodes: nodes}
 	for i := range e.Managers {
-		set := set
-		set.Zone = i % 2
+		settings := settings
+		settings.Zone = i % 2
 		m := &ManagerNodes{Fleet: fleet, Zone: i % 2}
-		cfg := broker.Config{Settings: set, Seed: e.Seed*1000 + uint64(i), MemoryMB: 192, Nodes: m, Log: zap.NewNop()}
+		cfg := broker.Config{Settings: settings, Seed: e.Seed*1000 + uint64(i), MemoryMB: 192, Nodes: m, Log: zap.NewNop()}
 		if e.SitePlanning {
 			cfg.Sites = sites
 		}
@@ -87,12 +88,12 @@
 		if err != nil {
 			cancel()
 			running.Wait()
-			return out, err
+			return result, err
 		}
 		m.Broker = b
 		b.UpdateList(broker.ListUpdate{Entries: entries})
 		c.brokers = append(c.brokers, b)
-		c.weights = append(c.weights, 0.5+rng.Float64()) // viewers are spread unevenly
+		c.weights = append(c.weights, 0.5+rng.Float64()) // viewers are spread unevenly over the managers
 		running.Go(func() { b.Run(ctx) })
 	}
 	c.start = time.Now()
@@ -102,7 +103,7 @@
 			fleet.AnnounceShortfalls()
 		}
 	})
-	running.Go(func() { // what is earned
+	running.Go(func() { // sample the worth
 		var sums [4]average
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
@@ -118,11 +119,11 @@
 			case at > runDuration-30*time.Second && at < runDuration:
 				sums[2].add(w)
 			}
-			if at := time.Since(c.start) - lossAt - lossDuration; at > 0 && out.RecoveryTime == 0 && w >= 0.98*sums[0].mean() {
-				out.RecoveryTime = at
+			if at := time.Since(c.start) - lossAt - lossDuration; at > 0 && result.RecoveryTime == 0 && w >= 0.98*sums[0].mean() {
+				result.RecoveryTime = at
 			}
 		}
-		out.Before, out.During, out.After, out.DuringSettled = sums[0].mean(), sums[1].mean(), sums[2].mean(), sums[3].mean()
+		result.Before, result.During, result.After, result.DuringSettled = sums[0].mean(), sums[1].mean(), sums[2].mean(), sums[3].mean()
 	})
 	time.AfterFunc(lossAt, func() {
 		fleet.FailZone(1)
@@ -151,33 +152,34 @@
 	cancel()
 	time.Sleep(5 * time.Second)
 	running.Wait()
-	out.ExcessColdSetUps = fleet.ExcessColdSetUps()
-	return out, nil
+	result.ExcessColdSetUps = fleet.ExcessColdSetUps()
+	return result, nil
 }
 
+// average is the mean of added values.
 type average struct{ sum, count float64 }
 
 func (s *average) add(v float64) { s.sum, s.count = s.sum+v, s.count+1 }
 func (s *average) mean() float64 { return s.sum / max(s.count, 1) }
 
-// optimumDuringLoss is the optimum for the loss of the second site by the true links and
-// demand, as far as slots may fill.
-func optimumDuringLoss(s broker.SiteConfig, set control.Settings, links []float64, zones []int, rate float64, gone bool) (float64, error) {
+// optimumDuringLoss returns the worth of the best site plan for the loss of the second site,
+// computed from the true links and demand, with links filled up to the target utilization.
+func optimumDuringLoss(s broker.SiteConfig, settings control.Settings, links []float64, zones []int, rate float64, managersLost bool) (float64, error) {
 	var nodes []site.Node
 	for i, kb := range links {
-		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(set.MaxStreamsByKind[0])})
+		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(settings.MaxStreamsByKind[0])})
 	}
 	f := &site.Fleet{Classes: s.Classes, Sites: site.Build(s.Names, nodes, 1e12)}
 	f.Demands = f.Spread([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
-	if !gone { // the viewers of managers that are lost ask where they don't cross
-		f.Cross = set.CrossZoneCost
+	if !managersLost { // viewers of lost managers ask managers of the first site and do not cross zones
+		f.Cross = settings.CrossZoneCost
 	}
 	p, err := site.Make(f, 1)
 	return p.Worth, err
 }
 
-// lossViewers is the viewers: each has a site, and asks its managers, or where these are
-// lost all others.
+// lossViewers is the viewers of both sites. Each viewer has a site and asks its managers, or while
+// these are lost all others.
 type lossViewers struct {
 	mu           sync.Mutex
 	rng          *rand.Rand
@@ -187,18 +189,20 @@
 	nodes        int
 	brokers      []*broker.Broker
 	weights      []float64
-	managersLost bool // the managers of the second site
+	managersLost bool // the managers of the second site are lost
 	lastID       control.SessionID
-	viewers      []*lossViewer
+	viewers      []*lossViewer // all that have sent a request
 }
 
+// lossViewer is one viewer, which implements broker.Client.
 type lossViewer struct {
 	*lossViewers
-	class, zone, manager, tries int
+	class, zone, manager, tries int // tries counts its requests
 	id                          control.SessionID
 	served                      bool
 }
 
+// arrive sends the request of one new viewer, of class feed or else of class clip.
 func (c *lossViewers) arrive(feed bool) {
 	c.mu.Lock()
 	v := &lossViewer{lossViewers: c, zone: c.rng.IntN(2)}
@@ -209,7 +213,7 @@
 	v.sendRequest()
 }
 
-// sendRequest goes to a manager of the viewer's site.
+// sendRequest sends a request to a manager of the viewer's site, drawn by weight.
 func (v *lossViewer) sendRequest() {
 	c := v.lossViewers
 	c.mu.Lock()
@@ -242,10 +246,11 @@
 		TimeLeft: 3 * time.Second, ReceivedAt: time.Now(), Client: v})
 }
 
-// Gone is part of broker.Client: its viewers wait for their answers.
+// Gone implements broker.Client. The viewers always wait for their answers.
 func (v *lossViewer) Gone(control.SessionID) bool { return false }
 
-// Deliver is part of broker.Client. Most come again after a refusal or a break.
+// Deliver implements broker.Client. 90% of the viewers retry after a refusal or a break, up to 8
+// times.
 func (v *lossViewer) Deliver(r broker.Reply) bool {
 	c := v.lossViewers
 	c.mu.Lock()
@@ -256,7 +261,7 @@
 		v.served = false
 	}
 	switch {
-	case c.managersLost && v.manager%2 == 1: // a process that is gone tells nothing
+	case c.managersLost && v.manager%2 == 1: // a lost manager tells its viewers nothing
 	case r.Kind == broker.ReplyServed:
 		v.served = true
 		if at := time.Since(c.start); at > lossAt+3*time.Second && at < lossAt+lossDuration {
@@ -268,7 +273,7 @@
 	return true
 }
 
-// loseManagers ends the managers of the second site; their viewers come again elsewhere.
+// loseManagers ends the managers of the second site. 90% of their viewers retry at other managers.
 func (c *lossViewers) loseManagers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -281,6 +286,7 @@
 	}
 }
 
+// restoreManagers brings the managers of the second site back.
 func (c *lossViewers) restoreManagers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,5 +1,6 @@
-// Package standin is a media node to try and test the program with. It plays
-// nothing: it answers as its Decide says and keeps a bill.
+// Package standin provides stand-ins for the peers of the program: a media node that answers
+// set-ups without playing anything, simulated nodes for virtual time, a DNS server and a listener
+// that accepts nothing.
 package standin
 
 import (
@@ -12,42 +13,43 @@
 	"millethinge/internal/stream"
 )
 
-// Response is what a node does with one SETUP.
+// Response is how a node answers one SETUP.
 type Response struct {
-	Status        int           // of the answer; 0: none is ever sent
+	Status        int           // 0: the SETUP is never answered
 	Delay         time.Duration // before the answer
 	SessionLength time.Duration // after which the node ends the session; 0: never
 }
 
-// Counts counts what nodes did, over all of them.
+// Counts counts what happened at the nodes that share it.
 type Counts struct {
 	mu                 sync.Mutex
-	SetUps             map[string]int // SETUPs by session
-	Established        map[string]int // of these, the ones that stood
-	EstablishedByClass map[string]int // sessions that stood, by class
-	Teardowns          map[string]int // TEARDOWNs by session
+	SetUps             map[string]int // SETUP messages by session
+	Established        map[string]int // SETUP messages answered with 200, by session
+	EstablishedByClass map[string]int // the same by class
+	Teardowns          map[string]int // TEARDOWN messages by session
 }
 
-// NewCounts returns an empty Bill.
+// NewCounts returns empty Counts.
 func NewCounts() *Counts {
 	return &Counts{SetUps: map[string]int{}, Established: map[string]int{}, EstablishedByClass: map[string]int{}, Teardowns: map[string]int{}}
 }
 
-// WithLock calls f while the bill stands still.
+// WithLock calls f with the mutex held.
 func (b *Counts) WithLock(f func(*Counts)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b)
 }
 
-// Node answers on the connections it is given.
+// Node is a stand-in media node.
 type Node struct {
-	// Decide says what becomes of the nth SETUP of a session, from 1.
+	// Decide returns the response to the nth SETUP of a session, counted from 1. It is called with the
+	// mutex of Counts held.
 	Decide func(session string, nth int) Response
 	Counts *Counts
 }
 
-// Serve accepts until l is closed.
+// Serve accepts connections until l is closed.
 func (n *Node) Serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -58,7 +60,7 @@
 	}
 }
 
-// sharedConn is a connection that several sessions write to.
+// sharedConn is a connection that several goroutines write to.
 type sharedConn struct {
 	net.Conn
 	mu sync.Mutex
@@ -67,13 +69,13 @@
 func (l *sharedConn) send(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Write(b) // a manager that is gone needs no answer
+	l.Write(b) // the manager may have gone
 }
 
-func (n *Node) serveConn(nc net.Conn) {
-	defer nc.Close()
-	c := &sharedConn{Conn: nc}
-	in := stream.NewReader(nc, rtsp.MaxMessageSize)
+func (n *Node) serveConn(conn net.Conn) {
+	defer conn.Close()
+	c := &sharedConn{Conn: conn}
+	in := stream.NewReader(conn, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
 		if err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) }); err != nil {
@@ -96,33 +98,33 @@
 }
 
 func (n *Node) setUp(c *sharedConn, session, class, description string) {
-	var v Response
+	var response Response
 	n.Counts.WithLock(func(b *Counts) {
 		b.SetUps[session]++
-		v = n.Decide(session, b.SetUps[session])
-		if v.Status == 200 {
+		response = n.Decide(session, b.SetUps[session])
+		if response.Status == 200 {
 			b.Established[session]++
 			b.EstablishedByClass[class]++
 		}
 	})
-	if v.Status == 0 {
+	if response.Status == 0 {
 		return
 	}
-	act := func() {
-		if v.Status != 200 {
-			c.send(buildResponse(v.Status, "1", session, ""))
+	respond := func() {
+		if response.Status != 200 {
+			c.send(buildResponse(response.Status, "1", session, ""))
 			return
 		}
 		c.send(buildResponse(200, "1", session, "node;"+description))
-		if v.SessionLength > 0 {
-			time.AfterFunc(v.SessionLength, func() { c.send(buildTeardown(session)) })
+		if response.SessionLength > 0 {
+			time.AfterFunc(response.SessionLength, func() { c.send(buildTeardown(session)) })
 		}
 	}
-	if v.Delay > 0 {
-		time.AfterFunc(v.Delay, act)
+	if response.Delay > 0 {
+		time.AfterFunc(response.Delay, respond)
 		return
 	}
-	act()
+	respond()
 }
 
 func buildResponse(code int, seq, session, body string) []byte {
--- a/internal/standin/shy.go
+++ b/internal/standin/shy.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// FillAcceptQueue fills a listener's queue: what connects to it hears nothing, and comes up only once
-// it is served, a second or so later, when the first packet is sent again. The returned
-// function closes what fills it.
-func FillAcceptQueue(l *net.TCPListener) (end func(), err error) {
+// FillAcceptQueue fills a listener's accept queue: further connections get no answer, and are
+// established only once the listener accepts again, a second or so later, when the kernel repeats
+// the first packet. The returned function closes the connections that fill the queue.
+func FillAcceptQueue(l *net.TCPListener) (closeFillers func(), err error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var set error
-	if err := raw.Control(func(fd uintptr) { set = syscall.Listen(int(fd), 0) }); err != nil || set != nil {
-		return nil, cmp.Or(err, set)
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil || listenErr != nil {
+		return nil, cmp.Or(err, listenErr)
 	}
-	var filling []net.Conn
+	var fillers []net.Conn
 	for range 2 {
 		if c, err := net.DialTimeout("tcp", l.Addr().String(), 100*time.Millisecond); err == nil {
-			filling = append(filling, c)
+			fillers = append(fillers, c)
 		}
 	}
 	return func() {
-		for _, c := range filling {
+		for _, c := range fillers {
 			c.Close()
 		}
 	}, nil
