--- a/cmd/millethinge/command.go
+++ b/cmd/millethinge/command.go
@@ -81,9 +81,9 @@
 	env := a.getenv
 	a.getenv = func(name string) string {
 		switch {
-		case name == config.EnvConfig && c.Platform != "":
+		case name == config.EnvPlatformFile && c.Platform != "":
 			return c.Platform
-		case name == config.EnvOperator && c.Operator != "":
+		case name == config.EnvOperatorFile && c.Operator != "":
 			return c.Operator
 		}
 		return env(name)
--- a/cmd/millethinge/explain.go
+++ b/cmd/millethinge/explain.go
@@ -95,9 +95,9 @@
 	if err != nil {
 		return err
 	}
-	teams := cfg.Teams()
+	teams := cfg.TeamNames()
 	explanation := rules.Explain(message.RouteRequest(&m, &request, origin))
-	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.Classes, request.Class), nameAt(teams, request.Team))
+	fmt.Fprintf(out, "session %016x: class %s, team %s\n", uint64(request.ID), nameAt(cfg.ClassNames, request.Class), nameAt(teams, request.Team))
 	for i, s := range explanation.RuleTraces {
 		if !s.Matched && !cmd.All {
 			continue
@@ -120,7 +120,7 @@
 	if explanation.Rule == "" {
 		fmt.Fprintf(out, "  no rule of %d matches: it keeps what it named\n", len(explanation.RuleTraces))
 	}
-	fmt.Fprintf(out, "  it is given class %s, team %s", nameAt(cfg.Classes, explanation.Class), nameAt(teams, explanation.Team))
+	fmt.Fprintf(out, "  it is given class %s, team %s", nameAt(cfg.ClassNames, explanation.Class), nameAt(teams, explanation.Team))
 	if explanation.BudgetKey != "" {
 		fmt.Fprintf(out, ", budget key %q", explanation.BudgetKey)
 	}
--- a/cmd/millethinge/peaks.go
+++ b/cmd/millethinge/peaks.go
@@ -34,29 +34,29 @@
 			return fmt.Errorf("--from: %w", err)
 		}
 	}
-	classes, room := cfg.PlannedClasses()
+	classes, room := cfg.PeakClasses()
 	calendar := peaks.Calendar{Peaks: cfg.Operator.Peaks}
 	occurrences := calendar.Between(from, from.AddDate(0, 0, cmd.Days))
 	for _, o := range occurrences {
 		_, until := o.Window()
 		size := fmt.Sprintf("%g times", o.Peak.Factor)
 		if o.Peak.Factor == 0 {
-			size = fmt.Sprintf("%g more a second", o.Peak.Rate)
+			size = fmt.Sprintf("%g more a second", o.Peak.ExtraRate)
 		}
 		fmt.Fprintf(a.out, "%s %s to %s, %s of %s\n", o.Begin.Format("2006-01-02 15:04 MST"), o.Peak.Name, o.End.Format("15:04"), size,
-			strings.Join(selectNames(cfg.Classes, o.Peak.Classes), ", "))
+			strings.Join(selectNames(cfg.ClassNames, o.Peak.Classes), ", "))
 		if classes == nil {
 			continue
 		}
-		plan, err := peaks.Make(o, room, classes)
+		plan, err := peaks.MakePlan(o, room, classes)
 		if err != nil {
 			return err
 		}
 		fmt.Fprint(a.out, "    ")
 		held := 0.0
-		for k, share := range plan.Part {
+		for k, share := range plan.HeldShares {
 			if held += share; share > 0 {
-				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.Classes[k], share*room, 100*share)
+				fmt.Fprintf(a.out, "%s %.0f slots (%.1f%%), ", cfg.ClassNames[k], share*room, 100*share)
 			}
 		}
 		if held == 0 {
@@ -64,7 +64,7 @@
 			continue
 		}
 		fmt.Fprintf(a.out, "held from %s on, growing until %s; expected to earn %+.2f%%, to cost ordinary sessions before %.2f%%\n",
-			plan.From.Format("15:04:05"), o.Begin.Format("15:04:05"), 100*(plan.Earned/plan.Without-1), 100*plan.Lost)
+			plan.From.Format("15:04:05"), o.Begin.Format("15:04:05"), 100*(plan.ExpectedWorth/plan.WorthWithoutHold-1), 100*plan.OrdinaryLoss)
 	}
 	if len(occurrences) == 0 {
 		fmt.Fprintf(a.out, "none within %d days\n", cmd.Days)
--- a/cmd/millethinge/process_test.go
+++ b/cmd/millethinge/process_test.go
@@ -422,19 +422,19 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			for range min(2*cfg.NodeConns(), peer.DefaultMaxSetups) { // each keeps a connection to the node for its established session
+			for range min(2*cfg.MaxNodeConns(), peer.DefaultMaxSetups) { // each keeps a connection to the node for its established session
 				c.lastID++
 				fmt.Fprintf(conn, setUpLine, c.lastID)
 			}
-			for begin := time.Now(); int(node.n.Load()) < cfg.NodeConns(); time.Sleep(time.Millisecond) {
+			for begin := time.Now(); int(node.n.Load()) < cfg.MaxNodeConns(); time.Sleep(time.Millisecond) {
 				if time.Since(begin) > testTimeout {
-					t.Fatalf("%d of %d connections to the node; log:\n%s", node.n.Load(), cfg.NodeConns(), c.logged())
+					t.Fatalf("%d of %d connections to the node; log:\n%s", node.n.Load(), cfg.MaxNodeConns(), c.logged())
 				}
 			}
 			close(release)
 			c.fillWithIdleClients()
 			descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.cmd.Process.Pid))
-			t.Logf("file descriptors open: %d of %d; limits on connections: viewers %d, nodes %d; error: %v", len(descriptors), n, cfg.ViewerConns(), cfg.NodeConns(), err)
+			t.Logf("file descriptors open: %d of %d; limits on connections: viewers %d, nodes %d; error: %v", len(descriptors), n, cfg.MaxViewerConns(), cfg.MaxNodeConns(), err)
 			first.stop()
 			next := startCoordinator(t, "")
 			c.writeConfig(next.Addr().String())
--- a/cmd/millethinge/sites.go
+++ b/cmd/millethinge/sites.go
@@ -31,30 +31,30 @@
 			return fmt.Errorf("--record: %w", err)
 		}
 	}
-	sites, err := cfg.Sites()
+	sites, err := cfg.BuildSiteModel()
 	if err != nil {
 		return err
 	}
 	for i := range sites.Fleet.Sites {
-		kb, places := sites.Fleet.Sites[i].Room()
-		fmt.Fprintf(a.out, "%s: %d nodes, room for %.0f kB a second and %.0f streams\n", sites.Names[i], sites.Nodes[i], kb, places)
+		kb, places := sites.Fleet.Sites[i].Capacity()
+		fmt.Fprintf(a.out, "%s: %d nodes, room for %.0f kB a second and %.0f streams\n", sites.SiteNames[i], sites.NodeCounts[i], kb, places)
 	}
 	var plans []site.Plan
 	if len(cmd.Lost) > 0 {
 		var lost []int
 		for _, name := range cmd.Lost {
-			i := slices.Index(sites.Names, name)
+			i := slices.Index(sites.SiteNames, name)
 			if i < 0 {
-				return fmt.Errorf("--lost: %q is no site; there are: %s", name, strings.Join(sites.Names, ", "))
+				return fmt.Errorf("--lost: %q is no site; there are: %s", name, strings.Join(sites.SiteNames, ", "))
 			}
 			lost = append(lost, i)
 		}
-		plan, err := site.Make(&sites.Fleet, lost...)
+		plan, err := site.MakePlan(&sites.Fleet, lost...)
 		if err != nil {
 			return err
 		}
 		plans = append(plans, plan)
-	} else if plans, err = site.Losses(&sites.Fleet); err != nil {
+	} else if plans, err = site.PlanLosses(&sites.Fleet); err != nil {
 		return err
 	}
 	for i := range plans {
@@ -91,15 +91,15 @@
 		return fmt.Errorf("%s: %w", cmd.Record, lines.Err())
 	case !found:
 		return fmt.Errorf("%s has no line %q: managers write it once a minute where the operator's file names a site", cmd.Record, broker.DemandMessage)
-	case len(last.Rates) != len(cfg.Classes) || len(last.Lasts) != len(cfg.Classes):
-		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.Classes))
+	case len(last.Rates) != len(cfg.ClassNames) || len(last.Lasts) != len(cfg.ClassNames):
+		return fmt.Errorf("%s tells of %d classes, this deployment has %d", cmd.Record, len(last.Rates), len(cfg.ClassNames))
 	}
-	cfg.Operator.Ordinary = nil
+	cfg.Operator.OrdinaryLoad = nil
 	for k := range last.Rates {
 		if !(last.Rates[k] >= 0) || !(last.Lasts[k] > 0) {
-			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", cmd.Record, cfg.Classes[k], last.Rates[k], last.Lasts[k])
+			return fmt.Errorf("%s: class %s: %g sessions a second of %g s", cmd.Record, cfg.ClassNames[k], last.Rates[k], last.Lasts[k])
 		}
-		cfg.Operator.Ordinary = append(cfg.Operator.Ordinary, config.Ordinary{Rate: last.Rates[k], Lasts: config.Seconds(last.Lasts[k])})
+		cfg.Operator.OrdinaryLoad = append(cfg.Operator.OrdinaryLoad, config.OrdinaryLoad{Rate: last.Rates[k], MeanLength: config.Seconds(last.Lasts[k])})
 	}
 	return nil
 }
@@ -108,20 +108,20 @@
 const maxLogLine = 1 << 20
 
 // printPlan prints what the loss of one or more sites causes.
-func (cmd sitesCmd) printPlan(a *app, sites *config.SitePlan, plan *site.Plan) {
+func (cmd sitesCmd) printPlan(a *app, sites *config.SiteModel, plan *site.Plan) {
 	var names []string
-	for _, i := range plan.Lost {
-		names = append(names, sites.Names[i])
+	for _, i := range plan.LostSites {
+		names = append(names, sites.SiteNames[i])
 	}
 	kept := 0.0
-	if plan.Before > 0 {
-		kept = 100 * plan.Worth / plan.Before
+	if plan.WorthBefore > 0 {
+		kept = 100 * plan.Worth / plan.WorthBefore
 	}
 	fmt.Fprintf(a.out, "\nwithout %s: %.1f%% of the worth is kept (no plan keeps more than %.1f%%)\n",
-		strings.Join(names, " and "), kept, 100*plan.Bound/max(plan.Before, 1e-9))
+		strings.Join(names, " and "), kept, 100*plan.WorthBound/max(plan.WorthBefore, 1e-9))
 	for i, s := range sites.Fleet.Sites {
-		if !slices.Contains(plan.Lost, i) {
-			fmt.Fprintf(a.out, "    %s carries %.0f%% of its room\n", s.Name, 100*plan.Use[i])
+		if !slices.Contains(plan.LostSites, i) {
+			fmt.Fprintf(a.out, "    %s carries %.0f%% of its room\n", s.Name, 100*plan.Utilization[i])
 		}
 	}
 	for k, c := range sites.Fleet.Classes {
@@ -131,9 +131,9 @@
 			if d.Class != k {
 				continue
 			}
-			result := &plan.Takes[i]
-			total, refused, crossing = total+d.Sessions, refused+result.Refused, crossing+result.Crossing
-			for r, n := range result.Rungs {
+			result := &plan.Allocations[i]
+			total, refused, crossing = total+d.Sessions, refused+result.Refused, crossing+result.CrossSite
+			for r, n := range result.ByRung {
 				rungs[r] += n
 			}
 		}
@@ -152,18 +152,18 @@
 		fmt.Fprintf(a.out, "    %s: %.1f sessions: %s; %.1f cross sites\n", c.Name, total, strings.Join(parts, ", "), crossing)
 	}
 	fmt.Fprintf(a.out, "    given up, the first first: %s\n", strings.Join(cmd.degradationOrder(sites, plan), ", "))
-	for _, i := range plan.Lost {
+	for _, i := range plan.LostSites {
 		cmd.printRecovery(a, sites, i)
 	}
 }
 
 // degradationOrder describes by class, in order, what is given up first. Steps that differ
 // only in site or viewers are described once.
-func (sitesCmd) degradationOrder(sites *config.SitePlan, plan *site.Plan) (words []string) {
-	for _, step := range plan.Order {
+func (sitesCmd) degradationOrder(sites *config.SiteModel, plan *site.Plan) (words []string) {
+	for _, step := range plan.DegradationOrder {
 		name := sites.Fleet.Classes[sites.Fleet.Demands[step.Demand].Class].Name
-		w := fmt.Sprintf("%s from rung %d to %d", name, step.From, step.To)
-		if step.To < 0 {
+		w := fmt.Sprintf("%s from rung %d to %d", name, step.FromRung, step.ToRung)
+		if step.ToRung < 0 {
 			w = name + " refused"
 		}
 		if !slices.Contains(words, w) {
@@ -175,23 +175,23 @@
 
 // printRecovery prints how long a site that returns cold takes until 90% of its load plays
 // there again.
-func (sitesCmd) printRecovery(a *app, sites *config.SitePlan, i int) {
+func (sitesCmd) printRecovery(a *app, sites *config.SiteModel, i int) {
 	recovery := sites.Returns[i]
-	if recovery.Warm <= 0 || recovery.Places <= 0 {
+	if recovery.WarmUp <= 0 || recovery.MaxStreams <= 0 {
 		return
 	}
 	sessions, rate, lasts := 0.0, 0.0, 0.0
 	for _, d := range sites.Fleet.Demands {
-		if d.Home == i {
+		if d.HomeSite == i {
 			sessions += d.Sessions
-			rate += d.Sessions / sites.Lasts[d.Class].Seconds()
+			rate += d.Sessions / sites.MeanLength[d.Class].Seconds()
 		}
 	}
 	if rate > 0 {
 		lasts = sessions / rate
 	}
-	fmt.Fprintf(a.out, "    back cold, %s takes %.1f set-ups a second at once and %.1f after %v", sites.Names[i], recovery.Pace(0), recovery.Pace(recovery.Warm), recovery.Warm)
-	if t, ok := recovery.Back(sessions, rate, config.Seconds(lasts), 0.9); ok {
+	fmt.Fprintf(a.out, "    back cold, %s takes %.1f set-ups a second at once and %.1f after %v", sites.SiteNames[i], recovery.MaxSessionRate(0), recovery.MaxSessionRate(recovery.WarmUp), recovery.WarmUp)
+	if t, ok := recovery.TimeToRestore(sessions, rate, config.Seconds(lasts), 0.9); ok {
 		fmt.Fprintf(a.out, "; 90%% of its load plays there again after %.0f s", t.Seconds())
 	}
 	fmt.Fprintln(a.out)
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -14,14 +14,14 @@
 )
 
 func main() {
-	if err := host(os.Stdin, os.Stdout); err != nil {
+	if err := serveBatches(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// host answers batches until the input ends. Instances share nothing.
-func host(in io.Reader, out io.Writer) error {
+// serveBatches answers batches until the input ends. Instances share nothing.
+func serveBatches(in io.Reader, out io.Writer) error {
 	dec := wire.NewDecoder(in)
 	buffered := bufio.NewWriterSize(out, 1<<16)
 	enc := wire.NewEncoder(buffered)
@@ -36,7 +36,7 @@
 		}
 		enc.Begin(batch.Seq)
 		for i := range batch.Records {
-			serve(instances, enc, batch.Now, &batch.Records[i])
+			handleRecord(instances, enc, batch.Now, &batch.Records[i])
 		}
 		if err := enc.Flush(); err != nil {
 			return err
@@ -47,26 +47,26 @@
 	}
 }
 
-// serve passes one record to its instance. A panic there is that instance's
+// handleRecord passes one record to its instance. A panic there is that instance's
 // fault alone, and is told in its name.
-func serve(instances map[uint16]*control.Controller, enc *wire.Encoder, now float64, r *wire.Record) {
+func handleRecord(instances map[uint16]*control.Controller, enc *wire.Encoder, now float64, r *wire.Record) {
 	defer func() {
 		if p := recover(); p != nil {
 			delete(instances, r.Instance)
-			enc.BailOut(r.Instance, fmt.Sprint("panic: ", p))
+			enc.InstanceFailed(r.Instance, fmt.Sprint("panic: ", p))
 		}
 	}()
 	switch r.Kind {
-	case wire.KindUp:
-		settings, err := config.ParseSettings(r.Params)
+	case wire.KindStart:
+		settings, err := config.ParseSettings(r.SettingsJSON)
 		if err == nil {
 			instances[r.Instance], err = control.New(settings, r.Seed)
 		}
 		if err != nil {
 			delete(instances, r.Instance)
-			enc.BailOut(r.Instance, err.Error())
+			enc.InstanceFailed(r.Instance, err.Error())
 		}
-	case wire.KindDestroy:
+	case wire.KindKill:
 		delete(instances, r.Instance)
 	case wire.KindEvent:
 		c := instances[r.Instance]
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -15,14 +15,14 @@
 	return append(b, body...)
 }
 
-func up(params string) []byte {
+func startRecord(settings string) []byte {
 	fields := make([]byte, 14)
-	binary.LittleEndian.PutUint32(fields[10:], uint32(len(params)))
-	fields = append(fields, params...)
+	binary.LittleEndian.PutUint32(fields[10:], uint32(len(settings)))
+	fields = append(fields, settings...)
 	return append(binary.LittleEndian.AppendUint32([]byte{1}, uint32(len(fields))), fields...)
 }
 
-func TestHost(t *testing.T) {
+func TestServeBatches(t *testing.T) {
 	for _, e := range []struct {
 		name, params, want string
 	}{
@@ -30,7 +30,7 @@
 		{"no JSON", `{`, "settings"},
 	} {
 		var out bytes.Buffer
-		if err := host(bytes.NewReader(batch(up(e.params))), &out); err != nil {
+		if err := serveBatches(bytes.NewReader(batch(startRecord(e.params))), &out); err != nil {
 			t.Errorf("%s: %v", e.name, err)
 		}
 		if !strings.Contains(out.String(), e.want) || out.Bytes()[8] != 3 {
@@ -38,10 +38,10 @@
 		}
 	}
 	var out bytes.Buffer
-	if err := host(bytes.NewReader(batch()), &out); err != nil || out.Len() != 8 {
+	if err := serveBatches(bytes.NewReader(batch()), &out); err != nil || out.Len() != 8 {
 		t.Errorf("empty batch: %d bytes, %v", out.Len(), err)
 	}
-	if err := host(bytes.NewReader(batch()[:9]), &out); err == nil {
+	if err := serveBatches(bytes.NewReader(batch()[:9]), &out); err == nil {
 		t.Error("no error for a truncated frame")
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,48 +15,48 @@
 	"go.uber.org/zap"
 )
 
-// program notes what is called.
-type program struct{ told []string }
+// fakeBackend notes what is called.
+type fakeBackend struct{ calls []string }
 
-func (p *program) Ready() bool { return len(p.told) > 0 }
-func (p *program) Figures(context.Context) (Figures, error) {
-	return Figures{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, Tries: 4, Active: 2, Size: 5, Ejected: 1}, nil
+func (b *fakeBackend) Ready() bool { return len(b.calls) > 0 }
+func (b *fakeBackend) Metrics(context.Context) (Metrics, error) {
+	return Metrics{OK: map[string]int64{"clip": 3}, Shed: map[string]int64{}, Errors: map[string]int64{}, AttemptsSent: 4, Active: 2, PoolSize: 5, PoolEjected: 1}, nil
 }
-func (p *program) Out(_ context.Context, member string, out bool) error {
+func (b *fakeBackend) SetDisabled(_ context.Context, member string, disabled bool) error {
 	if member != "s-1" {
-		return &UnknownMember{Member: member, Listed: 1}
+		return &UnknownMemberError{Member: member, ListedCount: 1}
 	}
-	p.told = append(p.told, fmt.Sprint(member, " ", out))
+	b.calls = append(b.calls, fmt.Sprint(member, " ", disabled))
 	return nil
 }
-func (p *program) Drain(_ context.Context, on bool) error {
-	p.told = append(p.told, fmt.Sprint("drain ", on))
+func (b *fakeBackend) SetDraining(_ context.Context, draining bool) error {
+	b.calls = append(b.calls, fmt.Sprint("drain ", draining))
 	return nil
 }
 
-func most() int { return 8 }
+func testMaxCallers() int { return 8 }
 
-func serve(t *testing.T) (*program, string) {
+func startServer(t *testing.T) (*fakeBackend, string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p, done := new(program), make(chan error)
-	go func() { done <- Serve(ctx, l, most, p, zap.NewNop()) }()
+	backend, done := new(fakeBackend), make(chan error)
+	go func() { done <- Serve(ctx, listener, testMaxCallers, backend, zap.NewNop()) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
 	})
-	return p, l.Addr().String()
+	return backend, listener.Addr().String()
 }
 
 func TestCalls(t *testing.T) {
-	p, addr := serve(t)
-	for _, e := range []struct {
+	backend, addr := startServer(t)
+	for _, test := range []struct {
 		method, path string
 		status       int
 		code         string
@@ -73,7 +73,7 @@
 		{"GET", "/drain", 404, "call-unknown"}, // a look must not empty a manager
 		{"GET", "/", 404, "call-unknown"},
 	} {
-		req, _ := http.NewRequest(e.method, "http://"+addr+e.path, nil)
+		req, _ := http.NewRequest(test.method, "http://"+addr+test.path, nil)
 		res, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -81,11 +81,11 @@
 		var body map[string]any
 		err = json.NewDecoder(res.Body).Decode(&body)
 		res.Body.Close()
-		if code, _ := body["code"].(string); err != nil || res.StatusCode != e.status || code != e.code || !res.Close || code != "" && body["remedy"] == "" {
-			t.Errorf("%s %s: %d, %v, close %v, %v", e.method, e.path, res.StatusCode, body, res.Close, err)
+		if code, _ := body["code"].(string); err != nil || res.StatusCode != test.status || code != test.code || !res.Close || code != "" && body["remedy"] == "" {
+			t.Errorf("%s %s: %d, %v, close %v, %v", test.method, test.path, res.StatusCode, body, res.Close, err)
 		}
 	}
-	if got := strings.Join(p.told, ", "); got != "s-1 true, s-1 true, s-1 false, drain true, drain false" {
+	if got := strings.Join(backend.calls, ", "); got != "s-1 true, s-1 true, s-1 false, drain true, drain false" {
 		t.Error(got)
 	}
 	res, err := http.Get("http://" + addr + "/metrics")
@@ -101,9 +101,9 @@
 // Callers that never finish take all places and are answered by nothing; the one who
 // calls is. What a caller sends beside its call, or instead, costs it at most its
 // connection.
-func TestCallersThatNeverFinish(t *testing.T) {
-	_, addr := serve(t)
-	for i := range 3 * most() {
+func TestIncompleteRequestsBlockNoCaller(t *testing.T) {
+	_, addr := startServer(t)
+	for i := range 3 * testMaxCallers() {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -141,47 +141,47 @@
 
 // Where all places are taken the oldest caller without a whole call gives way, and one
 // that has called does not. Nothing here ends by a time-out of the server.
-func TestPlaces(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestOldestIncompleteRequestIsEvicted(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	p, taken := newPlaces(l, most), make(chan *place)
+	defer listener.Close()
+	limited, accepted := newLimitListener(listener, testMaxCallers), make(chan *limitedConn)
 	go func() {
 		for {
-			c, err := p.Accept()
+			c, err := limited.Accept()
 			if err != nil {
 				return
 			}
-			taken <- c.(*place)
+			accepted <- c.(*limitedConn)
 		}
 	}()
-	come := func() *place {
+	connect := func() *limitedConn {
 		t.Helper()
-		c, err := net.Dial("tcp", l.Addr().String())
+		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
 		select {
-		case pl := <-taken:
-			return pl
+		case conn := <-accepted:
+			return conn
 		case <-time.After(20 * time.Second):
 			t.Fatal("nobody gives way")
 			return nil
 		}
 	}
-	var all []*place
-	for i := range most() {
-		all = append(all, come())
+	var conns []*limitedConn
+	for i := range testMaxCallers() {
+		conns = append(conns, connect())
 		if i == 0 {
-			all[0].whole.Store(true)
+			conns[0].requestReceived.Store(true)
 		}
 	}
-	come()
-	gone := func(c *place) bool { return c.SetDeadline(time.Time{}) != nil }
-	if gone(all[0]) || !gone(all[1]) {
-		t.Errorf("gone: who called %v, the oldest who did not %v", gone(all[0]), gone(all[1]))
+	connect()
+	closed := func(c *limitedConn) bool { return c.SetDeadline(time.Time{}) != nil }
+	if closed(conns[0]) || !closed(conns[1]) {
+		t.Errorf("gone: who called %v, the oldest who did not %v", closed(conns[0]), closed(conns[1]))
 	}
 }
--- a/internal/admin/errors.go
+++ b/internal/admin/errors.go
@@ -5,55 +5,57 @@
 	"net/http"
 )
 
-// NotReady tells that the process does not serve yet, or no more.
-type NotReady struct{}
+// NotReadyError tells that the process does not serve yet, or no more.
+type NotReadyError struct{}
 
-func (*NotReady) Error() string { return "not ready: the program starts or ends" }
-func (*NotReady) Code() string  { return "call-not-ready" }
-func (*NotReady) Remedy() string {
+func (*NotReadyError) Error() string { return "not ready: the program starts or ends" }
+func (*NotReadyError) Code() string  { return "call-not-ready" }
+func (*NotReadyError) Remedy() string {
 	return "ask again in a second; if it lasts, look at the log's last lines"
 }
-func (*NotReady) Status() int { return http.StatusServiceUnavailable }
+func (*NotReadyError) Status() int { return http.StatusServiceUnavailable }
 
-// NoMember tells that a call names no media node.
-type NoMember struct{ Call string }
+// MissingMemberError tells that a call names no media node.
+type MissingMemberError struct{ CallPath string }
 
-func (e *NoMember) Error() string  { return e.Call + ": names no media node" }
-func (e *NoMember) Code() string   { return "call-no-member" }
-func (e *NoMember) Remedy() string { return "add ?member=ID, with an id of the coordinator's list" }
-func (e *NoMember) Status() int    { return http.StatusBadRequest }
+func (e *MissingMemberError) Error() string { return e.CallPath + ": names no media node" }
+func (e *MissingMemberError) Code() string  { return "call-no-member" }
+func (e *MissingMemberError) Remedy() string {
+	return "add ?member=ID, with an id of the coordinator's list"
+}
+func (e *MissingMemberError) Status() int { return http.StatusBadRequest }
 
-// UnknownMember tells that a media node was never listed.
-type UnknownMember struct {
-	Member string
-	Listed int // how many are
+// UnknownMemberError tells that a media node was never listed.
+type UnknownMemberError struct {
+	Member      string
+	ListedCount int // how many are
 }
 
-func (e *UnknownMember) Error() string {
-	return fmt.Sprintf("media node %q was never listed; %d are", e.Member, e.Listed)
+func (e *UnknownMemberError) Error() string {
+	return fmt.Sprintf("media node %q was never listed; %d are", e.Member, e.ListedCount)
 }
-func (e *UnknownMember) Code() string { return "call-unknown-member" }
-func (e *UnknownMember) Remedy() string {
+func (e *UnknownMemberError) Code() string { return "call-unknown-member" }
+func (e *UnknownMemberError) Remedy() string {
 	return "check the id against the coordinator's list; a node that is new has to be listed first"
 }
-func (e *UnknownMember) Status() int { return http.StatusNotFound }
+func (e *UnknownMemberError) Status() int { return http.StatusNotFound }
 
-// NoCall tells that there is no such call.
-type NoCall struct{ Method, Path string }
+// UnknownCallError tells that there is no such call.
+type UnknownCallError struct{ Method, Path string }
 
-func (e *NoCall) Error() string { return fmt.Sprintf("no call %s %s", e.Method, e.Path) }
-func (e *NoCall) Code() string  { return "call-unknown" }
-func (e *NoCall) Remedy() string {
+func (e *UnknownCallError) Error() string { return fmt.Sprintf("no call %s %s", e.Method, e.Path) }
+func (e *UnknownCallError) Code() string  { return "call-unknown" }
+func (e *UnknownCallError) Remedy() string {
 	return "calls are GET /ready, GET /metrics, POST /media-servers/disable?member=ID, POST /media-servers/enable?member=ID, POST /drain, POST /undrain"
 }
-func (e *NoCall) Status() int { return http.StatusNotFound }
+func (e *UnknownCallError) Status() int { return http.StatusNotFound }
 
-// Late tells that what a call asked for was not done in time. It may still be.
-type Late struct{ What string }
+// TimeoutError tells that what a call asked for was not done in time. It may still be.
+type TimeoutError struct{ Operation string }
 
-func (e *Late) Error() string { return e.What + ": not done in time" }
-func (e *Late) Code() string  { return "call-late" }
-func (e *Late) Remedy() string {
+func (e *TimeoutError) Error() string { return e.Operation + ": not done in time" }
+func (e *TimeoutError) Code() string  { return "call-late" }
+func (e *TimeoutError) Remedy() string {
 	return "repeat the call: each may be repeated; if it lasts, the process is short of its core"
 }
-func (e *Late) Status() int { return http.StatusServiceUnavailable }
+func (e *TimeoutError) Status() int { return http.StatusServiceUnavailable }
--- a/internal/agreed/burst_test.go
+++ b/internal/agreed/burst_test.go
@@ -12,43 +12,43 @@
 // packets lost: each that is told accepted comes, all others are told why, and the fleet
 // goes on. The same seed gives the same play.
 func TestBurst(t *testing.T) {
-	burst := func() (*fleet, string) {
-		w := newFleet(5, 5, 6, noFlaw)
-		w.run(4 * time.Second)
+	runBurst := func() (*simulation, string) {
+		sim := newSimulation(5, 5, 6, faultNone)
+		sim.run(4 * time.Second)
 		for n := range 200 {
-			w.submit(w.managers[n%2], fmt.Sprint(n))
-			w.run(5 * time.Millisecond)
+			sim.submit(sim.managers[n%2], fmt.Sprint(n))
+			sim.run(5 * time.Millisecond)
 		}
-		w.run(3 * time.Second)
-		w.loss = 0.3
-		big := w.submit(w.managers[3], strings.Repeat("n", 1<<20))
-		if took := w.inForce(big.Version, 5*time.Second, w.managers...); took < 0 {
+		sim.run(3 * time.Second)
+		sim.lossRate = 0.3
+		big := sim.submit(sim.managers[3], strings.Repeat("n", 1<<20))
+		if took := sim.timeToForce(big.Version, 5*time.Second, sim.managers...); took < 0 {
 			t.Error("1 MB does not come into force")
 		}
-		return w, fmt.Sprint(w.now, w.messages, w.bytes, w.managers[0].told)
+		return sim, fmt.Sprint(sim.now, sim.messages, sim.bytes, sim.managers[0].results)
 	}
-	w, trace := burst()
-	told := 0
-	for _, m := range w.managers[:2] {
-		for _, a := range m.told {
+	sim, trace := runBurst()
+	decided := 0
+	for _, m := range sim.managers[:2] {
+		for _, a := range m.results {
 			var (
-				s *Superseded
-				c *Conflict
-				g *Gap
+				s *SupersededError
+				c *VersionConflictError
+				g *VersionGapError
 			)
-			if told++; a.Err != nil && !errors.As(a.Err, &s) && !errors.As(a.Err, &c) && !errors.As(a.Err, &g) {
+			if decided++; a.Err != nil && !errors.As(a.Err, &s) && !errors.As(a.Err, &c) && !errors.As(a.Err, &g) {
 				t.Errorf("version %d was told %v", a.Version, a.Err)
 			}
-			if a.Err == nil && w.documents[a.Version] == nil {
+			if a.Err == nil && sim.documents[a.Version] == nil {
 				t.Errorf("version %d was accepted and did not come", a.Version)
 			}
 		}
 	}
-	if told != 200 || w.longest > 0 || !w.register() {
-		t.Errorf("%d of 200 were told; overlap %v", told, w.longest)
+	if decided != 200 || sim.longestConflict > 0 || !sim.linearizable() {
+		t.Errorf("%d of 200 were told; overlap %v", decided, sim.longestConflict)
 	}
-	if _, again := burst(); again != trace {
+	if _, again := runBurst(); again != trace {
 		t.Error("the same seed gave another play")
 	}
-	t.Logf("%d versions came into force", len(w.documents))
+	t.Logf("%d versions came into force", len(sim.documents))
 }
--- a/internal/agreed/carry/carry.go
+++ b/internal/agreed/carry/carry.go
@@ -18,176 +18,176 @@
 )
 
 const (
-	mostEvents  = 4096 // that wait for the machine
-	mostFrames  = 256  // that wait for one other manager
-	callTime    = time.Second
-	writeTime   = time.Second
-	pause       = 100 * time.Millisecond // after a call that failed
-	helloTime   = 2 * time.Second
-	strangers   = 16 // connections beyond two for each manager
-	mostWorries = 8  // machines that failed, until Run gives up
+	maxQueuedEvents  = 4096 // that wait for the machine
+	maxQueuedFrames  = 256  // that wait for one other manager
+	dialTimeout      = time.Second
+	writeTimeout     = time.Second
+	retryDelay       = 100 * time.Millisecond // after a call that failed
+	helloTimeout     = 2 * time.Second
+	spareConnections = 16 // connections beyond two for each manager
+	maxRestarts      = 8  // machines that failed, until Run gives up
 )
 
 // Config is what a Carrier is told at its start.
 type Config struct {
-	Agreed    agreed.Config
-	Listener  net.Listener      // closed by Run
-	Addresses map[string]string // of all managers, this one's too
-	Log       *zap.Logger
-	Changed   func(*agreed.Document)          // a version came into force; must not wait; may be nil
-	Told      func(version uint64, err error) // what became of a submission; must not wait; may be nil
+	Machine            agreed.Config
+	Listener           net.Listener      // closed by Run
+	Addresses          map[string]string // of all managers, this one's too
+	Log                *zap.Logger
+	OnInForce          func(*agreed.Document)          // a version came into force; must not wait; may be nil
+	OnSubmissionResult func(version uint64, err error) // what became of a submission; must not wait; may be nil
 }
 
-// A Carrier is one manager's actor. Decide and Submit are safe for any goroutine.
-type Carrier struct {
-	c       Config
-	start   time.Time
-	machine *agreed.Machine
-	events  *mailbox.Box[agreed.Event]
-	peers   map[string]*mailbox.Box[[]byte]
-	stands  atomic.Pointer[standing]
-	dropped atomic.Int64
+// A Runner is one manager's actor. Decide and Submit are safe for any goroutine.
+type Runner struct {
+	config          Config
+	startedAt       time.Time
+	machine         *agreed.Machine
+	events          *mailbox.Box[agreed.Event]
+	peerQueues      map[string]*mailbox.Box[[]byte]
+	current         atomic.Pointer[leasedConfig]
+	droppedMessages atomic.Int64
 }
 
-type standing struct {
-	effective agreed.Effective
-	until     time.Duration
+type leasedConfig struct {
+	effective   agreed.EffectiveConfig
+	leaseExpiry time.Duration
 }
 
 // New is a Carrier that has not started.
-func New(c Config) *Carrier {
-	k := &Carrier{c: c, start: time.Now(), events: mailbox.New[agreed.Event](mostEvents), peers: map[string]*mailbox.Box[[]byte]{}}
-	k.machine = agreed.New(0, c.Agreed)
+func New(c Config) *Runner {
+	k := &Runner{config: c, startedAt: time.Now(), events: mailbox.New[agreed.Event](maxQueuedEvents), peerQueues: map[string]*mailbox.Box[[]byte]{}}
+	k.machine = agreed.New(0, c.Machine)
 	return k
 }
 
-// Decide is what this manager may do now; ok is false before a version is in force. It
+// Effective is what this manager may do now; ok is false before a version is in force. It
 // is to be asked at each decision, and waits for nothing.
-func (k *Carrier) Decide() (e agreed.Effective, ok bool) {
-	s := k.stands.Load()
+func (k *Runner) Effective() (e agreed.EffectiveConfig, ok bool) {
+	s := k.current.Load()
 	if s == nil {
 		return e, false
 	}
 	e = s.effective
-	e.Alone = time.Since(k.start) >= s.until
+	e.NoLease = time.Since(k.startedAt) >= s.leaseExpiry
 	return e, true
 }
 
 // Submit hands in a version. Told says what becomes of it.
-func (k *Carrier) Submit(d *agreed.Document) {
-	k.events.Force(agreed.Event{Kind: agreed.EvSubmit, Document: d})
+func (k *Runner) Submit(d *agreed.Document) {
+	k.events.Force(agreed.Event{Kind: agreed.EventSubmit, Document: d})
 }
 
-// Dropped counts the messages that were not sent, for want of a connection or of room.
-func (k *Carrier) Dropped() int64 { return k.dropped.Load() }
+// DroppedMessages counts the messages that were not sent, for want of a connection or of room.
+func (k *Runner) DroppedMessages() int64 { return k.droppedMessages.Load() }
 
 // Run carries until ctx ends, or the listener fails.
-func (k *Carrier) Run(ctx context.Context) error {
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error {
+func (k *Runner) Run(ctx context.Context) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error {
 		<-ctx.Done()
-		return k.c.Listener.Close()
+		return k.config.Listener.Close()
 	})
-	g.Go(func() error { return k.accept(ctx, g) })
-	g.Go(func() error { return k.act(ctx, g) })
-	if err := g.Wait(); ctx.Err() == nil || err != context.Canceled {
+	group.Go(func() error { return k.acceptConnections(ctx, group) })
+	group.Go(func() error { return k.runMachine(ctx, group) })
+	if err := group.Wait(); ctx.Err() == nil || err != context.Canceled {
 		return err
 	}
 	return nil
 }
 
-// act is the actor: it alone touches the machine.
-func (k *Carrier) act(ctx context.Context, g *errgroup.Group) error {
-	tick := time.NewTicker(k.c.Agreed.Tick())
+// runMachine is the actor: it alone touches the machine.
+func (k *Runner) runMachine(ctx context.Context, group *errgroup.Group) error {
+	tick := time.NewTicker(k.config.Machine.TickInterval())
 	defer tick.Stop()
 	var batch []agreed.Event
-	for worries := 0; ; {
+	for restarts := 0; ; {
 		batch = batch[:0]
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			batch = append(batch, agreed.Event{Kind: agreed.EvTick})
+			batch = append(batch, agreed.Event{Kind: agreed.EventTick})
 		case <-k.events.Ready():
 			batch = k.events.Take(batch)
 		}
 		for _, e := range batch {
-			acts, err := k.handle(e)
+			actions, err := k.handle(e)
 			if err != nil {
 				// Guard: the log's engine stops where a message can't come from a correct
 				// voter. This life of the voter is over; the next one forgets all of it.
-				if worries++; worries > mostWorries {
+				if restarts++; restarts > maxRestarts {
 					return err
 				}
-				k.c.Log.Error("the agreement starts anew", zap.Error(err))
-				k.stands.Store(nil)
-				k.c.Agreed.Incarnation++
-				k.c.Agreed.Founders = nil
-				k.machine = agreed.New(time.Since(k.start), k.c.Agreed)
+				k.config.Log.Error("the agreement starts anew", zap.Error(err))
+				k.current.Store(nil)
+				k.config.Machine.Incarnation++
+				k.config.Machine.InitialReplicas = nil
+				k.machine = agreed.New(time.Since(k.startedAt), k.config.Machine)
 				break
 			}
-			k.do(ctx, g, acts)
+			k.perform(ctx, group, actions)
 		}
 	}
 }
 
-func (k *Carrier) handle(e agreed.Event) (acts []agreed.Action, err error) {
+func (k *Runner) handle(e agreed.Event) (actions []agreed.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("the agreement's machine stopped: %v", p)
 		}
 	}()
-	now := time.Since(k.start)
-	acts = k.machine.Handle(now, e)
-	if e, ok := k.machine.Decide(now); ok {
-		k.stands.Store(&standing{e, k.machine.Until()})
+	now := time.Since(k.startedAt)
+	actions = k.machine.Handle(now, e)
+	if e, ok := k.machine.Effective(now); ok {
+		k.current.Store(&leasedConfig{e, k.machine.LeaseExpiry()})
 	}
-	return acts, nil
+	return actions, nil
 }
 
-func (k *Carrier) do(ctx context.Context, g *errgroup.Group, acts []agreed.Action) {
-	for _, a := range acts {
+func (k *Runner) perform(ctx context.Context, group *errgroup.Group, actions []agreed.Action) {
+	for _, a := range actions {
 		switch a.Kind {
-		case agreed.ActSend:
-			if !k.peer(ctx, g, a.To).Put(a.Bytes) {
-				k.dropped.Add(1)
+		case agreed.ActionSend:
+			if !k.peerQueue(ctx, group, a.To).Put(a.Bytes) {
+				k.droppedMessages.Add(1)
 			}
-		case agreed.ActForce:
-			k.c.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
-			if k.c.Changed != nil {
-				k.c.Changed(a.Document)
+		case agreed.ActionInForce:
+			k.config.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
+			if k.config.OnInForce != nil {
+				k.config.OnInForce(a.Document)
 			}
-		case agreed.ActTold:
-			k.c.Log.Info("version submitted", zap.Uint64("version", a.Version), zap.Error(a.Err))
-			if k.c.Told != nil {
-				k.c.Told(a.Version, a.Err)
+		case agreed.ActionSubmissionResult:
+			k.config.Log.Info("version submitted", zap.Uint64("version", a.Version), zap.Error(a.Err))
+			if k.config.OnSubmissionResult != nil {
+				k.config.OnSubmissionResult(a.Version, a.Err)
 			}
-		case agreed.ActRemark:
-			k.c.Log.Warn("agreement", zap.Error(a.Err))
+		case agreed.ActionLogError:
+			k.config.Log.Warn("agreement", zap.Error(a.Err))
 		}
 	}
 }
 
-// peer is the queue to another manager. Its goroutine starts with the first message.
-func (k *Carrier) peer(ctx context.Context, g *errgroup.Group, name string) *mailbox.Box[[]byte] {
-	box := k.peers[name]
+// peerQueue is the queue to another manager. Its goroutine starts with the first message.
+func (k *Runner) peerQueue(ctx context.Context, group *errgroup.Group, name string) *mailbox.Box[[]byte] {
+	box := k.peerQueues[name]
 	if box == nil {
-		box = mailbox.New[[]byte](mostFrames)
-		k.peers[name] = box
-		if address, ok := k.c.Addresses[name]; ok {
-			g.Go(func() error { return k.call(ctx, address, box) })
+		box = mailbox.New[[]byte](maxQueuedFrames)
+		k.peerQueues[name] = box
+		if address, ok := k.config.Addresses[name]; ok {
+			group.Go(func() error { return k.sendFrames(ctx, address, box) })
 		}
 	}
 	return box
 }
 
-// call sends what comes into box, over one connection while that holds.
-func (k *Carrier) call(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
+// sendFrames sends what comes into box, over one connection while that holds.
+func (k *Runner) sendFrames(ctx context.Context, address string, box *mailbox.Box[[]byte]) error {
 	var (
 		conn  net.Conn
 		batch [][]byte
 		out   []byte
-		dial  = net.Dialer{Timeout: callTime}
+		dial  = net.Dialer{Timeout: dialTimeout}
 	)
 	defer func() {
 		if conn != nil {
@@ -208,20 +208,20 @@
 		var err error
 		if conn == nil {
 			if conn, err = dial.DialContext(ctx, "tcp4", address); err == nil {
-				out = frame(out, []byte(k.c.Agreed.Name))
+				out = appendFrame(out, []byte(k.config.Machine.Name))
 			}
 		}
 		if err == nil {
 			for _, b := range batch {
-				out = frame(out, b)
+				out = appendFrame(out, b)
 			}
-			conn.SetWriteDeadline(time.Now().Add(writeTime))
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			_, err = conn.Write(out)
 		}
 		if err == nil {
 			continue
 		}
-		k.dropped.Add(int64(len(batch)))
+		k.droppedMessages.Add(int64(len(batch)))
 		if conn != nil {
 			conn.Close()
 			conn = nil
@@ -229,7 +229,7 @@
 		select { // what comes meanwhile waits, or is dropped
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(pause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
--- a/internal/agreed/carry/carry_test.go
+++ b/internal/agreed/carry/carry_test.go
@@ -21,7 +21,7 @@
 	defer cancel()
 	names := []string{"a", "b", "c"}
 	base := Config{Addresses: map[string]string{}, Log: zap.NewNop()}
-	base.Agreed = agreed.Config{Voters: names, Within: time.Second}
+	base.Machine = agreed.Config{Voters: names, MaxDelay: time.Second}
 	listeners := map[string]net.Listener{}
 	for _, n := range names {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -29,38 +29,38 @@
 			t.Fatal(err)
 		}
 		listeners[n], base.Addresses[n] = l, l.Addr().String()
-		base.Agreed.Founders = append(base.Agreed.Founders, agreed.Member{Name: n, Incarnation: 1})
+		base.Machine.InitialReplicas = append(base.Machine.InitialReplicas, agreed.Replica{Name: n, Incarnation: 1})
 	}
-	carriers, stop := map[string]*Carrier{}, map[string]func(){}
-	start := func(n string, incarnation uint64, founders []agreed.Member, told chan error) {
+	runners, stop := map[string]*Runner{}, map[string]func(){}
+	start := func(n string, incarnation uint64, initial []agreed.Replica, results chan error) {
 		c := base
-		c.Agreed.Name, c.Agreed.Incarnation, c.Agreed.Founders, c.Listener = n, incarnation, founders, listeners[n]
-		c.Told = func(_ uint64, err error) {
-			if told != nil {
-				told <- err
+		c.Machine.Name, c.Machine.Incarnation, c.Machine.InitialReplicas, c.Listener = n, incarnation, initial, listeners[n]
+		c.OnSubmissionResult = func(_ uint64, err error) {
+			if results != nil {
+				results <- err
 			}
 		}
 		k := New(c)
 		ctx, cancel := context.WithCancel(ctx)
 		done := make(chan error)
 		go func() { done <- k.Run(ctx) }()
-		carriers[n], stop[n] = k, func() {
+		runners[n], stop[n] = k, func() {
 			cancel()
 			if err := <-done; err != nil && !errors.Is(err, net.ErrClosed) {
 				t.Errorf("%s ended with %v", n, err)
 			}
 		}
 	}
-	told := make(chan error, 16)
+	results := make(chan error, 16)
 	for _, n := range names {
-		start(n, 1, base.Agreed.Founders, told)
+		start(n, 1, base.Machine.InitialReplicas, results)
 	}
-	wait := func(v uint64, of ...string) {
+	waitInForce := func(v uint64, runnerNames ...string) {
 		t.Helper()
-		for _, n := range of {
+		for _, n := range runnerNames {
 			for {
-				e, ok := carriers[n].Decide()
-				if ok && !e.Alone && len(e.Versions) == 1 && e.Versions[0] == v {
+				e, ok := runners[n].Effective()
+				if ok && !e.NoLease && len(e.Versions) == 1 && e.Versions[0] == v {
 					break
 				}
 				if ctx.Err() != nil {
@@ -71,27 +71,27 @@
 		}
 	}
 	for v := uint64(1); v <= 2; v++ {
-		carriers["a"].Submit(&agreed.Document{Version: v, Replaces: v - 1, Out: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
-		if err := <-told; err != nil {
+		runners["a"].Submit(&agreed.Document{Version: v, Replaces: v - 1, DisabledNodes: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
+		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
-		wait(v, names...)
+		waitInForce(v, names...)
 	}
 	stop["c"]()
-	carriers["b"].Submit(&agreed.Document{Version: 3, Replaces: 2})
-	if err := <-told; err != nil {
+	runners["b"].Submit(&agreed.Document{Version: 3, Replaces: 2})
+	if err := <-results; err != nil {
 		t.Fatal(err)
 	}
-	wait(3, "a", "b")
+	waitInForce(3, "a", "b")
 	l, err := net.Listen("tcp4", base.Addresses["c"])
 	if err != nil {
 		t.Skip("the port was taken meanwhile: ", err)
 	}
 	listeners["c"] = l
-	start("c", 2, nil, told)
-	wait(3, "c")
+	start("c", 2, nil, results)
+	waitInForce(3, "c")
 	// A stranger and a frame without end are shut out.
-	for _, b := range [][]byte{frame(nil, []byte("z")), append(frame(nil, []byte("a")), 0xff, 0xff, 0xff, 0xff)} {
+	for _, b := range [][]byte{appendFrame(nil, []byte("z")), append(appendFrame(nil, []byte("a")), 0xff, 0xff, 0xff, 0xff)} {
 		conn, err := net.Dial("tcp4", base.Addresses["c"])
 		if err != nil {
 			t.Fatal(err)
--- a/internal/agreed/carry/frame.go
+++ b/internal/agreed/carry/frame.go
@@ -17,47 +17,47 @@
 	"millethinge/internal/agreed"
 )
 
-// mostFrame bounds a frame: two documents and what stands round them.
-const mostFrame = 2*agreed.MostBytes + 64<<10
+// maxFrameBytes bounds a frame: two documents and what stands round them.
+const maxFrameBytes = 2*agreed.MaxDocumentBytes + 64<<10
 
-// TooLong is a frame of more bytes than any message has. Its connection is closed.
-type TooLong struct{ Bytes, Most int }
+// FrameTooLongError is a frame of more bytes than any message has. Its connection is closed.
+type FrameTooLongError struct{ Bytes, Limit int }
 
-func (e *TooLong) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, where the most is %d", e.Bytes, e.Most)
+func (e *FrameTooLongError) Error() string {
+	return fmt.Sprintf("a frame of %d bytes, where the most is %d", e.Bytes, e.Limit)
 }
 
-// Stranger is a connection by a manager that the fleet does not name.
-type Stranger struct{ Name string }
+// UnknownManagerError is a connection by a manager that the fleet does not name.
+type UnknownManagerError struct{ Name string }
 
-func (e *Stranger) Error() string {
+func (e *UnknownManagerError) Error() string {
 	return fmt.Sprintf("%q is no manager of this fleet: name it in every manager's file", e.Name)
 }
 
-// frame appends b after its length, four bytes.
-func frame(to, b []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(to, uint32(len(b))), b...)
+// appendFrame appends b after its length, four bytes.
+func appendFrame(out, b []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(out, uint32(len(b))), b...)
 }
 
-func readFrame(r io.Reader, most int) ([]byte, error) {
+func readFrame(reader io.Reader, limit int) ([]byte, error) {
 	var head [4]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	if _, err := io.ReadFull(reader, head[:]); err != nil {
 		return nil, err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > most {
-		return nil, &TooLong{n, most}
+	if n > limit {
+		return nil, &FrameTooLongError{n, limit}
 	}
 	b := make([]byte, n)
-	_, err := io.ReadFull(r, b)
+	_, err := io.ReadFull(reader, b)
 	return b, err
 }
 
-// accept takes connections in, as many as the fleet can need.
-func (k *Carrier) accept(ctx context.Context, g *errgroup.Group) error {
+// acceptConnections takes connections in, as many as the fleet can need.
+func (k *Runner) acceptConnections(ctx context.Context, group *errgroup.Group) error {
 	var open atomic.Int64
 	for {
-		conn, err := k.c.Listener.Accept()
+		conn, err := k.config.Listener.Accept()
 		if ctx.Err() != nil {
 			if err == nil {
 				conn.Close()
@@ -68,47 +68,47 @@
 			return err
 		}
 		if err != nil {
-			k.c.Log.Warn("agreement: accept", zap.Error(err))
-			time.Sleep(pause) // no descriptors, most likely: there may be some again
+			k.config.Log.Warn("agreement: accept", zap.Error(err))
+			time.Sleep(retryDelay) // no descriptors, most likely: there may be some again
 			continue
 		}
-		if open.Add(1) > int64(2*len(k.c.Addresses)+strangers) {
+		if open.Add(1) > int64(2*len(k.config.Addresses)+spareConnections) {
 			open.Add(-1)
 			conn.Close()
 			continue
 		}
-		g.Go(func() error {
+		group.Go(func() error {
 			defer open.Add(-1)
-			if err := k.listen(ctx, conn); ctx.Err() == nil && !errors.Is(err, io.EOF) {
-				k.c.Log.Warn("agreement: connection", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
+			if err := k.receiveFrames(ctx, conn); ctx.Err() == nil && !errors.Is(err, io.EOF) {
+				k.config.Log.Warn("agreement: connection", zap.Stringer("from", conn.RemoteAddr()), zap.Error(err))
 			}
 			return nil
 		})
 	}
 }
 
-// listen reads one manager's messages until its connection ends.
-func (k *Carrier) listen(ctx context.Context, conn net.Conn) error {
+// receiveFrames reads one manager's messages until its connection ends.
+func (k *Runner) receiveFrames(ctx context.Context, conn net.Conn) error {
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	defer conn.Close()
-	r := bufio.NewReader(conn)
-	conn.SetReadDeadline(time.Now().Add(helloTime))
-	hello, err := readFrame(r, 256)
+	reader := bufio.NewReader(conn)
+	conn.SetReadDeadline(time.Now().Add(helloTimeout))
+	hello, err := readFrame(reader, 256)
 	if err != nil {
 		return err
 	}
 	name := string(hello)
-	if _, ok := k.c.Addresses[name]; !ok || name == k.c.Agreed.Name {
-		return &Stranger{name}
+	if _, ok := k.config.Addresses[name]; !ok || name == k.config.Machine.Name {
+		return &UnknownManagerError{name}
 	}
 	conn.SetReadDeadline(time.Time{})
 	for {
-		b, err := readFrame(r, mostFrame)
+		b, err := readFrame(reader, maxFrameBytes)
 		if err != nil {
 			return err
 		}
-		if !k.events.Put(agreed.Event{Kind: agreed.EvMessage, From: name, Bytes: b}) {
-			k.dropped.Add(1)
+		if !k.events.Put(agreed.Event{Kind: agreed.EventMessage, From: name, Bytes: b}) {
+			k.droppedMessages.Add(1)
 		}
 	}
 }
--- a/internal/agreed/document.go
+++ b/internal/agreed/document.go
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MostBytes bounds an encoded Document.
-const MostBytes = 2 << 20
+// MaxDocumentBytes bounds an encoded Document.
+const MaxDocumentBytes = 2 << 20
 
 // A Document is one version of all that a fleet agrees on. Its names are unique within
 // a kind. What is marked free is for people to read and contradicts nothing.
@@ -23,44 +23,44 @@
 	Version  uint64 `cbor:"1,keyasint"` // from 1
 	Replaces uint64 `cbor:"2,keyasint"` // the version that its author had before him; 0: none
 
-	Defines []Define     `cbor:"3,keyasint,omitempty"`
-	Routes  []Route      `cbor:"4,keyasint,omitempty"` // the first that matches counts
-	Teams   []Team       `cbor:"5,keyasint,omitempty"`
-	Sites   []Site       `cbor:"6,keyasint,omitempty"`
-	Retire  []Retirement `cbor:"7,keyasint,omitempty"`
-	Peaks   []Peak       `cbor:"8,keyasint,omitempty"`
-	Out     []string     `cbor:"9,keyasint,omitempty"` // nodes that are sent nothing new
+	Definitions   []Definition `cbor:"3,keyasint,omitempty"`
+	Routes        []Route      `cbor:"4,keyasint,omitempty"` // the first that matches counts
+	Teams         []Team       `cbor:"5,keyasint,omitempty"`
+	Sites         []Site       `cbor:"6,keyasint,omitempty"`
+	Retirements   []Retirement `cbor:"7,keyasint,omitempty"`
+	Peaks         []Peak       `cbor:"8,keyasint,omitempty"`
+	DisabledNodes []string     `cbor:"9,keyasint,omitempty"` // nodes that are sent nothing new
 
 	// LeastList is the least revision of the node list that may be acted on.
-	LeastList uint64 `cbor:"10,keyasint,omitempty"`
+	MinListRevision uint64 `cbor:"10,keyasint,omitempty"`
 }
 
-// A Define is a definition, a table or a set of the rules, in their language.
-type Define struct {
+// A Definition is a definition, a table or a set of the rules, in their language.
+type Definition struct {
 	Name string `cbor:"1,keyasint"`
 	Text string `cbor:"2,keyasint"`
 }
 
 // A Route is a rule: a condition and what it sets, in the rules' language.
 type Route struct {
-	Name   string            `cbor:"1,keyasint"` // free
-	When   string            `cbor:"2,keyasint"` // empty: always
-	Class  string            `cbor:"3,keyasint,omitempty"`
-	Team   string            `cbor:"4,keyasint,omitempty"`
-	Key    string            `cbor:"5,keyasint,omitempty"`
-	Labels map[string]string `cbor:"6,keyasint,omitempty"` // free
-	Once   bool              `cbor:"7,keyasint,omitempty"` // sets a class that must never be set up twice
+	Name       string            `cbor:"1,keyasint"` // free
+	When       string            `cbor:"2,keyasint"` // empty: always
+	Class      string            `cbor:"3,keyasint,omitempty"`
+	Team       string            `cbor:"4,keyasint,omitempty"`
+	Key        string            `cbor:"5,keyasint,omitempty"`
+	Labels     map[string]string `cbor:"6,keyasint,omitempty"` // free
+	AtMostOnce bool              `cbor:"7,keyasint,omitempty"` // sets a class that must never be set up twice
 }
 
 // A Team is a team's share and limits. A limit of 0 is none.
 type Team struct {
-	Name     string  `cbor:"1,keyasint"`
-	Title    string  `cbor:"2,keyasint,omitempty"` // free
-	Weight   float64 `cbor:"3,keyasint,omitempty"` // of its share of slots
-	Rate     float64 `cbor:"4,keyasint,omitempty"` // sessions a second over all managers
-	Standing int     `cbor:"5,keyasint,omitempty"` // sessions at one manager
+	Name           string  `cbor:"1,keyasint"`
+	Title          string  `cbor:"2,keyasint,omitempty"` // free
+	Weight         float64 `cbor:"3,keyasint,omitempty"` // of its share of slots
+	SessionsPerS   float64 `cbor:"4,keyasint,omitempty"` // sessions a second over all managers
+	MaxEstablished int     `cbor:"5,keyasint,omitempty"` // sessions at one manager
 	// Closed is set by Careful only: versions disagree on whether there is such a team.
-	Closed bool `cbor:"-"`
+	RefuseAll bool `cbor:"-"`
 }
 
 // A Site is zones that are lost together.
@@ -75,26 +75,26 @@
 
 // A Retirement takes a site out of use step by step.
 type Retirement struct {
-	Site  string        `cbor:"1,keyasint"`
-	Note  string        `cbor:"2,keyasint,omitempty"` // free
-	Over  time.Duration `cbor:"3,keyasint"`
-	Until int64         `cbor:"4,keyasint,omitempty"` // Unix seconds; 0: not told
-	To    []string      `cbor:"5,keyasint,omitempty"`
+	Site        string        `cbor:"1,keyasint"`
+	Note        string        `cbor:"2,keyasint,omitempty"` // free
+	Period      time.Duration `cbor:"3,keyasint"`
+	UntilUnixS  int64         `cbor:"4,keyasint,omitempty"` // Unix seconds; 0: not told
+	TargetSites []string      `cbor:"5,keyasint,omitempty"`
 	// Held: no further step, neither on nor back. Careful sets it where versions differ.
-	Held bool `cbor:"6,keyasint,omitempty"`
+	Suspended bool `cbor:"6,keyasint,omitempty"`
 }
 
 // A Peak is an announced peak. Each manager holds its own part of the room, and
 // gives way without it: no two holds contradict.
 type Peak struct {
-	Name   string        `cbor:"1,keyasint"`
-	Text   string        `cbor:"2,keyasint"` // days and classes, as the file has them
-	At     int64         `cbor:"3,keyasint"` // Unix seconds
-	Length time.Duration `cbor:"4,keyasint"`
-	Factor float64       `cbor:"5,keyasint"`
+	Name       string        `cbor:"1,keyasint"`
+	Spec       string        `cbor:"2,keyasint"` // days and classes, as the file has them
+	StartUnixS int64         `cbor:"3,keyasint"` // Unix seconds
+	Length     time.Duration `cbor:"4,keyasint"`
+	Factor     float64       `cbor:"5,keyasint"`
 }
 
-var canonical = func() cbor.EncMode {
+var cborEncMode = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -103,7 +103,7 @@
 }()
 
 func encode(v any) []byte {
-	b, err := canonical.Marshal(v)
+	b, err := cborEncMode.Marshal(v)
 	if err != nil {
 		panic(err) // Guard: only types of this package come here, and all can be encoded
 	}
@@ -113,67 +113,67 @@
 // Hash names the whole contents, the number as well.
 func (d *Document) Hash() uint64 { return xxhash.Sum64(encode(d)) }
 
-// Contradict tells whether two managers must not act on a and b at the same time. It
+// Incompatible tells whether two managers must not act on a and b at the same time. It
 // goes by the kinds, not by the numbers, and is an equivalence turned round: what
 // contradicts neither of two that agree contradicts no third one that agrees with them.
-func Contradict(a, b *Document) bool { return !bytes.Equal(binding(a), binding(b)) }
+func Incompatible(a, b *Document) bool { return !bytes.Equal(bindingContents(a), bindingContents(b)) }
 
-// binding is the part of d that binds every manager, in one order.
-func binding(d *Document) []byte {
-	n := Document{Defines: sorted(d.Defines, func(x Define) string { return x.Name }), LeastList: d.LeastList}
+// bindingContents is the part of d that binds every manager, in one order.
+func bindingContents(d *Document) []byte {
+	n := Document{Definitions: sortedByName(d.Definitions, func(x Definition) string { return x.Name }), MinListRevision: d.MinListRevision}
 	for _, r := range d.Routes {
 		r.Name, r.Labels = "", nil
 		n.Routes = append(n.Routes, r)
 	}
-	for _, t := range sorted(d.Teams, teamName) {
+	for _, t := range sortedByName(d.Teams, teamName) {
 		t.Title = ""
 		n.Teams = append(n.Teams, t)
 	}
-	for _, s := range sorted(d.Sites, siteName) {
-		s.Title, s.Zones, s.Keep = "", set(s.Zones), set(s.Keep)
+	for _, s := range sortedByName(d.Sites, siteName) {
+		s.Title, s.Zones, s.Keep = "", sortedUnique(s.Zones), sortedUnique(s.Keep)
 		n.Sites = append(n.Sites, s)
 	}
-	for _, r := range sorted(d.Retire, retiring) {
-		r.Note, r.To = "", set(r.To)
-		n.Retire = append(n.Retire, r)
+	for _, r := range sortedByName(d.Retirements, retirementSite) {
+		r.Note, r.TargetSites = "", sortedUnique(r.TargetSites)
+		n.Retirements = append(n.Retirements, r)
 	}
-	n.Out = set(d.Out)
+	n.DisabledNodes = sortedUnique(d.DisabledNodes)
 	return encode(&n)
 }
 
-func teamName(t Team) string       { return t.Name }
-func siteName(s Site) string       { return s.Name }
-func retiring(r Retirement) string { return r.Site }
-func peakName(p Peak) string       { return p.Name }
+func teamName(t Team) string             { return t.Name }
+func siteName(s Site) string             { return s.Name }
+func retirementSite(r Retirement) string { return r.Site }
+func peakName(p Peak) string             { return p.Name }
 
-func sorted[T any](s []T, name func(T) string) []T {
+func sortedByName[T any](s []T, name func(T) string) []T {
 	return slices.SortedFunc(slices.Values(s), func(a, b T) int { return strings.Compare(name(a), name(b)) })
 }
 
-// set sorts names and drops those that come twice.
-func set(s []string) []string { return slices.Compact(slices.Sorted(slices.Values(s))) }
+// sortedUnique sorts names and drops those that come twice.
+func sortedUnique(s []string) []string { return slices.Compact(slices.Sorted(slices.Values(s))) }
 
-// Form tells what is wrong with the form of d, whatever its rules mean: a *Bad, or nil.
-func (d *Document) Form() error {
-	bad := func(reason string) error { return &Bad{Version: d.Version, Reason: reason} }
+// Validate tells what is wrong with the form of d, whatever its rules mean: a *Bad, or nil.
+func (d *Document) Validate() error {
+	invalid := func(reason string) error { return &InvalidVersionError{Version: d.Version, Reason: reason} }
 	if d.Version == 0 || d.Replaces >= d.Version {
-		return bad("its number must be over the one that it replaces")
+		return invalid("its number must be over the one that it replaces")
 	}
 	for kind, names := range map[string][]string{
-		"definition": each(d.Defines, func(x Define) string { return x.Name }), "team": each(d.Teams, teamName),
-		"site": each(d.Sites, siteName), "retirement": each(d.Retire, retiring), "peak": each(d.Peaks, peakName), "node": d.Out,
+		"definition": namesOf(d.Definitions, func(x Definition) string { return x.Name }), "team": namesOf(d.Teams, teamName),
+		"site": namesOf(d.Sites, siteName), "retirement": namesOf(d.Retirements, retirementSite), "peak": namesOf(d.Peaks, peakName), "node": d.DisabledNodes,
 	} {
-		if len(set(names)) < len(names) {
-			return bad("a " + kind + " is named twice")
+		if len(sortedUnique(names)) < len(names) {
+			return invalid("a " + kind + " is named twice")
 		}
 	}
-	if n := len(encode(d)); n > MostBytes {
-		return bad("it is larger than 2 MiB")
+	if n := len(encode(d)); n > MaxDocumentBytes {
+		return invalid("it is larger than 2 MiB")
 	}
 	return nil
 }
 
-func each[T any](s []T, name func(T) string) (out []string) {
+func namesOf[T any](s []T, name func(T) string) (out []string) {
 	for _, x := range s {
 		out = append(out, name(x))
 	}
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -19,17 +19,17 @@
 	}
 }
 
-// drawn is a random Document of few names, so that two have much in common.
-func drawn(t *rapid.T) *Document {
+// drawDocument is a random Document of few names, so that two have much in common.
+func drawDocument(t *rapid.T) *Document {
 	word := rapid.SampledFrom([]string{"a", "b", "c"})
-	names := func() []string { return set(rapid.SliceOfN(word, 0, 3).Draw(t, "names")) }
-	d := &Document{Version: 1, Out: names(), LeastList: rapid.Uint64Range(0, 2).Draw(t, "list")}
+	names := func() []string { return sortedUnique(rapid.SliceOfN(word, 0, 3).Draw(t, "names")) }
+	d := &Document{Version: 1, DisabledNodes: names(), MinListRevision: rapid.Uint64Range(0, 2).Draw(t, "list")}
 	for _, n := range names() {
-		d.Teams = append(d.Teams, Team{Name: n, Title: word.Draw(t, "title"), Rate: float64(rapid.IntRange(0, 2).Draw(t, "rate")), Standing: rapid.IntRange(0, 2).Draw(t, "standing")})
+		d.Teams = append(d.Teams, Team{Name: n, Title: word.Draw(t, "title"), SessionsPerS: float64(rapid.IntRange(0, 2).Draw(t, "rate")), MaxEstablished: rapid.IntRange(0, 2).Draw(t, "standing")})
 	}
 	for _, n := range names() {
 		d.Sites = append(d.Sites, Site{Name: n, Zones: names(), Keep: names(), Pace: time.Duration(rapid.IntRange(0, 1).Draw(t, "pace"))})
-		d.Retire = append(d.Retire, Retirement{Site: n, Note: word.Draw(t, "note"), Over: time.Duration(rapid.IntRange(1, 2).Draw(t, "over")), To: names()})
+		d.Retirements = append(d.Retirements, Retirement{Site: n, Note: word.Draw(t, "note"), Period: time.Duration(rapid.IntRange(1, 2).Draw(t, "over")), TargetSites: names()})
 		d.Peaks = append(d.Peaks, Peak{Name: n, Factor: float64(rapid.IntRange(1, 2).Draw(t, "factor"))})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "routes") {
@@ -39,33 +39,33 @@
 }
 
 // What is free contradicts nothing; all else does. Order counts for routes only.
-func TestContradict(t *testing.T) {
+func TestIncompatible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := drawn(t)
+		a := drawDocument(t)
 		b := clone(a)
 		b.Version, b.Replaces, b.Peaks = 7, 6, nil
 		for i := range b.Routes {
 			b.Routes[i].Name, b.Routes[i].Labels = "other", map[string]string{"l": "other"}
 		}
-		for i := range b.Retire {
-			b.Retire[i].Note = "other"
+		for i := range b.Retirements {
+			b.Retirements[i].Note = "other"
 		}
 		for i := range b.Teams {
 			b.Teams[i].Title = "other"
 		}
 		slices.Reverse(b.Teams)
-		slices.Reverse(b.Out)
-		if Contradict(a, b) || Contradict(b, a) {
+		slices.Reverse(b.DisabledNodes)
+		if Incompatible(a, b) || Incompatible(b, a) {
 			t.Fatal("a word contradicts")
 		}
-		bind := map[string]func(){
-			"out": func() { b.Out = append(b.Out, "z") }, "list": func() { b.LeastList++ }, "team": func() { b.Teams = append(b.Teams, Team{Name: "z"}) },
+		changes := map[string]func(){
+			"out": func() { b.DisabledNodes = append(b.DisabledNodes, "z") }, "list": func() { b.MinListRevision++ }, "team": func() { b.Teams = append(b.Teams, Team{Name: "z"}) },
 			"route":  func() { b.Routes = append(b.Routes, Route{Class: "z"}) },
 			"site":   func() { b.Sites = append(b.Sites, Site{Name: "z"}) },
-			"retire": func() { b.Retire = append(b.Retire, Retirement{Site: "z"}) }, "define": func() { b.Defines = append(b.Defines, Define{Name: "z"}) },
+			"retire": func() { b.Retirements = append(b.Retirements, Retirement{Site: "z"}) }, "define": func() { b.Definitions = append(b.Definitions, Definition{Name: "z"}) },
 		}
 		kind := rapid.SampledFrom([]string{"out", "list", "team", "route", "site", "retire", "define"}).Draw(t, "kind")
-		if bind[kind](); !Contradict(a, b) || !Contradict(b, a) {
+		if changes[kind](); !Incompatible(a, b) || !Incompatible(b, a) {
 			t.Fatalf("%s: no contradiction", kind)
 		}
 	})
@@ -73,7 +73,7 @@
 
 func clone(d *Document) *Document {
 	c := new(Document)
-	if err := decoder.Unmarshal(encode(d), c); err != nil {
+	if err := cborDecMode.Unmarshal(encode(d), c); err != nil {
 		panic(err)
 	}
 	return c
@@ -81,41 +81,41 @@
 
 // The careful side allows nothing that one of the two does not, in either order, and of
 // one version alone it is that version.
-func TestCareful(t *testing.T) {
+func TestMostRestrictive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := drawn(t), drawn(t)
-		e, back := Careful(a, b), Careful(b, a)
-		if again := Careful(a, a); !reflect.DeepEqual(again.Teams, whole(a).Teams) || !reflect.DeepEqual(again.Retire, whole(a).Retire) || !reflect.DeepEqual(again.Sites, whole(a).Sites) {
+		a, b := drawDocument(t), drawDocument(t)
+		restricted, reversed := MostRestrictive(a, b), MostRestrictive(b, a)
+		if again := MostRestrictive(a, a); !reflect.DeepEqual(again.Teams, fromDocument(a).Teams) || !reflect.DeepEqual(again.Retirements, fromDocument(a).Retirements) || !reflect.DeepEqual(again.Sites, fromDocument(a).Sites) {
 			t.Fatalf("of one version twice: %+v", again)
 		}
-		if !reflect.DeepEqual(e.Out, back.Out) || len(e.Sites) != len(back.Sites) || len(e.Teams) != len(back.Teams) || len(e.Peaks) != len(back.Peaks) {
-			t.Fatalf("order counts: %+v, %+v", e, back)
+		if !reflect.DeepEqual(restricted.DisabledNodes, reversed.DisabledNodes) || len(restricted.Sites) != len(reversed.Sites) || len(restricted.Teams) != len(reversed.Teams) || len(restricted.Peaks) != len(reversed.Peaks) {
+			t.Fatalf("order counts: %+v, %+v", restricted, reversed)
 		}
 		for _, d := range []*Document{a, b} {
-			for _, n := range d.Out {
-				if !e.Out[n] {
+			for _, n := range d.DisabledNodes {
+				if !restricted.DisabledNodes[n] {
 					t.Fatalf("node %s is sent to", n)
 				}
 			}
-			w := whole(d)
-			for n, x := range e.Teams {
+			w := fromDocument(d)
+			for n, x := range restricted.Teams {
 				y, ok := w.Teams[n]
-				over := ok && (y.Rate != 0 && (x.Rate == 0 || x.Rate > y.Rate) || y.Standing != 0 && (x.Standing == 0 || x.Standing > y.Standing))
-				if over || !ok && !x.Closed || x.Closed != back.Teams[n].Closed {
+				over := ok && (y.SessionsPerS != 0 && (x.SessionsPerS == 0 || x.SessionsPerS > y.SessionsPerS) || y.MaxEstablished != 0 && (x.MaxEstablished == 0 || x.MaxEstablished > y.MaxEstablished))
+				if over || !ok && !x.RefuseAll || x.RefuseAll != reversed.Teams[n].RefuseAll {
 					t.Fatalf("team %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
-			for n, x := range e.Retire {
-				if y, ok := w.Retire[n]; !ok && !x.Held || ok && x.Over < y.Over {
+			for n, x := range restricted.Retirements {
+				if y, ok := w.Retirements[n]; !ok && !x.Suspended || ok && x.Period < y.Period {
 					t.Fatalf("retirement %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
-			for n, x := range e.Sites {
+			for n, x := range restricted.Sites {
 				if y, ok := w.Sites[n]; !ok || x.Pace < y.Pace || !slices.Equal(x.Zones, y.Zones) {
 					t.Fatalf("site %+v where a version has %+v (%v)", x, y, ok)
 				}
 			}
-			if e.LeastList < d.LeastList {
+			if restricted.MinListRevision < d.MinListRevision {
 				t.Fatal("an older list is allowed")
 			}
 		}
@@ -123,10 +123,10 @@
 		first := func(d *Document) int {
 			return slices.IndexFunc(d.Routes, func(r Route) bool { return r.When == request })
 		}
-		ra, ina, _ := whole(a).Route(first)
-		rb, inb, _ := whole(b).Route(first)
-		r, found, err := e.Route(first)
-		var unsettled *Unsettled
+		ra, ina, _ := fromDocument(a).Route(first)
+		rb, inb, _ := fromDocument(b).Route(first)
+		r, found, err := restricted.Route(first)
+		var unsettled *UnsettledRouteError
 		same := ina == inb && ra.Class == rb.Class
 		if errors.As(err, &unsettled) == same || same && (found != ina || r.Class != ra.Class) {
 			t.Fatalf("%+v, %+v give %+v, %v", ra, rb, r, err)
@@ -135,12 +135,12 @@
 }
 
 // Without a lease nothing is set up by a route that can't be taken back.
-func TestAlone(t *testing.T) {
-	e := Careful(&Document{Version: 3, Routes: []Route{{Class: "clip", Once: true}, {Class: "feed"}}})
-	e.Alone = true
+func TestRouteWithoutLease(t *testing.T) {
+	e := MostRestrictive(&Document{Version: 3, Routes: []Route{{Class: "clip", AtMostOnce: true}, {Class: "feed"}}})
+	e.NoLease = true
 	_, _, err := e.Route(func(*Document) int { return 0 })
-	var unsettled *Unsettled
-	if !errors.As(err, &unsettled) || !unsettled.Alone || unsettled.Wait == 0 {
+	var unsettled *UnsettledRouteError
+	if !errors.As(err, &unsettled) || !unsettled.NoLease || unsettled.RetryAfter == 0 {
 		t.Errorf("a clip gave %v", err)
 	}
 	if r, found, err := e.Route(func(*Document) int { return 1 }); err != nil || !found || r.Class != "feed" {
--- a/internal/agreed/errors.go
+++ b/internal/agreed/errors.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// Bad is a version that was turned down for its contents. The last good one stays.
-type Bad struct {
+// InvalidVersionError is a version that was turned down for its contents. The last good one stays.
+type InvalidVersionError struct {
 	Version uint64
 	Reason  string
 }
 
-func (e *Bad) Error() string {
+func (e *InvalidVersionError) Error() string {
 	return fmt.Sprintf("version %d is turned down: %s; the last good one stays", e.Version, e.Reason)
 }
 
-// Conflict is a number that was given to different contents before.
-type Conflict struct{ Version, Last uint64 }
+// VersionConflictError is a number that was given to different contents before.
+type VersionConflictError struct{ Version, LastVersion uint64 }
 
-func (e *Conflict) Error() string {
-	return fmt.Sprintf("version %d is there already with different contents; read version %d and submit %d", e.Version, e.Last, e.Last+1)
+func (e *VersionConflictError) Error() string {
+	return fmt.Sprintf("version %d is there already with different contents; read version %d and submit %d", e.Version, e.LastVersion, e.LastVersion+1)
 }
 
-// Gap is a version that replaces another than the last one.
-type Gap struct{ Version, Replaces, Last uint64 }
+// VersionGapError is a version that replaces another than the last one.
+type VersionGapError struct{ Version, Replaces, LastVersion uint64 }
 
-func (e *Gap) Error() string {
-	return fmt.Sprintf("version %d replaces %d, but the last one is %d; read that and submit anew", e.Version, e.Replaces, e.Last)
+func (e *VersionGapError) Error() string {
+	return fmt.Sprintf("version %d replaces %d, but the last one is %d; read that and submit anew", e.Version, e.Replaces, e.LastVersion)
 }
 
-// Superseded is a version that was given up here before the fleet had decided on it,
+// SupersededError is a version that was given up here before the fleet had decided on it,
 // since another one was submitted at the same manager. It may still come into force.
-type Superseded struct{ Version, By uint64 }
+type SupersededError struct{ Version, SupersededBy uint64 }
 
-func (e *Superseded) Error() string {
-	return fmt.Sprintf("version %d was not decided on when version %d was submitted here; it may still come", e.Version, e.By)
+func (e *SupersededError) Error() string {
+	return fmt.Sprintf("version %d was not decided on when version %d was submitted here; it may still come", e.Version, e.SupersededBy)
 }
 
-// Unsettled is a request that is refused since its route is not the same in all
+// UnsettledRouteError is a request that is refused since its route is not the same in all
 // versions that may be in force, or might not be.
-type Unsettled struct {
-	Versions []uint64
-	Alone    bool // this manager hears nothing of the fleet
-	Wait     time.Duration
+type UnsettledRouteError struct {
+	Versions   []uint64
+	NoLease    bool // this manager hears nothing of the fleet
+	RetryAfter time.Duration
 }
 
-func (e *Unsettled) Error() string {
-	if e.Alone {
-		return fmt.Sprintf("version %v may have been replaced, and this manager hears nothing of the fleet: come again in %v", e.Versions, e.Wait)
+func (e *UnsettledRouteError) Error() string {
+	if e.NoLease {
+		return fmt.Sprintf("version %v may have been replaced, and this manager hears nothing of the fleet: come again in %v", e.Versions, e.RetryAfter)
 	}
-	return fmt.Sprintf("versions %v give different routes, and which is in force is not settled: come again in %v", e.Versions, e.Wait)
+	return fmt.Sprintf("versions %v give different routes, and which is in force is not settled: come again in %v", e.Versions, e.RetryAfter)
 }
--- a/internal/agreed/explore_test.go
+++ b/internal/agreed/explore_test.go
@@ -11,127 +11,132 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// world is three holders and a leader whose log takes no time, at one moment: the code
+// modelState is three holders and a leader whose log takes no time, at one moment: the code
 // that runs, with all that the network holds. Times are whole steps; a lease is one.
-type world struct {
-	now     time.Duration
-	holders [3]holder
-	ledger  ledger
-	lessor  lessor
-	flight  []message // in any order
-	faults  int       // that may still come
-	asks    [3]uint64 // most by each
+type modelState struct {
+	now           time.Duration
+	holders       [3]holder
+	ledger        ledger
+	lessor        lessor
+	inFlight      []message // in any order
+	leaderChanges int       // that may still come
+	maxRequests   [3]uint64 // most by each
 }
 
-var versions = []*Document{nil, {Version: 1}, {Version: 2, Replaces: 1, Out: []string{"n"}}}
+var modelVersions = []*Document{nil, {Version: 1}, {Version: 2, Replaces: 1, DisabledNodes: []string{"n"}}}
 
-func newWorld(f flaw, asks [3]uint64) world {
-	w := world{ledger: ledger{Force: versions[1], Hashes: map[uint64]uint64{1: 1}}, lessor: *newLessor(1, -1, f), faults: 2, asks: asks}
-	for i := range w.holders {
-		h := holder{number: uint64(i), length: 1, force: versions[1], asked: map[uint64]time.Duration{}, flaw: f}
-		w.lessor.heard(0, "", h.renew(0))
-		h.granted(&grant{Holder: h.number, Seq: 1, Force: 1}, nil)
-		w.holders[i] = h
+func newModelState(injected protocolFault, maxRequests [3]uint64) modelState {
+	state := modelState{ledger: ledger{InForce: modelVersions[1], Hashes: map[uint64]uint64{1: 1}}, lessor: *newLessor(1, -1, injected), leaderChanges: 2, maxRequests: maxRequests}
+	for i := range state.holders {
+		h := holder{id: uint64(i), leaseLength: 1, inForce: modelVersions[1], requestedAt: map[uint64]time.Duration{}, fault: injected}
+		state.lessor.recordRenewal(0, "", h.nextRenewal(0))
+		h.applyGrant(&grant{HolderID: h.id, Seq: 1, InForce: 1}, nil)
+		state.holders[i] = h
 	}
-	return w
+	return state
 }
 
-func (w world) clone() world {
-	w.ledger.Hashes, w.lessor.held, w.flight = maps.Clone(w.ledger.Hashes), maps.Clone(w.lessor.held), slices.Clone(w.flight)
-	for i := range w.holders {
-		w.holders[i].asked = maps.Clone(w.holders[i].asked)
+func (state modelState) clone() modelState {
+	state.ledger.Hashes, state.lessor.leases, state.inFlight = maps.Clone(state.ledger.Hashes), maps.Clone(state.lessor.leases), slices.Clone(state.inFlight)
+	for i := range state.holders {
+		state.holders[i].requestedAt = maps.Clone(state.holders[i].requestedAt)
 	}
-	return w
+	return state
 }
 
 // key tells worlds apart. What is in flight has no order, and two managers that
 // may ask as often are alike.
-func (w *world) key() uint64 {
+func (state *modelState) key() uint64 {
 	var each [3][]byte
-	for i, h := range w.holders {
-		held := w.lessor.held[h.number]
-		each[i] = append(each[i], byte(h.until), byte(h.force.Version), byte(h.seq), byte(held.until), byte(held.keeps))
-		if h.next != nil {
+	for i, h := range state.holders {
+		lease := state.lessor.leases[h.id]
+		each[i] = append(each[i], byte(h.leaseExpiry), byte(h.inForce.Version), byte(h.seq), byte(lease.expiry), byte(lease.boundBy))
+		if h.pending != nil {
 			each[i] = append(each[i], 'n')
 		}
 		for s := range h.seq {
-			each[i] = append(each[i], byte(h.asked[s+1]))
+			each[i] = append(each[i], byte(h.requestedAt[s+1]))
 		}
 		var s []string
-		for _, m := range w.flight {
-			if r := m.Renew; r != nil && r.Holder == h.number {
-				s = append(s, string([]byte{'r', byte(r.Seq), byte(r.Force), byte(r.Next)}))
-			} else if g := m.Grant; g != nil && g.Holder == h.number {
-				s = append(s, string([]byte{'g', byte(g.Seq), byte(g.Force), byte(g.Next)}))
+		for _, m := range state.inFlight {
+			if r := m.Renewal; r != nil && r.HolderID == h.id {
+				s = append(s, string([]byte{'r', byte(r.Seq), byte(r.InForce), byte(r.Pending)}))
+			} else if g := m.Grant; g != nil && g.HolderID == h.id {
+				s = append(s, string([]byte{'g', byte(g.Seq), byte(g.InForce), byte(g.Pending)}))
 			}
 		}
 		slices.Sort(s)
 		each[i] = append(each[i], strings.Join(s, "")...)
 	}
-	if w.asks[0] == w.asks[1] && bytes.Compare(each[0], each[1]) > 0 {
+	if state.maxRequests[0] == state.maxRequests[1] && bytes.Compare(each[0], each[1]) > 0 {
 		each[0], each[1] = each[1], each[0]
 	}
-	k := []byte{byte(w.now), byte(w.ledger.force()), byte(w.ledger.last()), byte(w.lessor.since), byte(w.faults)}
+	k := []byte{byte(state.now), byte(state.ledger.versionInForce()), byte(state.ledger.lastVersion()), byte(state.lessor.leaderSince), byte(state.leaderChanges)}
 	return xxhash.Sum64(bytes.Join(append(each[:], k), []byte{0xff}))
 }
 
-// after are all worlds that can come next. What is lost, late or stopped needs no step
+// successors are all worlds that can come next. What is lost, late or stopped needs no step
 // of its own: whatever is in flight, or could be done, may stay undone for ever.
-func (w world) after() (out []world) {
-	next := func(do func(w *world)) { n := w.clone(); do(&n); out = append(out, n) }
-	if w.now < 2 {
-		next(func(w *world) { w.now++ })
+func (state modelState) successors() (out []modelState) {
+	add := func(do func(state *modelState)) { n := state.clone(); do(&n); out = append(out, n) }
+	if state.now < 2 {
+		add(func(state *modelState) { state.now++ })
 	}
-	if w.ledger.last() == 1 {
-		next(func(w *world) { w.ledger.accept(versions[2]) })
-	} else if c := w.clone(); w.ledger.Next != nil && c.lessor.settled(w.now, 2) {
-		next(func(w *world) { w.ledger.enforce(2) })
+	if state.ledger.lastVersion() == 1 {
+		add(func(state *modelState) { state.ledger.accept(modelVersions[2]) })
+	} else if c := state.clone(); state.ledger.Pending != nil && c.lessor.allBoundBy(state.now, 2) {
+		add(func(state *modelState) { state.ledger.putInForce(2) })
 	}
-	if w.faults > 0 { // another leads, who knows of no lease
-		next(func(w *world) { w.faults--; w.lessor = *newLessor(1, w.now, w.lessor.flaw) })
+	if state.leaderChanges > 0 { // another leads, who knows of no lease
+		add(func(state *modelState) {
+			state.leaderChanges--
+			state.lessor = *newLessor(1, state.now, state.lessor.fault)
+		})
 	}
-	for i, h := range w.holders {
-		if most := w.asks[i]; h.seq < most {
-			next(func(w *world) { w.flight = append(w.flight, message{Renew: w.holders[i].renew(w.now)}) })
+	for i, h := range state.holders {
+		if limit := state.maxRequests[i]; h.seq < limit {
+			add(func(state *modelState) {
+				state.inFlight = append(state.inFlight, message{Renewal: state.holders[i].nextRenewal(state.now)})
+			})
 		}
 	}
-	for i, m := range w.flight {
-		next(func(w *world) {
-			w.flight = slices.Delete(w.flight, i, i+1)
-			if r := m.Renew; r != nil {
-				w.lessor.heard(w.now, "", r)
-				g := &grant{Holder: r.Holder, Seq: r.Seq, Force: w.ledger.force()}
-				if w.ledger.Next != nil {
-					g.Next = 2
+	for i, m := range state.inFlight {
+		add(func(state *modelState) {
+			state.inFlight = slices.Delete(state.inFlight, i, i+1)
+			if r := m.Renewal; r != nil {
+				state.lessor.recordRenewal(state.now, "", r)
+				g := &grant{HolderID: r.HolderID, Seq: r.Seq, InForce: state.ledger.versionInForce()}
+				if state.ledger.Pending != nil {
+					g.Pending = 2
 				}
-				w.flight = append(w.flight, message{Grant: g})
+				state.inFlight = append(state.inFlight, message{Grant: g})
 				return
 			}
-			w.holders[m.Grant.Holder].granted(m.Grant, versions[1:])
+			state.holders[m.Grant.HolderID].applyGrant(m.Grant, modelVersions[1:])
 		})
 	}
 	return out
 }
 
-func (w *world) wrong() bool {
-	var acts [3]bool // on the first only, on the second only
-	for _, h := range w.holders {
-		if h.leased(w.now) && h.next == nil {
-			acts[h.force.Version] = true
+func (state *modelState) conflicting() bool {
+	var active [3]bool // on the first only, on the second only
+	for _, h := range state.holders {
+		if h.hasLease(state.now) && h.pending == nil {
+			active[h.inForce.Version] = true
 		}
 	}
-	return acts[1] && acts[2]
+	return active[1] && active[2]
 }
 
 // explore looks at all worlds that can come, and tells how many, and whether one is wrong.
-func explore(f flaw, asks [3]uint64, most int) (worlds int, wrong bool) {
-	seen, todo := map[uint64]bool{}, []world{newWorld(f, asks)}
-	for len(todo) > 0 && len(seen) < most {
-		w := todo[len(todo)-1]
+func explore(injected protocolFault, maxRequests [3]uint64, limit int) (states int, conflict bool) {
+	seen, todo := map[uint64]bool{}, []modelState{newModelState(injected, maxRequests)}
+	for len(todo) > 0 && len(seen) < limit {
+		state := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		for _, n := range w.after() {
+		for _, n := range state.successors() {
 			if k := n.key(); !seen[k] {
-				if seen[k] = true; n.wrong() {
+				if seen[k] = true; n.conflicting() {
 					return len(seen), true
 				}
 				todo = append(todo, n)
@@ -144,22 +149,22 @@
 // In no order of all that three managers, two versions and two faults allow do two act
 // on what contradicts; without the lease or the wait there is one.
 func TestExplore(t *testing.T) {
-	plays := [][3]uint64{{2, 2, 2}} // each has asked once, and asks once more
-	if *all {
-		plays = append(plays, [3]uint64{2, 2, 3}, [3]uint64{1, 2, 4})
+	requestLimits := [][3]uint64{{2, 2, 2}} // each has asked once, and asks once more
+	if *exhaustive {
+		requestLimits = append(requestLimits, [3]uint64{2, 2, 3}, [3]uint64{1, 2, 4})
 	}
-	for _, asks := range plays {
-		n, wrong := explore(noFlaw, asks, 1<<23)
-		if wrong || n == 1<<23 {
-			t.Errorf("%d worlds: wrong %v", n, wrong)
+	for _, maxRequests := range requestLimits {
+		n, conflict := explore(faultNone, maxRequests, 1<<23)
+		if conflict || n == 1<<23 {
+			t.Errorf("%d worlds: wrong %v", n, conflict)
 		}
-		t.Logf("%v: %d worlds", asks, n)
+		t.Logf("%v: %d worlds", maxRequests, n)
 	}
-	for _, f := range []flaw{noLease, noWait} {
-		n, wrong := explore(f, plays[0], 1<<23)
-		if !wrong {
-			t.Errorf("flaw %d: not found in %d worlds", f, n)
+	for _, fault := range []protocolFault{faultNoLease, faultNoWait} {
+		n, conflict := explore(fault, requestLimits[0], 1<<23)
+		if !conflict {
+			t.Errorf("flaw %d: not found in %d worlds", fault, n)
 		}
-		t.Logf("flaw %d: found after %d worlds", f, n)
+		t.Logf("flaw %d: found after %d worlds", fault, n)
 	}
 }
--- a/internal/agreed/fleet_test.go
+++ b/internal/agreed/fleet_test.go
@@ -10,313 +10,313 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// fleet is managers in virtual time, with a network between them that loses, delays
+// simulation is managers in virtual time, with a network between them that loses, delays
 // and cuts. The first voters of them decide.
-type fleet struct {
-	now       time.Duration
-	rng       *rand.Rand
-	queue     happenings
-	count     int
-	managers  []*manager
-	cut       map[[2]int]bool // from, to
-	loss      float64
-	conf      Config
-	messages  int
-	bytes     int
-	documents map[uint64]*Document // by number, all that came into force anywhere
-	known     map[uint64]bool      // hashes of what any manager was told of
-	hashes    map[*Document]uint64
-	apart     map[[2]uint64]bool
-	since     time.Duration              // since when two act on what contradicts; -1: none do
-	longest   time.Duration              // 0: none ever did
-	leaders   map[uint64]map[uint64]bool // by term
-	history   []porcupine.Operation
-	judged    bool
+type simulation struct {
+	now             time.Duration
+	random          *rand.Rand
+	queue           eventQueue
+	scheduled       int
+	managers        []*simManager
+	blocked         map[[2]int]bool // from, to
+	lossRate        float64
+	config          Config
+	messages        int
+	bytes           int
+	documents       map[uint64]*Document // by number, all that came into force anywhere
+	seenHashes      map[uint64]bool      // hashes of what any manager was told of
+	hashOf          map[*Document]uint64
+	incompatible    map[[2]uint64]bool
+	conflictSince   time.Duration              // since when two act on what contradicts; -1: none do
+	longestConflict time.Duration              // 0: none ever did
+	leadersByTerm   map[uint64]map[uint64]bool // by term
+	history         []porcupine.Operation
+	checked         bool
 }
 
-// manager is one process. Its clock runs by rate and started at random.
-type manager struct {
+// simManager is one process. Its clock runs by rate and started at random.
+type simManager struct {
 	*Machine
-	i       int
-	rate    float64
-	offset  time.Duration
-	stopped time.Duration // until when
-	inbox   []Event
-	life    int
-	told    []Action
-	span    *porcupine.Operation // reads of one version without a break
-	writes  []*porcupine.Operation
+	index       int
+	clockRate   float64
+	clockOffset time.Duration
+	pausedUntil time.Duration // until when
+	inbox       []Event
+	generation  int
+	results     []Action
+	openRead    *porcupine.Operation // reads of one version without a break
+	writes      []*porcupine.Operation
 }
 
-type happening struct {
-	at time.Duration
-	n  int
-	do func()
+type simEvent struct {
+	at     time.Duration
+	order  int
+	action func()
 }
-type happenings []happening
+type eventQueue []simEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].n < h[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any     { x := (*h)[len(*h)-1]; *h = (*h)[:len(*h)-1]; return x }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *eventQueue) Pop() any     { x := (*q)[len(*q)-1]; *q = (*q)[:len(*q)-1]; return x }
 
-func name(i int) string { return fmt.Sprintf("m%d", i) }
+func managerName(i int) string { return fmt.Sprintf("m%d", i) }
 
-func newFleet(managers, voters int, seed uint64, f flaw) *fleet {
-	w := &fleet{rng: rand.New(rand.NewPCG(seed, 7)), cut: map[[2]int]bool{}, since: -1, documents: map[uint64]*Document{}, known: map[uint64]bool{}, hashes: map[*Document]uint64{},
-		apart: map[[2]uint64]bool{}, leaders: map[uint64]map[uint64]bool{}, judged: true, conf: Config{Seed: seed, flaw: f}}
+func newSimulation(managers, voters int, seed uint64, injected protocolFault) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 7)), blocked: map[[2]int]bool{}, conflictSince: -1, documents: map[uint64]*Document{}, seenHashes: map[uint64]bool{}, hashOf: map[*Document]uint64{},
+		incompatible: map[[2]uint64]bool{}, leadersByTerm: map[uint64]map[uint64]bool{}, checked: true, config: Config{Seed: seed, fault: injected}}
 	for i := range voters {
-		w.conf.Voters = append(w.conf.Voters, name(i))
-		w.conf.Founders = append(w.conf.Founders, Member{name(i), 1})
+		sim.config.Voters = append(sim.config.Voters, managerName(i))
+		sim.config.InitialReplicas = append(sim.config.InitialReplicas, Replica{managerName(i), 1})
 	}
 	for i := range managers {
-		m := &manager{i: i, rate: 1 + 0.01*(2*w.rng.Float64()-1), offset: time.Duration(w.rng.IntN(1e10)), life: 0}
-		w.managers = append(w.managers, m)
-		w.start(m, 1, w.conf.Founders)
+		m := &simManager{index: i, clockRate: 1 + 0.01*(2*sim.random.Float64()-1), clockOffset: time.Duration(sim.random.IntN(1e10)), generation: 0}
+		sim.managers = append(sim.managers, m)
+		sim.startManager(m, 1, sim.config.InitialReplicas)
 	}
-	return w
+	return sim
 }
 
-func (w *fleet) start(m *manager, incarnation uint64, founders []Member) {
-	c := w.conf
-	c.Name, c.Incarnation, c.Founders = name(m.i), incarnation, founders
-	c.Check = func(d *Document) error {
-		if slices.Contains(d.Out, "bad") {
+func (sim *simulation) startManager(m *simManager, incarnation uint64, initial []Replica) {
+	c := sim.config
+	c.Name, c.Incarnation, c.InitialReplicas = managerName(m.index), incarnation, initial
+	c.CheckDocument = func(d *Document) error {
+		if slices.Contains(d.DisabledNodes, "bad") {
 			return fmt.Errorf("bad")
 		}
 		return nil
 	}
-	m.Machine, m.inbox = New(m.clock(w.now), c), nil
-	m.life++
-	life := m.life
+	m.Machine, m.inbox = New(m.clock(sim.now), c), nil
+	m.generation++
+	generation := m.generation
 	var tick func()
 	tick = func() {
-		if m.life == life {
-			w.give(m, Event{Kind: EvTick})
-			w.after(time.Duration(float64(c.Tick())/m.rate), tick)
+		if m.generation == generation {
+			sim.deliver(m, Event{Kind: EventTick})
+			sim.schedule(time.Duration(float64(c.TickInterval())/m.clockRate), tick)
 		}
 	}
-	w.after(time.Duration(w.rng.Int64N(int64(c.Tick()))), tick)
+	sim.schedule(time.Duration(sim.random.Int64N(int64(c.TickInterval()))), tick)
 }
 
-func (m *manager) clock(now time.Duration) time.Duration {
-	return m.offset + time.Duration(float64(now)*m.rate)
+func (m *simManager) clock(now time.Duration) time.Duration {
+	return m.clockOffset + time.Duration(float64(now)*m.clockRate)
 }
 
-func (w *fleet) after(d time.Duration, do func()) {
-	w.count++
-	heap.Push(&w.queue, happening{w.now + d, w.count, do})
+func (sim *simulation) schedule(d time.Duration, action func()) {
+	sim.scheduled++
+	heap.Push(&sim.queue, simEvent{sim.now + d, sim.scheduled, action})
 }
 
-func (w *fleet) run(d time.Duration) {
-	for end := w.now + d; ; {
-		if len(w.queue) == 0 || w.queue[0].at > end {
-			w.now = end
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now + d; ; {
+		if len(sim.queue) == 0 || sim.queue[0].at > end {
+			sim.now = end
 			return
 		}
-		h := heap.Pop(&w.queue).(happening)
-		w.now = h.at
-		h.do()
+		h := heap.Pop(&sim.queue).(simEvent)
+		sim.now = h.at
+		h.action()
 	}
 }
 
-func (w *fleet) stop(m *manager, d time.Duration) {
-	m.stopped = w.now + d
-	w.after(d, func() {
-		for box := m.inbox; len(box) > 0 && w.now >= m.stopped; box = m.inbox {
-			m.inbox = box[1:]
-			w.give(m, box[0])
+func (sim *simulation) pause(m *simManager, d time.Duration) {
+	m.pausedUntil = sim.now + d
+	sim.schedule(d, func() {
+		for queued := m.inbox; len(queued) > 0 && sim.now >= m.pausedUntil; queued = m.inbox {
+			m.inbox = queued[1:]
+			sim.deliver(m, queued[0])
 		}
 	})
 }
 
-func (w *fleet) give(m *manager, e Event) {
-	if w.now < m.stopped {
-		if n := len(m.inbox); e.Kind != EvTick || n == 0 || m.inbox[n-1].Kind != EvTick {
+func (sim *simulation) deliver(m *simManager, e Event) {
+	if sim.now < m.pausedUntil {
+		if n := len(m.inbox); e.Kind != EventTick || n == 0 || m.inbox[n-1].Kind != EventTick {
 			m.inbox = append(m.inbox, e)
 		}
 		return
 	}
-	for _, a := range m.Handle(m.clock(w.now), e) {
+	for _, a := range m.Handle(m.clock(sim.now), e) {
 		switch a.Kind {
-		case ActSend:
-			w.send(m.i, slices.Index(w.names(), a.To), a.Bytes)
-		case ActForce:
-			w.documents[a.Document.Version] = a.Document
+		case ActionSend:
+			sim.send(m.index, slices.Index(sim.managerNames(), a.To), a.Bytes)
+		case ActionInForce:
+			sim.documents[a.Document.Version] = a.Document
 			for _, o := range m.writes {
-				if x := o.Input.(write); x.version == a.Document.Version && x.hash == a.Document.Hash() {
-					o.Return = int64(w.now)
+				if x := o.Input.(writeOp); x.version == a.Document.Version && x.hash == a.Document.Hash() {
+					o.Return = int64(sim.now)
 				}
 			}
-		case ActTold:
-			m.told = append(m.told, a)
+		case ActionSubmissionResult:
+			m.results = append(m.results, a)
 		}
 	}
-	if w.judged {
-		w.judge(m)
+	if sim.checked {
+		sim.check(m)
 	}
 }
 
-func (w *fleet) names() (out []string) {
-	for i := range w.managers {
-		out = append(out, name(i))
+func (sim *simulation) managerNames() (out []string) {
+	for i := range sim.managers {
+		out = append(out, managerName(i))
 	}
 	return out
 }
 
-func (w *fleet) send(from, to int, b []byte) {
-	w.messages++
-	w.bytes += len(b)
-	if w.cut[[2]int{from, to}] || w.rng.Float64() < w.loss {
+func (sim *simulation) send(from, to int, b []byte) {
+	sim.messages++
+	sim.bytes += len(b)
+	if sim.blocked[[2]int{from, to}] || sim.random.Float64() < sim.lossRate {
 		return
 	}
-	w.after(time.Millisecond+time.Duration(w.rng.ExpFloat64()*float64(4*time.Millisecond)), func() {
-		if !w.cut[[2]int{from, to}] {
-			w.give(w.managers[to], Event{Kind: EvMessage, From: name(from), Bytes: b})
+	sim.schedule(time.Millisecond+time.Duration(sim.random.ExpFloat64()*float64(4*time.Millisecond)), func() {
+		if !sim.blocked[[2]int{from, to}] {
+			sim.deliver(sim.managers[to], Event{Kind: EventMessage, From: managerName(from), Bytes: b})
 		}
 	})
 }
 
-// acts are the versions of which m keeps to every one now; none without a lease.
-func (w *fleet) acts(m *manager) (out []uint64) {
-	if w.now < m.stopped || !m.holder.leased(m.clock(w.now)) || m.holder.force == nil {
+// activeVersions are the versions of which m keeps to every one now; none without a lease.
+func (sim *simulation) activeVersions(m *simManager) (out []uint64) {
+	if sim.now < m.pausedUntil || !m.holder.hasLease(m.clock(sim.now)) || m.holder.inForce == nil {
 		return nil
 	}
-	for _, d := range m.holder.keeps() {
+	for _, d := range m.holder.boundBy() {
 		out = append(out, d.Version)
 	}
 	return out
 }
 
-// judge looks whether two managers act on what contradicts, after what m has done.
+// check looks whether two managers act on what contradicts, after what m has done.
 // It begins only by what one of them is told, so that it can't be missed.
-func (w *fleet) judge(m *manager) {
-	now, wrong := int64(w.now), false
-	for i, a := range w.managers {
-		for _, b := range w.managers[:i] {
-			x, y := w.acts(a), w.acts(b)
-			agree := len(x) == 0 || len(y) == 0
+func (sim *simulation) check(m *simManager) {
+	now, conflict := int64(sim.now), false
+	for i, a := range sim.managers {
+		for _, b := range sim.managers[:i] {
+			x, y := sim.activeVersions(a), sim.activeVersions(b)
+			compatible := len(x) == 0 || len(y) == 0
 			for _, v := range x {
-				agree = agree || slices.ContainsFunc(y, func(u uint64) bool { return !w.contradict(u, v) })
+				compatible = compatible || slices.ContainsFunc(y, func(u uint64) bool { return !sim.versionsIncompatible(u, v) })
 			}
-			wrong = wrong || !agree
+			conflict = conflict || !compatible
 		}
 	}
-	if wrong && w.since < 0 {
-		w.since = w.now
-	} else if !wrong {
-		w.since = -1
+	if conflict && sim.conflictSince < 0 {
+		sim.conflictSince = sim.now
+	} else if !conflict {
+		sim.conflictSince = -1
 	}
-	if wrong {
-		w.longest = max(w.longest, w.now-w.since, 1)
+	if conflict {
+		sim.longestConflict = max(sim.longestConflict, sim.now-sim.conflictSince, 1)
 	}
-	if v := m.voter; v != nil && v.leads {
-		term := v.node.BasicStatus().GetTerm()
-		if w.leaders[term] == nil {
-			w.leaders[term] = map[uint64]bool{}
+	if v := m.voter; v != nil && v.isLeader {
+		term := v.raftNode.BasicStatus().GetTerm()
+		if sim.leadersByTerm[term] == nil {
+			sim.leadersByTerm[term] = map[uint64]bool{}
 		}
-		w.leaders[term][uint64(m.i)] = true
+		sim.leadersByTerm[term][uint64(m.index)] = true
 	}
 	// A manager that acts on one version alone reads the register: the first and the
 	// last of a row of equal reads are kept.
-	for _, d := range m.holder.keeps() {
-		if w.hashes[d] == 0 {
-			w.hashes[d] = d.Hash()
-			w.known[w.hashes[d]] = true
+	for _, d := range m.holder.boundBy() {
+		if sim.hashOf[d] == 0 {
+			sim.hashOf[d] = d.Hash()
+			sim.seenHashes[sim.hashOf[d]] = true
 		}
 	}
-	acts := w.acts(m)
-	if m.span != nil && (len(acts) != 1 || m.span.Output.(write).version != acts[0]) {
-		w.history = append(w.history, *m.span)
-		m.span = nil
+	active := sim.activeVersions(m)
+	if m.openRead != nil && (len(active) != 1 || m.openRead.Output.(writeOp).version != active[0]) {
+		sim.history = append(sim.history, *m.openRead)
+		m.openRead = nil
 	}
-	if len(acts) == 1 {
-		o := porcupine.Operation{ClientId: m.i, Input: nil, Call: now, Return: now, Output: write{version: acts[0], hash: w.hashes[m.holder.force]}}
-		if m.span == nil {
-			w.history = append(w.history, o)
+	if len(active) == 1 {
+		o := porcupine.Operation{ClientId: m.index, Input: nil, Call: now, Return: now, Output: writeOp{version: active[0], hash: sim.hashOf[m.holder.inForce]}}
+		if m.openRead == nil {
+			sim.history = append(sim.history, o)
 		}
-		m.span = &o
+		m.openRead = &o
 	}
 }
 
-func (w *fleet) contradict(u, v uint64) bool {
-	if u == v || w.documents[u] == nil || w.documents[v] == nil {
+func (sim *simulation) versionsIncompatible(u, v uint64) bool {
+	if u == v || sim.documents[u] == nil || sim.documents[v] == nil {
 		return false
 	}
 	k := [2]uint64{min(u, v), max(u, v)}
-	if _, ok := w.apart[k]; !ok {
-		w.apart[k] = Contradict(w.documents[u], w.documents[v])
+	if _, ok := sim.incompatible[k]; !ok {
+		sim.incompatible[k] = Incompatible(sim.documents[u], sim.documents[v])
 	}
-	return w.apart[k]
+	return sim.incompatible[k]
 }
 
-// write is a version submitted: it takes effect where what it replaces is in force.
-type write struct{ version, replaces, hash uint64 }
+// writeOp is a version submitted: it takes effect where what it replaces is in force.
+type writeOp struct{ version, replaces, hash uint64 }
 
 // submit gives m a new version over what it knows of, which takes other nodes out.
-func (w *fleet) submit(m *manager, nodes ...string) *Document {
-	d := &Document{Version: 1, Out: nodes}
-	if n := m.holder.keeps(); len(n) > 0 {
+func (sim *simulation) submit(m *simManager, nodes ...string) *Document {
+	d := &Document{Version: 1, DisabledNodes: nodes}
+	if n := m.holder.boundBy(); len(n) > 0 {
 		d.Replaces = n[len(n)-1].Version
 		d.Version = d.Replaces + 1
 	}
-	o := &porcupine.Operation{ClientId: 100 + len(w.history), Input: write{d.Version, d.Replaces, d.Hash()}, Call: int64(w.now), Return: 1 << 62}
+	o := &porcupine.Operation{ClientId: 100 + len(sim.history), Input: writeOp{d.Version, d.Replaces, d.Hash()}, Call: int64(sim.now), Return: 1 << 62}
 	m.writes = append(m.writes, o)
-	w.give(m, Event{Kind: EvSubmit, Document: d})
+	sim.deliver(m, Event{Kind: EventSubmit, Document: d})
 	return d
 }
 
-// register tells whether the history is that of one register of versions.
-func (w *fleet) register() bool {
-	history := slices.Clone(w.history)
-	for _, m := range w.managers {
+// linearizable tells whether the history is that of one register of versions.
+func (sim *simulation) linearizable() bool {
+	history := slices.Clone(sim.history)
+	for _, m := range sim.managers {
 		for i, o := range m.writes {
-			o.ClientId = 1000*(m.i+1) + i
-			if w.known[o.Input.(write).hash] { // what nobody was ever told of took no effect
+			o.ClientId = 1000*(m.index+1) + i
+			if sim.seenHashes[o.Input.(writeOp).hash] { // what nobody was ever told of took no effect
 				history = append(history, *o)
 			}
 		}
 	}
 	return porcupine.CheckOperations(porcupine.Model{
-		Init: func() any { return write{} },
+		Init: func() any { return writeOp{} },
 		Step: func(state, input, output any) (bool, any) {
-			s := state.(write)
-			if in, ok := input.(write); ok {
-				return s.version == in.replaces, write{version: in.version, hash: in.hash}
+			s := state.(writeOp)
+			if in, ok := input.(writeOp); ok {
+				return s.version == in.replaces, writeOp{version: in.version, hash: in.hash}
 			}
-			return s == output.(write), s
+			return s == output.(writeOp), s
 		},
 	}, history)
 }
 
-func (w *fleet) part(left []int, oneWay bool) {
-	clear(w.cut)
-	for i := range w.managers {
-		for j := range w.managers {
-			if a, b := slices.Contains(left, i), slices.Contains(left, j); a && !b || !oneWay && b && !a {
-				w.cut[[2]int{i, j}] = true
+func (sim *simulation) partition(side []int, oneWay bool) {
+	clear(sim.blocked)
+	for i := range sim.managers {
+		for j := range sim.managers {
+			if a, b := slices.Contains(side, i), slices.Contains(side, j); a && !b || !oneWay && b && !a {
+				sim.blocked[[2]int{i, j}] = true
 			}
 		}
 	}
 }
 
-func (w *fleet) leader() *manager {
-	for _, m := range w.managers {
-		if m.voter != nil && m.voter.leads && w.now >= m.stopped {
+func (sim *simulation) leader() *simManager {
+	for _, m := range sim.managers {
+		if m.voter != nil && m.voter.isLeader && sim.now >= m.pausedUntil {
 			return m
 		}
 	}
 	return nil
 }
 
-// inForce waits until all managers of the list act on v alone: -1 if they don't.
-func (w *fleet) inForce(v uint64, most time.Duration, list ...*manager) time.Duration {
-	for start := w.now; w.now < start+most; w.run(5 * time.Millisecond) {
-		if !slices.ContainsFunc(list, func(m *manager) bool { return !slices.Equal(w.acts(m), []uint64{v}) }) {
-			return w.now - start
+// timeToForce waits until all managers of the list act on v alone: -1 if they don't.
+func (sim *simulation) timeToForce(v uint64, limit time.Duration, managers ...*simManager) time.Duration {
+	for start := sim.now; sim.now < start+limit; sim.run(5 * time.Millisecond) {
+		if !slices.ContainsFunc(managers, func(m *simManager) bool { return !slices.Equal(sim.activeVersions(m), []uint64{v}) }) {
+			return sim.now - start
 		}
 	}
 	return -1
--- a/internal/agreed/holder.go
+++ b/internal/agreed/holder.go
@@ -4,73 +4,75 @@
 
 // holder is a manager's side: what it knows, and its lease.
 type holder struct {
-	number uint64        // another one after each start
-	length time.Duration // of a lease by its own clock
-	force  *Document     // the newest that it knows to be in force; nil: none
-	next   *Document     // accepted; it keeps to this as well
-	until  time.Duration // of the lease
-	seq    uint64
-	asked  map[uint64]time.Duration
-	flaw   flaw
+	id          uint64        // another one after each start
+	leaseLength time.Duration // of a lease by its own clock
+	inForce     *Document     // the newest that it knows to be in force; nil: none
+	pending     *Document     // accepted; it keeps to this as well
+	leaseExpiry time.Duration // of the lease
+	seq         uint64
+	requestedAt map[uint64]time.Duration
+	fault       protocolFault
 }
 
-// renew is the next request for a lease.
-func (h *holder) renew(now time.Duration) *renewal {
+// nextRenewal is the next request for a lease.
+func (h *holder) nextRenewal(now time.Duration) *renewal {
 	h.seq++
-	h.asked[h.seq] = now
-	for s, at := range h.asked {
-		if at+h.length < now {
-			delete(h.asked, s) // what it would give has run out
+	h.requestedAt[h.seq] = now
+	for s, at := range h.requestedAt {
+		if at+h.leaseLength < now {
+			delete(h.requestedAt, s) // what it would give has run out
 		}
 	}
-	r := &renewal{Holder: h.number, Seq: h.seq}
-	if h.force != nil {
-		r.Force = h.force.Version
+	r := &renewal{HolderID: h.id, Seq: h.seq}
+	if h.inForce != nil {
+		r.InForce = h.inForce.Version
 	}
-	if h.next != nil {
-		r.Next = h.next.Version
+	if h.pending != nil {
+		r.Pending = h.pending.Version
 	}
 	return r
 }
 
-// granted takes a grant in. news: it knows more than before, and should tell.
-func (h *holder) granted(g *grant, docs []*Document) (news bool) {
-	asked, ok := h.asked[g.Seq]
-	if g.Holder != h.number || !ok {
+// applyGrant takes a grant in. news: it knows more than before, and should tell.
+func (h *holder) applyGrant(g *grant, documents []*Document) (changed bool) {
+	requestedAt, ok := h.requestedAt[g.Seq]
+	if g.HolderID != h.id || !ok {
 		return false
 	}
 	find := func(v uint64) *Document {
-		for _, d := range append(docs, h.force, h.next) {
+		for _, d := range append(documents, h.inForce, h.pending) {
 			if d != nil && d.Version == v {
 				return d
 			}
 		}
 		return nil
 	}
-	force, next := find(g.Force), find(g.Next)
-	if g.Force != 0 && force == nil || g.Next != 0 && next == nil {
+	inForce, pending := find(g.InForce), find(g.Pending)
+	if g.InForce != 0 && inForce == nil || g.Pending != 0 && pending == nil {
 		return false // Guard: no lease on what it has not got
 	}
-	if force != nil && (h.force == nil || h.force.Version < force.Version) {
-		h.force, news = force, true
+	if inForce != nil && (h.inForce == nil || h.inForce.Version < inForce.Version) {
+		h.inForce, changed = inForce, true
 	}
-	if next != nil && (h.next == nil || h.next.Version < next.Version) {
-		h.next, news = next, true
+	if pending != nil && (h.pending == nil || h.pending.Version < pending.Version) {
+		h.pending, changed = pending, true
 	}
 	// Guard: a grant that comes late may be older than what is known. What is known to
 	// come is kept to until it is in force, whatever is said.
-	if h.next != nil && h.force != nil && h.next.Version <= h.force.Version {
-		h.next = nil
+	if h.pending != nil && h.inForce != nil && h.pending.Version <= h.inForce.Version {
+		h.pending = nil
 	}
-	h.until = max(h.until, asked+h.length)
-	return news
+	h.leaseExpiry = max(h.leaseExpiry, requestedAt+h.leaseLength)
+	return changed
 }
 
-func (h *holder) leased(now time.Duration) bool { return now < h.until || h.flaw == noLease }
+func (h *holder) hasLease(now time.Duration) bool {
+	return now < h.leaseExpiry || h.fault == faultNoLease
+}
 
-// keeps are the versions that it keeps to.
-func (h *holder) keeps() (out []*Document) {
-	for _, d := range []*Document{h.force, h.next} {
+// boundBy are the versions that it keeps to.
+func (h *holder) boundBy() (out []*Document) {
+	for _, d := range []*Document{h.inForce, h.pending} {
 		if d != nil {
 			out = append(out, d)
 		}
--- a/internal/agreed/ledger.go
+++ b/internal/agreed/ledger.go
@@ -6,139 +6,139 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// remembered bounds the numbers whose contents are told apart from a second form.
-const remembered = 256
+// maxHashes bounds the numbers whose contents are told apart from a second form.
+const maxHashes = 256
 
-// A Member is a voter's life between two starts. One that starts again has forgotten
-// what it promised, so that it is a new Member with a higher Incarnation.
-type Member struct {
+// A Replica is a voter's life between two starts. One that starts again has forgotten
+// what it promised, so that it is a new Replica with a higher Incarnation.
+type Replica struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// id is the Member's name in the log's engine. It is never 0.
-func (m Member) id() uint64 { return xxhash.Sum64(encode(m)) | 1 }
+// raftID is the Member's name in the log's engine. It is never 0.
+func (m Replica) raftID() uint64 { return xxhash.Sum64(encode(m)) | 1 }
 
 // ledger is what the log comes to: the same at every voter that has applied as much.
 type ledger struct {
-	Force   *Document         `cbor:"1,keyasint,omitempty"` // in force; nil: none yet
-	Next    *Document         `cbor:"2,keyasint,omitempty"` // accepted, and to come into force
-	Hashes  map[uint64]uint64 `cbor:"3,keyasint"`           // of the last numbers
-	Members map[uint64]Member `cbor:"4,keyasint"`           // voters and those that learn, by id
+	InForce  *Document          `cbor:"1,keyasint,omitempty"` // in force; nil: none yet
+	Pending  *Document          `cbor:"2,keyasint,omitempty"` // accepted, and to come into force
+	Hashes   map[uint64]uint64  `cbor:"3,keyasint"`           // of the last numbers
+	Replicas map[uint64]Replica `cbor:"4,keyasint"`           // voters and those that learn, by id
 }
 
-// entry is one line of the log; one field is set.
-type entry struct {
-	Doc     []byte `cbor:"1,keyasint,omitempty"` // accept it
-	Enforce uint64 `cbor:"2,keyasint,omitempty"` // this version is in force
+// logEntry is one line of the log; one field is set.
+type logEntry struct {
+	EncodedDocument []byte `cbor:"1,keyasint,omitempty"` // accept it
+	Enforce         uint64 `cbor:"2,keyasint,omitempty"` // this version is in force
 }
 
-func (l *ledger) last() uint64 {
-	if l.Next != nil {
-		return l.Next.Version
+func (l *ledger) lastVersion() uint64 {
+	if l.Pending != nil {
+		return l.Pending.Version
 	}
-	return l.force()
+	return l.versionInForce()
 }
 
-func (l *ledger) force() uint64 {
-	if l.Force != nil {
-		return l.Force.Version
+func (l *ledger) versionInForce() uint64 {
+	if l.InForce != nil {
+		return l.InForce.Version
 	}
 	return 0
 }
 
-// verdict tells what becomes of a version that is submitted now. fresh: it may be
+// outcomeOf tells what becomes of a version that is submitted now. fresh: it may be
 // written to the log.
-func (l *ledger) verdict(d *Document, hash uint64) (w what, fresh bool) {
+func (l *ledger) outcomeOf(d *Document, hash uint64) (result outcome, appendable bool) {
 	switch h, ok := l.Hashes[d.Version]; {
 	case ok && h == hash:
-		return accepted, false
-	case ok || d.Version <= l.last():
-		return conflict, false
-	case d.Replaces == l.last() && l.Next == nil:
-		return accepted, true
-	case l.Next != nil:
-		return busy, false
+		return outcomeAccepted, false
+	case ok || d.Version <= l.lastVersion():
+		return outcomeConflict, false
+	case d.Replaces == l.lastVersion() && l.Pending == nil:
+		return outcomeAccepted, true
+	case l.Pending != nil:
+		return outcomeBusy, false
 	}
-	return gap, false
+	return outcomeGap, false
 }
 
 // accept applies a version. It decides again, since two may have been written at once.
 func (l *ledger) accept(d *Document) {
 	hash := d.Hash()
-	if _, fresh := l.verdict(d, hash); !fresh {
+	if _, appendable := l.outcomeOf(d, hash); !appendable {
 		return
 	}
 	l.Hashes[d.Version] = hash
 	for v := range l.Hashes {
-		if v+remembered <= d.Version {
+		if v+maxHashes <= d.Version {
 			delete(l.Hashes, v)
 		}
 	}
-	if l.Force != nil && !Contradict(l.Force, d) {
-		l.Force = d // both may be acted on at once: nobody waits
+	if l.InForce != nil && !Incompatible(l.InForce, d) {
+		l.InForce = d // both may be acted on at once: nobody waits
 		return
 	}
-	l.Next = d
+	l.Pending = d
 }
 
-func (l *ledger) enforce(v uint64) {
-	if l.Next != nil && l.Next.Version == v {
-		l.Force, l.Next = l.Next, nil
+func (l *ledger) putInForce(version uint64) {
+	if l.Pending != nil && l.Pending.Version == version {
+		l.InForce, l.Pending = l.Pending, nil
 	}
 }
 
 // lessor is a leader's account of the leases that may be held. It knows nothing of
 // those that others gave before it led, and takes it that all managers hold one.
 type lessor struct {
-	length time.Duration
-	since  time.Duration // when it came to lead
-	held   map[uint64]holding
-	flaw   flaw
+	leaseLength time.Duration
+	leaderSince time.Duration // when it came to lead
+	leases      map[uint64]leaseRecord
+	fault       protocolFault
 }
 
-type holding struct {
-	name  string
-	until time.Duration
-	keeps uint64 // it keeps to this version, and to what was in force before
+type leaseRecord struct {
+	manager string
+	expiry  time.Duration
+	boundBy uint64 // it keeps to this version, and to what was in force before
 }
 
-func newLessor(length, now time.Duration, f flaw) *lessor {
-	return &lessor{length: length, since: now, held: map[uint64]holding{}, flaw: f}
+func newLessor(leaseLength, now time.Duration, f protocolFault) *lessor {
+	return &lessor{leaseLength: leaseLength, leaderSince: now, leases: map[uint64]leaseRecord{}, fault: f}
 }
 
-// heard notes a renewal. A lease counts from when it was asked for, which was not
+// recordRenewal notes a renewal. A lease counts from when it was asked for, which was not
 // after it arrived here.
-func (s *lessor) heard(now time.Duration, name string, r *renewal) {
-	h := s.held[r.Holder]
-	h.name, h.until, h.keeps = name, now+s.length, max(h.keeps, r.Force, r.Next)
-	s.held[r.Holder] = h
+func (s *lessor) recordRenewal(now time.Duration, managerName string, r *renewal) {
+	lease := s.leases[r.HolderID]
+	lease.manager, lease.expiry, lease.boundBy = managerName, now+s.leaseLength, max(lease.boundBy, r.InForce, r.Pending)
+	s.leases[r.HolderID] = lease
 }
 
-// settled tells whether nobody can act on what is in force without keeping to v.
-func (s *lessor) settled(now time.Duration, v uint64) bool {
-	if s.flaw == noWait {
+// allBoundBy tells whether nobody can act on what is in force without keeping to v.
+func (s *lessor) allBoundBy(now time.Duration, version uint64) bool {
+	if s.fault == faultNoWait {
 		return true
 	}
 	// Guard: leases that an earlier leader gave were asked for before this one led.
-	if now < s.since+s.length {
+	if now < s.leaderSince+s.leaseLength {
 		return false
 	}
-	for id, h := range s.held {
-		if h.until <= now {
-			delete(s.held, id)
-		} else if h.keeps < v {
+	for id, lease := range s.leases {
+		if lease.expiry <= now {
+			delete(s.leases, id)
+		} else if lease.boundBy < version {
 			return false
 		}
 	}
 	return true
 }
 
-// flaw leaves out a part of the protocol, for tests that must find it missing.
-type flaw int
+// protocolFault leaves out a part of the protocol, for tests that must find it missing.
+type protocolFault int
 
 const (
-	noFlaw flaw = iota
-	noLease
-	noWait
+	faultNone protocolFault = iota
+	faultNoLease
+	faultNoWait
 )
--- a/internal/agreed/machine.go
+++ b/internal/agreed/machine.go
@@ -14,35 +14,35 @@
 
 // Config is what a manager is told at its start. It does not change.
 type Config struct {
-	Name        string        // this manager's
-	Incarnation uint64        // higher after each start, such as the time of the start
-	Voters      []string      // names of the 3 or 5 managers that decide
-	Founders    []Member      // at the founding of a fleet: all Voters; else nil
-	Within      time.Duration // T; 2 s if 0
-	Drift       float64       // most by which a clock runs fast or slow; 0.01 if 0
-	Seed        uint64
-	Check       func(*Document) error // whether a version can be acted on here; nil: all can
-
-	flaw flaw
+	Name            string        // this manager's
+	Incarnation     uint64        // higher after each start, such as the time of the start
+	Voters          []string      // names of the 3 or 5 managers that decide
+	InitialReplicas []Replica     // at the founding of a fleet: all Voters; else nil
+	MaxDelay        time.Duration // T; 2 s if 0
+	MaxClockDrift   float64       // most by which a clock runs fast or slow; 0.01 if 0
+	Seed            uint64
+	CheckDocument   func(*Document) error // whether a version can be acted on here; nil: all can
+
+	fault protocolFault
 }
 
-// Tick is how often a machine wants an EvTick.
-func (c *Config) Tick() time.Duration { return c.within() / 40 }
+// TickInterval is how often a machine wants an EvTick.
+func (c *Config) TickInterval() time.Duration { return c.maxDelay() / 40 }
 
-func (c *Config) within() time.Duration {
-	if c.Within == 0 {
+func (c *Config) maxDelay() time.Duration {
+	if c.MaxDelay == 0 {
 		return 2 * time.Second
 	}
-	return c.Within
+	return c.MaxDelay
 }
 
 // EventKind says which fields of an Event are set.
 type EventKind int
 
 const (
-	EvTick    EventKind = iota // a Config.Tick has passed, or more
-	EvMessage                  // From, Bytes
-	EvSubmit                   // Document: an operator's new version
+	EventTick    EventKind = iota // a Config.Tick has passed, or more
+	EventMessage                  // From, Bytes
+	EventSubmit                   // Document: an operator's new version
 )
 
 // Event is one thing that a manager is told.
@@ -57,10 +57,10 @@
 type ActionKind int
 
 const (
-	ActSend   ActionKind = iota // To, Bytes; it may be lost, late or twice
-	ActForce                    // Document is in force, for all that this manager knows
-	ActTold                     // Version, Err: what became of a submission; nil: accepted
-	ActRemark                   // Err: for the log
+	ActionSend             ActionKind = iota // To, Bytes; it may be lost, late or twice
+	ActionInForce                            // Document is in force, for all that this manager knows
+	ActionSubmissionResult                   // Version, Err: what became of a submission; nil: accepted
+	ActionLogError                           // Err: for the log
 )
 
 // Action is one thing that a manager does.
@@ -76,365 +76,367 @@
 // A Machine is one manager's part in the agreement. It has no I/O and starts nothing.
 // Times are by the manager's own monotonic clock, from any start; they never go back.
 type Machine struct {
-	c      Config
-	holder holder
-	voter  *voter // nil: it only listens
-	lessor *lessor
-	good   *Document // the last in force that Check let pass
-	bad    bool      // Check does not let pass what is in force
-	mine   *Document // submitted here and not decided on
-	hash   uint64
-	handed time.Duration // when mine was last handed on, and to whom
-	to     string
-
-	made      [3]*Document // what effective was made of
-	effective Effective
-
-	lead     string // who leads, as far as known
-	try      int    // the voter to ask while nobody is known to lead
-	answered time.Duration
-	renewed  time.Duration
-	joined   time.Duration
-	waiting  []request // until the next round
-	round    []request // the round that is out
-	rounds   uint64
-	wrote    uint64 // hash of what was last written, and when
-	wroteAt  time.Duration
-	poked    [2]uint64
-	local    []*message
-	acts     []Action
+	config           Config
+	holder           holder
+	voter            *voter // nil: it only listens
+	lessor           *lessor
+	lastValid        *Document // the last in force that Check let pass
+	inForceInvalid   bool      // Check does not let pass what is in force
+	submitted        *Document // submitted here and not decided on
+	submittedHash    uint64
+	submissionSentAt time.Duration // when mine was last handed on, and to whom
+	submissionSentTo string
+
+	effectiveSources [3]*Document // what effective was made of
+	effective        EffectiveConfig
+
+	leader             string // who leads, as far as known
+	voterIndex         int    // the voter to ask while nobody is known to lead
+	leaderHeardAt      time.Duration
+	renewalSentAt      time.Duration
+	joinSentAt         time.Duration
+	queuedRequests     []request // until the next round
+	confirmingRequests []request // the round that is out
+	readIndexRound     uint64
+	proposedKey        uint64 // hash of what was last written, and when
+	proposedAt         time.Duration
+	notifiedVersions   [2]uint64
+	loopback           []*message
+	actions            []Action
 }
 
 // request is what the leader answers once a majority has confirmed that it leads.
 type request struct {
-	from   string
-	renew  *renewal
-	submit *submission
-	doc    *Document // of submit
-	hash   uint64
+	from              string
+	leaseRenewal      *renewal
+	versionSubmission *submission
+	document          *Document // of submit
+	hash              uint64
 }
 
 // New is a manager at its start.
 func New(now time.Duration, c Config) *Machine {
-	if c.Drift == 0 {
-		c.Drift = 0.01
+	if c.MaxClockDrift == 0 {
+		c.MaxClockDrift = 0.01
 	}
-	m := &Machine{c: c}
-	self := Member{c.Name, c.Incarnation}
+	m := &Machine{config: c}
+	self := Replica{c.Name, c.Incarnation}
 	// A lease is the holder's for less than the leader takes it for, by both drifts.
-	m.holder = holder{number: self.id(), length: time.Duration(float64(m.lease()) * (1 - c.Drift) / (1 + c.Drift)), asked: map[uint64]time.Duration{}, flaw: c.flaw}
-	m.try = int(self.id() % uint64(len(c.Voters)))
-	m.renewed, m.joined, m.answered = now-m.lease(), now-m.lease(), now
+	m.holder = holder{id: self.raftID(), leaseLength: time.Duration(float64(m.grantedLeaseLength()) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift)), requestedAt: map[uint64]time.Duration{}, fault: c.fault}
+	m.voterIndex = int(self.raftID() % uint64(len(c.Voters)))
+	m.renewalSentAt, m.joinSentAt, m.leaderHeardAt = now-m.grantedLeaseLength(), now-m.grantedLeaseLength(), now
 	if slices.Contains(c.Voters, c.Name) {
-		m.voter = newVoter(now, c.Tick(), self, c.Founders, rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))))
+		m.voter = newVoter(now, c.TickInterval(), self, c.InitialReplicas, rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(c.Name))))
 	}
 	return m
 }
 
-// lease is what the leader takes a lease for: less than T, so that what waits for
+// grantedLeaseLength is what the leader takes a lease for: less than T, so that what waits for
 // leases to run out is in force within T.
-func (m *Machine) lease() time.Duration { return m.c.within() * 3 / 4 }
+func (m *Machine) grantedLeaseLength() time.Duration { return m.config.maxDelay() * 3 / 4 }
 
-// Decide is what this manager may do now. It is to be asked at each decision: one that
+// Effective is what this manager may do now. It is to be asked at each decision: one that
 // was stopped has no lease any more. ok is false where it knows of none in force yet.
-func (m *Machine) Decide(now time.Duration) (e Effective, ok bool) {
-	if m.holder.force == nil {
-		return Effective{}, false // what is to come is not in force
+func (m *Machine) Effective(now time.Duration) (e EffectiveConfig, ok bool) {
+	if m.holder.inForce == nil {
+		return EffectiveConfig{}, false // what is to come is not in force
 	}
-	if k := [3]*Document{m.holder.force, m.holder.next, m.good}; k != m.made {
-		keeps := m.holder.keeps()
-		if m.bad && m.good != nil {
-			keeps = append([]*Document{m.good}, keeps...)
+	if sources := [3]*Document{m.holder.inForce, m.holder.pending, m.lastValid}; sources != m.effectiveSources {
+		boundBy := m.holder.boundBy()
+		if m.inForceInvalid && m.lastValid != nil {
+			boundBy = append([]*Document{m.lastValid}, boundBy...)
 		}
-		m.made, m.effective = k, Careful(keeps[0], keeps[1:]...)
+		m.effectiveSources, m.effective = sources, MostRestrictive(boundBy[0], boundBy[1:]...)
 	}
 	e = m.effective
-	e.Alone = !m.holder.leased(now)
+	e.NoLease = !m.holder.hasLease(now)
 	return e, true
 }
 
-// Until is when the lease runs out by this manager's clock, if nothing is heard until then.
-func (m *Machine) Until() time.Duration { return m.holder.until }
+// LeaseExpiry is when the lease runs out by this manager's clock, if nothing is heard until then.
+func (m *Machine) LeaseExpiry() time.Duration { return m.holder.leaseExpiry }
 
 // Handle takes one event in. What it returns is to be done in this order.
 func (m *Machine) Handle(now time.Duration, e Event) []Action {
-	m.acts = nil
+	m.actions = nil
 	switch e.Kind {
-	case EvTick:
-		m.turn(now)
-	case EvMessage:
-		msg, err := unpack(e.Bytes)
+	case EventTick:
+		m.tick(now)
+	case EventMessage:
+		msg, err := unmarshalMessage(e.Bytes)
 		if err != nil {
-			m.remark(err)
+			m.logError(err)
 			break
 		}
-		m.take(now, e.From, msg)
-	case EvSubmit:
+		m.handleMessage(now, e.From, msg)
+	case EventSubmit:
 		m.submit(now, e.Document)
 	}
-	m.settle(now)
-	return m.acts
+	m.processPending(now)
+	return m.actions
 }
 
-// settle does what follows from the event, until nothing does.
-func (m *Machine) settle(now time.Duration) {
+// processPending does what follows from the event, until nothing does.
+func (m *Machine) processPending(now time.Duration) {
 	for {
 		if m.voter != nil {
-			m.lay(now)
+			m.runVoter(now)
 		}
-		if len(m.local) == 0 {
+		if len(m.loopback) == 0 {
 			return
 		}
-		msg := m.local[0]
-		m.local = m.local[1:]
-		m.take(now, m.c.Name, msg)
+		msg := m.loopback[0]
+		m.loopback = m.loopback[1:]
+		m.handleMessage(now, m.config.Name, msg)
 	}
 }
 
-func (m *Machine) remark(err error) { m.acts = append(m.acts, Action{Kind: ActRemark, Err: err}) }
+func (m *Machine) logError(err error) {
+	m.actions = append(m.actions, Action{Kind: ActionLogError, Err: err})
+}
 
 func (m *Machine) send(to string, msg *message) {
-	if to == m.c.Name {
-		m.local = append(m.local, msg)
+	if to == m.config.Name {
+		m.loopback = append(m.loopback, msg)
 		return
 	}
-	m.acts = append(m.acts, Action{Kind: ActSend, To: to, Bytes: pack(msg)})
+	m.actions = append(m.actions, Action{Kind: ActionSend, To: to, Bytes: marshalMessage(msg)})
 }
 
-func (m *Machine) turn(now time.Duration) {
+func (m *Machine) tick(now time.Duration) {
 	if m.voter != nil {
-		m.voter.turn(now)
-		if !m.voter.votes() && now >= m.joined+5*m.c.Tick() {
-			m.joined = now
-			for _, name := range m.c.Voters {
-				if name != m.c.Name {
+		m.voter.handleTick(now)
+		if !m.voter.isVoter() && now >= m.joinSentAt+5*m.config.TickInterval() {
+			m.joinSentAt = now
+			for _, name := range m.config.Voters {
+				if name != m.config.Name {
 					m.send(name, &message{Join: &m.voter.self})
 				}
 			}
 		}
 	}
-	every := m.lease() / 6
-	if now >= m.renewed+every {
-		if now >= m.answered+2*every { // the next voter may know better
-			m.lead = ""
-			m.try++
+	interval := m.grantedLeaseLength() / 6
+	if now >= m.renewalSentAt+interval {
+		if now >= m.leaderHeardAt+2*interval { // the next voter may know better
+			m.leader = ""
+			m.voterIndex++
 		}
-		m.ask(now)
+		m.sendRequests(now)
 	}
 }
 
-// ask asks for a lease, and for the fate of what was submitted here.
-func (m *Machine) ask(now time.Duration) {
-	m.renewed = now
-	to := m.lead
+// sendRequests asks for a lease, and for the fate of what was submitted here.
+func (m *Machine) sendRequests(now time.Duration) {
+	m.renewalSentAt = now
+	to := m.leader
 	if to == "" {
-		to = m.c.Voters[m.try%len(m.c.Voters)]
+		to = m.config.Voters[m.voterIndex%len(m.config.Voters)]
 	}
-	m.send(to, &message{Renew: m.holder.renew(now)})
-	if m.mine != nil && (to != m.to || now >= m.handed+m.lease()/3) {
-		m.handed, m.to = now, to
-		m.send(to, &message{Submit: &submission{Doc: encode(m.mine)}})
+	m.send(to, &message{Renewal: m.holder.nextRenewal(now)})
+	if m.submitted != nil && (to != m.submissionSentTo || now >= m.submissionSentAt+m.grantedLeaseLength()/3) {
+		m.submissionSentAt, m.submissionSentTo = now, to
+		m.send(to, &message{Submission: &submission{EncodedDocument: encode(m.submitted)}})
 	}
 }
 
 func (m *Machine) submit(now time.Duration, d *Document) {
-	if err := m.check(d); err != nil {
-		m.acts = append(m.acts, Action{Kind: ActTold, Version: d.Version, Err: err})
+	if err := m.checkDocument(d); err != nil {
+		m.actions = append(m.actions, Action{Kind: ActionSubmissionResult, Version: d.Version, Err: err})
 		return
 	}
-	if m.mine != nil && m.hash != d.Hash() {
-		m.acts = append(m.acts, Action{Kind: ActTold, Version: m.mine.Version, Err: &Superseded{m.mine.Version, d.Version}})
+	if m.submitted != nil && m.submittedHash != d.Hash() {
+		m.actions = append(m.actions, Action{Kind: ActionSubmissionResult, Version: m.submitted.Version, Err: &SupersededError{m.submitted.Version, d.Version}})
 	}
-	m.mine, m.hash, m.to = d, d.Hash(), ""
-	m.ask(now)
+	m.submitted, m.submittedHash, m.submissionSentTo = d, d.Hash(), ""
+	m.sendRequests(now)
 }
 
-// check tells whether d can be acted on here: a *Bad, or nil.
-func (m *Machine) check(d *Document) error {
-	err := d.Form()
-	if err == nil && m.c.Check != nil {
-		err = m.c.Check(d)
+// checkDocument tells whether d can be acted on here: a *Bad, or nil.
+func (m *Machine) checkDocument(d *Document) error {
+	err := d.Validate()
+	if err == nil && m.config.CheckDocument != nil {
+		err = m.config.CheckDocument(d)
 	}
-	var b *Bad
+	var b *InvalidVersionError
 	if err != nil && !errors.As(err, &b) {
-		err = &Bad{Version: d.Version, Reason: err.Error()}
+		err = &InvalidVersionError{Version: d.Version, Reason: err.Error()}
 	}
 	return err
 }
 
-func (m *Machine) take(now time.Duration, from string, msg *message) {
+func (m *Machine) handleMessage(now time.Duration, from string, msg *message) {
 	switch v := m.voter; {
 	case msg.Grant != nil:
-		m.granted(now, from, msg.Grant)
-	case msg.Told != nil:
-		m.told(msg.Told)
-	case msg.Poke != nil && msg.Poke.Lead != "":
-		m.lead, m.answered = msg.Poke.Lead, now
-	case msg.Poke != nil:
-		m.lead = from
-		m.ask(now)
+		m.handleGrant(now, from, msg.Grant)
+	case msg.Result != nil:
+		m.handleResult(msg.Result)
+	case msg.Notification != nil && msg.Notification.Leader != "":
+		m.leader, m.leaderHeardAt = msg.Notification.Leader, now
+	case msg.Notification != nil:
+		m.leader = from
+		m.sendRequests(now)
 	case v == nil:
 	case msg.Raft != nil:
 		v.step(now, msg.Raft, from)
-	case msg.Join != nil && v.leads && msg.Join.Name == from && slices.Contains(m.c.Voters, from):
-		v.admit(*msg.Join)
-	case msg.Renew != nil || msg.Submit != nil:
+	case msg.Join != nil && v.isLeader && msg.Join.Name == from && slices.Contains(m.config.Voters, from):
+		v.admitReplica(*msg.Join)
+	case msg.Renewal != nil || msg.Submission != nil:
 		if m.lessor == nil {
-			if lead := v.names[v.node.BasicStatus().Lead]; lead != "" && lead != m.c.Name {
-				m.send(from, &message{Poke: &poke{Lead: lead}})
+			if leader := v.managerNames[v.raftNode.BasicStatus().Lead]; leader != "" && leader != m.config.Name {
+				m.send(from, &message{Notification: &notification{Leader: leader}})
 			}
 			return
 		}
-		if msg.Renew != nil {
-			m.lessor.heard(now, from, msg.Renew)
+		if msg.Renewal != nil {
+			m.lessor.recordRenewal(now, from, msg.Renewal)
 		}
-		q := request{from: from, renew: msg.Renew, submit: msg.Submit}
-		if msg.Renew == nil {
-			q.doc = new(Document)
-			if err := decoder.Unmarshal(msg.Submit.Doc, q.doc); err != nil {
-				m.remark(err)
+		q := request{from: from, leaseRenewal: msg.Renewal, versionSubmission: msg.Submission}
+		if msg.Renewal == nil {
+			q.document = new(Document)
+			if err := cborDecMode.Unmarshal(msg.Submission.EncodedDocument, q.document); err != nil {
+				m.logError(err)
 				return
 			}
-			q.hash = q.doc.Hash()
+			q.hash = q.document.Hash()
 		}
-		m.waiting = append(m.waiting, q)
+		m.queuedRequests = append(m.queuedRequests, q)
 	}
 }
 
-func (m *Machine) granted(now time.Duration, from string, g *grant) {
-	var docs []*Document
-	for _, b := range g.Docs {
+func (m *Machine) handleGrant(now time.Duration, from string, g *grant) {
+	var documents []*Document
+	for _, b := range g.EncodedDocuments {
 		d := new(Document)
-		if err := decoder.Unmarshal(b, d); err != nil {
-			m.remark(err)
+		if err := cborDecMode.Unmarshal(b, d); err != nil {
+			m.logError(err)
 			return
 		}
-		docs = append(docs, d)
+		documents = append(documents, d)
 	}
-	m.lead, m.answered = from, now
-	before := m.holder.force
-	news := m.holder.granted(g, docs)
-	if d := m.holder.force; d != before {
+	m.leader, m.leaderHeardAt = from, now
+	previous := m.holder.inForce
+	changed := m.holder.applyGrant(g, documents)
+	if d := m.holder.inForce; d != previous {
 		// Guard: what this manager can't act on, it keeps to as far as it can.
-		if err := m.check(d); err != nil {
-			m.bad = true
-			m.remark(err)
+		if err := m.checkDocument(d); err != nil {
+			m.inForceInvalid = true
+			m.logError(err)
 		} else {
-			m.bad, m.good = false, d
+			m.inForceInvalid, m.lastValid = false, d
 		}
-		m.acts = append(m.acts, Action{Kind: ActForce, Document: d})
+		m.actions = append(m.actions, Action{Kind: ActionInForce, Document: d})
 	}
-	if news {
-		m.ask(now)
+	if changed {
+		m.sendRequests(now)
 	}
 }
 
-func (m *Machine) told(t *told) {
-	if m.mine == nil || t.Hash != m.hash {
+func (m *Machine) handleResult(result *submissionResult) {
+	if m.submitted == nil || result.Hash != m.submittedHash {
 		return
 	}
-	a := Action{Kind: ActTold, Version: t.Version}
-	switch t.What {
-	case bad:
-		a.Err = &Bad{t.Version, t.Reason}
-	case conflict:
-		a.Err = &Conflict{t.Version, t.Last}
-	case gap:
-		a.Err = &Gap{t.Version, m.mine.Replaces, t.Last}
+	a := Action{Kind: ActionSubmissionResult, Version: result.Version}
+	switch result.Outcome {
+	case outcomeInvalid:
+		a.Err = &InvalidVersionError{result.Version, result.Reason}
+	case outcomeConflict:
+		a.Err = &VersionConflictError{result.Version, result.LastVersion}
+	case outcomeGap:
+		a.Err = &VersionGapError{result.Version, m.submitted.Replaces, result.LastVersion}
 	}
-	m.mine = nil
-	m.acts = append(m.acts, a)
+	m.submitted = nil
+	m.actions = append(m.actions, a)
 }
 
-// lay does the voter's work: it takes in the log, answers what is confirmed, and, as
+// runVoter does the voter's work: it takes in the log, answers what is confirmed, and, as
 // the leader, brings what is settled into force.
-func (m *Machine) lay(now time.Duration) {
+func (m *Machine) runVoter(now time.Duration) {
 	v := m.voter
-	v.drain(now)
-	if !v.leads {
-		m.lessor, m.waiting, m.round = nil, nil, nil
+	v.processReady(now)
+	if !v.isLeader {
+		m.lessor, m.queuedRequests, m.confirmingRequests = nil, nil, nil
 	} else if m.lessor == nil {
-		m.lessor, m.wrote = newLessor(m.lease(), now, m.c.flaw), 0
+		m.lessor, m.proposedKey = newLessor(m.grantedLeaseLength(), now, m.config.fault), 0
 	}
-	reads := v.reads
-	v.reads = nil
+	reads := v.confirmedReads
+	v.confirmedReads = nil
 	if m.lessor != nil {
 		for _, r := range reads {
-			if len(r) == 8 && binary.BigEndian.Uint64(r) == m.rounds {
-				for _, q := range m.round {
-					m.answer(now, q)
+			if len(r) == 8 && binary.BigEndian.Uint64(r) == m.readIndexRound {
+				for _, q := range m.confirmingRequests {
+					m.answerRequest(now, q)
 				}
-				m.round = nil
+				m.confirmingRequests = nil
 			}
 		}
-		if m.round == nil && len(m.waiting) > 0 {
-			m.rounds++
-			m.round, m.waiting = m.waiting, nil
-			v.node.ReadIndex(binary.BigEndian.AppendUint64(nil, m.rounds))
+		if m.confirmingRequests == nil && len(m.queuedRequests) > 0 {
+			m.readIndexRound++
+			m.confirmingRequests, m.queuedRequests = m.queuedRequests, nil
+			v.raftNode.ReadIndex(binary.BigEndian.AppendUint64(nil, m.readIndexRound))
 		}
-		if next := v.ledger.Next; next != nil && m.lessor.settled(now, next.Version) {
-			m.write(now, next.Version, &entry{Enforce: next.Version})
+		if pending := v.ledger.Pending; pending != nil && m.lessor.allBoundBy(now, pending.Version) {
+			m.propose(now, pending.Version, &logEntry{Enforce: pending.Version})
 		}
-		if news := [2]uint64{v.ledger.force(), v.ledger.last()}; news != m.poked {
-			m.poked = news
-			for _, h := range sorted(values(m.lessor.held), func(h holding) string { return h.name }) {
-				m.send(h.name, &message{Poke: &poke{}})
+		if versions := [2]uint64{v.ledger.versionInForce(), v.ledger.lastVersion()}; versions != m.notifiedVersions {
+			m.notifiedVersions = versions
+			for _, lease := range sortedByName(mapValues(m.lessor.leases), func(lease leaseRecord) string { return lease.manager }) {
+				m.send(lease.manager, &message{Notification: &notification{}})
 			}
 		}
-		v.drain(now)
+		v.processReady(now)
 	}
-	for _, x := range v.out {
+	for _, x := range v.outgoing {
 		body, err := proto.Marshal(x)
 		must(err)
-		if to := v.names[x.GetTo()]; to != "" && x.GetTo() != v.self.id() {
-			m.send(to, &message{Raft: &raftPart{x.GetFrom(), x.GetTo(), body}})
+		if to := v.managerNames[x.GetTo()]; to != "" && x.GetTo() != v.self.raftID() {
+			m.send(to, &message{Raft: &raftMessage{x.GetFrom(), x.GetTo(), body}})
 		}
 	}
-	v.out = nil
+	v.outgoing = nil
 }
 
-// write adds an entry to the log, once in a while only: what is lost comes again.
-func (m *Machine) write(now time.Duration, name uint64, e *entry) {
-	if m.wrote == name && now < m.wroteAt+patience*m.c.Tick() {
+// propose adds an entry to the log, once in a while only: what is lost comes again.
+func (m *Machine) propose(now time.Duration, key uint64, e *logEntry) {
+	if m.proposedKey == key && now < m.proposedAt+electionTicks*m.config.TickInterval() {
 		return
 	}
-	m.wrote, m.wroteAt = name, now
-	if err := m.voter.node.Propose(encode(e)); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
-		m.remark(err)
+	m.proposedKey, m.proposedAt = key, now
+	if err := m.voter.raftNode.Propose(encode(e)); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
+		m.logError(err)
 	}
 }
 
-// answer answers a request. A majority has confirmed since it came that this voter
+// answerRequest answers a request. A majority has confirmed since it came that this voter
 // leads, and all that was decided until then is applied.
-func (m *Machine) answer(now time.Duration, q request) {
+func (m *Machine) answerRequest(now time.Duration, q request) {
 	l := &m.voter.ledger
-	if r := q.renew; r != nil {
-		g := &grant{Holder: r.Holder, Seq: r.Seq, Force: l.force()}
-		if l.Force != nil && r.Force != g.Force && r.Next != g.Force {
-			g.Docs = append(g.Docs, encode(l.Force))
+	if r := q.leaseRenewal; r != nil {
+		g := &grant{HolderID: r.HolderID, Seq: r.Seq, InForce: l.versionInForce()}
+		if l.InForce != nil && r.InForce != g.InForce && r.Pending != g.InForce {
+			g.EncodedDocuments = append(g.EncodedDocuments, encode(l.InForce))
 		}
-		if l.Next != nil {
-			if g.Next = l.Next.Version; r.Next != g.Next {
-				g.Docs = append(g.Docs, encode(l.Next))
+		if l.Pending != nil {
+			if g.Pending = l.Pending.Version; r.Pending != g.Pending {
+				g.EncodedDocuments = append(g.EncodedDocuments, encode(l.Pending))
 			}
 		}
 		m.send(q.from, &message{Grant: g})
 		return
 	}
-	d := q.doc
-	t := &told{Version: d.Version, Hash: q.hash, Last: l.last()}
-	var fresh bool
-	if t.What, fresh = l.verdict(d, t.Hash); fresh {
-		var b *Bad
-		if errors.As(m.check(d), &b) {
-			t.What, t.Reason = bad, b.Reason
+	d := q.document
+	result := &submissionResult{Version: d.Version, Hash: q.hash, LastVersion: l.lastVersion()}
+	var appendable bool
+	if result.Outcome, appendable = l.outcomeOf(d, result.Hash); appendable {
+		var b *InvalidVersionError
+		if errors.As(m.checkDocument(d), &b) {
+			result.Outcome, result.Reason = outcomeInvalid, b.Reason
 		} else {
-			m.write(now, t.Hash, &entry{Doc: q.submit.Doc})
-			m.waiting = append(m.waiting, q) // told once it is decided
+			m.propose(now, result.Hash, &logEntry{EncodedDocument: q.versionSubmission.EncodedDocument})
+			m.queuedRequests = append(m.queuedRequests, q) // told once it is decided
 			return
 		}
 	}
-	if t.What != busy {
-		m.send(q.from, &message{Told: t})
+	if result.Outcome != outcomeBusy {
+		m.send(q.from, &message{Result: result})
 	}
 }
--- a/internal/agreed/measure_test.go
+++ b/internal/agreed/measure_test.go
@@ -12,110 +12,110 @@
 // Run with -v for the figures; without -all it is 5 managers only.
 func TestTimeToForce(t *testing.T) {
 	sizes := []int{5}
-	if *all {
+	if *exhaustive {
 		sizes = []int{5, 80, 300}
 	}
 	for _, n := range sizes {
-		for _, kind := range []string{"whole", "one cut off", "leader's side cut off"} {
+		for _, scenario := range []string{"whole", "one cut off", "leader's side cut off"} {
 			var took []time.Duration
 			var messages, bytes int
 			for seed := range uint64(5) {
-				w := newFleet(n, 5, 100+seed, noFlaw)
-				w.judged = false
-				w.run(4 * time.Second)
-				rest := slices.Clone(w.managers)
-				first := w.submit(w.managers[4], "n1")
-				if w.inForce(first.Version, 4*time.Second, rest...) < 0 {
+				sim := newSimulation(n, 5, 100+seed, faultNone)
+				sim.checked = false
+				sim.run(4 * time.Second)
+				reachable := slices.Clone(sim.managers)
+				first := sim.submit(sim.managers[4], "n1")
+				if sim.timeToForce(first.Version, 4*time.Second, reachable...) < 0 {
 					t.Fatalf("%d managers: the first version does not come", n)
 				}
-				var off []int
-				lead := w.leader().i
-				switch kind {
+				var isolated []int
+				lead := sim.leader().index
+				switch scenario {
 				case "one cut off":
-					off = []int{(lead + 1) % 5}
+					isolated = []int{(lead + 1) % 5}
 				case "leader's side cut off":
-					off = []int{lead, (lead + 1) % 5}
+					isolated = []int{lead, (lead + 1) % 5}
 					for i := 5; i < n/3; i++ {
-						off = append(off, i)
+						isolated = append(isolated, i)
 					}
 				}
-				w.part(off, false)
-				rest = slices.DeleteFunc(rest, func(m *manager) bool { return slices.Contains(off, m.i) })
-				w.messages, w.bytes = 0, 0
-				d := w.submit(rest[len(rest)-1], "n2", fmt.Sprint(seed))
-				took = append(took, w.inForce(d.Version, 8*time.Second, rest...))
-				messages, bytes = messages+w.messages, bytes+w.bytes
+				sim.partition(isolated, false)
+				reachable = slices.DeleteFunc(reachable, func(m *simManager) bool { return slices.Contains(isolated, m.index) })
+				sim.messages, sim.bytes = 0, 0
+				d := sim.submit(reachable[len(reachable)-1], "n2", fmt.Sprint(seed))
+				took = append(took, sim.timeToForce(d.Version, 8*time.Second, reachable...))
+				messages, bytes = messages+sim.messages, bytes+sim.bytes
 			}
 			slices.Sort(took)
 			if took[0] < 0 {
-				t.Errorf("%d managers, %s: not in force in 8 s", n, kind)
+				t.Errorf("%d managers, %s: not in force in 8 s", n, scenario)
 			}
 			t.Logf("%d managers, %s: in force everywhere after %v (%v to %v), %d messages, %d bytes meanwhile",
-				n, kind, took[2].Round(time.Millisecond), took[0].Round(time.Millisecond), took[4].Round(time.Millisecond), messages/5, bytes/5)
+				n, scenario, took[2].Round(time.Millisecond), took[0].Round(time.Millisecond), took[4].Round(time.Millisecond), messages/5, bytes/5)
 		}
-		w := newFleet(n, 5, 99, noFlaw)
-		w.judged = false
-		w.run(4 * time.Second)
-		w.messages, w.bytes = 0, 0
-		w.run(10 * time.Second)
-		t.Logf("%d managers at rest: %.0f messages and %.0f bytes a second", n, float64(w.messages)/10, float64(w.bytes)/10)
+		sim := newSimulation(n, 5, 99, faultNone)
+		sim.checked = false
+		sim.run(4 * time.Second)
+		sim.messages, sim.bytes = 0, 0
+		sim.run(10 * time.Second)
+		t.Logf("%d managers at rest: %.0f messages and %.0f bytes a second", n, float64(sim.messages)/10, float64(sim.bytes)/10)
 	}
 }
 
 // A voter that comes back without memory is a new Member in the place of the old one,
 // twice in a row, and the leader too; the fleet decides on. Back under its old name it
 // votes anew in a term in which it has voted: two then lead one term.
-func TestForgetful(t *testing.T) {
-	w := newFleet(5, 5, 4, noFlaw)
-	w.run(4 * time.Second)
+func TestVoterRestarts(t *testing.T) {
+	sim := newSimulation(5, 5, 4, faultNone)
+	sim.run(4 * time.Second)
 	for n := range 6 {
-		m := w.managers[n%5]
+		m := sim.managers[n%5]
 		if n%2 == 1 {
-			m = w.leader()
+			m = sim.leader()
 		}
-		w.start(m, m.voter.self.Incarnation+1, nil)
-		w.run(3 * time.Second)
-		l := w.leader()
-		if l == nil || len(l.voter.ledger.Members) != 5 || len(l.voter.store.conf.Voters) != 5 || !m.voter.votes() {
-			t.Fatalf("start %d: %d is not in the place of its earlier life", n, m.i)
+		sim.startManager(m, m.voter.self.Incarnation+1, nil)
+		sim.run(3 * time.Second)
+		l := sim.leader()
+		if l == nil || len(l.voter.ledger.Replicas) != 5 || len(l.voter.storage.confState.Voters) != 5 || !m.voter.isVoter() {
+			t.Fatalf("start %d: %d is not in the place of its earlier life", n, m.index)
 		}
-		if d := w.submit(m, fmt.Sprint(n)); w.inForce(d.Version, time.Second, w.managers...) < 0 {
+		if d := sim.submit(m, fmt.Sprint(n)); sim.timeToForce(d.Version, time.Second, sim.managers...) < 0 {
 			t.Fatalf("start %d: version %d is not in force", n, d.Version)
 		}
 	}
 	// Two elect one of them while the third hears nothing. Then the one that voted
 	// starts again, and hears the third only, which stands for the same term.
-	leaders := func(incarnation uint64, founders bool) (most int) {
-		w := newFleet(3, 3, 5, noFlaw)
-		apart := func(i, j int) {
-			clear(w.cut)
+	maxLeadersPerTerm := func(incarnation uint64, keepInitial bool) (most int) {
+		sim := newSimulation(3, 3, 5, faultNone)
+		linkOnly := func(i, j int) {
+			clear(sim.blocked)
 			for _, p := range [][2]int{{0, 1}, {1, 2}, {0, 2}} {
-				w.cut[p] = p != [2]int{min(i, j), max(i, j)}
-				w.cut[[2]int{p[1], p[0]}] = w.cut[p]
+				sim.blocked[p] = p != [2]int{min(i, j), max(i, j)}
+				sim.blocked[[2]int{p[1], p[0]}] = sim.blocked[p]
 			}
 		}
-		w.run(2 * time.Second)
-		apart(0, 0)
-		w.run(3 * time.Second)
-		apart(0, 1)
-		w.run(2 * time.Second)
-		voted := w.managers[1-w.leader().i]
-		apart(voted.i, 2)
-		var first []Member
-		if founders {
-			first = w.conf.Founders
+		sim.run(2 * time.Second)
+		linkOnly(0, 0)
+		sim.run(3 * time.Second)
+		linkOnly(0, 1)
+		sim.run(2 * time.Second)
+		voted := sim.managers[1-sim.leader().index]
+		linkOnly(voted.index, 2)
+		var initial []Replica
+		if keepInitial {
+			initial = sim.config.InitialReplicas
 		}
-		w.start(voted, incarnation, first)
-		w.run(3 * time.Second)
-		for _, by := range w.leaders {
+		sim.startManager(voted, incarnation, initial)
+		sim.run(3 * time.Second)
+		for _, by := range sim.leadersByTerm {
 			most = max(most, len(by))
 		}
 		return most
 	}
-	if n := leaders(2, false); n != 1 {
+	if n := maxLeadersPerTerm(2, false); n != 1 {
 		t.Errorf("%d leaders in a term", n)
 	}
-	if n := leaders(1, true); n != 2 {
+	if n := maxLeadersPerTerm(1, true); n != 2 {
 		t.Errorf("back under the old name: %d leaders in a term, so that the test finds nothing", n)
 	}
 }
--- a/internal/agreed/message.go
+++ b/internal/agreed/message.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var decoder = func() cbor.DecMode {
+var cborDecMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxNestedLevels: 16, MaxArrayElements: 1 << 18, MaxMapPairs: 1 << 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -18,17 +18,17 @@
 
 // A message has one of its parts set.
 type message struct {
-	Raft   *raftPart   `cbor:"1,keyasint,omitempty"`
-	Renew  *renewal    `cbor:"2,keyasint,omitempty"`
-	Grant  *grant      `cbor:"3,keyasint,omitempty"`
-	Submit *submission `cbor:"4,keyasint,omitempty"`
-	Told   *told       `cbor:"5,keyasint,omitempty"`
-	Join   *Member     `cbor:"6,keyasint,omitempty"`
-	Poke   *poke       `cbor:"7,keyasint,omitempty"`
+	Raft         *raftMessage      `cbor:"1,keyasint,omitempty"`
+	Renewal      *renewal          `cbor:"2,keyasint,omitempty"`
+	Grant        *grant            `cbor:"3,keyasint,omitempty"`
+	Submission   *submission       `cbor:"4,keyasint,omitempty"`
+	Result       *submissionResult `cbor:"5,keyasint,omitempty"`
+	Join         *Replica          `cbor:"6,keyasint,omitempty"`
+	Notification *notification     `cbor:"7,keyasint,omitempty"`
 }
 
-// raftPart is a message of the log's engine.
-type raftPart struct {
+// raftMessage is a message of the log's engine.
+type raftMessage struct {
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
 	Body []byte `cbor:"3,keyasint"`
@@ -36,61 +36,61 @@
 
 // renewal asks for a lease, and tells what the holder knows: it keeps to all of that.
 type renewal struct {
-	Holder uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
-	Seq    uint64 `cbor:"2,keyasint"`
-	Force  uint64 `cbor:"3,keyasint,omitempty"`
-	Next   uint64 `cbor:"4,keyasint,omitempty"`
+	HolderID uint64 `cbor:"1,keyasint"` // the holder's number, another one after each start
+	Seq      uint64 `cbor:"2,keyasint"`
+	InForce  uint64 `cbor:"3,keyasint,omitempty"`
+	Pending  uint64 `cbor:"4,keyasint,omitempty"`
 }
 
 // grant is the answer: a lease on what is in force, and what is to come.
 type grant struct {
-	Holder uint64   `cbor:"1,keyasint"`
-	Seq    uint64   `cbor:"2,keyasint"`
-	Force  uint64   `cbor:"3,keyasint,omitempty"`
-	Next   uint64   `cbor:"4,keyasint,omitempty"`
-	Docs   [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
+	HolderID         uint64   `cbor:"1,keyasint"`
+	Seq              uint64   `cbor:"2,keyasint"`
+	InForce          uint64   `cbor:"3,keyasint,omitempty"`
+	Pending          uint64   `cbor:"4,keyasint,omitempty"`
+	EncodedDocuments [][]byte `cbor:"5,keyasint,omitempty"` // those that the holder lacks
 }
 
 type submission struct {
-	Doc []byte `cbor:"1,keyasint"`
+	EncodedDocument []byte `cbor:"1,keyasint"`
 }
 
-// told is what became of a submission.
-type told struct {
-	Version uint64 `cbor:"1,keyasint"`
-	Hash    uint64 `cbor:"2,keyasint"`
-	What    what   `cbor:"3,keyasint"`
-	Last    uint64 `cbor:"4,keyasint,omitempty"`
-	Reason  string `cbor:"5,keyasint,omitempty"`
+// submissionResult is what became of a submission.
+type submissionResult struct {
+	Version     uint64  `cbor:"1,keyasint"`
+	Hash        uint64  `cbor:"2,keyasint"`
+	Outcome     outcome `cbor:"3,keyasint"`
+	LastVersion uint64  `cbor:"4,keyasint,omitempty"`
+	Reason      string  `cbor:"5,keyasint,omitempty"`
 }
 
-type what int
+type outcome int
 
 const (
-	accepted what = iota
-	bad
-	conflict
-	gap
-	busy // not sent: the manager asks again
+	outcomeAccepted outcome = iota
+	outcomeInvalid
+	outcomeConflict
+	outcomeGap
+	outcomeBusy // not sent: the manager asks again
 )
 
-// poke says that there is news, or, with Lead, who leads.
-type poke struct {
-	Lead string `cbor:"1,keyasint,omitempty"`
+// notification says that there is news, or, with Lead, who leads.
+type notification struct {
+	Leader string `cbor:"1,keyasint,omitempty"`
 }
 
-var errSpoilt = errors.New("a spoilt message")
+var errCorrupt = errors.New("a spoilt message")
 
-// pack is a message in bytes, after a sum of them: TCP's own lets one in 65,536 pass.
-func pack(m *message) []byte {
+// marshalMessage is a message in bytes, after a sum of them: TCP's own lets one in 65,536 pass.
+func marshalMessage(m *message) []byte {
 	body := encode(m)
 	return append(binary.BigEndian.AppendUint64(make([]byte, 0, 8+len(body)), xxhash.Sum64(body)), body...)
 }
 
-func unpack(b []byte) (*message, error) {
+func unmarshalMessage(b []byte) (*message, error) {
 	if len(b) < 8 || binary.BigEndian.Uint64(b) != xxhash.Sum64(b[8:]) {
-		return nil, errSpoilt
+		return nil, errCorrupt
 	}
 	m := new(message)
-	return m, decoder.Unmarshal(b[8:], m)
+	return m, cborDecMode.Unmarshal(b[8:], m)
 }
--- a/internal/agreed/voter.go
+++ b/internal/agreed/voter.go
@@ -15,73 +15,73 @@
 )
 
 const (
-	patience = 10  // ticks without a leader until a voter stands for election, up to twice that
-	keptLog  = 32  // entries that are kept for a voter that is behind
-	longLog  = 128 // entries after which the log is cut
+	electionTicks       = 10  // ticks without a leader until a voter stands for election, up to twice that
+	retainedEntries     = 32  // entries that are kept for a voter that is behind
+	compactionThreshold = 128 // entries after which the log is cut
 )
 
 // voter drives one Member of the replicated log. The engine's own timeouts are by
 // chance; here they come from the seed: a follower is never ticked, forgets its
 // leader after patience, and is told to campaign.
 type voter struct {
-	self    Member
-	node    *raft.RawNode
-	store   *store
-	ledger  ledger
-	chance  *rand.Rand
-	tick    time.Duration
-	contact time.Duration // when a leader was last heard of
-	stand   time.Duration // when to stand for election
-	leads   bool
-	names   map[uint64]string        // of members, as far as known
-	snaps   map[uint64]time.Duration // when a snapshot was sent to whom
-	reads   [][]byte                 // confirmed rounds
-	out     []*raftpb.Message
+	self           Replica
+	raftNode       *raft.RawNode
+	storage        *storage
+	ledger         ledger
+	random         *rand.Rand
+	tickInterval   time.Duration
+	timerResetAt   time.Duration // when a leader was last heard of
+	campaignAt     time.Duration // when to stand for election
+	isLeader       bool
+	managerNames   map[uint64]string        // of members, as far as known
+	snapshotSentAt map[uint64]time.Duration // when a snapshot was sent to whom
+	confirmedReads [][]byte                 // confirmed rounds
+	outgoing       []*raftpb.Message
 }
 
-// store is the log in memory. It makes a snapshot when one is asked for, so that it
+// storage is the log in memory. It makes a snapshot when one is asked for, so that it
 // names those who were let in last.
-type store struct {
+type storage struct {
 	*raft.MemoryStorage
-	applied uint64
-	conf    *raftpb.ConfState
-	ledger  *ledger
+	applied   uint64
+	confState *raftpb.ConfState
+	ledger    *ledger
 }
 
-func (s *store) Snapshot() (*raftpb.Snapshot, error) {
-	if _, err := s.CreateSnapshot(s.applied, s.conf, encode(s.ledger)); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+func (s *storage) Snapshot() (*raftpb.Snapshot, error) {
+	if _, err := s.CreateSnapshot(s.applied, s.confState, encode(s.ledger)); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		return nil, err
 	}
 	return s.MemoryStorage.Snapshot()
 }
 
-var silent = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
+var discardLogger = &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}
 
 // newVoter is a Member at its start. founders are the first Members of all, the same
 // for each of them; without them it knows nothing and waits to be let in.
-func newVoter(now, tick time.Duration, self Member, founders []Member, chance *rand.Rand) *voter {
-	v := &voter{self: self, chance: chance, tick: tick, names: map[uint64]string{}, snaps: map[uint64]time.Duration{},
-		ledger: ledger{Hashes: map[uint64]uint64{}, Members: map[uint64]Member{}}}
-	v.store = &store{MemoryStorage: raft.NewMemoryStorage(), ledger: &v.ledger, conf: &raftpb.ConfState{}}
-	if founders != nil {
-		for _, m := range founders {
-			v.ledger.Members[m.id()] = m
-			v.names[m.id()] = m.Name
-			v.store.conf.Voters = append(v.store.conf.Voters, m.id())
+func newVoter(now, tickInterval time.Duration, self Replica, initial []Replica, random *rand.Rand) *voter {
+	v := &voter{self: self, random: random, tickInterval: tickInterval, managerNames: map[uint64]string{}, snapshotSentAt: map[uint64]time.Duration{},
+		ledger: ledger{Hashes: map[uint64]uint64{}, Replicas: map[uint64]Replica{}}}
+	v.storage = &storage{MemoryStorage: raft.NewMemoryStorage(), ledger: &v.ledger, confState: &raftpb.ConfState{}}
+	if initial != nil {
+		for _, m := range initial {
+			v.ledger.Replicas[m.raftID()] = m
+			v.managerNames[m.raftID()] = m.Name
+			v.storage.confState.Voters = append(v.storage.confState.Voters, m.raftID())
 		}
 		one := uint64(1)
-		s := &raftpb.Snapshot{Data: encode(&v.ledger), Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: v.store.conf}}
-		must(v.store.ApplySnapshot(s))
-		must(v.store.SetHardState(&raftpb.HardState{Term: &one, Commit: &one}))
-		v.store.applied = 1
+		s := &raftpb.Snapshot{Data: encode(&v.ledger), Metadata: &raftpb.SnapshotMetadata{Index: &one, Term: &one, ConfState: v.storage.confState}}
+		must(v.storage.ApplySnapshot(s))
+		must(v.storage.SetHardState(&raftpb.HardState{Term: &one, Commit: &one}))
+		v.storage.applied = 1
 	}
 	var err error
-	v.node, err = raft.NewRawNode(&raft.Config{
-		ID: self.id(), ElectionTick: patience, HeartbeatTick: 1, Storage: v.store, Applied: v.store.applied,
-		MaxSizePerMsg: MostBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: silent,
+	v.raftNode, err = raft.NewRawNode(&raft.Config{
+		ID: self.raftID(), ElectionTick: electionTicks, HeartbeatTick: 1, Storage: v.storage, Applied: v.storage.applied,
+		MaxSizePerMsg: MaxDocumentBytes, MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: discardLogger,
 	})
 	must(err)
-	v.heard(now)
+	v.resetElectionTimer(now)
 	return v
 }
 
@@ -92,179 +92,179 @@
 	}
 }
 
-func (v *voter) heard(now time.Duration) {
-	v.contact = now
-	v.stand = now + patience*v.tick + time.Duration(v.chance.Int64N(int64(patience*v.tick)))
+func (v *voter) resetElectionTimer(now time.Duration) {
+	v.timerResetAt = now
+	v.campaignAt = now + electionTicks*v.tickInterval + time.Duration(v.random.Int64N(int64(electionTicks*v.tickInterval)))
 }
 
-// turn is one tick.
-func (v *voter) turn(now time.Duration) {
-	if v.leads {
-		v.node.Tick()
-		for _, id := range slices.Sorted(maps.Keys(v.snaps)) {
-			if now >= v.snaps[id]+patience*v.tick { // the engine waits for word of it, and it may be lost
-				delete(v.snaps, id)
-				v.node.ReportSnapshot(id, raft.SnapshotFinish)
+// handleTick is one tick.
+func (v *voter) handleTick(now time.Duration) {
+	if v.isLeader {
+		v.raftNode.Tick()
+		for _, id := range slices.Sorted(maps.Keys(v.snapshotSentAt)) {
+			if now >= v.snapshotSentAt[id]+electionTicks*v.tickInterval { // the engine waits for word of it, and it may be lost
+				delete(v.snapshotSentAt, id)
+				v.raftNode.ReportSnapshot(id, raft.SnapshotFinish)
 			}
 		}
 		return
 	}
-	if now >= v.contact+patience*v.tick {
-		v.node.ForgetLeader() // it may vote for another from now on
+	if now >= v.timerResetAt+electionTicks*v.tickInterval {
+		v.raftNode.ForgetLeader() // it may vote for another from now on
 	}
-	if now >= v.stand {
-		v.heard(now)
-		if v.votes() {
-			v.node.Campaign()
+	if now >= v.campaignAt {
+		v.resetElectionTimer(now)
+		if v.isVoter() {
+			v.raftNode.Campaign()
 		}
 	}
 }
 
-// votes tells whether it is let in as a voter, as far as it knows.
-func (v *voter) votes() bool {
-	for _, id := range v.store.conf.Voters {
-		if id == v.self.id() {
+// isVoter tells whether it is let in as a voter, as far as it knows.
+func (v *voter) isVoter() bool {
+	for _, id := range v.storage.confState.Voters {
+		if id == v.self.raftID() {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *voter) step(now time.Duration, p *raftPart, from string) {
+func (v *voter) step(now time.Duration, p *raftMessage, from string) {
 	m := new(raftpb.Message)
 	// Guard: what is meant for an earlier life of this name is not for this one.
-	if p.To != v.self.id() || proto.Unmarshal(p.Body, m) != nil || m.GetFrom() != p.From || m.GetTo() != p.To {
+	if p.To != v.self.raftID() || proto.Unmarshal(p.Body, m) != nil || m.GetFrom() != p.From || m.GetTo() != p.To {
 		return
 	}
-	v.names[p.From] = from
+	v.managerNames[p.From] = from
 	switch m.GetType() {
 	case raftpb.MessageType_MsgApp, raftpb.MessageType_MsgHeartbeat, raftpb.MessageType_MsgSnap:
-		if m.GetTerm() >= v.node.BasicStatus().GetTerm() {
-			v.heard(now)
+		if m.GetTerm() >= v.raftNode.BasicStatus().GetTerm() {
+			v.resetElectionTimer(now)
 		}
 	}
-	v.node.Step(m)
+	v.raftNode.Step(m)
 }
 
-// drain takes in what the engine has ready. Nothing of it waits for a disk.
-func (v *voter) drain(now time.Duration) {
-	for v.node.HasReady() {
-		rd := v.node.Ready()
+// processReady takes in what the engine has ready. Nothing of it waits for a disk.
+func (v *voter) processReady(now time.Duration) {
+	for v.raftNode.HasReady() {
+		rd := v.raftNode.Ready()
 		if !raft.IsEmptySnap(rd.Snapshot) {
-			must(v.store.ApplySnapshot(rd.Snapshot))
+			must(v.storage.ApplySnapshot(rd.Snapshot))
 			l := ledger{}
-			must(decoder.Unmarshal(rd.Snapshot.GetData(), &l))
-			v.ledger, v.store.conf = l, rd.Snapshot.GetMetadata().GetConfState()
-			v.store.applied = rd.Snapshot.GetMetadata().GetIndex()
-			v.know()
+			must(cborDecMode.Unmarshal(rd.Snapshot.GetData(), &l))
+			v.ledger, v.storage.confState = l, rd.Snapshot.GetMetadata().GetConfState()
+			v.storage.applied = rd.Snapshot.GetMetadata().GetIndex()
+			v.updateReplicas()
 		}
-		must(v.store.Append(rd.Entries))
+		must(v.storage.Append(rd.Entries))
 		if !raft.IsEmptyHardState(rd.HardState) {
-			must(v.store.SetHardState(rd.HardState))
+			must(v.storage.SetHardState(rd.HardState))
 		}
 		for _, m := range rd.Messages {
 			switch m.GetType() {
 			case raftpb.MessageType_MsgSnap:
-				v.snaps[m.GetTo()] = now
+				v.snapshotSentAt[m.GetTo()] = now
 			case raftpb.MessageType_MsgVoteResp:
 				if !m.GetReject() {
-					v.heard(now)
+					v.resetElectionTimer(now)
 				}
 			}
-			v.out = append(v.out, m)
+			v.outgoing = append(v.outgoing, m)
 		}
 		for _, e := range rd.CommittedEntries {
-			v.apply(e)
+			v.applyEntry(e)
 		}
 		for _, r := range rd.ReadStates {
-			v.reads = append(v.reads, r.RequestCtx)
+			v.confirmedReads = append(v.confirmedReads, r.RequestCtx)
 		}
-		v.node.Advance(rd)
+		v.raftNode.Advance(rd)
 	}
-	if first, err := v.store.FirstIndex(); err == nil && v.store.applied > first+longLog {
-		_, err := v.store.Snapshot()
+	if first, err := v.storage.FirstIndex(); err == nil && v.storage.applied > first+compactionThreshold {
+		_, err := v.storage.Snapshot()
 		must(err)
-		must(v.store.Compact(v.store.applied - keptLog))
+		must(v.storage.Compact(v.storage.applied - retainedEntries))
 	}
-	v.leads = v.node.BasicStatus().RaftState == raft.StateLeader
+	v.isLeader = v.raftNode.BasicStatus().RaftState == raft.StateLeader
 }
 
-func (v *voter) apply(e *raftpb.Entry) {
-	v.store.applied = e.GetIndex()
+func (v *voter) applyEntry(e *raftpb.Entry) {
+	v.storage.applied = e.GetIndex()
 	switch e.GetType() {
 	case raftpb.EntryType_EntryNormal:
-		var x entry
-		if len(e.GetData()) == 0 || decoder.Unmarshal(e.GetData(), &x) != nil {
+		var x logEntry
+		if len(e.GetData()) == 0 || cborDecMode.Unmarshal(e.GetData(), &x) != nil {
 			return
 		}
 		if x.Enforce != 0 {
-			v.ledger.enforce(x.Enforce)
+			v.ledger.putInForce(x.Enforce)
 			return
 		}
 		d := new(Document)
-		if decoder.Unmarshal(x.Doc, d) == nil {
+		if cborDecMode.Unmarshal(x.EncodedDocument, d) == nil {
 			v.ledger.accept(d)
 		}
 	case raftpb.EntryType_EntryConfChangeV2:
 		c := new(raftpb.ConfChangeV2)
 		must(proto.Unmarshal(e.GetData(), c))
-		var m Member
-		if len(c.GetContext()) > 0 && decoder.Unmarshal(c.GetContext(), &m) == nil {
-			v.ledger.Members[m.id()] = m
+		var m Replica
+		if len(c.GetContext()) > 0 && cborDecMode.Unmarshal(c.GetContext(), &m) == nil {
+			v.ledger.Replicas[m.raftID()] = m
 		}
-		v.store.conf = v.node.ApplyConfChange(c)
-		v.know()
+		v.storage.confState = v.raftNode.ApplyConfChange(c)
+		v.updateReplicas()
 	}
 }
 
-// know drops Members that are out, and learns the names of those that are in.
-func (v *voter) know() {
+// updateReplicas drops Members that are out, and learns the names of those that are in.
+func (v *voter) updateReplicas() {
 	in := map[uint64]bool{}
-	for _, ids := range [][]uint64{v.store.conf.Voters, v.store.conf.VotersOutgoing, v.store.conf.Learners, v.store.conf.LearnersNext} {
+	for _, ids := range [][]uint64{v.storage.confState.Voters, v.storage.confState.VotersOutgoing, v.storage.confState.Learners, v.storage.confState.LearnersNext} {
 		for _, id := range ids {
 			in[id] = true
 		}
 	}
-	for id, m := range v.ledger.Members {
-		if v.names[id] = m.Name; !in[id] {
-			delete(v.ledger.Members, id)
+	for id, m := range v.ledger.Replicas {
+		if v.managerNames[id] = m.Name; !in[id] {
+			delete(v.ledger.Replicas, id)
 		}
 	}
 }
 
-// admit lets a new life of a voter in: first to learn, then in the place of all the
+// admitReplica lets a new life of a voter in: first to learn, then in the place of all the
 // lives before it.
-func (v *voter) admit(m Member) {
+func (v *voter) admitReplica(m Replica) {
 	c := &raftpb.ConfChangeV2{Context: encode(m)}
 	change := func(t raftpb.ConfChangeType, id uint64) {
 		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{Type: &t, NodeId: &id})
 	}
-	status := v.node.Status()
-	p, in := status.Progress[m.id()]
+	status := v.raftNode.Status()
+	p, in := status.Progress[m.raftID()]
 	switch {
-	case len(v.store.conf.VotersOutgoing) > 0 || in && !p.IsLearner:
+	case len(v.storage.confState.VotersOutgoing) > 0 || in && !p.IsLearner:
 		return // another change is under way, or it is in
 	case !in:
-		for _, o := range v.ledger.Members {
+		for _, o := range v.ledger.Replicas {
 			if o.Name == m.Name && o.Incarnation >= m.Incarnation {
 				return // Guard: of two lives the later one counts
 			}
 		}
-		change(raftpb.ConfChangeType_ConfChangeAddLearnerNode, m.id())
+		change(raftpb.ConfChangeType_ConfChangeAddLearnerNode, m.raftID())
 	case p.Match >= status.GetCommit():
-		change(raftpb.ConfChangeType_ConfChangeAddNode, m.id())
-		for _, o := range sorted(values(v.ledger.Members), func(o Member) string { return string(encode(o)) }) {
+		change(raftpb.ConfChangeType_ConfChangeAddNode, m.raftID())
+		for _, o := range sortedByName(mapValues(v.ledger.Replicas), func(o Replica) string { return string(encode(o)) }) {
 			if o.Name == m.Name && o != m {
-				change(raftpb.ConfChangeType_ConfChangeRemoveNode, o.id())
+				change(raftpb.ConfChangeType_ConfChangeRemoveNode, o.raftID())
 			}
 		}
 	default:
 		return // it has not caught up
 	}
-	v.node.ProposeConfChange(c)
+	v.raftNode.ProposeConfChange(c)
 }
 
-func values[K comparable, V any](m map[K]V) (out []V) {
+func mapValues[K comparable, V any](m map[K]V) (out []V) {
 	for _, v := range m {
 		out = append(out, v)
 	}
--- a/internal/broker/day_test.go
+++ b/internal/broker/day_test.go
@@ -92,14 +92,14 @@
 		var peakConfig broker.PeakConfig
 		if sc.announced {
 			p := peaks.Peak{Name: "quincena", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: peakStart, Length: peakLength, Lead: 90 * time.Second,
-				Early: 2 * time.Minute, Classes: []bool{true, true}, Factor: factor, Sure: 0.9, Harm: 0.05}
+				Early: 2 * time.Minute, Classes: []bool{true, true}, Factor: factor, Probability: 0.9, MaxHarm: 0.05}
 			peakConfig.Calendar.Peaks = []peaks.Peak{p}
 			peakConfig.MeanLengthsS = []float64{45, 35}
 		}
 		for k, c := range set.Classes {
 			classPlan := peaks.Class{Floor: c.FloorRung, Top: c.TopRung, Rate: rate * []float64{0.35, 0.65}[k]}
 			for r, kb := range set.RatesKB {
-				classPlan.Sizes, classPlan.Worth = append(classPlan.Sizes, kb/640), append(classPlan.Worth, c.Worth*set.LadderWorth[r])
+				classPlan.SlotsByRung, classPlan.Worth = append(classPlan.SlotsByRung, kb/640), append(classPlan.Worth, c.Worth*set.LadderWorth[r])
 			}
 			peakConfig.Classes = append(peakConfig.Classes, classPlan)
 		}
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -32,7 +32,7 @@
 	keeper      *peaks.Keeper
 	peakNames   []string
 	classes     []peaks.Class
-	lengths     []*peaks.Lengths
+	lengths     []*peaks.LengthEstimator
 	arrivals    []int     // by class, since the last Tick
 	ownArrivals []int     // by peak, those that a rule has assigned to it since the last Tick
 	hasOwnRule  []bool    // by peak, whether a rule has ever assigned a request to it
@@ -45,7 +45,7 @@
 	}
 	p := &peakPlanner{
 		log:    log,
-		keeper: peaks.NewKeeper(cfg.Calendar, peaks.DefaultErrors), classes: slices.Clone(cfg.Classes), arrivals: make([]int, len(cfg.Classes)),
+		keeper: peaks.NewKeeper(cfg.Calendar, peaks.DefaultErrorRates), classes: slices.Clone(cfg.Classes), arrivals: make([]int, len(cfg.Classes)),
 		ownArrivals: make([]int, len(cfg.Calendar.Peaks)), hasOwnRule: make([]bool, len(cfg.Calendar.Peaks)), heldShares: make([]float64, len(cfg.Classes)),
 	}
 	for i := range p.classes {
@@ -54,7 +54,7 @@
 		if i < len(cfg.MeanLengthsS) && cfg.MeanLengthsS[i] > 0 {
 			guess = cfg.MeanLengthsS[i]
 		}
-		p.lengths = append(p.lengths, peaks.NewLengths(guess))
+		p.lengths = append(p.lengths, peaks.NewLengthEstimator(guess))
 	}
 	for i := range cfg.Calendar.Peaks {
 		p.peakNames = append(p.peakNames, cfg.Calendar.Peaks[i].Name)
@@ -94,10 +94,10 @@
 	for i := range p.classes {
 		p.classes[i].Survival = p.lengths[i].Survival(ages[i])
 	}
-	input := peaks.Input{Now: now, Room: v.FleetSlots(), Share: v.ArrivalShare(), Classes: p.classes, Counts: p.arrivals}
+	input := peaks.Input{Now: now, CapacitySlots: v.FleetSlots(), ManagerShare: v.ArrivalShare(), Classes: p.classes, Arrivals: p.arrivals}
 	for i, n := range p.ownArrivals {
 		if p.hasOwnRule[i] {
-			input.Own = append(input.Own, peaks.Own{Peak: i, Count: n})
+			input.PeakArrivals = append(input.PeakArrivals, peaks.PeakArrivals{Peak: i, Count: n})
 		}
 	}
 	shares, notices := p.keeper.Tick(input)
--- a/internal/broker/peaks_test.go
+++ b/internal/broker/peaks_test.go
@@ -62,9 +62,9 @@
 // demand in the operator's file.
 func TestStartDuringHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { // synctest's clock starts at midnight UTC
-		p := peaks.Peak{Name: "q", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: 4 * time.Second, Length: time.Hour, Lead: 90 * time.Second, Classes: []bool{true, true}, Factor: 20, Sure: 0.9, Harm: 0.9}
+		p := peaks.Peak{Name: "q", Zone: time.UTC, Days: peaks.Days{Daily: true}, At: 4 * time.Second, Length: time.Hour, Lead: 90 * time.Second, Classes: []bool{true, true}, Factor: 20, Probability: 0.9, MaxHarm: 0.9}
 		class := func(rate float64, floor int) peaks.Class {
-			return peaks.Class{Rate: rate, Sizes: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
+			return peaks.Class{Rate: rate, SlotsByRung: []float64{0.5, 1, 1.5}, Worth: []float64{0.5, 0.8, 1}, Floor: floor, Top: 2}
 		}
 		set := testSettings()
 		set.FleetLinkKB, set.LinkKBPerWeight = 200, 100
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -28,7 +28,7 @@
 	SiteByZone []int // by zone, the index of its site; under 0: none
 	Rules      []site.Rule
 	Classes    []site.Class
-	Expected   []site.Expect // by class
+	Expected   []site.ExpectedLoad // by class
 }
 
 // sitePlanner detects the loss of sites from the reports of nodes, logs each episode, and
@@ -68,16 +68,16 @@
 			continue
 		}
 		node := SiteNode(&s.settings, e, s.SiteByZone[e.Zone], len(s.listed))
-		s.siteWatch.Listed(node.Site, uint64(e.Server), e.State == control.Ready)
-		s.siteGuide.Listed(uint64(e.Server), node, e.State == control.Ready)
+		s.siteWatch.UpdateNode(node.Site, uint64(e.Server), e.State == control.Ready)
+		s.siteGuide.UpdateNode(uint64(e.Server), node, e.State == control.Ready)
 	}
 }
 
 // SiteNode converts an entry of a list of nodeCount nodes to a node of site plans.
 func SiteNode(settings *control.Settings, entry control.Entry, siteIndex, nodeCount int) site.Node {
-	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.ExpectedLinkKB(entry, nodeCount) * control.TargetUtilization, Places: unknownKindStreams}
+	node := site.Node{Site: siteIndex, Rack: entry.Cell % max(settings.Racks, 1), LinkKB: settings.ExpectedLinkKB(entry, nodeCount) * control.TargetUtilization, MaxStreams: unknownKindStreams}
 	if entry.MachineKind >= 0 && entry.MachineKind < len(settings.MaxStreamsByKind) {
-		node.Places = float64(settings.MaxStreamsByKind[entry.MachineKind])
+		node.MaxStreams = float64(settings.MaxStreamsByKind[entry.MachineKind])
 	}
 	return node
 }
@@ -89,20 +89,20 @@
 // RequestArrived counts a request, unless its viewer has asked before.
 func (s *sitePlanner) RequestArrived(now time.Time, r *Request) bool {
 	if !r.Repeated {
-		s.siteGuide.Arrived(now, r.Class)
+		s.siteGuide.CountArrival(now, r.Class)
 	}
 	return false
 }
 
 // SessionEnded passes the length of a session to the site.Guide.
 func (s *sitePlanner) SessionEnded(_ time.Time, class int, played time.Duration, interrupted bool) {
-	s.siteGuide.Over(class, played, interrupted)
+	s.siteGuide.AddSessionLength(class, played, interrupted)
 }
 
 // NodeReported passes what a report says about its node's site to the site.Watch.
 func (s *sitePlanner) NodeReported(now time.Time, r *Report) {
 	if sign, ok := signFromReport(r); ok {
-		s.siteWatch.Saw(now, uint64(r.Server), sign)
+		s.siteWatch.RecordSign(now, uint64(r.Server), sign)
 	}
 }
 
@@ -111,40 +111,40 @@
 func signFromReport(r *Report) (site.Sign, bool) {
 	switch r.Kind {
 	case ReportStarted, ReportNote:
-		return site.Heard, true
+		return site.SignHeard, true
 	case ReportProbed, ReportEnded:
 	}
 	switch r.Status {
 	case control.OK, control.Full, control.Errored:
-		return site.Heard, true
+		return site.SignHeard, true
 	case control.ConnectFailed:
-		return site.NoWay, true
+		return site.SignUnreachable, true
 	case control.TimedOut:
-		return site.Silence, true
+		return site.SignNoAnswer, true
 	case control.ConnectionReset:
 		if r.ConnectionOnly { // only the connection broke; the node can be reached
-			return site.Heard, true
+			return site.SignHeard, true
 		}
 		// A node that interrupts a session says so itself. For a node that can't be
 		// reached, the end of each of its sessions is reported, one after the other. Each
 		// of these reports is one sign of a node that was tried and failed.
-		return site.Broke, r.Kind == ReportEnded
+		return site.SignConnectionLost, r.Kind == ReportEnded
 	}
 	return 0, false // not sent, or cancelled: caused by this manager itself
 }
 
 // ProcessPaused makes the site.Watch forget the failures seen before the pause.
-func (s *sitePlanner) ProcessPaused(time.Time, time.Duration) { s.siteWatch.Forget() }
+func (s *sitePlanner) ProcessPaused(time.Time, time.Duration) { s.siteWatch.ForgetFailures() }
 
 // Tick logs changes of the sites' states, probes nodes, logs the measured demand and the
 // plan, and returns the ration of this manager while there is one.
 func (s *sitePlanner) Tick(now time.Time, v BrokerView) []control.Event {
 	for _, notice := range s.siteWatch.Tick(now) {
-		s.siteGuide.Told(now, notice, s.returnCount(now, notice.Site))
+		s.siteGuide.ApplyNotice(now, notice, s.returnCount(now, notice.Site))
 		name, state := "", notice.State.String()
 		if notice.Site >= 0 {
 			name = s.Names[notice.Site]
-		} else if state = "cut off"; !notice.Alone {
+		} else if state = "cut off"; !notice.Isolated {
 			state = "present"
 		}
 		fields := []zap.Field{zap.String("site", name), zap.String("state", state), zap.String("evidence", notice.Text)}
@@ -153,23 +153,23 @@
 		} else {
 			s.episodeStarts[notice.Site] = now
 		}
-		if state == site.Present.String() {
+		if state == site.StatePresent.String() {
 			delete(s.episodeStarts, notice.Site)
 		}
 		s.log.Info("site", fields...)
 	}
-	for _, node := range s.siteWatch.Ask(now) {
+	for _, node := range s.siteWatch.NodesToProbe(now) {
 		v.Probe(control.ServerID(node))
 	}
 	if now.Sub(s.demandLoggedAt) >= demandLogInterval {
-		if rates, lasts, ok := s.siteGuide.Demand(now); ok {
+		if rates, lasts, ok := s.siteGuide.MeasuredDemand(now); ok {
 			s.demandLoggedAt = now
 			s.log.Info(DemandMessage, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
 		}
 	}
 	ration, text := s.siteGuide.Tick(now, s.siteWatch, v.ArrivalShare())
 	if text != "" {
-		sessions, share := s.siteGuide.Measured()
+		sessions, share := s.siteGuide.PlanBasis()
 		s.log.Info("site plan", zap.String("plan", text), zap.Float64s("sessions", sessions), zap.Float64("share", share))
 	}
 	if ration == nil && !s.rationed {
@@ -184,7 +184,7 @@
 	if siteIndex < 0 {
 		return 0
 	}
-	return s.siteWatch.Returns(now, siteIndex)
+	return s.siteWatch.ReturnCount(now, siteIndex)
 }
 
 // controlRation converts a ration by sites to one by zones, as the decision module takes it.
@@ -192,10 +192,10 @@
 	if planned == nil {
 		return nil
 	}
-	ration := &control.Ration{SessionLimits: planned.Limit, RetryIntervalsS: planned.Every, ZoneRates: make([]float64, len(s.SiteByZone))}
+	ration := &control.Ration{SessionLimits: planned.SessionLimit, RetryIntervalsS: planned.RetryIntervalS, ZoneRates: make([]float64, len(s.SiteByZone))}
 	for zone, siteIndex := range s.SiteByZone {
-		if ration.ZoneRates[zone] = -1; siteIndex >= 0 && planned.Pace[siteIndex] >= 0 {
-			ration.ZoneRates[zone] = planned.Pace[siteIndex] / float64(s.zoneCount(siteIndex))
+		if ration.ZoneRates[zone] = -1; siteIndex >= 0 && planned.MaxSessionRate[siteIndex] >= 0 {
+			ration.ZoneRates[zone] = planned.MaxSessionRate[siteIndex] / float64(s.zoneCount(siteIndex))
 		}
 	}
 	return ration
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// show writes directives as they were understood.
-func show(list []*Directive) string {
+// formatDirectives writes directives as they were understood.
+func formatDirectives(directives []*Directive) string {
 	var b strings.Builder
-	for _, d := range list {
+	for _, d := range directives {
 		for _, w := range d.words {
 			fmt.Fprintf(&b, "<%s>", w.value)
 		}
-		if d.opened {
-			b.WriteString("{" + show(d.block) + "}")
+		if d.hasUnreadBlock {
+			b.WriteString("{" + formatDirectives(d.block) + "}")
 		}
 		b.WriteString(";")
 	}
@@ -31,16 +31,16 @@
 		"dir/self.conf":  "include x/../self.conf",
 		"dir/bad.conf":   "include none.conf\nx \"",
 	}
-	for i := range maxIncludes + 3 {
+	for i := range maxIncludeDepth + 3 {
 		files[fmt.Sprintf("dir/deep%d", i)] = fmt.Sprintf("include deep%d", i+1)
 	}
-	open := func(path string) ([]byte, error) {
+	readFile := func(path string) ([]byte, error) {
 		if text, ok := files[path]; ok {
 			return []byte(text), nil
 		}
 		return nil, fmt.Errorf("%s: %w", path, fs.ErrNotExist)
 	}
-	for _, e := range []struct{ text, want, fault string }{
+	for _, test := range []struct{ text, want, fault string }{
 		{"", "", ""},
 		{"# only\n\n   \t\r\n", "", ""},
 		{"a b c\r\nd", "<a><b><c>;<d>;", ""},
@@ -62,7 +62,7 @@
 		{"a \x00", "", "control character (0x00)"},
 		{"\tä b \x01", "", "main:1:6: a control"},
 		{"a " + strings.Repeat("x ", maxArguments+1) + "\nb", "<b>;", "more than"},
-		{"a \"" + strings.Repeat("x", maxLine) + "\" y\nb", "<b>;", "more than"},
+		{"a \"" + strings.Repeat("x", maxLineBytes) + "\" y\nb", "<b>;", "more than"},
 		{strings.Repeat("a {\n", 40) + strings.Repeat("}\n", 40) + "b", "", "nested more than 16 deep"},
 		{"include none.conf", "", "include: dir/none.conf: file does not exist"},
 		{"include", "", "main:1:8: include: wants a file"},
@@ -72,11 +72,11 @@
 		{"include bad.conf", "", "dir/bad.conf:2:3:"},
 	} {
 		faults := new(Faults)
-		got := show(Parse("dir/main", []byte(e.text), open, faults))
+		got := formatDirectives(Parse("dir/main", []byte(test.text), readFile, faults))
 		err := faults.Err()
-		if e.want != "" && got != e.want || (err == nil) != (e.fault == "") ||
-			err != nil && !strings.Contains(strings.ReplaceAll(err.Error(), "dir/main:", "main:"), e.fault) {
-			t.Errorf("%.60q: got %.200s, %.300v", e.text, got, err)
+		if test.want != "" && got != test.want || (err == nil) != (test.fault == "") ||
+			err != nil && !strings.Contains(strings.ReplaceAll(err.Error(), "dir/main:", "main:"), test.fault) {
+			t.Errorf("%.60q: got %.200s, %.300v", test.text, got, err)
 		}
 	}
 	if Parse("x", []byte("include a.conf"), nil, new(Faults)) != nil {
@@ -85,23 +85,23 @@
 }
 
 // All that is wrong is told at once, in the order of the lines, but not without end.
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllFaultsReported(t *testing.T) {
 	faults := new(Faults)
-	list := Parse("f", []byte("nme a\nsize many\nsize\n\"x\n"), nil, faults)
-	Read(list, nil, faults, []Key{
-		{Name: "name", Read: func(d *Directive) { d.Word("a name") }},
-		{Name: "size", Many: true, Read: func(d *Directive) { d.Int("a size", 1, 9) }},
+	directives := Parse("f", []byte("nme a\nsize many\nsize\n\"x\n"), nil, faults)
+	Apply(directives, nil, faults, []Keyword{
+		{Name: "name", Apply: func(d *Directive) { d.Word("a name") }},
+		{Name: "size", Repeatable: true, Apply: func(d *Directive) { d.Int("a size", 1, 9) }},
 	})
-	var places []string
-	for _, f := range faults.List() {
-		places = append(places, fmt.Sprintf("%d:%d", f.Line, f.Col))
+	var positions []string
+	for _, fault := range faults.List() {
+		positions = append(positions, fmt.Sprintf("%d:%d", fault.Line, fault.Column))
 	}
-	if got := strings.Join(places, " "); got != "1:1 2:6 3:5 4:1" {
+	if got := strings.Join(positions, " "); got != "1:1 2:6 3:5 4:1" {
 		t.Errorf("%s\n%v", got, faults)
 	}
 	faults = new(Faults)
-	Read(Parse("f", []byte(strings.Repeat("x\n", 1000)), nil, faults), nil, faults, nil)
-	if n := strings.Count(faults.Error(), "unknown keyword"); n != mostFaults || !strings.HasSuffix(faults.Error(), "900 more faults") {
+	Apply(Parse("f", []byte(strings.Repeat("x\n", 1000)), nil, faults), nil, faults, nil)
+	if n := strings.Count(faults.Error(), "unknown keyword"); n != maxFaults || !strings.HasSuffix(faults.Error(), "900 more faults") {
 		t.Errorf("%d faults told", n)
 	}
 	var err *Faults
@@ -111,13 +111,13 @@
 }
 
 // A caret stands under its character, whatever is before it.
-func TestCaret(t *testing.T) {
+func TestCaretPosition(t *testing.T) {
 	for text, want := range map[string]string{
 		"\tsize äö x": "\tsize äö x\n    \t        ^",
 		strings.Repeat("ä", 500) + " x" + "yyyyy": strings.Repeat("ä", 79) + " xyyyyy\n    " + strings.Repeat(" ", 80) + "^",
 	} {
-		f := Fault{File: "f", Line: 1, Col: len([]rune(text[:strings.IndexByte(text, 'x')])) + 1, Text: text, Msg: "m"}
-		if got := f.Error(); !strings.HasSuffix(got, "\n    "+want) {
+		fault := Fault{File: "f", Line: 1, Column: len([]rune(text[:strings.IndexByte(text, 'x')])) + 1, LineText: text, Message: "m"}
+		if got := fault.Error(); !strings.HasSuffix(got, "\n    "+want) {
 			t.Errorf("got\n%s\nwant\n%s", got, want)
 		}
 	}
@@ -125,20 +125,20 @@
 
 // Whatever bytes come, faults have a place within the text, and parsing ends.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"a {\n b \"c\\x41\" `d`\n}\n", "include x", "a \\\n b", "}{\"", "\xff\x00"} {
-		f.Add(s)
+	for _, seed := range []string{"a {\n b \"c\\x41\" `d`\n}\n", "include x", "a \\\n b", "}{\"", "\xff\x00"} {
+		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		faults := new(Faults)
-		list := Parse("f", []byte(text), func(string) ([]byte, error) { return []byte(text), nil }, faults)
-		Read(list, nil, faults, []Key{{Name: "a", Many: true, Read: func(d *Directive) {
-			d.Block(Key{Name: "b", Read: func(d *Directive) { d.Rest() }})
+		directives := Parse("f", []byte(text), func(string) ([]byte, error) { return []byte(text), nil }, faults)
+		Apply(directives, nil, faults, []Keyword{{Name: "a", Repeatable: true, Apply: func(d *Directive) {
+			d.Block(Keyword{Name: "b", Apply: func(d *Directive) { d.Rest() }})
 		}}})
-		for _, one := range faults.List() {
-			if one.Line < 1 || one.Line > strings.Count(text, "\n")+1 || one.Col < 1 || one.Col > len(one.Text)+1 {
-				t.Errorf("%q: fault at %d:%d of %q", text, one.Line, one.Col, one.Text)
+		for _, fault := range faults.List() {
+			if fault.Line < 1 || fault.Line > strings.Count(text, "\n")+1 || fault.Column < 1 || fault.Column > len(fault.LineText)+1 {
+				t.Errorf("%q: fault at %d:%d of %q", text, fault.Line, fault.Column, fault.LineText)
 			}
-			_ = one.Error()
+			_ = fault.Error()
 		}
 	})
 }
--- a/internal/conf/fault.go
+++ b/internal/conf/fault.go
@@ -9,57 +9,57 @@
 
 // Fault is one thing that is wrong with a file, and where.
 type Fault struct {
-	File      string
-	Line, Col int    // from 1; columns count characters
-	Key       string // the keys that lead there, as in "team.north.rate"
-	Text      string // the line
-	Msg       string
+	File         string
+	Line, Column int    // from 1; columns count characters
+	KeywordPath  string // the keys that lead there, as in "team.north.rate"
+	LineText     string // the line
+	Message      string
 }
 
 // Error gives the place, the key, what is wrong, and the line with a caret.
 func (f *Fault) Error() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Col)
-	if f.Key != "" {
-		b.WriteString(f.Key + ": ")
+	fmt.Fprintf(&b, "%s:%d:%d: ", f.File, f.Line, f.Column)
+	if f.KeywordPath != "" {
+		b.WriteString(f.KeywordPath + ": ")
 	}
-	b.WriteString(f.Msg)
-	if f.Text != "" {
+	b.WriteString(f.Message)
+	if f.LineText != "" {
 		// Guard: a line is shown in part, so that one fault in a very long one
 		// doesn't fill a screen.
-		text, col := []rune(f.Text), f.Col-1
-		if from := max(0, col-mostShown/2); from > 0 {
-			text, col = text[min(from, len(text)):], col-from
+		text, column := []rune(f.LineText), f.Column-1
+		if first := max(0, column-maxShownChars/2); first > 0 {
+			text, column = text[min(first, len(text)):], column-first
 		}
-		text = text[:min(len(text), mostShown)]
+		text = text[:min(len(text), maxShownChars)]
 		for i, r := range text {
 			if r < ' ' && r != '\t' {
 				text[i] = '\uFFFD'
 			}
 		}
-		pad := make([]rune, 0, col)
-		for i := range min(col, len(text)) {
+		padding := make([]rune, 0, column)
+		for i := range min(column, len(text)) {
 			if text[i] == '\t' {
-				pad = append(pad, '\t')
+				padding = append(padding, '\t')
 			} else {
-				pad = append(pad, ' ')
+				padding = append(padding, ' ')
 			}
 		}
-		fmt.Fprintf(&b, "\n    %s\n    %s^", string(text), string(pad))
+		fmt.Fprintf(&b, "\n    %s\n    %s^", string(text), string(padding))
 	}
 	return b.String()
 }
 
-const mostShown = 160 // characters of a faulty line
+const maxShownChars = 160 // characters of a faulty line
 
-// mostFaults is how many faults are told of one file. A file that is not of
+// maxFaults is how many faults are told of one file. A file that is not of
 // this form at all would have one a line.
-const mostFaults = 100
+const maxFaults = 100
 
 // Faults is all that is wrong with a file and what it includes.
 type Faults struct {
-	list []*Fault
-	more int
+	list    []*Fault
+	omitted int
 }
 
 // Err returns nil if there are none.
@@ -78,7 +78,7 @@
 
 func (f *Faults) sort() {
 	slices.SortStableFunc(f.list, func(a, b *Fault) int {
-		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Col-b.Col)
+		return cmp.Or(strings.Compare(a.File, b.File), a.Line-b.Line, a.Column-b.Column)
 	})
 }
 
@@ -86,11 +86,11 @@
 func (f *Faults) Error() string {
 	f.sort()
 	lines := make([]string, 0, len(f.list)+1)
-	for _, one := range f.list {
-		lines = append(lines, one.Error())
+	for _, fault := range f.list {
+		lines = append(lines, fault.Error())
 	}
-	if f.more > 0 {
-		lines = append(lines, fmt.Sprintf("%d more faults", f.more))
+	if f.omitted > 0 {
+		lines = append(lines, fmt.Sprintf("%d more faults", f.omitted))
 	}
 	return strings.Join(lines, "\n")
 }
@@ -101,10 +101,10 @@
 	return "correct what is named, and try the file by `millethinge check` before it is used"
 }
 
-func (f *Faults) add(one *Fault) {
-	if len(f.list) >= mostFaults {
-		f.more++
+func (f *Faults) add(fault *Fault) {
+	if len(f.list) >= maxFaults {
+		f.omitted++
 		return
 	}
-	f.list = append(f.list, one)
+	f.list = append(f.list, fault)
 }
