--- a/internal/conf/scan.go
+++ b/internal/conf/scan.go
@@ -25,264 +25,266 @@
 
 // Bounds of what is read. Beyond them a file is refused and not read on.
 const (
-	MaxBytes     = 32 << 20 // of all files together
-	maxLine      = 64 << 10 // bytes of a line with those that it goes on in
-	maxDepth     = 16       // of blocks within blocks
-	maxIncludes  = 8        // of files within files
-	maxFiles     = 256
-	maxArguments = 1024
+	MaxBytes        = 32 << 20 // of all files together
+	maxLineBytes    = 64 << 10 // bytes of a line with those that it goes on in
+	maxBlockDepth   = 16       // of blocks within blocks
+	maxIncludeDepth = 8        // of files within files
+	maxFiles        = 256
+	maxArguments    = 1024
 )
 
-// source is one file's text.
-type source struct {
-	name  string
-	text  string
-	lines []int // where each line begins
+// sourceFile is one file's text.
+type sourceFile struct {
+	name       string
+	text       string
+	lineStarts []int // where each line begins
 }
 
-func newSource(name, text string) *source {
-	s := &source{name: name, text: text, lines: []int{0}}
+func newSourceFile(name, text string) *sourceFile {
+	s := &sourceFile{name: name, text: text, lineStarts: []int{0}}
 	for i := range len(text) {
 		if text[i] == '\n' {
-			s.lines = append(s.lines, i+1)
+			s.lineStarts = append(s.lineStarts, i+1)
 		}
 	}
 	return s
 }
 
-// place returns the line and column of a byte, and the line's text.
-func (s *source) place(at int) (line, col int, text string) {
-	at = min(max(at, 0), len(s.text))
-	low, high := 0, len(s.lines)
+// position returns the line and column of a byte, and the line's text.
+func (s *sourceFile) position(offset int) (line, column int, text string) {
+	offset = min(max(offset, 0), len(s.text))
+	low, high := 0, len(s.lineStarts)
 	for high-low > 1 {
-		if mid := (low + high) / 2; s.lines[mid] <= at {
+		if mid := (low + high) / 2; s.lineStarts[mid] <= offset {
 			low = mid
 		} else {
 			high = mid
 		}
 	}
-	text = s.text[s.lines[low]:]
+	text = s.text[s.lineStarts[low]:]
 	if end := strings.IndexByte(text, '\n'); end >= 0 {
 		text = text[:end]
 	}
 	text = strings.TrimSuffix(text, "\r")
-	col = utf8.RuneCountInString(text[:min(at-s.lines[low], len(text))]) + 1
-	return low + 1, col, text
+	column = utf8.RuneCountInString(text[:min(offset-s.lineStarts[low], len(text))]) + 1
+	return low + 1, column, text
 }
 
 // word is one argument: its value, and its place in the source.
 type word struct {
-	value    string
-	from, to int
+	value      string
+	start, end int
 }
 
 // Directive is one line: a keyword, its arguments and, where it opened one, the
 // lines of its block.
 type Directive struct {
-	src    *source
-	faults *Faults
-	key    string // of the blocks around it
-	words  []word // the keyword is the first
-	next   int    // argument to be read
-	block  []*Directive
-	opened bool
-	where  int // the end of the line, where a missing argument belongs
-	bad    bool
+	source         *sourceFile
+	faults         *Faults
+	path           string // of the blocks around it
+	words          []word // the keyword is the first
+	current        int    // argument to be read
+	block          []*Directive
+	hasUnreadBlock bool
+	endOffset      int // the end of the line, where a missing argument belongs
+	hasFault       bool
 }
 
-// Open returns the text of an included file.
-type Open func(path string) ([]byte, error)
+// ReadFileFunc returns the text of an included file.
+type ReadFileFunc func(path string) ([]byte, error)
 
 // Parse cuts a file into directives and takes in what it includes, by paths
 // that are relative to the including file.
-func Parse(name string, text []byte, open Open, faults *Faults) []*Directive {
-	p := &parser{open: open, faults: faults}
-	return p.file(name, text, nil, "")
+func Parse(name string, text []byte, readFile ReadFileFunc, faults *Faults) []*Directive {
+	p := &parser{readFile: readFile, faults: faults}
+	return p.parseFile(name, text, nil, "")
 }
 
 type parser struct {
-	open   Open
-	faults *Faults
-	bytes  int
-	files  int
-	seen   []string // the files that are being read
+	readFile     ReadFileFunc
+	faults       *Faults
+	totalBytes   int
+	fileCount    int
+	includeStack []string // the files that are being read
 }
 
-func (p *parser) file(name string, text []byte, from *Directive, key string) []*Directive {
+func (p *parser) parseFile(name string, text []byte, includedBy *Directive, parentPath string) []*Directive {
 	fail := func(format string, args ...any) []*Directive {
-		if from != nil {
-			from.Fault(0, format, args...)
+		if includedBy != nil {
+			includedBy.ReportFault(0, format, args...)
 		} else {
-			p.faults.add(&Fault{File: name, Line: 1, Col: 1, Msg: fmt.Sprintf(format, args...)})
+			p.faults.add(&Fault{File: name, Line: 1, Column: 1, Message: fmt.Sprintf(format, args...)})
 		}
 		return nil
 	}
-	p.files++
-	p.bytes += len(text)
+	p.fileCount++
+	p.totalBytes += len(text)
 	switch {
-	case p.files > maxFiles:
+	case p.fileCount > maxFiles:
 		return fail("more than %d files", maxFiles)
-	case p.bytes > MaxBytes:
+	case p.totalBytes > MaxBytes:
 		return fail("more than %d bytes in all", MaxBytes)
 	}
-	p.seen = append(p.seen, filepath.Clean(name))
-	defer func() { p.seen = p.seen[:len(p.seen)-1] }()
-	src := newSource(name, string(text))
-	s := scanner{parser: p, src: src}
-	return s.block(key, nil, 0)
+	p.includeStack = append(p.includeStack, filepath.Clean(name))
+	defer func() { p.includeStack = p.includeStack[:len(p.includeStack)-1] }()
+	source := newSourceFile(name, string(text))
+	s := scanner{parser: p, source: source}
+	return s.scanBlock(parentPath, nil, 0)
 }
 
-// include reads the file that a directive names.
-func (p *parser) include(d *Directive, key string) []*Directive {
+// parseInclude reads the file that a directive names.
+func (p *parser) parseInclude(d *Directive, parentPath string) []*Directive {
 	name := d.Word("a file")
-	d.end()
-	if d.bad {
+	d.expectEnd()
+	if d.hasFault {
 		return nil
 	}
 	path := name
 	if !filepath.IsAbs(path) {
-		path = filepath.Join(filepath.Dir(d.src.name), path)
+		path = filepath.Join(filepath.Dir(d.source.name), path)
 	}
-	for _, s := range p.seen {
-		if s == filepath.Clean(path) {
-			d.Fault(1, "%q includes itself: %s", name, strings.Join(append(p.seen, path), " > "))
+	for _, includer := range p.includeStack {
+		if includer == filepath.Clean(path) {
+			d.ReportFault(1, "%q includes itself: %s", name, strings.Join(append(p.includeStack, path), " > "))
 			return nil
 		}
 	}
-	if len(p.seen) > maxIncludes {
-		d.Fault(1, "files are included more than %d deep", maxIncludes)
+	if len(p.includeStack) > maxIncludeDepth {
+		d.ReportFault(1, "files are included more than %d deep", maxIncludeDepth)
 		return nil
 	}
-	if p.open == nil {
-		d.Fault(1, "no file can be included here")
+	if p.readFile == nil {
+		d.ReportFault(1, "no file can be included here")
 		return nil
 	}
-	text, err := p.open(path)
+	text, err := p.readFile(path)
 	if err != nil {
-		d.Fault(1, "%v", err)
+		d.ReportFault(1, "%v", err)
 		return nil
 	}
-	return p.file(path, text, d, key)
+	return p.parseFile(path, text, d, parentPath)
 }
 
 // scanner walks one file.
 type scanner struct {
 	*parser
-	src *source
-	at  int
+	source *sourceFile
+	offset int
 }
 
-func (s *scanner) fault(at int, key, format string, args ...any) {
-	line, col, text := s.src.place(at)
-	s.faults.add(&Fault{File: s.src.name, Line: line, Col: col, Key: key, Text: text, Msg: fmt.Sprintf(format, args...)})
+func (s *scanner) reportFault(offset int, path, format string, args ...any) {
+	line, column, text := s.source.position(offset)
+	s.faults.add(&Fault{File: s.source.name, Line: line, Column: column, KeywordPath: path, LineText: text, Message: fmt.Sprintf(format, args...)})
 }
 
-// block reads directives until the block that opener began ends, or the file.
-func (s *scanner) block(key string, opener *Directive, depth int) []*Directive {
-	var list []*Directive
+// scanBlock reads directives until the block that opener began ends, or the file.
+func (s *scanner) scanBlock(path string, opener *Directive, depth int) []*Directive {
+	var directives []*Directive
 	for {
-		d, closing, ok := s.line(key)
+		d, closeOffset, ok := s.scanLine(path)
 		switch {
 		case !ok && opener != nil:
-			opener.Fault(0, "the block that begins here has no end")
-			return list
+			opener.ReportFault(0, "the block that begins here has no end")
+			return directives
 		case !ok:
-			return list
-		case closing >= 0 && opener != nil:
-			return list
-		case closing >= 0:
-			s.fault(closing, key, "} ends no block")
+			return directives
+		case closeOffset >= 0 && opener != nil:
+			return directives
+		case closeOffset >= 0:
+			s.reportFault(closeOffset, path, "} ends no block")
 		case d == nil:
-		case s.bare(d.words[0], "include") && !d.opened:
-			list = append(list, s.include(d, key)...)
+		case s.isUnquoted(d.words[0], "include") && !d.hasUnreadBlock:
+			directives = append(directives, s.parseInclude(d, path)...)
 		default:
-			list = append(list, d)
+			directives = append(directives, d)
 		}
-		if d != nil && d.opened {
-			inner := d.path()
-			if depth >= maxDepth {
+		if d != nil && d.hasUnreadBlock {
+			innerPath := d.blockPath()
+			if depth >= maxBlockDepth {
 				// Guard: what is deeper is passed over by counting, not by recursion.
-				d.Fault(0, "blocks are nested more than %d deep", maxDepth)
-				s.pass()
+				d.ReportFault(0, "blocks are nested more than %d deep", maxBlockDepth)
+				s.skipBlock()
 				continue
 			}
-			d.block = s.block(inner, d, depth+1)
+			d.block = s.scanBlock(innerPath, d, depth+1)
 		}
 	}
 }
 
-// pass skips to the end of the block just opened.
-func (s *scanner) pass() {
-	for open := 1; open > 0; {
-		d, closing, ok := s.line("")
+// skipBlock skips to the end of the block just opened.
+func (s *scanner) skipBlock() {
+	for openBlocks := 1; openBlocks > 0; {
+		d, closeOffset, ok := s.scanLine("")
 		if !ok {
 			return
 		}
-		if closing >= 0 {
-			open--
+		if closeOffset >= 0 {
+			openBlocks--
 		}
-		if d != nil && d.opened {
-			open++
+		if d != nil && d.hasUnreadBlock {
+			openBlocks++
 		}
 	}
 }
 
-// line reads one directive. closing is where a } stood alone, or -1; ok is false
+// scanLine reads one directive. closing is where a } stood alone, or -1; ok is false
 // at the end of the file.
-func (s *scanner) line(key string) (d *Directive, closing int, ok bool) {
-	text := s.src.text
-	d = &Directive{src: s.src, faults: s.faults, key: key}
-	start := s.at
+func (s *scanner) scanLine(path string) (d *Directive, closeOffset int, ok bool) {
+	text := s.source.text
+	d = &Directive{source: s.source, faults: s.faults, path: path}
+	lineStart := s.offset
 	for {
-		s.space()
-		if s.at >= len(text) || text[s.at] == '\n' || text[s.at] == '#' {
+		s.skipBlanks()
+		if s.offset >= len(text) || text[s.offset] == '\n' || text[s.offset] == '#' {
 			break
 		}
-		if s.at-start > maxLine || len(d.words) > maxArguments {
-			s.fault(start, key, "a line of more than %d bytes or %d arguments", maxLine, maxArguments)
+		if s.offset-lineStart > maxLineBytes || len(d.words) > maxArguments {
+			s.reportFault(lineStart, path, "a line of more than %d bytes or %d arguments", maxLineBytes, maxArguments)
 			d.words = nil
 			break
 		}
-		if w, good := s.word(key); good {
+		if w, valid := s.scanWord(path); valid {
 			d.words = append(d.words, w)
 		} else {
 			d.words = nil
 			break
 		}
 	}
-	d.where = s.at
-	for s.at < len(text) && text[s.at] != '\n' { // the comment
-		s.at++
+	d.endOffset = s.offset
+	for s.offset < len(text) && text[s.offset] != '\n' { // the comment
+		s.offset++
 	}
-	ended := s.at >= len(text)
-	s.at++
-	if n := len(d.words); n > 0 && s.bare(d.words[n-1], "{") {
+	atEnd := s.offset >= len(text)
+	s.offset++
+	if n := len(d.words); n > 0 && s.isUnquoted(d.words[n-1], "{") {
 		if n == 1 {
-			s.fault(d.words[0].from, key, "{ has no keyword before it")
+			s.reportFault(d.words[0].start, path, "{ has no keyword before it")
 		}
-		d.opened, d.where = true, d.words[n-1].from
+		d.hasUnreadBlock, d.endOffset = true, d.words[n-1].start
 		d.words = d.words[:max(n-1, 1)]
-	} else if n == 1 && s.bare(d.words[0], "}") {
-		return nil, d.words[0].from, true
+	} else if n == 1 && s.isUnquoted(d.words[0], "}") {
+		return nil, d.words[0].start, true
 	}
 	if len(d.words) == 0 {
-		return nil, -1, !ended
+		return nil, -1, !atEnd
 	}
 	return d, -1, true
 }
 
-func (s *scanner) bare(w word, is string) bool { return s.src.text[w.from:w.to] == is }
+func (s *scanner) isUnquoted(w word, literal string) bool {
+	return s.source.text[w.start:w.end] == literal
+}
 
-// space passes over blanks and continued line ends.
-func (s *scanner) space() {
-	for text := s.src.text; s.at < len(text); s.at++ {
-		switch text[s.at] {
+// skipBlanks passes over blanks and continued line ends.
+func (s *scanner) skipBlanks() {
+	for text := s.source.text; s.offset < len(text); s.offset++ {
+		switch text[s.offset] {
 		case ' ', '\t', '\r':
 		case '\\':
-			if rest := strings.TrimPrefix(text[s.at+1:], "\r"); !strings.HasPrefix(rest, "\n") {
+			if rest := strings.TrimPrefix(text[s.offset+1:], "\r"); !strings.HasPrefix(rest, "\n") {
 				return
 			} else {
-				s.at = len(text) - len(rest)
+				s.offset = len(text) - len(rest)
 			}
 		default:
 			return
@@ -290,57 +292,57 @@
 	}
 }
 
-// word reads one argument. Quoted and plain parts that touch are one.
-func (s *scanner) word(key string) (word, bool) {
-	text, from := s.src.text, s.at
+// scanWord reads one argument. Quoted and plain parts that touch are one.
+func (s *scanner) scanWord(path string) (word, bool) {
+	text, start := s.source.text, s.offset
 	var value strings.Builder
-	for s.at < len(text) {
-		c := text[s.at]
+	for s.offset < len(text) {
+		c := text[s.offset]
 		switch {
 		case c == ' ' || c == '\t' || c == '\r' || c == '\n':
-			return word{value.String(), from, s.at}, true
-		case c == '\\' && (strings.HasPrefix(text[s.at+1:], "\n") || strings.HasPrefix(text[s.at+1:], "\r\n")):
-			return word{value.String(), from, s.at}, true
+			return word{value.String(), start, s.offset}, true
+		case c == '\\' && (strings.HasPrefix(text[s.offset+1:], "\n") || strings.HasPrefix(text[s.offset+1:], "\r\n")):
+			return word{value.String(), start, s.offset}, true
 		case c == '"' || c == '`':
-			if !s.quoted(&value, key) {
+			if !s.scanQuoted(&value, path) {
 				return word{}, false
 			}
 		case c < ' ' || c == 0x7f:
-			s.fault(s.at, key, "a control character (%#02x)", c)
-			s.at++
+			s.reportFault(s.offset, path, "a control character (%#02x)", c)
+			s.offset++
 			return word{}, false
 		default:
-			r, n := utf8.DecodeRuneInString(text[s.at:])
-			if r == utf8.RuneError && n == 1 {
-				s.fault(s.at, key, "not UTF-8")
-				s.at++
+			r, size := utf8.DecodeRuneInString(text[s.offset:])
+			if r == utf8.RuneError && size == 1 {
+				s.reportFault(s.offset, path, "not UTF-8")
+				s.offset++
 				return word{}, false
 			}
-			value.WriteString(text[s.at : s.at+n])
-			s.at += n
+			value.WriteString(text[s.offset : s.offset+size])
+			s.offset += size
 		}
 	}
-	return word{value.String(), from, s.at}, true
+	return word{value.String(), start, s.offset}, true
 }
 
-// quoted reads what is between two quotes.
-func (s *scanner) quoted(value *strings.Builder, key string) bool {
-	text, from := s.src.text, s.at
-	quote := text[from]
-	for s.at++; s.at < len(text) && text[s.at] != '\n'; s.at++ {
-		c := text[s.at]
+// scanQuoted reads what is between two quotes.
+func (s *scanner) scanQuoted(value *strings.Builder, path string) bool {
+	text, start := s.source.text, s.offset
+	quote := text[start]
+	for s.offset++; s.offset < len(text) && text[s.offset] != '\n'; s.offset++ {
+		c := text[s.offset]
 		switch {
 		case c == quote:
-			s.at++
+			s.offset++
 			return true
 		case c == '\\' && quote == '"':
-			s.at++
-			if s.at >= len(text) {
+			s.offset++
+			if s.offset >= len(text) {
 				break
 			}
-			switch e := text[s.at]; e {
+			switch escape := text[s.offset]; escape {
 			case '"', '\\':
-				value.WriteByte(e)
+				value.WriteByte(escape)
 			case 'n':
 				value.WriteByte('\n')
 			case 't':
@@ -349,26 +351,26 @@
 				value.WriteByte('\r')
 			case 'x':
 				var b byte
-				if _, err := fmt.Sscanf(text[s.at+1:min(s.at+3, len(text))], "%02x", &b); err != nil {
-					s.fault(s.at-1, key, `\x wants two hexadecimal digits`)
+				if _, err := fmt.Sscanf(text[s.offset+1:min(s.offset+3, len(text))], "%02x", &b); err != nil {
+					s.reportFault(s.offset-1, path, `\x wants two hexadecimal digits`)
 					return false
 				}
 				value.WriteByte(b)
-				s.at += 2
+				s.offset += 2
 			default:
-				s.fault(s.at-1, key, `\%c stands for nothing; write \\ for a backslash`, e)
+				s.reportFault(s.offset-1, path, `\%c stands for nothing; write \\ for a backslash`, escape)
 				return false
 			}
 		default:
-			r, n := utf8.DecodeRuneInString(text[s.at:])
-			if r == utf8.RuneError && n == 1 || c < ' ' && c != '\t' || c == 0x7f {
-				s.fault(s.at, key, "not UTF-8, or a control character (%#02x); write \\xHH", c)
+			r, size := utf8.DecodeRuneInString(text[s.offset:])
+			if r == utf8.RuneError && size == 1 || c < ' ' && c != '\t' || c == 0x7f {
+				s.reportFault(s.offset, path, "not UTF-8, or a control character (%#02x); write \\xHH", c)
 				return false
 			}
-			value.WriteString(text[s.at : s.at+n])
-			s.at += n - 1
+			value.WriteString(text[s.offset : s.offset+size])
+			s.offset += size - 1
 		}
 	}
-	s.fault(from, key, "the quote that begins here has no end on its line")
+	s.reportFault(start, path, "the quote that begins here has no end on its line")
 	return false
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,105 +24,107 @@
 
 // Environment variables.
 const (
-	EnvConfig   = "BALANCER_CONFIG"      // path of the platform's JSON
-	EnvOperator = "MILLETHINGE_OPERATOR" // the operator's file; absent: operatorFile
-	envName     = "BALANCER_NAME"
-	envListen   = "BALANCER_LISTEN"
-	envAdmin    = "BALANCER_ADMIN"
-	envTemp     = "TMPDIR"
+	EnvPlatformFile = "BALANCER_CONFIG"      // path of the platform's JSON
+	EnvOperatorFile = "MILLETHINGE_OPERATOR" // the operator's file; absent: operatorFile
+	envName         = "BALANCER_NAME"
+	envListen       = "BALANCER_LISTEN"
+	envAdmin        = "BALANCER_ADMIN"
+	envSharedDir    = "TMPDIR"
 )
 
 // Defaults of what the platform may leave out.
 const (
-	defaultMemoryMB   = 192
-	defaultSockets    = 1024
-	defaultDrainGrace = time.Second
-	defaultConnIdle   = 15 * time.Second
-	defaultConnect    = 250 * time.Millisecond
-	defaultPerConn    = 32
-	defaultGiveUp     = 10 * time.Second
-	leftTimes         = 4 // a viewer waits so many times its class's deadline at most
+	defaultMemoryMB        = 192
+	defaultSockets         = 1024
+	defaultDrainGrace      = time.Second
+	defaultIdleConnTimeout = 15 * time.Second
+	defaultConnectTimeout  = 250 * time.Millisecond
+	defaultStreamsPerConn  = 32
+	defaultDeadline        = 10 * time.Second
+	maxWaitInDeadlines     = 4 // a viewer waits so many times its class's deadline at most
 	// At a planned restart requests come for 0.6 s after SIGTERM. SIGKILL follows
 	// no sooner than the longest deadline, at most 3 s, and 0.7 s more.
-	drainTake          = 700 * time.Millisecond
-	drainStay          = 600 * time.Millisecond // beyond the longest deadline
-	drainMostGiveUp    = 3 * time.Second
-	leastSockets       = 64
-	operatorFile       = "deploy/operator.conf" // read if it is there
-	platformFile       = "the platform's configuration"
-	viewersPart        = 3 // viewers may hold one part in so many of the descriptors
-	descriptorsForSelf = 24
+	drainAcceptFor      = 700 * time.Millisecond
+	drainKeepMargin     = 600 * time.Millisecond // beyond the longest deadline
+	maxDrainDeadline    = 3 * time.Second
+	minSockets          = 64
+	defaultOperatorFile = "deploy/operator.conf" // read if it is there
+	platformFaultFile   = "the platform's configuration"
+	viewerConnsDivisor  = 3 // viewers may hold one part in so many of the descriptors
+	viewerConnsMargin   = 24
 	// ownDescriptors is what the program itself holds at most: standard input, output and
 	// error; the runtime's poller, 2, and its files of the control group, 2; three
 	// listeners; a viewer and a player accepted before there is a place; a connection to the
 	// coordinator and one to a DNS server; the mark of the process and a file of its folder;
 	// and a configuration that is read again.
 	ownDescriptors = 17
-	// mostMoments are for what libraries open for a moment, such as to find a host by its
+	// maxTransientDescriptors are for what libraries open for a moment, such as to find a host by its
 	// name: of those beyond the least, one in so many.
-	mostMoments      = 7
-	momentsPart      = 16
-	callersPart      = 8 // of the descriptors at most, where they are few
-	mostCallers      = 32
-	fleetDescriptors = 2 // sockets of the fleet's block
-	// mostTime is as long as any time is taken to be; a longer one could not be
+	maxTransientDescriptors     = 7
+	transientDescriptorsDivisor = 16
+	operatorConnsDivisor        = 8 // of the descriptors at most, where they are few
+	operatorConnsLimit          = 32
+	fleetDescriptors            = 2 // sockets of the fleet's block
+	// maxDuration is as long as any time is taken to be; a longer one could not be
 	// reckoned with.
-	mostTime = 30 * 24 * time.Hour
+	maxDuration = 30 * 24 * time.Hour
 )
 
 // Config is all that the program is told.
 type Config struct {
-	Name     string
-	Listen   string
-	Admin    string // where operators call; empty: nowhere
-	Temp     string // a folder for what processes of this manager share; empty: there is none
-	Seed     uint64
-	Cores    float64
-	MemoryMB int
-	Sockets  int
+	Name        string
+	Listen      string
+	AdminListen string // where operators call; empty: nowhere
+	SharedDir   string // a folder for what processes of this manager share; empty: there is none
+	Seed        uint64
+	Cores       float64
+	MemoryMB    int
+	Sockets     int
 
-	Coordinator string
-	Known       directory.Updates
-	Names       directory.Names
-	Settings    control.Settings
-	Classes     []string      // names by class
-	Tenants     []string      // of the platform, by number
-	MostLeft    time.Duration // the longest that a viewer may say it waits
-	Drain       broker.DrainTimes
+	Coordinator    string
+	KnownNodes     directory.Updates
+	DirectoryNames directory.Names
+	Settings       control.Settings
+	ClassNames     []string      // names by class
+	TenantNames    []string      // of the platform, by number
+	TimeLeftLimit  time.Duration // the longest that a viewer may say it waits
+	Drain          broker.DrainTimes
 
-	DrainGrace     time.Duration // after which nothing goes to a node that drains
-	ConnIdle       time.Duration
-	ConnectTimeout time.Duration
-	StreamsPerConn int
+	DrainGrace      time.Duration // after which nothing goes to a node that drains
+	IdleConnTimeout time.Duration
+	ConnectTimeout  time.Duration
+	StreamsPerConn  int
 
 	Operator Operator
 }
 
-// ViewerConns is how many viewers' connections are accepted at once.
+// MaxViewerConns is how many viewers' connections are accepted at once.
 // Guard: where descriptors are few, nodes have two fifths of what is left for both.
 // Without a connection to a node nothing is ever served.
-func (c *Config) ViewerConns() int {
-	return min(c.Sockets/viewersPart+descriptorsForSelf, (c.Sockets-c.rest())*3/5)
+func (c *Config) MaxViewerConns() int {
+	return min(c.Sockets/viewerConnsDivisor+viewerConnsMargin, (c.Sockets-c.reservedDescriptors())*3/5)
 }
 
-// NodeConns is how many connections to media nodes may be open at once.
-func (c *Config) NodeConns() int { return c.Sockets - c.rest() - c.ViewerConns() }
+// MaxNodeConns is how many connections to media nodes may be open at once.
+func (c *Config) MaxNodeConns() int { return c.Sockets - c.reservedDescriptors() - c.MaxViewerConns() }
 
-// CallerConns is how many operators' calls are accepted at once.
-func (c *Config) CallerConns() int { return min(mostCallers, c.Sockets/callersPart) }
+// MaxOperatorConns is how many operators' calls are accepted at once.
+func (c *Config) MaxOperatorConns() int {
+	return min(operatorConnsLimit, c.Sockets/operatorConnsDivisor)
+}
 
-// rest is what is kept beside viewers and nodes.
-func (c *Config) rest() int {
-	n := ownDescriptors + min(max(c.Sockets-leastSockets, 0)/momentsPart, mostMoments) + c.CallerConns()
+// reservedDescriptors is what is kept beside viewers and nodes.
+func (c *Config) reservedDescriptors() int {
+	n := ownDescriptors + min(max(c.Sockets-minSockets, 0)/transientDescriptorsDivisor, maxTransientDescriptors) + c.MaxOperatorConns()
 	if c.Operator.Fleet != nil {
 		n += fleetDescriptors
 	}
 	return n
 }
 
-// Half is the configuration of each of two processes that share the descriptors. Guard:
+// WithHalfSockets is the configuration of each of two processes that share the descriptors. Guard:
 // half of the connections is too much, since each holds all that the program itself needs.
-func (c *Config) Half() *Config {
+func (c *Config) WithHalfSockets() *Config {
 	half := *c
 	half.Sockets /= 2
 	return &half
@@ -136,9 +138,9 @@
 // LoadTraced is Load, with rules that can be explained.
 func LoadTraced(getenv func(string) string) (Config, error) {
 	return load(getenv, func(c *Config) Deployment {
-		on := c.Deployment()
-		on.Trace = true
-		return on
+		deployment := c.Deployment()
+		deployment.Trace = true
+		return deployment
 	})
 }
 
@@ -146,27 +148,27 @@
 // team or a class that the files have got since waits for the next start, and a
 // rule that refers to it is a fault.
 func Reload(getenv func(string) string, running *Config) (Config, error) {
-	return load(getenv, func(*Config) Deployment { return running.InUse() })
+	return load(getenv, func(*Config) Deployment { return running.RunningDeployment() })
 }
 
-// InUse is what a file that is read while the program runs may refer to.
-func (c *Config) InUse() Deployment {
-	on := c.Deployment()
-	on.Teams, on.Running = c.Teams(), true
-	return on
+// RunningDeployment is what a file that is read while the program runs may refer to.
+func (c *Config) RunningDeployment() Deployment {
+	deployment := c.Deployment()
+	deployment.Teams, deployment.Running = c.TeamNames(), true
+	return deployment
 }
 
 func load(getenv func(string) string, deployment func(*Config) Deployment) (Config, error) {
 	var c Config
-	path := getenv(EnvConfig)
+	path := getenv(EnvPlatformFile)
 	if path == "" {
-		return c, &KeyFault{Key: EnvConfig, Err: errors.New("not set")}
+		return c, &KeyFault{Key: EnvPlatformFile, Err: errors.New("not set")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return c, &KeyFault{Key: EnvConfig, Err: err}
+		return c, &KeyFault{Key: EnvPlatformFile, Err: err}
 	}
-	if c, err = Parse(text); err != nil {
+	if c, err = ParsePlatform(text); err != nil {
 		return c, err
 	}
 	if name := getenv(envName); name != "" {
@@ -179,50 +181,50 @@
 		return c, &KeyFault{Key: "listen (or " + envListen + ")", Err: err}
 	}
 	if admin := getenv(envAdmin); admin != "" {
-		c.Admin = admin
+		c.AdminListen = admin
 	}
-	if c.Admin != "" {
-		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
+	if c.AdminListen != "" {
+		if _, _, err := net.SplitHostPort(c.AdminListen); err != nil {
 			return c, &KeyFault{Key: "admin (or " + envAdmin + ")", Err: err}
 		}
 	}
-	c.Temp = getenv(envTemp)
-	path, given := getenv(EnvOperator), true
+	c.SharedDir = getenv(envSharedDir)
+	path, explicit := getenv(EnvOperatorFile), true
 	if path == "" {
-		path, given = operatorFile, false
+		path, explicit = defaultOperatorFile, false
 	}
-	text, err = readBounded(path)
-	if os.IsNotExist(err) && !given {
+	text, err = readFileBounded(path)
+	if os.IsNotExist(err) && !explicit {
 		return c, nil
 	}
 	if err != nil {
-		return c, &KeyFault{Key: EnvOperator, Err: err}
+		return c, &KeyFault{Key: EnvOperatorFile, Err: err}
 	}
-	c.Operator, err = ParseOperator(path, text, readBounded, deployment(&c))
+	c.Operator, err = ParseOperator(path, text, readFileBounded, deployment(&c))
 	return c, err
 }
 
 // Deployment is what the operator's file may refer to.
 func (c *Config) Deployment() Deployment {
-	on := Deployment{Name: c.Name, Teams: c.Tenants, Zones: c.Names.Zones}
-	on.Room, on.Planned = planned(&c.Settings)
-	for i, k := range c.Settings.Classes {
-		on.Classes = append(on.Classes, route.Class{Name: c.Classes[i], BilledSetup: k.RepeatEffect != control.Idempotent, FloorRung: k.FloorRung})
+	deployment := Deployment{Name: c.Name, Teams: c.TenantNames, Zones: c.DirectoryNames.Zones}
+	deployment.FleetSlots, deployment.PeakClasses = peakClassesWithoutLoad(&c.Settings)
+	for i, class := range c.Settings.Classes {
+		deployment.Classes = append(deployment.Classes, route.Class{Name: c.ClassNames[i], BilledSetup: class.RepeatEffect != control.Idempotent, FloorRung: class.FloorRung})
 	}
-	return on
+	return deployment
 }
 
-// Teams are the names of all teams, by number: the platform's and the operator's.
-func (c *Config) Teams() []string {
-	names := slices.Clone(c.Tenants)
+// TeamNames are the names of all teams, by number: the platform's and the operator's.
+func (c *Config) TeamNames() []string {
+	names := slices.Clone(c.TenantNames)
 	for i := range c.Operator.Teams {
 		names = append(names, c.Operator.Teams[i].Name)
 	}
 	return names
 }
 
-// Parse reads the platform's JSON.
-func Parse(text []byte) (Config, error) {
+// ParsePlatform reads the platform's JSON.
+func ParsePlatform(text []byte) (Config, error) {
 	var raw struct {
 		Name   string `json:"name"`
 		Listen string `json:"listen"`
@@ -238,14 +240,14 @@
 		Settings    json.RawMessage `json:"settings"`
 	}
 	var faults []error
-	fault := func(key string, err error) {
-		faults = append(faults, &KeyFault{platformFile, key, err})
+	reportFault := func(key string, err error) {
+		faults = append(faults, &KeyFault{platformFaultFile, key, err})
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		return Config{}, fmt.Errorf("%s: %w", platformFile, err)
+		return Config{}, fmt.Errorf("%s: %w", platformFaultFile, err)
 	}
 	c := Config{
-		Name: raw.Name, Listen: raw.Listen, Admin: raw.Admin, Coordinator: raw.Coordinator,
+		Name: raw.Name, Listen: raw.Listen, AdminListen: raw.Admin, Coordinator: raw.Coordinator,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
 	}
 	if c.Cores <= 0 {
@@ -257,60 +259,60 @@
 	if c.Sockets == 0 {
 		c.Sockets = defaultSockets
 	}
-	if c.Sockets < leastSockets {
-		fault("limits.sockets", fmt.Errorf("%d is too few; %d are needed at least", c.Sockets, leastSockets))
+	if c.Sockets < minSockets {
+		reportFault("limits.sockets", fmt.Errorf("%d is too few; %d are needed at least", c.Sockets, minSockets))
 	}
 	var err error
 	if raw.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-			fault("seed", err)
+			reportFault("seed", err)
 		}
 	}
 	if len(raw.Known) > 0 {
-		if c.Known, err = directory.ParseUpdates(raw.Known); err != nil {
-			fault("known", err)
+		if c.KnownNodes, err = directory.ParseUpdates(raw.Known); err != nil {
+			reportFault("known", err)
 		}
 	}
 	if c.Coordinator != "" {
 		if _, _, err := net.SplitHostPort(c.Coordinator); err != nil {
-			fault("coordinator", err)
+			reportFault("coordinator", err)
 		}
 	}
 	if len(raw.Settings) == 0 {
-		fault("settings", fmt.Errorf("missing"))
+		reportFault("settings", fmt.Errorf("missing"))
 		return Config{}, errors.Join(faults...)
 	}
-	p, err := parseParams(raw.Settings)
+	platform, err := parseParams(raw.Settings)
 	if err != nil {
-		fault("settings", err)
+		reportFault("settings", err)
 		return Config{}, errors.Join(faults...)
 	}
-	if c.Settings, err = p.settings(); err != nil {
-		fault("settings", err)
+	if c.Settings, err = platform.settings(); err != nil {
+		reportFault("settings", err)
 	}
-	if err := p.check(); err != nil {
-		fault("settings", err)
+	if err := platform.check(); err != nil {
+		reportFault("settings", err)
 	}
-	c.Names = directory.Names{Zones: p.Zones, Kinds: p.Kinds}
-	for i, l := range p.Lanes {
-		if err := className(l.Name, c.Classes); err != nil {
-			fault(fmt.Sprintf("settings.lanes[%d].name", i), err)
+	c.DirectoryNames = directory.Names{Zones: platform.Zones, MachineKinds: platform.MachineKinds}
+	for i, class := range platform.Classes {
+		if err := checkClassName(class.Name, c.ClassNames); err != nil {
+			reportFault(fmt.Sprintf("settings.lanes[%d].name", i), err)
 		}
-		c.Classes = append(c.Classes, l.Name)
-		giveUp := orDefault(l.GiveUp, defaultGiveUp)
-		c.MostLeft = max(c.MostLeft, leftTimes*giveUp)
-		c.Drain.KeepFor = max(c.Drain.KeepFor, min(giveUp, drainMostGiveUp)+drainStay)
-	}
-	c.Drain.AcceptFor = min(drainTake, c.Drain.KeepFor)
-	for _, t := range p.Projects {
-		c.Tenants = append(c.Tenants, t.Name)
-	}
-	c.DrainGrace = orDefault(p.Rules.DrainGraceS, defaultDrainGrace)
-	c.ConnIdle = orDefault(p.Limits.ConnIdleS, defaultConnIdle)
-	c.ConnectTimeout = orDefault(p.Limits.ConnectS, defaultConnect)
-	c.StreamsPerConn = p.Limits.PerConn
+		c.ClassNames = append(c.ClassNames, class.Name)
+		deadline := secondsOrDefault(class.DeadlineS, defaultDeadline)
+		c.TimeLeftLimit = max(c.TimeLeftLimit, maxWaitInDeadlines*deadline)
+		c.Drain.KeepFor = max(c.Drain.KeepFor, min(deadline, maxDrainDeadline)+drainKeepMargin)
+	}
+	c.Drain.AcceptFor = min(drainAcceptFor, c.Drain.KeepFor)
+	for _, tenant := range platform.Tenants {
+		c.TenantNames = append(c.TenantNames, tenant.Name)
+	}
+	c.DrainGrace = secondsOrDefault(platform.Obligations.DrainGraceS, defaultDrainGrace)
+	c.IdleConnTimeout = secondsOrDefault(platform.Limits.IdleConnTimeoutS, defaultIdleConnTimeout)
+	c.ConnectTimeout = secondsOrDefault(platform.Limits.ConnectTimeoutS, defaultConnectTimeout)
+	c.StreamsPerConn = platform.Limits.StreamsPerConn
 	if c.StreamsPerConn <= 0 {
-		c.StreamsPerConn = defaultPerConn
+		c.StreamsPerConn = defaultStreamsPerConn
 	}
 	if len(faults) > 0 {
 		return Config{}, errors.Join(faults...)
@@ -322,39 +324,39 @@
 func (c *Config) Summary() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s on %s: classes %s; %d viewers' and %d nodes' connections; %d MB",
-		c.Name, c.Listen, strings.Join(c.Classes, ", "), c.ViewerConns(), c.NodeConns(), c.MemoryMB)
-	o := &c.Operator
-	if !o.Set {
+		c.Name, c.Listen, strings.Join(c.ClassNames, ", "), c.MaxViewerConns(), c.MaxNodeConns(), c.MemoryMB)
+	operator := &c.Operator
+	if !operator.Present {
 		b.WriteString("\nno operator's file")
 		return b.String()
 	}
-	if w := o.WebSocket; w != nil {
+	if w := operator.WebSocket; w != nil {
 		fmt.Fprintf(&b, "\nwebsocket on %s%s, grace %v", w.Listen, w.Path, w.Grace)
 	}
-	if len(o.Teams) > 0 {
-		fmt.Fprintf(&b, "\n%d teams", len(o.Teams))
+	if len(operator.Teams) > 0 {
+		fmt.Fprintf(&b, "\n%d teams", len(operator.Teams))
 	}
-	if r := o.Routes; r != nil {
+	if r := operator.Routes; r != nil {
 		fmt.Fprintf(&b, "\n%d rules, at most %d steps a request", len(r.RuleNames()), r.MaxCost())
 	}
-	if len(o.Peaks) > 0 {
-		fmt.Fprintf(&b, "\n%d announced peaks", len(o.Peaks))
+	if len(operator.Peaks) > 0 {
+		fmt.Fprintf(&b, "\n%d announced peaks", len(operator.Peaks))
 	}
-	if len(o.Sites) > 0 {
-		fmt.Fprintf(&b, "\n%d sites", len(o.Sites))
+	if len(operator.Sites) > 0 {
+		fmt.Fprintf(&b, "\n%d sites", len(operator.Sites))
 	}
-	if f := o.Fleet; f != nil {
+	if f := operator.Fleet; f != nil {
 		b.WriteString("\n" + f.summary())
 	}
-	if d := o.DNSSD; d != nil {
+	if d := operator.DNSSD; d != nil {
 		fmt.Fprintf(&b, "\ndns-sd %s at %s", d.Service, d.Server)
 	}
 	return b.String()
 }
 
-// className tells why a class can't have a name, beside those before it. Viewers name
+// checkClassName tells why a class can't have a name, beside those before it. Viewers name
 // classes by it, and media nodes are told it in a header's line.
-func className(name string, used []string) error {
+func checkClassName(name string, used []string) error {
 	switch {
 	case name == "":
 		return errors.New("missing")
@@ -368,12 +370,12 @@
 
 // Seconds is a number of seconds as a duration.
 func Seconds(s float64) time.Duration {
-	return time.Duration(min(s, mostTime.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxDuration.Seconds()) * float64(time.Second))
 }
 
-func orDefault(s float64, d time.Duration) time.Duration {
-	if s <= 0 {
-		return d
+func secondsOrDefault(seconds float64, fallback time.Duration) time.Duration {
+	if seconds <= 0 {
+		return fallback
 	}
-	return Seconds(s)
+	return Seconds(seconds)
 }
--- a/internal/config/convert.go
+++ b/internal/config/convert.go
@@ -35,52 +35,52 @@
 			Service string `json:"service"`
 		} `json:"dns_sd"`
 	}
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(&raw); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&raw); err != nil {
 		return nil, err
 	}
-	if dec.More() {
+	if decoder.More() {
 		return nil, fmt.Errorf("something follows the object")
 	}
 	var b bytes.Buffer
-	line := func(set bool, name string, args ...string) {
+	writeLine := func(set bool, name string, args ...string) {
 		if set {
 			fmt.Fprintf(&b, "    %s %s\n", name, strings.Join(args, " "))
 		}
 	}
-	if w := raw.WebSocket; w != nil {
+	if webSocket := raw.WebSocket; webSocket != nil {
 		b.WriteString("websocket {\n")
-		line(true, "listen", quote(w.Listen))
-		line(w.Path != "", "path", quote(w.Path))
-		line(w.GraceMS != 0, "grace", strconv.Itoa(w.GraceMS)+"ms")
+		writeLine(true, "listen", quoteArgument(webSocket.Listen))
+		writeLine(webSocket.Path != "", "path", quoteArgument(webSocket.Path))
+		writeLine(webSocket.GraceMS != 0, "grace", strconv.Itoa(webSocket.GraceMS)+"ms")
 		b.WriteString("}\n")
 	}
-	for _, t := range raw.Teams {
-		fmt.Fprintf(&b, "team %s {\n", quote(t.Name))
+	for _, team := range raw.Teams {
+		fmt.Fprintf(&b, "team %s {\n", quoteArgument(team.Name))
 		var classes []string
-		for _, c := range t.Contract.Classes {
-			classes = append(classes, quote(c))
+		for _, c := range team.Contract.Classes {
+			classes = append(classes, quoteArgument(c))
 		}
-		line(len(classes) > 0, "classes", classes...)
-		line(t.Contract.Rate != 0, "rate", strconv.FormatFloat(t.Contract.Rate, 'f', -1, 64))
-		line(t.Contract.Standing != 0, "standing", strconv.Itoa(t.Contract.Standing))
-		line(t.Budget.PeriodS != 0, "period", strconv.FormatFloat(t.Budget.PeriodS, 'f', -1, 64)+"s")
-		line(t.Budget.SetUps != 0, "billed-setups", strconv.Itoa(t.Budget.SetUps))
-		line(t.Budget.Extra != 0, "further-attempts", strconv.Itoa(t.Budget.Extra))
+		writeLine(len(classes) > 0, "classes", classes...)
+		writeLine(team.Contract.Rate != 0, "rate", strconv.FormatFloat(team.Contract.Rate, 'f', -1, 64))
+		writeLine(team.Contract.Standing != 0, "standing", strconv.Itoa(team.Contract.Standing))
+		writeLine(team.Budget.PeriodS != 0, "period", strconv.FormatFloat(team.Budget.PeriodS, 'f', -1, 64)+"s")
+		writeLine(team.Budget.SetUps != 0, "billed-setups", strconv.Itoa(team.Budget.SetUps))
+		writeLine(team.Budget.Extra != 0, "further-attempts", strconv.Itoa(team.Budget.Extra))
 		b.WriteString("}\n")
 	}
-	if d := raw.DNSSD; d != nil {
+	if dnssd := raw.DNSSD; dnssd != nil {
 		b.WriteString("dns-sd {\n")
-		line(true, "server", quote(d.Server))
-		line(true, "service", quote(d.Service))
+		writeLine(true, "server", quoteArgument(dnssd.Server))
+		writeLine(true, "service", quoteArgument(dnssd.Service))
 		b.WriteString("}\n")
 	}
 	return b.Bytes(), nil
 }
 
-// quote writes an argument so that it is read as it is.
-func quote(s string) string {
+// quoteArgument writes an argument so that it is read as it is.
+func quoteArgument(s string) string {
 	plain := s != "" && s != "{" && s != "}"
 	for _, r := range s {
 		plain = plain && r > ' ' && r < 0x7f && !strings.ContainsRune("\"`#\\", r)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,64 +11,64 @@
 // params mirrors the keys of the settings that the module uses; the decoder
 // ignores all others.
 type params struct {
-	Balancers int      `json:"balancers"`
-	Zone      int      `json:"zone"`
-	Discovery string   `json:"discovery"`
-	Weights   string   `json:"weights"`
-	Zones     []string `json:"localities"`
-	Kinds     []string `json:"flavors"`
-	Lanes     []struct {
-		Name     string  `json:"name"`
-		Effect   string  `json:"effect"`
-		GoalTime float64 `json:"goalTimeS"`
-		GiveUp   float64 `json:"giveUpS"`
-		Worth    float64 `json:"worth"`
+	Managers     int      `json:"balancers"`
+	Zone         int      `json:"zone"`
+	Discovery    string   `json:"discovery"`
+	Weights      string   `json:"weights"`
+	Zones        []string `json:"localities"`
+	MachineKinds []string `json:"flavors"`
+	Classes      []struct {
+		Name         string  `json:"name"`
+		RepeatEffect string  `json:"effect"`
+		StartGoalS   float64 `json:"goalTimeS"`
+		DeadlineS    float64 `json:"giveUpS"`
+		Worth        float64 `json:"worth"`
 	} `json:"lanes"`
-	Projects []struct {
-		Name  string  `json:"name"`
-		Quota float64 `json:"quotaPerS"`
+	Tenants []struct {
+		Name      string  `json:"name"`
+		QuotaPerS float64 `json:"quotaPerS"`
 	} `json:"projects"`
-	Family struct {
-		ClassFloor  []int     `json:"classFloor"`
-		TopByClass  []int     `json:"topByClass"`
-		Scale       []float64 `json:"scaleByClass"`
-		LicenceCap  []int     `json:"licenceCap"`
-		FleetKB     float64   `json:"fleetKb"`
-		Groups      int       `json:"groups"`
-		Guard       float64   `json:"guard"`
-		KBPerWeight float64   `json:"kbPerWeight"`
-		KindStreams []int     `json:"kindStreams"`
-		LadderWorth []float64 `json:"ladderWorth"`
-		Places      int       `json:"places"`
-		RackLinkKB  float64   `json:"rackLinkKb"`
-		RatesKB     []float64 `json:"ratesKb"`
-		SeeS        float64   `json:"seeS"`
-		SwitchS     float64   `json:"switchS"`
+	Media struct {
+		FloorRungs        []int     `json:"classFloor"`
+		TopRungs          []int     `json:"topByClass"`
+		RateScales        []float64 `json:"scaleByClass"`
+		MaxPerTitle       []int     `json:"licenceCap"`
+		FleetLinkKB       float64   `json:"fleetKb"`
+		Racks             int       `json:"groups"`
+		FullAtUtilization float64   `json:"guard"`
+		LinkKBPerWeight   float64   `json:"kbPerWeight"`
+		MaxStreamsByKind  []int     `json:"kindStreams"`
+		LadderWorth       []float64 `json:"ladderWorth"`
+		Cells             int       `json:"places"`
+		RackUplinkKB      float64   `json:"rackLinkKb"`
+		RatesKB           []float64 `json:"ratesKb"`
+		NoteDelayS        float64   `json:"seeS"`
+		RungChangeCostS   float64   `json:"switchS"`
 	} `json:"familyInfo"`
-	Feedback struct {
+	LoadReports struct {
 		Fields []string `json:"fields"`
 		Via    string   `json:"via"`
 	} `json:"feedback"`
 	Limits struct {
-		AttemptsCap int     `json:"attemptsCap"`
-		Probes      bool    `json:"probes"`
-		ConnIdleS   float64 `json:"connIdleS"`
-		ConnectS    float64 `json:"connectTimeoutS"`
-		PerConn     int     `json:"streamsPerConn"`
+		AttemptsCap      int     `json:"attemptsCap"`
+		ProbesAllowed    bool    `json:"probes"`
+		IdleConnTimeoutS float64 `json:"connIdleS"`
+		ConnectTimeoutS  float64 `json:"connectTimeoutS"`
+		StreamsPerConn   int     `json:"streamsPerConn"`
 	} `json:"policyLimits"`
-	Charges struct {
-		CrossZone float64 `json:"crossZone"`
-		Probe     float64 `json:"probe"`
-		Handshake float64 `json:"handshake"`
+	Costs struct {
+		CrossZoneCost float64 `json:"crossZone"`
+		ProbeCost     float64 `json:"probe"`
+		HandshakeCost float64 `json:"handshake"`
 	} `json:"charges"`
-	Rules struct {
-		FallMultiple float64 `json:"fallMultiple"`
-		StartCap     float64 `json:"startCapacity"`
-		WarmAfterS   float64 `json:"warmAfterS"`
-		DrainGraceS  float64 `json:"drainGraceS"`
-		ExtraFloor   float64 `json:"extraFloor"`
-		RepeatRatio  float64 `json:"repeatRatio"`
-		RatioSpanS   float64 `json:"ratioSpanS"`
+	Obligations struct {
+		ColdSetupMultiple  float64 `json:"fallMultiple"`
+		StartCapacityShare float64 `json:"startCapacity"`
+		WarmAfterS         float64 `json:"warmAfterS"`
+		DrainGraceS        float64 `json:"drainGraceS"`
+		BudgetFree         float64 `json:"extraFloor"`
+		BudgetShare        float64 `json:"repeatRatio"`
+		BudgetWindowS      float64 `json:"ratioSpanS"`
 	} `json:"obligations"`
 }
 
@@ -93,78 +93,80 @@
 // the module's own errors come only when the program starts, after `millethinge check` has
 // found no fault, and name its fields.
 func (p *params) check() error {
-	f, r, c := &p.Family, &p.Rules, &p.Charges
+	media, obligations, costs := &p.Media, &p.Obligations, &p.Costs
 	var faults []error
-	wrong := func(bad bool, key, format string, args ...any) {
+	reportIf := func(bad bool, key, format string, args ...any) {
 		if bad {
 			faults = append(faults, fmt.Errorf("%s %s", key, fmt.Sprintf(format, args...)))
 		}
 	}
-	n := len(p.Lanes)
-	wrong(n == 0, "lanes", "names no class")
-	wrong(len(f.RatesKB) == 0, "ratesKb", "has no rung")
-	wrong(len(f.LadderWorth) < len(f.RatesKB), "ladderWorth", "has %d entries for %d rungs", len(f.LadderWorth), len(f.RatesKB))
-	for i, rate := range f.RatesKB {
-		wrong(rate <= 0 || i > 0 && rate <= f.RatesKB[i-1], fmt.Sprintf("ratesKb[%d]", i), "= %v does not rise", rate)
+	classCount := len(p.Classes)
+	reportIf(classCount == 0, "lanes", "names no class")
+	reportIf(len(media.RatesKB) == 0, "ratesKb", "has no rung")
+	reportIf(len(media.LadderWorth) < len(media.RatesKB), "ladderWorth", "has %d entries for %d rungs", len(media.LadderWorth), len(media.RatesKB))
+	for i, rate := range media.RatesKB {
+		reportIf(rate <= 0 || i > 0 && rate <= media.RatesKB[i-1], fmt.Sprintf("ratesKb[%d]", i), "= %v does not rise", rate)
 	}
-	least := func(key string, v, least float64) { wrong(v < least, key, "= %v; the least is %v", v, least) }
-	for i, v := range f.LadderWorth {
-		least(fmt.Sprintf("ladderWorth[%d]", i), v, 0)
+	least := func(key string, value, least float64) {
+		reportIf(value < least, key, "= %v; the least is %v", value, least)
 	}
-	for i, l := range p.Lanes {
+	for i, value := range media.LadderWorth {
+		least(fmt.Sprintf("ladderWorth[%d]", i), value, 0)
+	}
+	for i, class := range p.Classes {
 		key := func(name string) string { return fmt.Sprintf("lanes[%d].%s", i, name) }
-		wrong(l.GoalTime <= 0, key("goalTimeS"), "= %v", l.GoalTime)
-		least(key("worth"), l.Worth, 0)
+		reportIf(class.StartGoalS <= 0, key("goalTimeS"), "= %v", class.StartGoalS)
+		least(key("worth"), class.Worth, 0)
 	}
-	for i, v := range f.ClassFloor[:min(n, len(f.ClassFloor))] {
-		wrong(v < 0 || v >= max(len(f.RatesKB), 1), fmt.Sprintf("classFloor[%d]", i), "= %d is none of %d rungs", v, len(f.RatesKB))
+	for i, value := range media.FloorRungs[:min(classCount, len(media.FloorRungs))] {
+		reportIf(value < 0 || value >= max(len(media.RatesKB), 1), fmt.Sprintf("classFloor[%d]", i), "= %d is none of %d rungs", value, len(media.RatesKB))
 	}
-	for i, v := range f.Scale[:min(n, len(f.Scale))] {
-		wrong(v <= 0, fmt.Sprintf("scaleByClass[%d]", i), "= %v", v)
+	for i, value := range media.RateScales[:min(classCount, len(media.RateScales))] {
+		reportIf(value <= 0, fmt.Sprintf("scaleByClass[%d]", i), "= %v", value)
 	}
-	for i, v := range f.LicenceCap[:min(n, len(f.LicenceCap))] {
-		least(fmt.Sprintf("licenceCap[%d]", i), float64(v), 0)
+	for i, value := range media.MaxPerTitle[:min(classCount, len(media.MaxPerTitle))] {
+		least(fmt.Sprintf("licenceCap[%d]", i), float64(value), 0)
 	}
-	for _, k := range []struct {
-		key      string
-		v, least float64
+	for _, figure := range []struct {
+		key          string
+		value, least float64
 	}{
-		{"balancers", float64(p.Balancers), 1}, {"places", float64(f.Places), 1}, {"attemptsCap", float64(p.Limits.AttemptsCap), 1},
-		{"groups", float64(f.Groups), 0}, {"kbPerWeight", f.KBPerWeight, 0}, {"fleetKb", f.FleetKB, 0}, {"rackLinkKb", f.RackLinkKB, 0},
-		{"guard", f.Guard, 0}, {"seeS", f.SeeS, 0}, {"switchS", f.SwitchS, 0},
-		{"crossZone", c.CrossZone, 0}, {"probe", c.Probe, 0}, {"handshake", c.Handshake, 0},
-		{"fallMultiple", r.FallMultiple, 0}, {"startCapacity", r.StartCap, 0}, {"warmAfterS", r.WarmAfterS, 0}, {"drainGraceS", r.DrainGraceS, 0},
-		{"ratioSpanS", r.RatioSpanS, 0}, {"extraFloor", r.ExtraFloor, 0}, {"repeatRatio", r.RepeatRatio, 0},
+		{"balancers", float64(p.Managers), 1}, {"places", float64(media.Cells), 1}, {"attemptsCap", float64(p.Limits.AttemptsCap), 1},
+		{"groups", float64(media.Racks), 0}, {"kbPerWeight", media.LinkKBPerWeight, 0}, {"fleetKb", media.FleetLinkKB, 0}, {"rackLinkKb", media.RackUplinkKB, 0},
+		{"guard", media.FullAtUtilization, 0}, {"seeS", media.NoteDelayS, 0}, {"switchS", media.RungChangeCostS, 0},
+		{"crossZone", costs.CrossZoneCost, 0}, {"probe", costs.ProbeCost, 0}, {"handshake", costs.HandshakeCost, 0},
+		{"fallMultiple", obligations.ColdSetupMultiple, 0}, {"startCapacity", obligations.StartCapacityShare, 0}, {"warmAfterS", obligations.WarmAfterS, 0}, {"drainGraceS", obligations.DrainGraceS, 0},
+		{"ratioSpanS", obligations.BudgetWindowS, 0}, {"extraFloor", obligations.BudgetFree, 0}, {"repeatRatio", obligations.BudgetShare, 0},
 	} {
-		least(k.key, k.v, k.least)
+		least(figure.key, figure.value, figure.least)
 	}
 	return errors.Join(faults...)
 }
 
 func (p *params) settings() (control.Settings, error) {
-	f, r := &p.Family, &p.Rules
-	for _, table := range []struct {
-		name string
-		n    int
+	media, obligations := &p.Media, &p.Obligations
+	for _, list := range []struct {
+		name    string
+		entries int
 	}{
-		{"classFloor", len(f.ClassFloor)}, {"topByClass", len(f.TopByClass)},
-		{"scaleByClass", len(f.Scale)}, {"licenceCap", len(f.LicenceCap)},
+		{"classFloor", len(media.FloorRungs)}, {"topByClass", len(media.TopRungs)},
+		{"scaleByClass", len(media.RateScales)}, {"licenceCap", len(media.MaxPerTitle)},
 	} {
-		if table.n < len(p.Lanes) {
+		if list.entries < len(p.Classes) {
 			return control.Settings{}, fmt.Errorf("settings: %s has %d entries for %d classes",
-				table.name, table.n, len(p.Lanes))
+				list.name, list.entries, len(p.Classes))
 		}
 	}
 	s := control.Settings{
-		Managers: p.Balancers, Zone: p.Zone,
-		RatesKB: f.RatesKB, LadderWorth: f.LadderWorth, MaxStreamsByKind: f.KindStreams,
-		Cells: f.Places, Racks: f.Groups, FleetLinkKB: f.FleetKB, LinkKBPerWeight: f.KBPerWeight,
-		RackUplinkKB: f.RackLinkKB, FullAtUtilization: f.Guard, NoteDelayS: f.SeeS, RungChangeCostS: f.SwitchS,
-		LoadFields: p.Feedback.Fields, SubscribeToList: p.Discovery == "subscribe", ProbesAllowed: p.Limits.Probes,
-		AttemptsCap: p.Limits.AttemptsCap, CrossZoneCost: p.Charges.CrossZone,
-		ProbeCost: p.Charges.Probe, HandshakeCost: p.Charges.Handshake,
-		ColdSetupMultiple: r.FallMultiple, StartCapacityShare: r.StartCap, WarmAfterS: r.WarmAfterS,
-		BudgetWindowS: r.RatioSpanS, BudgetFree: r.ExtraFloor, BudgetShare: r.RepeatRatio,
+		Managers: p.Managers, Zone: p.Zone,
+		RatesKB: media.RatesKB, LadderWorth: media.LadderWorth, MaxStreamsByKind: media.MaxStreamsByKind,
+		Cells: media.Cells, Racks: media.Racks, FleetLinkKB: media.FleetLinkKB, LinkKBPerWeight: media.LinkKBPerWeight,
+		RackUplinkKB: media.RackUplinkKB, FullAtUtilization: media.FullAtUtilization, NoteDelayS: media.NoteDelayS, RungChangeCostS: media.RungChangeCostS,
+		LoadFields: p.LoadReports.Fields, SubscribeToList: p.Discovery == "subscribe", ProbesAllowed: p.Limits.ProbesAllowed,
+		AttemptsCap: p.Limits.AttemptsCap, CrossZoneCost: p.Costs.CrossZoneCost,
+		ProbeCost: p.Costs.ProbeCost, HandshakeCost: p.Costs.HandshakeCost,
+		ColdSetupMultiple: obligations.ColdSetupMultiple, StartCapacityShare: obligations.StartCapacityShare, WarmAfterS: obligations.WarmAfterS,
+		BudgetWindowS: obligations.BudgetWindowS, BudgetFree: obligations.BudgetFree, BudgetShare: obligations.BudgetShare,
 	}
 	switch p.Weights {
 	case "nominal", "rough":
@@ -172,31 +174,31 @@
 	case "live":
 		s.Weights = control.WeightSizePerLoad
 	}
-	switch p.Feedback.Via {
+	switch p.LoadReports.Via {
 	case "answers":
 		s.LoadReporting = control.LoadReportsInAnswers
 	case "probe":
 		s.LoadReporting = control.LoadReportsInProbes
 	}
-	for i, l := range p.Lanes {
-		c := control.Class{
-			StartGoalS: l.GoalTime, Worth: l.Worth,
-			FloorRung: f.ClassFloor[i], TopRung: f.TopByClass[i], RateScale: f.Scale[i], MaxPerTitle: f.LicenceCap[i],
+	for i, raw := range p.Classes {
+		class := control.Class{
+			StartGoalS: raw.StartGoalS, Worth: raw.Worth,
+			FloorRung: media.FloorRungs[i], TopRung: media.TopRungs[i], RateScale: media.RateScales[i], MaxPerTitle: media.MaxPerTitle[i],
 		}
-		switch l.Effect {
+		switch raw.RepeatEffect {
 		case "idempotent":
-			c.RepeatEffect = control.Idempotent
+			class.RepeatEffect = control.Idempotent
 		case "deduplicated":
-			c.RepeatEffect = control.Deduplicated
+			class.RepeatEffect = control.Deduplicated
 		case "at_most_once":
-			c.RepeatEffect = control.AtMostOnce
+			class.RepeatEffect = control.AtMostOnce
 		default:
-			return control.Settings{}, fmt.Errorf("settings: lanes[%d].effect %q", i, l.Effect)
+			return control.Settings{}, fmt.Errorf("settings: lanes[%d].effect %q", i, raw.RepeatEffect)
 		}
-		s.Classes = append(s.Classes, c)
+		s.Classes = append(s.Classes, class)
 	}
-	for _, t := range p.Projects {
-		s.TenantQuotas = append(s.TenantQuotas, t.Quota)
+	for _, tenant := range p.Tenants {
+		s.TenantQuotas = append(s.TenantQuotas, tenant.QuotaPerS)
 	}
 	return s, nil
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -21,16 +21,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := s.Classes[0]
-	if k.RepeatEffect != control.Deduplicated || k.FloorRung != 1 || k.MaxPerTitle != 3 ||
+	class := s.Classes[0]
+	if class.RepeatEffect != control.Deduplicated || class.FloorRung != 1 || class.MaxPerTitle != 3 ||
 		s.Managers != 2 || !s.SubscribeToList || s.Weights != control.WeightSizePerLoad || s.LoadReporting != control.LoadReportsInProbes ||
 		s.ProbeCost != 0.08 || s.HandshakeCost != 0.07 || s.BudgetFree != 4 || s.BudgetWindowS != 10 {
 		t.Errorf("settings %+v", s)
 	}
-	for _, bad := range []string{"", "{", `{"balancers": "x"}`, strings.Replace(sampleSettings, "deduplicated", "odd", 1),
+	for _, invalid := range []string{"", "{", `{"balancers": "x"}`, strings.Replace(sampleSettings, "deduplicated", "odd", 1),
 		strings.Replace(sampleSettings, `"classFloor": [1]`, `"classFloor": []`, 1)} {
-		if _, err := ParseSettings([]byte(bad)); err == nil {
-			t.Errorf("no error for %.30q", bad)
+		if _, err := ParseSettings([]byte(invalid)); err == nil {
+			t.Errorf("no error for %.30q", invalid)
 		}
 	}
 }
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -14,59 +14,59 @@
 )
 
 const (
-	mostPace    = time.Hour
-	defaultLast = 35 * time.Second // a session's mean length, where none is told
+	maxWarmUp         = time.Hour
+	defaultMeanLength = 35 * time.Second // a session's mean length, where none is told
 )
 
 // Site is what an operator says of zones that are lost together.
 type Site struct {
-	Name   string
-	Zones  []string
-	Keep   []bool        // by class: taken before all others while the site is lost
-	Refuse []int         // classes in the order in which they are refused; nil: by worth
-	Pace   time.Duration // until its nodes bear their full load again; 0: the settings' warm-up
+	Name         string
+	Zones        []string
+	KeepClasses  []bool        // by class: taken before all others while the site is lost
+	RefusalOrder []int         // classes in the order in which they are refused; nil: by worth
+	WarmUp       time.Duration // until its nodes bear their full load again; 0: the settings' warm-up
 }
 
-func siteBlock(l *loader) conf.Key {
-	return conf.Key{Name: "site", Usage: "NAME { … }", Doc: "zones that are lost together, and what gives way then", Many: true, Read: func(d *conf.Directive) {
+func siteBlock(l *loader) conf.Keyword {
+	return conf.Keyword{Name: "site", Usage: "NAME { … }", Doc: "zones that are lost together, and what gives way then", Repeatable: true, Apply: func(d *conf.Directive) {
 		s := Site{Name: d.Word("a name")}
 		var names []string
-		for _, o := range l.Sites {
-			names = append(names, o.Name)
+		for _, other := range l.Sites {
+			names = append(names, other.Name)
 		}
-		unique(d, s.Name, names)
+		checkUnique(d, s.Name, names)
 		d.Block(
-			conf.Key{Name: "zones", Usage: "ZONE…", Doc: "of the platform's list", Must: true, Read: func(d *conf.Directive) {
+			conf.Keyword{Name: "zones", Usage: "ZONE…", Doc: "of the platform's list", Required: true, Apply: func(d *conf.Directive) {
 				for first := true; first || d.More(); first = false {
 					zone := d.Word("a zone")
-					switch used := func(o Site) bool { return slices.Contains(o.Zones, zone) }; {
-					case d.Bad():
-					case len(l.on.Zones) > 0 && !slices.Contains(l.on.Zones, zone):
-						d.Fault(d.At(), "%q is no zone of this deployment; there are: %v", zone, l.on.Zones)
-					case slices.Contains(s.Zones, zone) || slices.ContainsFunc(l.Sites, used):
-						d.Fault(d.At(), "%q is in a site already", zone)
+					switch inSite := func(other Site) bool { return slices.Contains(other.Zones, zone) }; {
+					case d.HasFault():
+					case len(l.deployment.Zones) > 0 && !slices.Contains(l.deployment.Zones, zone):
+						d.ReportFault(d.ArgumentIndex(), "%q is no zone of this deployment; there are: %v", zone, l.deployment.Zones)
+					case slices.Contains(s.Zones, zone) || slices.ContainsFunc(l.Sites, inSite):
+						d.ReportFault(d.ArgumentIndex(), "%q is in a site already", zone)
 					}
 					s.Zones = append(s.Zones, zone)
 				}
 			}},
-			conf.Key{Name: "keep", Usage: "CLASS…", Doc: "whose sessions are taken before all others while it is lost; none if absent", Read: func(d *conf.Directive) {
-				s.Keep = l.classes(d)
+			conf.Keyword{Name: "keep", Usage: "CLASS…", Doc: "whose sessions are taken before all others while it is lost; none if absent", Apply: func(d *conf.Directive) {
+				s.KeepClasses = l.readClasses(d)
 			}},
-			conf.Key{Name: "refuse", Usage: "CLASS…", Doc: "in this order, the first first; by worth for each kB if absent", Read: func(d *conf.Directive) {
+			conf.Keyword{Name: "refuse", Usage: "CLASS…", Doc: "in this order, the first first; by worth for each kB if absent", Apply: func(d *conf.Directive) {
 				var names []string
-				for _, c := range l.on.Classes {
+				for _, c := range l.deployment.Classes {
 					names = append(names, c.Name)
 				}
 				for first := true; first || d.More(); first = false {
-					if i := d.OneOf("a class of this deployment", names...); slices.Contains(s.Refuse, i) && i >= 0 {
-						d.Fault(d.At(), "%q stands twice", names[i])
+					if i := d.OneOf("a class of this deployment", names...); slices.Contains(s.RefusalOrder, i) && i >= 0 {
+						d.ReportFault(d.ArgumentIndex(), "%q stands twice", names[i])
 					} else if i >= 0 {
-						s.Refuse = append(s.Refuse, i)
+						s.RefusalOrder = append(s.RefusalOrder, i)
 					}
 				}
 			}},
-			conf.Key{Name: "pace", Usage: "DURATION", Doc: "until its nodes bear their full load again; the settings' warm-up if absent", Read: func(d *conf.Directive) {
-				s.Pace = d.Duration("how long they take", time.Millisecond, mostPace)
+			conf.Keyword{Name: "pace", Usage: "DURATION", Doc: "until its nodes bear their full load again; the settings' warm-up if absent", Apply: func(d *conf.Directive) {
+				s.WarmUp = d.Duration("how long they take", time.Millisecond, maxWarmUp)
 			}},
 		)
 		l.Sites = append(l.Sites, s)
@@ -75,152 +75,152 @@
 
 // tier ranks a class's sessions: kept ones highest, then by the order of refusal.
 func (s *Site) tier(class int) int {
-	if class < len(s.Keep) && s.Keep[class] {
-		return 1 + len(s.Refuse)
+	if class < len(s.KeepClasses) && s.KeepClasses[class] {
+		return 1 + len(s.RefusalOrder)
 	}
-	return max(slices.Index(s.Refuse, class), 0) // the first refused compete by worth
+	return max(slices.Index(s.RefusalOrder, class), 0) // the first refused compete by worth
 }
 
-// SitePlan is what the loss of sites is planned for, from a configuration alone: the
+// SiteModel is what the loss of sites is planned for, from a configuration alone: the
 // list that it holds, and what comes ordinarily by the operator's file, spread over the
 // sites as their links are.
-type SitePlan struct {
-	Fleet   site.Fleet
-	Names   []string // of the sites
-	Lasts   []time.Duration
-	Rates   []float64 // by class, sessions a second over all managers
-	Returns []site.Return
-	Nodes   []int
+type SiteModel struct {
+	Fleet      site.Fleet
+	SiteNames  []string // of the sites
+	MeanLength []time.Duration
+	Rates      []float64 // by class, sessions a second over all managers
+	Returns    []site.Recovery
+	NodeCounts []int
 }
 
-// Sites makes a SitePlan. It fails where the list or the file does not tell enough.
-func (c *Config) Sites() (*SitePlan, error) {
-	set := &c.Settings
-	if c.Operator.Ordinary == nil {
+// BuildSiteModel makes a SitePlan. It fails where the list or the file does not tell enough.
+func (c *Config) BuildSiteModel() (*SiteModel, error) {
+	settings := &c.Settings
+	if c.Operator.OrdinaryLoad == nil {
 		return nil, fmt.Errorf("an ordinary block is wanted: it says how many sessions of each class come, and how long they last")
 	}
-	p := &SitePlan{Fleet: site.Fleet{Cross: set.CrossZoneCost}}
-	rules, of := c.sites()
-	p.Nodes = make([]int, len(rules))
-	for _, r := range rules {
-		p.Names = append(p.Names, r.Name)
-		warm := r.warm(set)
-		p.Returns = append(p.Returns, site.Return{Warm: warm, Share: set.StartCapacityShare, Returns: 1})
+	model := &SiteModel{Fleet: site.Fleet{CrossSiteCost: settings.CrossZoneCost}}
+	sites, siteByZone := c.allSites()
+	model.NodeCounts = make([]int, len(sites))
+	for _, operatorSite := range sites {
+		model.SiteNames = append(model.SiteNames, operatorSite.Name)
+		warmUp := operatorSite.effectiveWarmUp(settings)
+		model.Returns = append(model.Returns, site.Recovery{WarmUp: warmUp, InitialShare: settings.StartCapacityShare, ReturnCount: 1})
 	}
-	var listed []control.Entry
-	c.eachNode(func(e control.Entry) { listed = append(listed, e) })
+	var entries []control.Entry
+	c.forEachReadyNode(func(entry control.Entry) { entries = append(entries, entry) })
 	var nodes []site.Node
-	for _, e := range listed {
-		if e.Zone < 0 || e.Zone >= len(of) || of[e.Zone] < 0 {
+	for _, entry := range entries {
+		if entry.Zone < 0 || entry.Zone >= len(siteByZone) || siteByZone[entry.Zone] < 0 {
 			continue
 		}
-		n := broker.SiteNode(set, e, of[e.Zone], len(listed))
-		nodes = append(nodes, n)
-		p.Nodes[n.Site]++
-		p.Returns[n.Site].Places += n.Places
+		node := broker.SiteNode(settings, entry, siteByZone[entry.Zone], len(entries))
+		nodes = append(nodes, node)
+		model.NodeCounts[node.Site]++
+		model.Returns[node.Site].MaxStreams += node.MaxStreams
 	}
 	if len(nodes) == 0 {
 		return nil, fmt.Errorf("known: the list names no media node")
 	}
-	p.Fleet.Sites = site.Build(p.Names, nodes, set.RackUplinkKB*control.TargetUtilization)
-	p.Fleet.Classes = c.siteClasses()
-	sessions := make([]float64, len(set.Classes))
-	for k := range set.Classes {
-		o := c.Operator.Ordinary[k]
-		if o.Lasts <= 0 {
-			o.Lasts = defaultLast
+	model.Fleet.Sites = site.BuildSites(model.SiteNames, nodes, settings.RackUplinkKB*control.TargetUtilization)
+	model.Fleet.Classes = c.siteClasses()
+	sessions := make([]float64, len(settings.Classes))
+	for index := range settings.Classes {
+		load := c.Operator.OrdinaryLoad[index]
+		if load.MeanLength <= 0 {
+			load.MeanLength = defaultMeanLength
 		}
-		p.Lasts, p.Rates = append(p.Lasts, o.Lasts), append(p.Rates, o.Rate)
-		sessions[k] = o.Rate * o.Lasts.Seconds()
+		model.MeanLength, model.Rates = append(model.MeanLength, load.MeanLength), append(model.Rates, load.Rate)
+		sessions[index] = load.Rate * load.MeanLength.Seconds()
 	}
-	p.Fleet.Demands = p.Fleet.Spread(sessions, func(i, class int) int { return rules[i].tier(class) })
-	return p, p.Fleet.Check()
+	model.Fleet.Demands = model.Fleet.SpreadDemand(sessions, func(i, class int) int { return sites[i].tier(class) })
+	return model, model.Fleet.Validate()
 }
 
 // siteClasses are the classes as plans for sites know them.
-func (c *Config) siteClasses() (all []site.Class) {
-	set := &c.Settings
-	for k, class := range set.Classes {
-		v := site.Class{Name: c.Classes[k], Floor: class.FloorRung, Top: min(class.TopRung, len(set.RatesKB)-1)}
-		for r, kb := range set.RatesKB {
-			v.RatesKB = append(v.RatesKB, kb*class.RateScale)
-			v.Worth = append(v.Worth, class.Worth*set.LadderWorth[r])
+func (c *Config) siteClasses() (classes []site.Class) {
+	settings := &c.Settings
+	for index, class := range settings.Classes {
+		siteClass := site.Class{Name: c.ClassNames[index], Floor: class.FloorRung, Top: min(class.TopRung, len(settings.RatesKB)-1)}
+		for rung, kb := range settings.RatesKB {
+			siteClass.RatesKB = append(siteClass.RatesKB, kb*class.RateScale)
+			siteClass.Worth = append(siteClass.Worth, class.Worth*settings.LadderWorth[rung])
 		}
-		all = append(all, v)
+		classes = append(classes, siteClass)
 	}
-	return all
+	return classes
 }
 
-// sites are the sites of the operator's file, and each zone that none of them names as
+// allSites are the sites of the operator's file, and each zone that none of them names as
 // one of its own; of is the site by zone.
-func (c *Config) sites() (rules []Site, of []int) {
-	rules = slices.Clone(c.Operator.Sites)
-	for _, z := range c.Names.Zones {
-		i := slices.IndexFunc(rules, func(s Site) bool { return slices.Contains(s.Zones, z) })
+func (c *Config) allSites() (sites []Site, siteByZone []int) {
+	sites = slices.Clone(c.Operator.Sites)
+	for _, zone := range c.DirectoryNames.Zones {
+		i := slices.IndexFunc(sites, func(s Site) bool { return slices.Contains(s.Zones, zone) })
 		if i < 0 {
-			i, rules = len(rules), append(rules, Site{Name: z, Zones: []string{z}})
+			i, sites = len(sites), append(sites, Site{Name: zone, Zones: []string{zone}})
 		}
-		of = append(of, i)
+		siteByZone = append(siteByZone, i)
 	}
-	return rules, of
+	return sites, siteByZone
 }
 
-// Watched is which sites a running manager looks after: none where the operator's file
+// BrokerSites is which sites a running manager looks after: none where the operator's file
 // names none.
-func (c *Config) Watched() (s broker.SiteConfig) {
+func (c *Config) BrokerSites() (siteConfig broker.SiteConfig) {
 	if len(c.Operator.Sites) == 0 {
-		return s
+		return siteConfig
 	}
-	rules, of := c.sites()
-	set := &c.Settings
-	for _, r := range rules {
-		s.Names = append(s.Names, r.Name)
-		rule := site.Rule{Warm: r.warm(set), Share: set.StartCapacityShare}
-		for k := range set.Classes {
-			rule.Tier = append(rule.Tier, r.tier(k))
+	sites, siteByZone := c.allSites()
+	settings := &c.Settings
+	for _, operatorSite := range sites {
+		siteConfig.Names = append(siteConfig.Names, operatorSite.Name)
+		rule := site.Rule{WarmUp: operatorSite.effectiveWarmUp(settings), InitialShare: settings.StartCapacityShare}
+		for class := range settings.Classes {
+			rule.Tiers = append(rule.Tiers, operatorSite.tier(class))
 		}
-		s.Rules = append(s.Rules, rule)
+		siteConfig.Rules = append(siteConfig.Rules, rule)
 	}
-	for k := range set.Classes {
-		e := site.Expect{Lasts: defaultLast}
-		if k < len(c.Operator.Ordinary) {
-			e.Rate = c.Operator.Ordinary[k].Rate
-			e.Lasts = cmp.Or(c.Operator.Ordinary[k].Lasts, defaultLast)
+	for class := range settings.Classes {
+		expected := site.ExpectedLoad{MeanLength: defaultMeanLength}
+		if class < len(c.Operator.OrdinaryLoad) {
+			expected.Rate = c.Operator.OrdinaryLoad[class].Rate
+			expected.MeanLength = cmp.Or(c.Operator.OrdinaryLoad[class].MeanLength, defaultMeanLength)
 		}
-		s.Expected = append(s.Expected, e)
+		siteConfig.Expected = append(siteConfig.Expected, expected)
 	}
-	s.SiteByZone, s.Classes = of, c.siteClasses()
-	return s
+	siteConfig.SiteByZone, siteConfig.Classes = siteByZone, c.siteClasses()
+	return siteConfig
 }
 
-// warm is how long the nodes of a site take to bear their full load.
-func (s *Site) warm(set *control.Settings) time.Duration {
-	if s.Pace > 0 {
-		return s.Pace
+// effectiveWarmUp is how long the nodes of a site take to bear their full load.
+func (s *Site) effectiveWarmUp(settings *control.Settings) time.Duration {
+	if s.WarmUp > 0 {
+		return s.WarmUp
 	}
-	return Seconds(set.WarmAfterS)
+	return Seconds(settings.WarmAfterS)
 }
 
-// eachNode calls do for each media node of the list that the configuration holds and
+// forEachReadyNode calls do for each media node of the list that the configuration holds and
 // that neither drains nor is gone.
-func (c *Config) eachNode(do func(control.Entry)) {
+func (c *Config) forEachReadyNode(visit func(control.Entry)) {
 	var order []control.ServerID
 	nodes := map[control.ServerID]control.Entry{}
-	directory.Apply(c.Known, c.Names, func(ch directory.Change) {
-		if ch.Full {
+	directory.Replay(c.KnownNodes, c.DirectoryNames, func(change directory.Change) {
+		if change.Full {
 			clear(nodes)
 		}
-		for _, m := range ch.Members {
-			if _, ok := nodes[m.Server]; !ok {
-				order = append(order, m.Server)
+		for _, listed := range change.Members {
+			if _, ok := nodes[listed.Server]; !ok {
+				order = append(order, listed.Server)
 			}
-			nodes[m.Server] = m.Entry
+			nodes[listed.Server] = listed.Entry
 		}
 	})
-	for _, s := range order {
-		if e, ok := nodes[s]; ok && e.State == control.Ready {
-			delete(nodes, s) // a node that came back stands in order twice
-			do(e)
+	for _, id := range order {
+		if entry, ok := nodes[id]; ok && entry.State == control.Ready {
+			delete(nodes, id) // a node that came back stands in order twice
+			visit(entry)
 		}
 	}
 }
@@ -231,25 +231,25 @@
 	if len(c.Operator.Sites) == 0 {
 		return nil
 	}
-	p, err := c.Sites()
+	model, err := c.BuildSiteModel()
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
-	plans, err := site.Losses(&p.Fleet)
+	plans, err := site.PlanLosses(&model.Fleet)
 	if err != nil {
 		return []string{"site: not checked: " + err.Error()}
 	}
-	for _, l := range plans {
+	for _, plan := range plans {
 		kept, refused := 0.0, 0.0
-		for i, d := range p.Fleet.Demands {
-			home := c.Operator.Sites
-			if d.Home < len(home) && d.Class < len(home[d.Home].Keep) && home[d.Home].Keep[d.Class] {
-				kept, refused = kept+d.Sessions, refused+l.Takes[i].Refused
+		for i, demand := range model.Fleet.Demands {
+			operatorSites := c.Operator.Sites
+			if demand.HomeSite < len(operatorSites) && demand.Class < len(operatorSites[demand.HomeSite].KeepClasses) && operatorSites[demand.HomeSite].KeepClasses[demand.Class] {
+				kept, refused = kept+demand.Sessions, refused+plan.Allocations[i].Refused
 			}
 		}
-		if len(l.Lost) == 1 && refused > 1e-6*kept {
+		if len(plan.LostSites) == 1 && refused > 1e-6*kept {
 			warnings = append(warnings, fmt.Sprintf("site %s: if it is lost, the rest can't carry %.1f of %.1f sessions that are to be kept (%.1f%%)",
-				p.Names[l.Lost[0]], refused, kept, 100*refused/kept))
+				model.SiteNames[plan.LostSites[0]], refused, kept, 100*refused/kept))
 		}
 	}
 	return warnings
--- a/internal/directory/answers.go
+++ b/internal/directory/answers.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	maxPoll     = 4 << 20  // bytes of an answer's text
-	maxPollHead = 16 << 10 // bytes of its head
+	maxBodyBytes   = 4 << 20  // bytes of an answer's text
+	maxHeaderBytes = 16 << 10 // bytes of its head
 )
 
-// answers reads HTTP answers off a connection.
-type answers struct {
-	conn  io.Reader
-	ended error            // of conn
-	limit io.LimitedReader // for an answer's head; it reads from answers
-	in    *bufio.Reader
-	text  bytes.Buffer
+// responseReader reads HTTP answers off a connection.
+type responseReader struct {
+	conn     io.Reader
+	connErr  error            // of conn
+	limited  io.LimitedReader // for an answer's head; it reads from answers
+	buffered *bufio.Reader
+	body     bytes.Buffer
 }
 
-func newAnswers(conn io.Reader) *answers {
-	a := &answers{conn: conn}
-	a.limit.R = a
-	a.in = bufio.NewReader(&a.limit)
-	return a
+func newResponseReader(conn io.Reader) *responseReader {
+	r := &responseReader{conn: conn}
+	r.limited.R = r
+	r.buffered = bufio.NewReader(&r.limited)
+	return r
 }
 
 // Read reads conn. It keeps its error, which net/http loses in a status line.
-func (a *answers) Read(b []byte) (n int, err error) {
-	n, a.ended = a.conn.Read(b)
-	return n, a.ended
+func (r *responseReader) Read(b []byte) (n int, err error) {
+	n, r.connErr = r.conn.Read(b)
+	return n, r.connErr
 }
 
-var errTooLong = errors.New("too long")
+var errTooLarge = errors.New("too long")
 
 // next returns an answer's status and its text, which is valid until the next call.
 // Last: nothing more comes on the connection.
-func (a *answers) next() (status int, text []byte, last bool, err error) {
-	a.limit.N = maxPollHead
-	res, err := http.ReadResponse(a.in, nil)
+func (r *responseReader) next() (status int, body []byte, connEnds bool, err error) {
+	r.limited.N = maxHeaderBytes
+	response, err := http.ReadResponse(r.buffered, nil)
 	switch {
-	case err != nil && a.limit.N <= 0:
-		return 0, nil, false, errTooLong
+	case err != nil && r.limited.N <= 0:
+		return 0, nil, false, errTooLarge
 	case err != nil:
-		return 0, nil, false, cmp.Or(a.ended, err)
-	case res.ContentLength > maxPoll:
-		return 0, nil, false, errTooLong
+		return 0, nil, false, cmp.Or(r.connErr, err)
+	case response.ContentLength > maxBodyBytes:
+		return 0, nil, false, errTooLarge
 	}
-	a.limit.N = math.MaxInt64
-	a.text.Reset()
+	r.limited.N = math.MaxInt64
+	r.body.Reset()
 	// Guard: the body is not closed, as that would read on. It holds nothing.
-	_, err = a.text.ReadFrom(io.LimitReader(res.Body, maxPoll+1))
+	_, err = r.body.ReadFrom(io.LimitReader(response.Body, maxBodyBytes+1))
 	switch {
-	case a.text.Len() > maxPoll:
-		return 0, nil, false, errTooLong
+	case r.body.Len() > maxBodyBytes:
+		return 0, nil, false, errTooLarge
 	case err != nil:
-		return 0, nil, false, cmp.Or(a.ended, err)
+		return 0, nil, false, cmp.Or(r.connErr, err)
 	}
-	return res.StatusCode, a.text.Bytes(), res.Close, nil
+	return response.StatusCode, r.body.Bytes(), response.Close, nil
 }
 
-// broken is what ended a poll that the coordinator was to hold for wait.
-func broken(addr string, wait time.Duration, err error) error {
-	var op *net.OpError
+// pollError is what ended a poll that the coordinator was to hold for wait.
+func pollError(addr string, maxWait time.Duration, err error) error {
+	var opErr *net.OpError
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Silent{addr, wait}
-	case errors.As(err, &op), err == io.EOF:
-		return &Closed{addr, err}
+		return &TimeoutError{addr, maxWait}
+	case errors.As(err, &opErr), err == io.EOF:
+		return &ConnClosedError{addr, err}
 	}
-	return &Spoilt{addr, maxPoll, err}
+	return &ResponseError{addr, maxBodyBytes, err}
 }
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -12,9 +12,9 @@
 // Member is a media node as a source of the list names it.
 type Member struct {
 	control.Entry
-	ID   string
-	Addr string
-	Up   time.Time // last start; zero: long ago
+	ID        string
+	Addr      string
+	StartedAt time.Time // last start; zero: long ago
 }
 
 // Change is a change to the list; Full: it is the whole list.
@@ -26,8 +26,8 @@
 // Sink takes changes in order. It must not wait.
 type Sink func(Change)
 
-// ServerOf numbers a node for the decision module: the same at every manager.
-func ServerOf(id string) control.ServerID {
+// ServerIDOf numbers a node for the decision module: the same at every manager.
+func ServerIDOf(id string) control.ServerID {
 	h := fnv.New64a()
 	h.Write([]byte(id))
 	return control.ServerID(max(h.Sum64(), 1)) // 0 stands for none
@@ -35,8 +35,8 @@
 
 // Names gives the settings' numbers for names that sources use.
 type Names struct {
-	Zones []string
-	Kinds []string
+	Zones        []string
+	MachineKinds []string
 }
 
 func index(names []string, name string) int {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -16,11 +16,11 @@
 	"millethinge/internal/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-var names = Names{Zones: []string{"east", "west"}, Kinds: []string{"std"}}
+var names = Names{Zones: []string{"east", "west"}, MachineKinds: []string{"std"}}
 
-func show(c Change) string {
+func describe(c Change) string {
 	var out []string
 	for _, m := range c.Members {
 		out = append(out, fmt.Sprint(m.ID, " ", m.Addr, " ", m.State, " ", m.Zone, " ", m.Cell, " ", m.Weight, " ", m.StartedAtS))
@@ -31,13 +31,13 @@
 
 const service = "_rtsp._tcp.media.example"
 
-// node is the records of one instance.
-func node(name, state string, port uint16) []dnsmessage.Resource {
+// instanceRecords is the records of one instance.
+func instanceRecords(name, state string, port uint16) []dnsmessage.Resource {
 	return standin.ServiceRecords(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
 }
 
-// sockets finds a port that is free for both transports.
-func sockets(t *testing.T) (net.PacketConn, net.Listener) {
+// listenUDPAndTCP finds a port that is free for both transports.
+func listenUDPAndTCP(t *testing.T) (net.PacketConn, net.Listener) {
 	for range 50 {
 		udp, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
@@ -53,7 +53,7 @@
 }
 
 func TestServiceDiscovery(t *testing.T) {
-	udp, tcp := sockets(t)
+	udp, tcp := listenUDPAndTCP(t)
 	defer udp.Close()
 	defer tcp.Close()
 	var server standin.DNSServer
@@ -61,28 +61,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	changes := make(chan Change, 10)
-	d := &DNSSD{Server: udp.LocalAddr().String(), Service: "_rtsp._tcp.Media.example.", Names: names,
+	d := &DNSSDClient{ServerAddr: udp.LocalAddr().String(), Service: "_rtsp._tcp.Media.example.", Names: names,
 		Sink: func(c Change) { changes <- c }, Log: zap.NewNop()}
 	expect := func(want string) {
 		t.Helper()
 		select {
 		case c := <-changes:
-			if got := show(c); got != want {
+			if got := describe(c); got != want {
 				t.Fatalf("got  %s\nwant %s", got, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no change; want %s", want)
 		}
 	}
 	a, b := "a._rtsp._tcp.media.example 127.0.0.1:1001 ", "b._rtsp._tcp.media.example 127.0.0.1:1002 "
-	server.SetRecords(false, node("a", "ready", 1001)...)
+	server.SetRecords(false, instanceRecords("a", "ready", 1001)...)
 	go d.Run(ctx)
 	expect(a + "1 1 3 1.5 2")
-	server.SetRecords(true, append(node("a", "ready", 1001), node("b", "ready", 1002)...)...) // by TCP
+	server.SetRecords(true, append(instanceRecords("a", "ready", 1001), instanceRecords("b", "ready", 1002)...)...) // by TCP
 	expect(b + "1 1 3 1.5 2")
-	server.SetRecords(false, append(node("a", "draining", 1001), node("b", "ready", 1002)...)...)
+	server.SetRecords(false, append(instanceRecords("a", "draining", 1001), instanceRecords("b", "ready", 1002)...)...)
 	expect(a + "0 1 3 1.5 2")
-	server.SetRecords(false, node("b", "ready", 1002)...)
+	server.SetRecords(false, instanceRecords("b", "ready", 1002)...)
 	expect(a + "2 1 3 1.5 2")
 	server.SetRecords(false)
 	expect(b + "2 1 3 1.5 2")
@@ -91,50 +91,50 @@
 // While the server says nothing, what it said stands until its TTL.
 func TestRecordsExpire(t *testing.T) {
 	var last Change
-	d := &DNSSD{known: map[string]instance{}, Sink: func(c Change) { last = c }}
+	d := &DNSSDClient{instances: map[string]instance{}, Sink: func(c Change) { last = c }}
 	now := time.Now()
 	m := Member{ID: "a", Entry: control.Entry{State: control.Ready}}
 	d.apply(now, map[string]instance{"a": {m, now.Add(time.Minute)}}, true)
 	last = Change{}
 	if d.apply(now.Add(59*time.Second), nil, false); len(last.Members) != 0 {
-		t.Errorf("changed early: %s", show(last))
+		t.Errorf("changed early: %s", describe(last))
 	}
 	if d.apply(now.Add(61*time.Second), nil, false); len(last.Members) != 1 || last.Members[0].State != control.Gone {
-		t.Errorf("not expired: %s", show(last))
+		t.Errorf("not expired: %s", describe(last))
 	}
 }
 
-func TestBadTextNamesTheKey(t *testing.T) {
-	if _, err := (&DNSSD{}).member("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
+func TestTXTErrorNamesKey(t *testing.T) {
+	if _, err := (&DNSSDClient{}).parseTXT("a", []string{"cell=x"}); err == nil || !strings.Contains(err.Error(), "cell") {
 		t.Error(err)
 	}
 }
 
 // An answer with a fault in any of its events is no answer.
-func TestFaultyEvents(t *testing.T) {
-	const good = `{"index":2,"updates":[{"index":1,"endpoints":{"members":[{"id":"a","host_port":"h:1","phase":"in_service"}]}},` +
+func TestParseUpdatesErrors(t *testing.T) {
+	const valid = `{"index":2,"updates":[{"index":1,"endpoints":{"members":[{"id":"a","host_port":"h:1","phase":"in_service"}]}},` +
 		`{"index":2,"endpoints":{"members":[{"id":"b","phase":"terminated"}]}}]}`
-	if _, err := ParseUpdates([]byte(good)); err != nil {
+	if _, err := ParseUpdates([]byte(valid)); err != nil {
 		t.Error(err)
 	}
-	for _, change := range [][2]string{{`"a"`, `""`}, {"h:1", "h"}, {"in_service", "in"}, {`"terminated"`, `""`}, {"]}}]}", ""}} {
-		if _, err := ParseUpdates([]byte(strings.Replace(good, change[0], change[1], 1))); err == nil {
-			t.Errorf("%s for %s: no error", change[1], change[0])
+	for _, replacement := range [][2]string{{`"a"`, `""`}, {"h:1", "h"}, {"in_service", "in"}, {`"terminated"`, `""`}, {"]}}]}", ""}} {
+		if _, err := ParseUpdates([]byte(strings.Replace(valid, replacement[0], replacement[1], 1))); err == nil {
+			t.Errorf("%s for %s: no error", replacement[1], replacement[0])
 		}
 	}
 }
 
 // A whole list of one source removes nothing that another named.
-func TestSourcesShareTheList(t *testing.T) {
+func TestFullChangeKeepsOtherSources(t *testing.T) {
 	var got []string
-	l := NewList(func(c Change) { got = append(got, show(c)) })
+	l := NewList(func(c Change) { got = append(got, describe(c)) })
 	member := func(id string) Member {
-		return Member{ID: id, Entry: control.Entry{Server: ServerOf(id), State: control.Ready}}
+		return Member{ID: id, Entry: control.Entry{Server: ServerIDOf(id), State: control.Ready}}
 	}
-	l.Source("one")(Change{Full: true, Members: []Member{member("a"), member("b")}})
-	l.Source("two")(Change{Full: true, Members: []Member{member("c")}})
-	l.Source("one")(Change{Full: true, Members: []Member{member("b")}})
-	l.Settle()
+	l.SinkFor("one")(Change{Full: true, Members: []Member{member("a"), member("b")}})
+	l.SinkFor("two")(Change{Full: true, Members: []Member{member("c")}})
+	l.SinkFor("one")(Change{Full: true, Members: []Member{member("b")}})
+	l.ProcessPending()
 	want := []string{"a  1 0 0 0 0; b  1 0 0 0 0", "c  1 0 0 0 0", "a  2 0 0 0 0; b  1 0 0 0 0"}
 	if !slices.Equal(got, want) {
 		t.Errorf("%q", got)
--- a/internal/directory/dns.go
+++ b/internal/directory/dns.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	queryTime  = time.Second // for an answer by one transport
-	udpMessage = 4096
+	queryTimeout = time.Second // for an answer by one transport
+	maxUDPBytes  = 4096
 )
 
 var (
-	errNoRecord = errors.New("there is no record")
-	errCut      = errors.New("cut short")
-	errStray    = errors.New("no answer to what was asked")
+	errNoRecord  = errors.New("there is no record")
+	errTruncated = errors.New("cut short")
+	errMismatch  = errors.New("no answer to what was asked")
 )
 
-// key is a name as it is compared: in lower case (ASCII only), without the last dot.
-func key(n dnsmessage.Name) string { return lower(strings.TrimSuffix(n.String(), ".")) }
+// canonicalName is a name as it is compared: in lower case (ASCII only), without the last dot.
+func canonicalName(n dnsmessage.Name) string { return lowerASCII(strings.TrimSuffix(n.String(), ".")) }
 
-func lower(s string) string {
+func lowerASCII(s string) string {
 	b := []byte(s)
 	for i, c := range b {
 		if c >= 'A' && c <= 'Z' {
@@ -39,77 +39,79 @@
 	return string(b)
 }
 
-func typeName(kind dnsmessage.Type) string { return strings.TrimPrefix(kind.String(), "Type") }
+func recordTypeName(recordType dnsmessage.Type) string {
+	return strings.TrimPrefix(recordType.String(), "Type")
+}
 
-// ask sends one question over UDP, and over TCP if the answer is cut. It returns the
+// query sends one question over UDP, and over TCP if the answer is cut. It returns the
 // records of the answer and the additional section.
-func (d *DNSSD) ask(ctx context.Context, name string, kind dnsmessage.Type) ([]dnsmessage.Resource, error) {
-	asked, err := dnsmessage.NewName(name + ".")
+func (d *DNSSDClient) query(ctx context.Context, name string, recordType dnsmessage.Type) ([]dnsmessage.Resource, error) {
+	questionName, err := dnsmessage.NewName(name + ".")
 	if err != nil {
-		return nil, &Instance{name, typeName(kind), err}
+		return nil, &InstanceError{name, recordTypeName(recordType), err}
 	}
-	q := dnsmessage.Message{
+	msg := dnsmessage.Message{
 		Header:    dnsmessage.Header{ID: uint16(rand.Uint32()), RecursionDesired: true},
-		Questions: []dnsmessage.Question{{Name: asked, Type: kind, Class: dnsmessage.ClassINET}},
+		Questions: []dnsmessage.Question{{Name: questionName, Type: recordType, Class: dnsmessage.ClassINET}},
 	}
-	b, err := q.AppendPack(make([]byte, 2, 512))
+	packed, err := msg.AppendPack(make([]byte, 2, 512))
 	if err != nil {
-		return nil, &Instance{name, typeName(kind), err}
+		return nil, &InstanceError{name, recordTypeName(recordType), err}
 	}
-	binary.BigEndian.PutUint16(b, uint16(len(b)-2))
+	binary.BigEndian.PutUint16(packed, uint16(len(packed)-2))
 	for _, network := range []string{"udp", "tcp"} {
-		m, err := d.exchange(ctx, network, b, &q)
+		resp, err := d.exchange(ctx, network, packed, &msg)
 		if err != nil {
-			return nil, &NoAnswer{d.Server, network, name, 0, err}
+			return nil, &DNSQueryError{d.ServerAddr, network, name, 0, err}
 		}
 		switch {
-		case m.Truncated:
+		case resp.Truncated:
 			continue
-		case m.RCode == dnsmessage.RCodeNameError: // there are no records
+		case resp.RCode == dnsmessage.RCodeNameError: // there are no records
 			return nil, nil
-		case m.RCode != dnsmessage.RCodeSuccess:
-			return nil, &NoAnswer{d.Server, network, name, int(m.RCode), nil}
+		case resp.RCode != dnsmessage.RCodeSuccess:
+			return nil, &DNSQueryError{d.ServerAddr, network, name, int(resp.RCode), nil}
 		}
-		for _, err := range m.left {
-			d.Log.Warn("dns-sd", remedy.Fields(&Unreadable{name, typeName(kind), err})...)
+		for _, err := range resp.skipped {
+			d.Log.Warn("dns-sd", remedy.Fields(&RecordError{name, recordTypeName(recordType), err})...)
 		}
-		return m.records, nil
+		return resp.records, nil
 	}
-	return nil, &NoAnswer{d.Server, "tcp", name, 0, errCut}
+	return nil, &DNSQueryError{d.ServerAddr, "tcp", name, 0, errTruncated}
 }
 
 // exchange sends a question, with its length before it, and waits for the answer.
-func (d *DNSSD) exchange(ctx context.Context, network string, b []byte, q *dnsmessage.Message) (reply, error) {
-	conn, err := (&net.Dialer{Timeout: queryTime}).DialContext(ctx, network, d.Server)
+func (d *DNSSDClient) exchange(ctx context.Context, network string, packed []byte, query *dnsmessage.Message) (dnsResponse, error) {
+	conn, err := (&net.Dialer{Timeout: queryTimeout}).DialContext(ctx, network, d.ServerAddr)
 	if err != nil {
-		return reply{}, err
+		return dnsResponse{}, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := conn.SetDeadline(time.Now().Add(queryTime)); err != nil {
-		return reply{}, err
+	if err := conn.SetDeadline(time.Now().Add(queryTimeout)); err != nil {
+		return dnsResponse{}, err
 	}
 	if network == "udp" {
-		b = b[2:] // only TCP has the length before a message
+		packed = packed[2:] // only TCP has the length before a message
 	}
-	if _, err := conn.Write(b); err != nil {
-		return reply{}, err
+	if _, err := conn.Write(packed); err != nil {
+		return dnsResponse{}, err
 	}
 	for {
-		in, err := receive(conn, network)
+		received, err := receive(conn, network)
 		if err != nil {
-			return reply{}, err
+			return dnsResponse{}, err
 		}
-		m, err := parseReply(in, q)
+		resp, err := parseDNSResponse(received, query)
 		if err == nil || network == "tcp" {
-			return m, err
+			return resp, err
 		} // a stray datagram is passed over
 	}
 }
 
 func receive(conn net.Conn, network string) ([]byte, error) {
 	if network == "udp" {
-		b := make([]byte, udpMessage)
+		b := make([]byte, maxUDPBytes)
 		n, err := conn.Read(b)
 		return b[:n], err
 	}
@@ -122,59 +124,59 @@
 	return b, err
 }
 
-// reply is an answer. A truncated one has no records.
-type reply struct {
+// dnsResponse is an answer. A truncated one has no records.
+type dnsResponse struct {
 	dnsmessage.Header
 	records []dnsmessage.Resource
-	left    []error // why records were left out
+	skipped []error // why records were left out
 }
 
-// parseReply reads the answer to q.
-func parseReply(b []byte, q *dnsmessage.Message) (m reply, err error) {
+// parseDNSResponse reads the answer to q.
+func parseDNSResponse(packed []byte, query *dnsmessage.Message) (resp dnsResponse, err error) {
 	var p dnsmessage.Parser
-	if m.Header, err = p.Start(b); err != nil {
-		return m, err
+	if resp.Header, err = p.Start(packed); err != nil {
+		return resp, err
 	}
-	asked, err := p.AllQuestions()
+	questions, err := p.AllQuestions()
 	if err != nil {
-		return m, err
+		return resp, err
 	}
-	if want := q.Questions[0]; !m.Response || m.ID != q.ID || len(asked) != 1 || asked[0].Type != want.Type ||
-		key(asked[0].Name) != key(want.Name) {
-		return m, errStray
+	if want := query.Questions[0]; !resp.Response || resp.ID != query.ID || len(questions) != 1 || questions[0].Type != want.Type ||
+		canonicalName(questions[0].Name) != canonicalName(want.Name) {
+		return resp, errMismatch
 	}
-	if m.Truncated {
-		return m, nil
+	if resp.Truncated {
+		return resp, nil
 	}
-	if err := m.take(&p, p.Answer, p.SkipAnswer); err != nil {
-		return m, err
+	if err := resp.readSection(&p, p.Answer, p.SkipAnswer); err != nil {
+		return resp, err
 	}
 	if err := p.SkipAllAuthorities(); err != nil {
-		return m, err
+		return resp, err
 	}
-	return m, m.take(&p, p.Additional, p.SkipAdditional)
+	return resp, resp.readSection(&p, p.Additional, p.SkipAdditional)
 }
 
-// take reads the records of a section of p. One that the library can't read, such as
+// readSection reads the records of a section of p. One that the library can't read, such as
 // a name with a dot within a label, is left out; it fails if it can't be skipped.
-func (m *reply) take(p *dnsmessage.Parser, next func() (dnsmessage.Resource, error), skip func() error) error {
+func (resp *dnsResponse) readSection(p *dnsmessage.Parser, next func() (dnsmessage.Resource, error), skip func() error) error {
 	for {
-		at := *p
+		start := *p
 		r, err := next()
 		switch {
 		case err == dnsmessage.ErrSectionDone:
 			return nil
 		case err != nil:
-			m.left = append(m.left, err)
-			*p = at
+			resp.skipped = append(resp.skipped, err)
+			*p = start
 			if err := skip(); err != nil {
 				return err
 			}
-		case r.Header.Class&^classFlush == dnsmessage.ClassINET:
-			m.records = append(m.records, r)
+		case r.Header.Class&^cacheFlushBit == dnsmessage.ClassINET:
+			resp.records = append(resp.records, r)
 		}
 	}
 }
 
-// classFlush is what multicast DNS marks a whole set with.
-const classFlush = 1 << 15
+// cacheFlushBit is what multicast DNS marks a whole set with.
+const cacheFlushBit = 1 << 15
--- a/internal/directory/dns_test.go
+++ b/internal/directory/dns_test.go
@@ -8,48 +8,48 @@
 	"golang.org/x/net/dns/dnsmessage"
 )
 
-// asked is the question that reply answers: PTR of a.ex.
-var asked = dnsmessage.Message{Header: dnsmessage.Header{ID: 1}, Questions: []dnsmessage.Question{
+// testQuery is the question that reply answers: PTR of a.ex.
+var testQuery = dnsmessage.Message{Header: dnsmessage.Header{ID: 1}, Questions: []dnsmessage.Question{
 	{Name: dnsmessage.MustNewName("a.ex."), Type: dnsmessage.TypePTR, Class: dnsmessage.ClassINET}}}
 
 // counts of a reply with one question, and the question.
-func head(flags, answers, others, more string) string {
-	return "\x00\x01" + flags + "\x00\x01\x00" + answers + "\x00" + others + "\x00" + more + "\x01A\x02ex\x00\x00\x0c\x00\x01"
+func responseHead(flags, answers, authorities, additionals string) string {
+	return "\x00\x01" + flags + "\x00\x01\x00" + answers + "\x00" + authorities + "\x00" + additionals + "\x01A\x02ex\x00\x00\x0c\x00\x01"
 }
 
 const (
-	in  = "\x00\x01\x00\x00\x00\x05" // class and TTL
-	ptr = "\xc0\x0c\x00\x0c" + in + "\x00\x04\x01b\xc0\x0e"
+	classAndTTL = "\x00\x01\x00\x00\x00\x05" // class and TTL
+	ptrRecord   = "\xc0\x0c\x00\x0c" + classAndTTL + "\x00\x04\x01b\xc0\x0e"
 )
 
 // What can be read of an answer is used: names that point back, in any case, without
 // the authorities. A name with a dot within a label is left out alone.
-func TestReply(t *testing.T) {
-	dotted := "\xc0\x0c\x00\x0c" + in + "\x00\x06\x03b.c\xc0\x0e"
-	owner := "\x03b.c\xc0\x0e\x00\x0c" + in + "\x00\x02\xc0\x0c"
-	text := head("\x80\x00", "\x02", "\x01", "\x02") + dotted + ptr + ptr + owner + ptr
-	m, err := parseReply([]byte(text), &asked)
-	if err != nil || len(m.records) != 2 || len(m.left) != 2 {
+func TestParseDNSResponse(t *testing.T) {
+	dottedTarget := "\xc0\x0c\x00\x0c" + classAndTTL + "\x00\x06\x03b.c\xc0\x0e"
+	dottedOwner := "\x03b.c\xc0\x0e\x00\x0c" + classAndTTL + "\x00\x02\xc0\x0c"
+	packed := responseHead("\x80\x00", "\x02", "\x01", "\x02") + dottedTarget + ptrRecord + ptrRecord + dottedOwner + ptrRecord
+	m, err := parseDNSResponse([]byte(packed), &testQuery)
+	if err != nil || len(m.records) != 2 || len(m.skipped) != 2 {
 		t.Fatalf("%+v, %v", m, err)
 	}
 	for _, r := range m.records {
-		if b, ok := r.Body.(*dnsmessage.PTRResource); !ok || key(r.Header.Name) != "a.ex" || key(b.PTR) != "b.ex" {
+		if b, ok := r.Body.(*dnsmessage.PTRResource); !ok || canonicalName(r.Header.Name) != "a.ex" || canonicalName(b.PTR) != "b.ex" {
 			t.Errorf("%+v", r)
 		}
 	}
-	if m, err := parseReply([]byte(head("\x82\x00", "\x01", "\x00", "\x00")), &asked); err != nil || !m.Truncated {
+	if m, err := parseDNSResponse([]byte(responseHead("\x82\x00", "\x01", "\x00", "\x00")), &testQuery); err != nil || !m.Truncated {
 		t.Errorf("%+v, %v", m, err)
 	}
 }
 
-func TestNoReply(t *testing.T) {
-	whole := head("\x80\x00", "\x01", "\x00", "\x00") + ptr
-	for cut := range len(whole) {
-		if m, err := parseReply([]byte(whole[:cut]), &asked); err == nil {
-			t.Errorf("%d bytes: %+v", cut, m)
+func TestParseDNSResponseErrors(t *testing.T) {
+	valid := responseHead("\x80\x00", "\x01", "\x00", "\x00") + ptrRecord
+	for length := range len(valid) {
+		if m, err := parseDNSResponse([]byte(valid[:length]), &testQuery); err == nil {
+			t.Errorf("%d bytes: %+v", length, m)
 		}
 	}
-	for what, change := range map[string][2]string{
+	for name, replacement := range map[string][2]string{
 		"a query":         {"\x80\x00", "\x00\x00"},
 		"another id":      {"\x00\x01", "\x00\x02"},
 		"another name":    {"\x01A", "\x01b"},
@@ -57,19 +57,19 @@
 		"no second":       {"\x00\x01\x00\x00", "\x00\x02\x00\x00"},
 		"pointer to self": {"\xc0\x0c", "\xc0\x16"},
 	} {
-		text := strings.Replace(whole, change[0], change[1], 1)
-		if m, err := parseReply([]byte(text), &asked); text == whole || err == nil && len(m.left) == 0 {
-			t.Errorf("%s: %+v", what, m)
+		packed := strings.Replace(valid, replacement[0], replacement[1], 1)
+		if m, err := parseDNSResponse([]byte(packed), &testQuery); packed == valid || err == nil && len(m.skipped) == 0 {
+			t.Errorf("%s: %+v", name, m)
 		}
 	}
 }
 
-func FuzzReply(f *testing.F) {
-	f.Add([]byte(head("\x80\x00", "\x01", "\x00", "\x00") + ptr))
-	f.Fuzz(func(t *testing.T, in []byte) {
-		keep := bytes.Clone(in)
-		m, err := parseReply(in, &asked)
-		if !bytes.Equal(in, keep) {
+func FuzzParseDNSResponse(f *testing.F) {
+	f.Add([]byte(responseHead("\x80\x00", "\x01", "\x00", "\x00") + ptrRecord))
+	f.Fuzz(func(t *testing.T, packed []byte) {
+		original := bytes.Clone(packed)
+		m, err := parseDNSResponse(packed, &testQuery)
+		if !bytes.Equal(packed, original) {
 			t.Error("the input was changed")
 		}
 		for _, r := range m.records {
--- a/internal/directory/list.go
+++ b/internal/directory/list.go
@@ -7,47 +7,47 @@
 	"millethinge/internal/mailbox"
 )
 
-// listBox is not a limit that matters: sources tell of changes a few times a
+// inboxLimit is not a limit that matters: sources tell of changes a few times a
 // second, and what they tell must not be dropped.
-const listBox = 1024
+const inboxLimit = 1024
 
 // List is the list's actor. Its sources post what they hear; it alone tells the
 // sink, in changes only, so that a whole list of one source removes nothing that
 // another named.
 type List struct {
-	sink  Sink
-	box   *mailbox.Box[news]
-	owner map[control.ServerID]owned
+	sink   Sink
+	inbox  *mailbox.Box[message]
+	listed map[control.ServerID]sourcedMember
 }
 
-type news struct {
+type message struct {
 	source string
 	change Change
-	then   func() // instead, where it is set
+	run    func() // instead, where it is set
 }
 
-type owned struct {
+type sourcedMember struct {
 	source string
 	member Member
 }
 
 // NewList returns a List that tells sink.
 func NewList(sink Sink) *List {
-	return &List{sink: sink, box: mailbox.New[news](listBox), owner: make(map[control.ServerID]owned)}
+	return &List{sink: sink, inbox: mailbox.New[message](inboxLimit), listed: make(map[control.ServerID]sourcedMember)}
 }
 
-// Source returns where a source of that name posts its changes.
-func (l *List) Source(name string) Sink {
-	return func(c Change) { l.box.Force(news{source: name, change: c}) }
+// SinkFor returns where a source of that name posts its changes.
+func (l *List) SinkFor(name string) Sink {
+	return func(c Change) { l.inbox.Force(message{source: name, change: c}) }
 }
 
-// After runs do once all that has been posted so far is told.
-func (l *List) After(do func()) { l.box.Force(news{then: do}) }
+// AfterPending runs do once all that has been posted so far is told.
+func (l *List) AfterPending(do func()) { l.inbox.Force(message{run: do}) }
 
-// Settle tells what has been posted so far. It is for the start, before Run.
-func (l *List) Settle() {
-	for _, n := range l.box.Take(nil) {
-		l.apply(n)
+// ProcessPending tells what has been posted so far. It is for the start, before Run.
+func (l *List) ProcessPending() {
+	for _, msg := range l.inbox.Take(nil) {
+		l.apply(msg)
 	}
 }
 
@@ -57,25 +57,25 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.box.Ready():
-			l.Settle()
+		case <-l.inbox.Ready():
+			l.ProcessPending()
 		}
 	}
 }
 
-func (l *List) apply(n news) {
-	if n.then != nil {
-		n.then()
+func (l *List) apply(msg message) {
+	if msg.run != nil {
+		msg.run()
 		return
 	}
-	out := Change{Members: n.change.Members}
-	if n.change.Full {
-		named := make(map[control.ServerID]bool)
-		for _, m := range n.change.Members {
-			named[m.Server] = true
+	out := Change{Members: msg.change.Members}
+	if msg.change.Full {
+		present := make(map[control.ServerID]bool)
+		for _, m := range msg.change.Members {
+			present[m.Server] = true
 		}
-		for s, o := range l.owner {
-			if o.source == n.source && !named[s] {
+		for server, o := range l.listed {
+			if o.source == msg.source && !present[server] {
 				o.member.State = control.Gone
 				out.Members = append(out.Members, o.member)
 			}
@@ -83,9 +83,9 @@
 	}
 	for _, m := range out.Members {
 		if m.State == control.Gone {
-			delete(l.owner, m.Server)
+			delete(l.listed, m.Server)
 		} else {
-			l.owner[m.Server] = owned{n.source, m}
+			l.listed[m.Server] = sourcedMember{msg.source, m}
 		}
 	}
 	if len(out.Members) > 0 {
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -11,121 +11,121 @@
 	"millethinge/internal/directory"
 )
 
-// Order is what was ordered last for one node.
-type Order struct {
-	Out bool
-	At  time.Time // of the call
+// Override is what was ordered last for one node.
+type Override struct {
+	Active bool
+	At     time.Time // of the call
 }
 
-// Orders lays what was ordered by hand over what the list says. The list's actor owns it.
+// Overrides lays what was ordered by hand over what the list says. The list's actor owns it.
 //
 // Guard: the list never ends an order. A node that is out by hand counts as draining
 // while it is listed, whatever a source says of it, under its id, until it is called back.
-type Orders struct {
-	nodes map[string]*node // all that were ever listed, or ordered
+type Overrides struct {
+	nodes map[string]*nodeState // all that were ever listed, or ordered
 }
 
-// node is what is known of one node.
-type node struct {
-	order  Order
-	listed bool             // it is on the list
-	ever   bool             // it has been
-	last   directory.Member // as the list last said
+// nodeState is what is known of one node.
+type nodeState struct {
+	override   Override
+	listed     bool             // it is on the list
+	everListed bool             // it has been
+	lastListed directory.Member // as the list last said
 }
 
-// NewOrders returns Orders that know of no node.
-func NewOrders() *Orders { return &Orders{nodes: make(map[string]*node)} }
+// NewOverrides returns Orders that know of no node.
+func NewOverrides() *Overrides { return &Overrides{nodes: make(map[string]*nodeState)} }
 
-func (o *Orders) node(id string) *node {
+func (o *Overrides) nodeState(id string) *nodeState {
 	n := o.nodes[id]
 	if n == nil {
-		n = new(node)
+		n = new(nodeState)
 		o.nodes[id] = n
 	}
 	return n
 }
 
-// Listed takes a change to the list, and returns it as it is to be acted on.
-func (o *Orders) Listed(c directory.Change) directory.Change {
-	out := directory.Change{Full: c.Full, Members: make([]directory.Member, len(c.Members))}
-	for i, m := range c.Members {
-		n := o.node(m.ID)
-		n.last, n.ever, n.listed = m, true, m.State != control.Gone
-		out.Members[i] = n.laid()
+// ApplyListChange takes a change to the list, and returns it as it is to be acted on.
+func (o *Overrides) ApplyListChange(change directory.Change) directory.Change {
+	result := directory.Change{Full: change.Full, Members: make([]directory.Member, len(change.Members))}
+	for i, member := range change.Members {
+		n := o.nodeState(member.ID)
+		n.lastListed, n.everListed, n.listed = member, true, member.State != control.Gone
+		result.Members[i] = n.effective()
 	}
-	return out
+	return result
 }
 
-// laid is a node as it is to be acted on.
-func (n *node) laid() directory.Member {
-	m := n.last
-	if n.order.Out && m.State == control.Ready {
-		m.State = control.Draining
+// effective is a node as it is to be acted on.
+func (n *nodeState) effective() directory.Member {
+	member := n.lastListed
+	if n.override.Active && member.State == control.Ready {
+		member.State = control.Draining
 	}
-	return m
+	return member
 }
 
-// Give takes an order for a node, and returns what changes by it. known is false where
+// Set takes an order for a node, and returns what changes by it. known is false where
 // the node was never listed; nothing changes then. An order that is older than the last
 // one for the node is not taken.
-func (o *Orders) Give(id string, order Order) (c directory.Change, known bool) {
+func (o *Overrides) Set(id string, override Override) (change directory.Change, known bool) {
 	n := o.nodes[id]
-	if n == nil || !n.ever {
-		return c, false
+	if n == nil || !n.everListed {
+		return change, false
 	}
-	return n.give(order), true
+	return n.set(override), true
 }
 
-// Take takes orders of another process of this manager, some perhaps for nodes that were
+// Merge takes orders of another process of this manager, some perhaps for nodes that were
 // not listed yet, and returns what changes by them.
-func (o *Orders) Take(orders map[string]Order) (c directory.Change) {
-	for _, id := range slices.Sorted(maps.Keys(orders)) {
-		c.Members = append(c.Members, o.node(id).give(orders[id]).Members...)
+func (o *Overrides) Merge(overrides map[string]Override) (change directory.Change) {
+	for _, id := range slices.Sorted(maps.Keys(overrides)) {
+		change.Members = append(change.Members, o.nodeState(id).set(overrides[id]).Members...)
 	}
-	return c
+	return change
 }
 
-func (n *node) give(order Order) (c directory.Change) {
-	if !order.At.After(n.order.At) {
-		return c
+func (n *nodeState) set(override Override) (change directory.Change) {
+	if !override.At.After(n.override.At) {
+		return change
 	}
-	was := n.order.Out
-	n.order = order
-	if was == order.Out || !n.listed {
-		return c
+	wasActive := n.override.Active
+	n.override = override
+	if wasActive == override.Active || !n.listed {
+		return change
 	}
-	m := n.laid()
-	if !order.Out {
+	member := n.effective()
+	if !override.Active {
 		// Guard: it was restarted meanwhile and comes back cold, though the list may not
 		// show it yet. What stood there from before has ended with it, or goes on.
-		m.StartedAtS = max(m.StartedAtS, float64(order.At.UnixNano())/1e9)
-		m.Reenabled = true
+		member.StartedAtS = max(member.StartedAtS, float64(override.At.UnixNano())/1e9)
+		member.Reenabled = true
 	}
-	c.Members = append(c.Members, m)
-	return c
+	change.Members = append(change.Members, member)
+	return change
 }
 
 // All returns the orders that stand, and those that ended others.
-func (o *Orders) All() map[string]Order {
-	all := make(map[string]Order)
+func (o *Overrides) All() map[string]Override {
+	all := make(map[string]Override)
 	for id, n := range o.nodes {
-		if !n.order.At.IsZero() {
-			all[id] = n.order
+		if !n.override.At.IsZero() {
+			all[id] = n.override
 		}
 	}
 	return all
 }
 
-// Size returns how many nodes the list holds, and how many of them are out by hand.
-func (o *Orders) Size() (listed, out int) {
+// NodeCounts returns how many nodes the list holds, and how many of them are out by hand.
+func (o *Overrides) NodeCounts() (listed, disabled int) {
 	for _, n := range o.nodes {
 		if !n.listed {
 			continue
 		}
 		listed++
-		if n.order.Out {
-			out++
+		if n.override.Active {
+			disabled++
 		}
 	}
-	return listed, out
+	return listed, disabled
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -10,110 +10,110 @@
 	"millethinge/internal/directory"
 )
 
-func listed(id string, s control.ServerState) directory.Change {
-	m := directory.Member{ID: id}
-	m.State = s
-	return directory.Change{Members: []directory.Member{m}}
+func listChange(id string, state control.ServerState) directory.Change {
+	member := directory.Member{ID: id}
+	member.State = state
+	return directory.Change{Members: []directory.Member{member}}
 }
 
 // What a node is to be acted on follows two plain facts, whatever comes in which order:
 // what the list said last, and which order was given last.
-func TestOrdersStandOverTheList(t *testing.T) {
+func TestOverridesOutliveListChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := NewOrders()
+		overrides := NewOverrides()
 		ids := []string{"a", "b"}
-		said, seen := map[string]control.ServerState{}, map[string]control.ServerState{}
-		out, at := map[string]bool{}, map[string]int{}
-		took := func(c directory.Change) {
-			for _, m := range c.Members {
-				seen[m.ID] = m.State
+		listedState, effectiveState := map[string]control.ServerState{}, map[string]control.ServerState{}
+		disabled, issuedAtS := map[string]bool{}, map[string]int{}
+		apply := func(change directory.Change) {
+			for _, member := range change.Members {
+				effectiveState[member.ID] = member.State
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			id := rapid.SampledFrom(ids).Draw(t, "node")
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
-				said[id] = rapid.SampledFrom([]control.ServerState{control.Ready, control.Draining, control.Gone}).Draw(t, "state")
-				took(o.Listed(listed(id, said[id])))
+				listedState[id] = rapid.SampledFrom([]control.ServerState{control.Ready, control.Draining, control.Gone}).Draw(t, "state")
+				apply(overrides.ApplyListChange(listChange(id, listedState[id])))
 			case 1:
-				when, ban := rapid.IntRange(1, 20).Draw(t, "when"), rapid.Bool().Draw(t, "out")
-				c, known := o.Give(id, Order{ban, time.Unix(int64(when), 0)})
-				if _, ever := said[id]; known != ever {
-					t.Fatalf("%s known: %v, was listed: %v", id, known, ever)
+				atS, disable := rapid.IntRange(1, 20).Draw(t, "when"), rapid.Bool().Draw(t, "out")
+				change, known := overrides.Set(id, Override{disable, time.Unix(int64(atS), 0)})
+				if _, everListed := listedState[id]; known != everListed {
+					t.Fatalf("%s known: %v, was listed: %v", id, known, everListed)
 				}
-				took(c)
-				if known && when > at[id] {
-					out[id], at[id] = ban, when
+				apply(change)
+				if known && atS > issuedAtS[id] {
+					disabled[id], issuedAtS[id] = disable, atS
 				}
 			case 2: // of another process, perhaps before the node is listed
-				when, ban := rapid.IntRange(1, 20).Draw(t, "when"), rapid.Bool().Draw(t, "out")
-				took(o.Take(map[string]Order{id: {ban, time.Unix(int64(when), 0)}}))
-				if when > at[id] {
-					out[id], at[id] = ban, when
+				atS, disable := rapid.IntRange(1, 20).Draw(t, "when"), rapid.Bool().Draw(t, "out")
+				apply(overrides.Merge(map[string]Override{id: {disable, time.Unix(int64(atS), 0)}}))
+				if atS > issuedAtS[id] {
+					disabled[id], issuedAtS[id] = disable, atS
 				}
 			}
-			n := 0
-			for id, s := range said {
-				want := s
-				if s == control.Ready && out[id] {
+			wantDisabled := 0
+			for id, state := range listedState {
+				want := state
+				if state == control.Ready && disabled[id] {
 					want = control.Draining
 				}
-				if seen[id] != want {
-					t.Fatalf("%s is acted on as %v; listed %v, out %v", id, seen[id], s, out[id])
+				if effectiveState[id] != want {
+					t.Fatalf("%s is acted on as %v; listed %v, out %v", id, effectiveState[id], state, disabled[id])
 				}
-				if s != control.Gone && out[id] {
-					n++
+				if state != control.Gone && disabled[id] {
+					wantDisabled++
 				}
 			}
-			if _, got := o.Size(); got != n {
-				t.Fatalf("%d are told to be out in place of %d", got, n)
+			if _, got := overrides.NodeCounts(); got != wantDisabled {
+				t.Fatalf("%d are told to be out in place of %d", got, wantDisabled)
 			}
 		}
 	})
 }
 
 // A node that is put back is told as just started, though the list shows no start.
-func TestBackIsCold(t *testing.T) {
-	o := NewOrders()
-	o.Listed(listed("a", control.Ready))
-	o.Give("a", Order{true, time.Unix(100, 0)})
-	c, _ := o.Give("a", Order{false, time.Unix(160, 0)})
-	if len(c.Members) != 1 || c.Members[0].StartedAtS != 160 || !c.Members[0].Reenabled || c.Members[0].State != control.Ready {
-		t.Errorf("%+v", c.Members)
+func TestReenabledNodeIsCold(t *testing.T) {
+	overrides := NewOverrides()
+	overrides.ApplyListChange(listChange("a", control.Ready))
+	overrides.Set("a", Override{true, time.Unix(100, 0)})
+	change, _ := overrides.Set("a", Override{false, time.Unix(160, 0)})
+	if len(change.Members) != 1 || change.Members[0].StartedAtS != 160 || !change.Members[0].Reenabled || change.Members[0].State != control.Ready {
+		t.Errorf("%+v", change.Members)
 	}
-	if m := o.Listed(listed("a", control.Ready)).Members[0]; m.Reenabled {
+	if member := overrides.ApplyListChange(listChange("a", control.Ready)).Members[0]; member.Reenabled {
 		t.Error("the list's next word says so again")
 	}
 }
 
 func TestGate(t *testing.T) {
-	t0 := time.Unix(1000, 0)
-	after := func(d time.Duration) time.Time { return t0.Add(d) }
-	var g Gate
-	if !g.AcceptsClients() || g.ClosesIdle(t0, time.Hour, false) || g.RefusesSetups(t0) {
+	start := time.Unix(1000, 0)
+	after := func(d time.Duration) time.Time { return start.Add(d) }
+	var gate Gate
+	if !gate.AcceptsClients() || gate.ClosesIdle(start, time.Hour, false) || gate.RefusesSetups(start) {
 		t.Error("an open gate sends away")
 	}
-	g.Shut(t0)
-	g.Shut(after(time.Hour)) // a call that is repeated moves no time
-	for _, e := range []struct {
-		at, idle      time.Duration
-		holds         bool
-		goes, refuses bool
+	gate.StartDrain(start)
+	gate.StartDrain(after(time.Hour)) // a call that is repeated moves no time
+	for _, test := range []struct {
+		at, idle        time.Duration
+		hasSessions     bool
+		closes, refuses bool
 	}{
 		{0, time.Second, false, false, false}, // its first request may be on its way
-		{LetGo, Quiet, false, true, false},
-		{LetGo, Quiet - 1, false, false, false},
-		{LetGo, time.Second, true, false, false}, // the ends of its sessions go on it
-		{Enough - 1, 0, true, false, false},
-		{Enough, 0, true, false, true},
+		{IdleCloseDelay, MinIdleTime, false, true, false},
+		{IdleCloseDelay, MinIdleTime - 1, false, false, false},
+		{IdleCloseDelay, time.Second, true, false, false}, // the ends of its sessions go on it
+		{SetupRefusalDelay - 1, 0, true, false, false},
+		{SetupRefusalDelay, 0, true, false, true},
 	} {
-		if goes, refuses := g.ClosesIdle(after(e.at), e.idle, e.holds), g.RefusesSetups(after(e.at)); g.AcceptsClients() || goes != e.goes || refuses != e.refuses {
-			t.Errorf("%+v: goes %v, refuses %v", e, goes, refuses)
+		if closes, refuses := gate.ClosesIdle(after(test.at), test.idle, test.hasSessions), gate.RefusesSetups(after(test.at)); gate.AcceptsClients() || closes != test.closes || refuses != test.refuses {
+			t.Errorf("%+v: goes %v, refuses %v", test, closes, refuses)
 		}
 	}
-	g.Open()
-	g.Move(t0)
-	if !g.AcceptsClients() || !g.ClosesIdle(after(LetGo), Quiet, true) || g.RefusesSetups(after(time.Hour)) {
+	gate.StopDrain()
+	gate.StartHandover(start)
+	if !gate.AcceptsClients() || !gate.ClosesIdle(after(IdleCloseDelay), MinIdleTime, true) || gate.RefusesSetups(after(time.Hour)) {
 		t.Error("what moves to a younger process is not let go, or not served")
 	}
 }
--- a/internal/fleettest/calls.go
+++ b/internal/fleettest/calls.go
@@ -54,7 +54,7 @@
 		return 0, nil, fmt.Errorf("%s is not running, or has no address for operators' calls", manager)
 	}
 	status, text, took := callAdmin(p.adminAddr, method, path)
-	f.Record.Add(Event{Kind: Called, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Took: took})
+	f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Node: node, Text: method + " " + path, Cause: status, Elapsed: took})
 	return status, text, nil
 }
 
@@ -78,17 +78,17 @@
 		default:
 		}
 		if status == 200 || mustAnswer {
-			f.Record.Add(Event{Kind: Called, Manager: manager, Text: "GET /metrics", Cause: status, Took: took})
+			f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Text: "GET /metrics", Cause: status, Elapsed: took})
 		}
 		if status != 200 {
 			continue
 		}
 		var metrics Metrics
 		if err := json.Unmarshal(text, &metrics); err != nil {
-			f.Record.Add(Event{Kind: Called, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Took: took})
+			f.Record.Add(Event{Kind: OperatorCalled, Manager: manager, Text: fmt.Sprintf("GET /metrics, unreadable: %v", err), Elapsed: took})
 			continue
 		}
-		f.Record.Add(Event{Kind: Figured, Manager: manager, Process: p.number, Took: took, Figures: &metrics})
+		f.Record.Add(Event{Kind: MetricsRead, Manager: manager, Process: p.number, Elapsed: took, Figures: &metrics})
 	}
 }
 
@@ -106,7 +106,7 @@
 		case <-time.After(pause):
 			f.scrapeMetrics(manager)
 			mb, files, _ := f.Managers[manager].Usage()
-			f.Record.Add(Event{Kind: Used, Manager: manager, Files: files, MB: mb})
+			f.Record.Add(Event{Kind: ResourcesSampled, Manager: manager, Descriptors: files, MemoryMB: mb})
 		}
 	}
 }
--- a/internal/fleettest/fleet.go
+++ b/internal/fleettest/fleet.go
@@ -29,7 +29,7 @@
 	Halls          []Hall
 	NodeModel      NodeModel
 	Load           Load
-	Terms          Terms
+	Terms          Limits
 	OperatorConfig string        // text of each manager's operator file; empty: no file
 	LogLevel       string        // minimum level of the managers' logs
 	Sockets        int           // descriptor limit in the platform's configuration; 0: 1024
@@ -128,7 +128,7 @@
 		f.NodeRelays[name][n] = r
 		if !slices.Contains(f.Config.Unlisted, n) {
 			entries = append(entries, f.listEntry(name, n, phaseInService))
-			f.Record.Add(Event{Kind: Told, Manager: name, Node: n, Text: phaseInService})
+			f.Record.Add(Event{Kind: ListUpdated, Manager: name, Node: n, Text: phaseInService})
 		}
 	}
 	coordinator, err := NewCoordinator(entries)
@@ -205,7 +205,7 @@
 			"feedback":     map[string]any{"fields": []string{"util", "x1"}, "via": "probe"},
 			"charges":      map[string]any{"crossZone": 0.022, "probe": 0.01, "handshake": 0.01},
 			"policyLimits": map[string]any{"attemptsCap": 4, "probes": true, "connIdleS": m.ConnIdleTimeout.Seconds(), "connectTimeoutS": 0.25, "streamsPerConn": m.StreamsPerConn},
-			"obligations":  map[string]any{"fallMultiple": f.Config.Terms.Multiple, "startCapacity": m.StartCapacityShare, "warmAfterS": m.WarmUpTime.Seconds()},
+			"obligations":  map[string]any{"fallMultiple": f.Config.Terms.ColdMultiple, "startCapacity": m.StartCapacityShare, "warmAfterS": m.WarmUpTime.Seconds()},
 		},
 	}
 }
@@ -243,7 +243,7 @@
 		}
 		if b == nil {
 			for _, id := range s.ids {
-				f.Record.Add(Event{Kind: Hung, Manager: manager, Node: node, ID: id})
+				f.Record.Add(Event{Kind: NodeConnClosed, Manager: manager, Node: node, ID: id})
 			}
 			delete(streams, conn)
 			return
@@ -259,9 +259,9 @@
 			switch string(m.Method) {
 			case "SETUP":
 				s.ids = append(s.ids, id)
-				f.Record.Add(Event{Kind: Sent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rungOf(&m)})
+				f.Record.Add(Event{Kind: SetUpSent, Manager: manager, Node: node, ID: id, Class: string(m.Get("Call-Kind")), Rung: rungOf(&m)})
 			case "TEARDOWN":
-				f.Record.Add(Event{Kind: Withdrawn, Manager: manager, Node: node, ID: id})
+				f.Record.Add(Event{Kind: TeardownSent, Manager: manager, Node: node, ID: id})
 			}
 			s.rest = s.rest[size:]
 		}
@@ -416,7 +416,7 @@
 func (f *Fleet) Cut(a, b Group, oneWay bool) {
 	f.eachRelay(a, b, func(r *Relay, from Direction, viewersOf string) {
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersCut, Manager: viewersOf})
 		}
 		if oneWay {
 			r.Cut(from)
@@ -431,7 +431,7 @@
 	f.eachRelay(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		r.Heal()
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersHealed, Manager: viewersOf})
 		}
 	})
 }
@@ -440,12 +440,12 @@
 func (f *Fleet) Reset(a, b Group) {
 	f.eachRelay(a, b, func(r *Relay, _ Direction, viewersOf string) {
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Apart, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersCut, Manager: viewersOf})
 			f.Viewers.NoteReset(viewersOf)
 		}
 		r.Reset()
 		if viewersOf != "" {
-			f.Record.Add(Event{Kind: Together, Manager: viewersOf})
+			f.Record.Add(Event{Kind: ViewersHealed, Manager: viewersOf})
 		}
 	})
 }
@@ -461,7 +461,7 @@
 func (f *Fleet) SetNodePhase(managers []string, node, phase string) {
 	for _, m := range managers {
 		f.Coordinators[m].Update(f.listEntry(m, node, phase), func() {
-			f.Record.Add(Event{Kind: Told, Manager: m, Node: node, Text: phase})
+			f.Record.Add(Event{Kind: ListUpdated, Manager: m, Node: node, Text: phase})
 		})
 	}
 }
@@ -490,7 +490,7 @@
 func (f *Fleet) WaitFor(what string, ready func() bool) error {
 	deadline := time.Now().Add(f.Config.WaitTimeout)
 	for {
-		next := f.Record.next()
+		next := f.Record.nextEvent()
 		if ready() {
 			return nil
 		}
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -15,5 +15,5 @@
 
 import "time"
 
-// patience bounds what is waited for. Nothing passes by being faster.
-const patience = 30 * time.Second
+// defaultWaitTimeout bounds what is waited for. Nothing passes by being faster.
+const defaultWaitTimeout = 30 * time.Second
--- a/internal/fleettest/front.go
+++ b/internal/fleettest/front.go
@@ -47,16 +47,16 @@
 				case !notReady && (answered || now.Sub(lastAnswer) > unreachableTimeout):
 					vs.notReadySince[m] = now
 				}
-				e := Event{Kind: Fronted, Manager: m, Ready: ready}
+				e := Event{Kind: FrontSampled, Manager: m, Ready: ready}
 				for _, v := range vs.conns[m] {
 					if v.closed {
 						continue
 					}
 					if len(v.openSetUps) == 0 && v.established == 0 && now.Sub(v.lastUsedAt) > connIdleTime {
-						e.Idle++
+						e.IdleConns++
 					}
 					if vs.hasRecentRequest(v, now) {
-						e.Fresh++
+						e.RecentConns++
 					}
 				}
 				vs.mu.Unlock()
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -14,22 +14,22 @@
 	"millethinge/internal/rtsp"
 )
 
-// badEnv names what rule a scripted manager breaks. TestMain runs it in place of
+// faultEnv names what rule a scripted manager breaks. TestMain runs it in place of
 // the tests, so that each judge meets a process that is at fault.
-const badEnv = "FLEETTEST_BREAKS"
+const faultEnv = "FLEETTEST_BREAKS"
 
-// badManager is a manager that sets each viewer up at the first node, by the book but
+// scriptedManager is a manager that sets each viewer up at the first node, by the book but
 // for one rule.
-type badManager struct {
-	breaks string
-	nodes  []string
-	mu     sync.Mutex
-	conns  map[string]net.Conn
-	viewer net.Conn
-	seen   int
+type scriptedManager struct {
+	fault      string
+	nodes      []string
+	mu         sync.Mutex
+	nodeConns  map[string]net.Conn
+	viewerConn net.Conn
+	setUps     int
 }
 
-func runBad(breaks string) {
+func runScriptedManager(fault string) {
 	text, err := os.ReadFile(os.Getenv("BALANCER_CONFIG"))
 	if err != nil {
 		panic(err)
@@ -42,9 +42,9 @@
 	if err != nil {
 		panic(err)
 	}
-	b := &badManager{breaks: breaks, conns: map[string]net.Conn{}}
+	manager := &scriptedManager{fault: fault, nodeConns: map[string]net.Conn{}}
 	for _, m := range cfg.Known.Updates[0].Endpoints.Members {
-		b.nodes = append(b.nodes, m.HostPort)
+		manager.nodes = append(manager.nodes, m.HostPort)
 	}
 	fmt.Fprintf(os.Stderr, "{\"msg\":\"serving\",\"listen\":%q}\n", l.Addr())
 	for {
@@ -52,70 +52,70 @@
 		if err != nil {
 			return
 		}
-		go b.serve(c)
+		go manager.serve(c)
 	}
 }
 
-func (b *badManager) serve(c net.Conn) {
-	in := bufio.NewScanner(c)
-	for in.Scan() {
-		var m Message
-		json.Unmarshal(in.Bytes(), &m)
-		if m.Type != "setup" {
+func (s *scriptedManager) serve(conn net.Conn) {
+	scanner := bufio.NewScanner(conn)
+	for scanner.Scan() {
+		var request Message
+		json.Unmarshal(scanner.Bytes(), &request)
+		if request.Type != "setup" {
 			continue
 		}
-		b.mu.Lock()
-		b.viewer = c
-		b.seen++
-		n := b.seen
-		b.mu.Unlock()
+		s.mu.Lock()
+		s.viewerConn = conn
+		s.setUps++
+		count := s.setUps
+		s.mu.Unlock()
 		rung := "1"
-		if b.breaks == "terms" {
+		if s.fault == "terms" {
 			rung = "0"
 		}
-		switch b.breaks {
+		switch s.fault {
 		case "silent": // no answer is given
 			continue
 		case "crash":
 			os.Exit(3)
 		case "hangs up":
-			c.Close()
+			conn.Close()
 			return
 		case "cold":
 			for i := range 100 {
-				b.send(0, fmt.Sprintf("%016x", n*1000+i), "feed", "1", "x")
+				s.send(0, fmt.Sprintf("%016x", count*1000+i), "feed", "1", "x")
 			}
 		}
-		b.send(0, m.ID, m.Fields["class"], rung, m.SDP)
-		switch b.breaks {
+		s.send(0, request.ID, request.Fields["class"], rung, request.SDP)
+		switch s.fault {
 		case "two at once", "twice":
-			b.send(1, m.ID, m.Fields["class"], rung, m.SDP)
+			s.send(1, request.ID, request.Fields["class"], rung, request.SDP)
 		case "refuses":
 			time.Sleep(20 * time.Millisecond) // so that it is seen to have left before
-			fmt.Fprintf(c, `{"type":"release","id":%q,"fields":{},"cause":42}`+"\n", m.ID)
+			fmt.Fprintf(conn, `{"type":"release","id":%q,"fields":{},"cause":42}`+"\n", request.ID)
 		case "garbles":
-			fmt.Fprintf(c, "{\"type\":\n")
+			fmt.Fprintf(conn, "{\"type\":\n")
 		}
 	}
 }
 
 // send writes a SETUP to the ith node.
-func (b *badManager) send(i int, id, class, rung, sdp string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	addr := b.nodes[i]
-	c := b.conns[addr]
+func (s *scriptedManager) send(index int, id, class, rung, sdp string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	addr := s.nodes[index]
+	c := s.nodeConns[addr]
 	if c == nil {
 		var err error
 		if c, err = net.Dial("tcp4", addr); err != nil {
 			return
 		}
-		b.conns[addr] = c
+		s.nodeConns[addr] = c
 		go func() {
-			b.hear(c)
-			b.mu.Lock()
-			delete(b.conns, addr) // its node is gone, or was
-			b.mu.Unlock()
+			s.readNode(c)
+			s.mu.Lock()
+			delete(s.nodeConns, addr) // its node is gone, or was
+			s.mu.Unlock()
 		}()
 	}
 	m := rtsp.AppendRequest(nil, "SETUP", "rtsp://media/1")
@@ -125,12 +125,12 @@
 	c.Write(rtsp.AppendBody(m, []byte(sdp)))
 }
 
-func (b *badManager) hear(c net.Conn) {
-	in := bufio.NewReader(c)
+func (s *scriptedManager) readNode(conn net.Conn) {
+	reader := bufio.NewReader(conn)
 	for {
 		var head strings.Builder
 		for !strings.HasSuffix(head.String(), "\r\n\r\n") {
-			l, err := in.ReadString('\n')
+			l, err := reader.ReadString('\n')
 			if err != nil {
 				return
 			}
@@ -143,25 +143,25 @@
 		}
 		body := make([]byte, size)
 		for i := range body {
-			body[i], _ = in.ReadByte()
+			body[i], _ = reader.ReadByte()
 		}
 		rtsp.Parse(append([]byte(head.String()), body...), &m)
 		id := string(m.Get("Session"))
-		b.mu.Lock()
-		v := b.viewer
-		b.mu.Unlock()
+		s.mu.Lock()
+		v := s.viewerConn
+		s.mu.Unlock()
 		switch {
-		case m.Status == 200 && string(m.Get("CSeq")) == "1" && b.breaks != "refuses":
+		case m.Status == 200 && string(m.Get("CSeq")) == "1" && s.fault != "refuses":
 			sdp := string(m.Body)
-			if b.breaks == "changes" {
+			if s.fault == "changes" {
 				sdp += "!"
 			}
 			line, _ := json.Marshal(Message{Type: "answer", ID: id, SDP: sdp})
 			v.Write(append(line, '\n'))
-			if b.breaks == "answers twice" {
+			if s.fault == "answers twice" {
 				v.Write(append(line, '\n'))
 			}
-		case string(m.Method) == "TEARDOWN" && b.breaks != "forgets":
+		case string(m.Method) == "TEARDOWN" && s.fault != "forgets":
 			line, _ := json.Marshal(Message{Type: "release", ID: id, Cause: 16})
 			v.Write(append(line, '\n'))
 		}
@@ -170,42 +170,42 @@
 
 // Each judge finds the rule that a scripted manager breaks, and none where it breaks
 // none.
-func TestJudgesTellScriptedManagers(t *testing.T) {
+func TestJudgeDetectsFaultsOfScriptedManagers(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for breaks, rule := range map[string]string{
+	for fault, rule := range map[string]string{
 		"nothing": "", "silent": "one answer", "crash": "ended by itself", "hangs up": "one answer", "garbles": "one answer",
 		"changes": "one answer", "answers twice": "one answer", "twice": "paid once", "refuses": "paid once",
 		"two at once": "one at a time", "terms": "terms", "forgets": "end told", "drains": "drains", "cold": "cold",
 	} {
-		t.Run(breaks, func(t *testing.T) {
+		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			act := ""
-			switch breaks {
+			acts := ""
+			switch fault {
 			case "drains":
-				act = "act \"a1 drains\" {\n do drain a1\n}\nact \"more come\" {\n when after 300ms\n do burst 3\n}\n"
+				acts = "act \"a1 drains\" {\n do drain a1\n}\nact \"more come\" {\n when after 300ms\n do burst 3\n}\n"
 			case "cold":
-				act = "act \"a1 starts\" {\n when after 500ms\n do kill a1\n}\nact \"more come\" {\n when after 300ms\n do start a1\n do burst 3\n}\n"
+				acts = "act \"a1 starts\" {\n when after 500ms\n do kill a1\n}\nact \"more come\" {\n when after 300ms\n do start a1\n do burst 3\n}\n"
 			}
-			class := map[string]string{"two at once": "0"}[breaks]
-			if class == "" {
-				class = "1"
+			clipShare := map[string]string{"two at once": "0"}[fault]
+			if clipShare == "" {
+				clipShare = "1"
 			}
-			s, err := Parse("judge", []byte("hall a {\n managers m1\n nodes a1 a2\n}\nload {\n again 0\n clip "+class+"\n left 500ms\n}\n"+
-				"node {\n length 100ms 200ms\n answer 50ms 60ms\n}\nact \"viewers come\" {\n do burst 3\n}\n"+act+
+			s, err := Parse("judge", []byte("hall a {\n managers m1\n nodes a1 a2\n}\nload {\n again 0\n clip "+clipShare+"\n left 500ms\n}\n"+
+				"node {\n length 100ms 200ms\n answer 50ms 60ms\n}\nact \"viewers come\" {\n do burst 3\n}\n"+acts+
 				"act \"they have gone\" {\n when after 1500ms\n do rate 0\n}\n"), nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.Plan.Env = []string{badEnv + "=" + breaks}
-			s.Plan.Terms.Answer, s.Plan.Terms.Told, s.Plan.Terms.Drain = 300*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond
-			s.Plan.Terms.Overlap = time.Millisecond
-			wrong, _ := s.Play(self, t.TempDir(), nil)
-			all := strings.Join(wrong, "\n")
-			if rule == "" && all != "" || !strings.Contains(all, rule) {
-				t.Errorf("wanted %q, got:\n%s", rule, all)
+			s.Plan.Env = []string{faultEnv + "=" + fault}
+			s.Plan.Terms.AnswerGrace, s.Plan.Terms.ReleaseGrace, s.Plan.Terms.DrainGrace = 300*time.Millisecond, 300*time.Millisecond, 100*time.Millisecond
+			s.Plan.Terms.AttemptOverlap = time.Millisecond
+			failures, _ := s.Play(self, t.TempDir(), nil)
+			text := strings.Join(failures, "\n")
+			if rule == "" && text != "" || !strings.Contains(text, rule) {
+				t.Errorf("wanted %q, got:\n%s", rule, text)
 			}
 		})
 	}
@@ -213,30 +213,30 @@
 
 // What excuses a manager: it was killed, or its viewers were cut off from it. What
 // doesn't: that it was asked to end.
-func TestJudgeOfDisturbedManagers(t *testing.T) {
+func TestJudgeExcusesDisruptedManagers(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	asked := Event{At: at(0), Kind: Asked, Manager: "m", ID: "1", Class: "feed", Left: time.Second}
+	request := Event{At: at(0), Kind: SetUpRequested, Manager: "m", ID: "1", Class: "feed", TimeLeft: time.Second}
 	for name, e := range map[string]struct {
 		events []Event
 		rule   string
 	}{
 		"nothing said":            {nil, "one answer"},
-		"killed under it":         {[]Event{{At: at(500), Kind: Stopped, Manager: "m"}}, ""},
-		"killed before it":        {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}}, ""},
-		"another one killed":      {[]Event{{At: at(500), Kind: Stopped, Manager: "n"}}, "one answer"},
-		"stopped and gone on":     {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}, {At: at(500), Kind: Running, Manager: "m"}}, ""},
-		"gone on before it":       {[]Event{{At: at(-500), Kind: Stopped, Manager: "m"}, {At: at(-1), Kind: Running, Manager: "m"}}, "one answer"},
-		"cut off":                 {[]Event{{At: at(500), Kind: Apart, Manager: "m"}}, ""},
-		"its viewer left early":   {[]Event{{At: at(500), Kind: Left, ID: "1"}}, ""},
-		"its viewer left in time": {[]Event{{At: at(1000), Kind: Left, ID: "1"}}, "one answer"},
-		"asked to end, and ended": {[]Event{{At: at(-100), Kind: Ending, Manager: "m"}, {At: at(800), Kind: Dropped, ID: "1"}, {At: at(801), Kind: Stopped, Manager: "m"}}, "one answer"},
-		"asked to end long since": {[]Event{{At: at(-900), Kind: Ending, Manager: "m"}, {At: at(800), Kind: Dropped, ID: "1"}, {At: at(801), Kind: Stopped, Manager: "m"}}, ""},
+		"killed under it":         {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"killed before it":        {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}}, ""},
+		"another one killed":      {[]Event{{At: at(500), Kind: ManagerStopped, Manager: "n"}}, "one answer"},
+		"stopped and gone on":     {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(500), Kind: ManagerServing, Manager: "m"}}, ""},
+		"gone on before it":       {[]Event{{At: at(-500), Kind: ManagerStopped, Manager: "m"}, {At: at(-1), Kind: ManagerServing, Manager: "m"}}, "one answer"},
+		"cut off":                 {[]Event{{At: at(500), Kind: ViewersCut, Manager: "m"}}, ""},
+		"its viewer left early":   {[]Event{{At: at(500), Kind: SetUpAbandoned, ID: "1"}}, ""},
+		"its viewer left in time": {[]Event{{At: at(1000), Kind: SetUpAbandoned, ID: "1"}}, "one answer"},
+		"asked to end, and ended": {[]Event{{At: at(-100), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, "one answer"},
+		"asked to end long since": {[]Event{{At: at(-900), Kind: ManagerStopRequested, Manager: "m"}, {At: at(800), Kind: ViewerConnClosed, ID: "1"}, {At: at(801), Kind: ManagerStopped, Manager: "m"}}, ""},
 	} {
 		r := NewRecord()
-		for _, x := range append(e.events, asked) {
+		for _, x := range append(e.events, request) {
 			r.Add(x)
 		}
-		found := Judge(r.Events(), DefaultTerms, at(60_000))
+		found := Judge(r.Events(), DefaultLimits, at(60_000))
 		if (len(found) > 0) != (e.rule != "") || len(found) > 0 && found[0].Rule != e.rule {
 			t.Errorf("%s: %+v", name, found)
 		}
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -23,7 +23,7 @@
 // NewMembershipFleet builds and starts such a fleet. The caller must close it even when an error is
 // returned.
 func NewMembershipFleet(halls []Hall, seed uint64, binary, folder string) (*MembershipFleet, error) {
-	f := &Fleet{Config: FleetConfig{Seed: seed, Halls: halls, NodeModel: DefaultNodeModel, Load: Load{TimeLeft: 3 * time.Second}, Terms: DefaultTerms, WaitTimeout: 2 * patience},
+	f := &Fleet{Config: FleetConfig{Seed: seed, Halls: halls, NodeModel: DefaultNodeModel, Load: Load{TimeLeft: 3 * time.Second}, Terms: DefaultLimits, WaitTimeout: 2 * defaultWaitTimeout},
 		Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
 		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
 	m := &MembershipFleet{Fleet: f}
--- a/internal/fleettest/members_test.go
+++ b/internal/fleettest/members_test.go
@@ -89,7 +89,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			binary, err := program()
+			binary, err := buildProgram()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -74,7 +74,7 @@
 	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addrs: map[string]string{}, model: m, seed: seed, record: record,
 		running: true, startedAt: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
 		sessions: map[string]*nodeSession{}, pendingEnds: map[string][]string{}}
-	record.Add(Event{Kind: Up, Node: name})
+	record.Add(Event{Kind: NodeStarted, Node: name})
 	return n
 }
 
@@ -124,7 +124,7 @@
 	n.unhang()
 	for id, s := range n.sessions {
 		s.timer.Stop()
-		n.record.Add(Event{Kind: Cut, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
+		n.record.Add(Event{Kind: SessionLost, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	clear(n.sessions)
 	clear(n.pendingEnds)
@@ -138,7 +138,7 @@
 		}
 		clear(l)
 	}
-	n.record.Add(Event{Kind: Down, Node: n.Name})
+	n.record.Add(Event{Kind: NodeStopped, Node: n.Name})
 }
 
 // Start starts a killed node again, cold and without sessions.
@@ -146,7 +146,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.running, n.cold, n.startedAt = true, true, time.Now()
-	n.record.Add(Event{Kind: Up, Node: n.Name, Cold: true})
+	n.record.Add(Event{Kind: NodeStarted, Node: n.Name, Cold: true})
 }
 
 // StartedAt returns the time of the last start.
@@ -286,7 +286,7 @@
 	class, rung, body := string(m.Get("Call-Kind")), rungOf(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record.Add(Event{Kind: Came, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Rung: rung})
+	n.record.Add(Event{Kind: SetUpReceived, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.BilledClasses[class], Rung: rung})
 	status := 200
 	switch {
 	case n.fraction(id, "fails") < n.failShare:
@@ -313,9 +313,9 @@
 				defer n.mu.Unlock()
 				n.endSession(id)
 			})}
-			n.record.Add(Event{Kind: Ran, Manager: c.manager, Node: n.Name, ID: id, Class: class, Paid: n.model.BilledClasses[class], Text: text})
+			n.record.Add(Event{Kind: SessionEstablished, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.BilledClasses[class], Text: text})
 		}
-		n.record.Add(Event{Kind: Said, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
+		n.record.Add(Event{Kind: SetUpAnswered, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
 		c.send(buildResponse(status, "1", id, text))
 	})
 }
@@ -328,7 +328,7 @@
 		return
 	}
 	delete(n.sessions, id)
-	n.record.Add(Event{Kind: Ended, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
+	n.record.Add(Event{Kind: SessionEnded, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
 	n.pendingEnds[s.manager] = append(n.pendingEnds[s.manager], id)
 	c := s.conn
 	if c.closed {
@@ -352,7 +352,7 @@
 	if s := n.sessions[id]; s != nil && s.manager == c.manager {
 		s.timer.Stop()
 		delete(n.sessions, id)
-		n.record.Add(Event{Kind: Released, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
+		n.record.Add(Event{Kind: SessionTornDown, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	c.send(buildResponse(200, "2", id, ""))
 }
--- a/internal/fleettest/packets_test.go
+++ b/internal/fleettest/packets_test.go
@@ -41,7 +41,7 @@
 			if all = append(all, s); s == last {
 				return all
 			}
-		case <-time.After(patience):
+		case <-time.After(defaultWaitTimeout):
 			t.Fatalf("%q was not received after %d others", last, len(all))
 		}
 	}
@@ -74,7 +74,7 @@
 		t.Error(all)
 	}
 	b := make([]byte, 100)
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "re 0" {
 		t.Errorf("without a fault: answer %q, %v; want re 0", b[:n], err)
 	}
@@ -83,7 +83,7 @@
 	for p.Forwarded(ToTarget) != 3 {
 		t.Fatal("a datagram passed while its direction was cut")
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	if n, err := c.Read(b); err != nil || string(b[:n]) != "re 1" { // the other direction is open
 		t.Errorf("while cut: answer %q, %v; want re 1", b[:n], err)
 	}
@@ -147,7 +147,7 @@
 		}
 		defer c.Close()
 		b := make([]byte, 2)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 		_, err = c.Read(b)
 		return err == nil && string(b) == "m2"
 	}
--- a/internal/fleettest/patch.go
+++ b/internal/fleettest/patch.go
@@ -19,23 +19,23 @@
 func BuildPatched(root, folder string, patches ...Patch) (string, error) {
 	replace := map[string]string{}
 	for i, p := range patches {
-		at := filepath.Join(root, p.File)
-		from := at
-		if done, ok := replace[at]; ok {
-			from = done
+		source := filepath.Join(root, p.File)
+		current := source
+		if patched, ok := replace[source]; ok {
+			current = patched
 		}
-		text, err := os.ReadFile(from)
+		text, err := os.ReadFile(current)
 		if err != nil {
 			return "", fmt.Errorf("fleettest: %w", err)
 		}
 		if n := strings.Count(string(text), p.Old); n != 1 {
 			return "", fmt.Errorf("fleettest: patch %d: %q stands %d times in %s", i, p.Old, n, p.File)
 		}
-		to := filepath.Join(folder, fmt.Sprintf("patched-%d.go", i))
-		if err := os.WriteFile(to, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
+		target := filepath.Join(folder, fmt.Sprintf("patched-%d.go", i))
+		if err := os.WriteFile(target, []byte(strings.Replace(string(text), p.Old, p.New, 1)), 0o600); err != nil {
 			return "", fmt.Errorf("fleettest: %w", err)
 		}
-		replace[at] = to
+		replace[source] = target
 	}
 	text, err := json.Marshal(map[string]any{"Replace": replace})
 	if err != nil {
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -87,13 +87,13 @@
 		served := p.viewerAddr != ""
 		m.mu.Unlock()
 		return served && p.reportsReady()
-	}, func() { m.Record.Add(Event{Kind: Running, Manager: m.Name}) })
+	}, func() { m.Record.Add(Event{Kind: ManagerServing, Manager: m.Name}) })
 }
 
 // awaitReady waits until a process is ready, marks it as such and calls then. It fails when the
 // process ends or the time runs out.
 func (m *Manager) awaitReady(p *process, ready func() bool, then func()) error {
-	deadline := time.After(patience)
+	deadline := time.After(defaultWaitTimeout)
 	for {
 		m.mu.Lock()
 		changed := m.changed
@@ -111,7 +111,7 @@
 		case <-p.exited:
 			return fmt.Errorf("fleettest: %s ended during its start:\n%s", m.Name, m.LogTail(20))
 		case <-deadline:
-			return fmt.Errorf("fleettest: %s is not ready after %v:\n%s", m.Name, patience, m.LogTail(20))
+			return fmt.Errorf("fleettest: %s is not ready after %v:\n%s", m.Name, defaultWaitTimeout, m.LogTail(20))
 		}
 	}
 }
@@ -190,9 +190,9 @@
 	m.mu.Lock()
 	stopRequested := p.stopRequested
 	m.processes = slices.DeleteFunc(m.processes, func(other *process) bool { return other == p })
-	e := Event{Kind: Replaced, Manager: m.Name, Process: p.number, Text: fmt.Sprint("ended: ", err)}
+	e := Event{Kind: ProcessReplaced, Manager: m.Name, Process: p.number, Text: fmt.Sprint("ended: ", err)}
 	if len(m.processes) == 0 {
-		e.Kind = Stopped
+		e.Kind = ManagerStopped
 	}
 	m.notifyChanged()
 	m.mu.Unlock()
@@ -217,7 +217,7 @@
 	if old == nil {
 		return fmt.Errorf("fleettest: %s is not running", m.Name)
 	}
-	m.Record.Add(Event{Kind: Renewing, Manager: m.Name})
+	m.Record.Add(Event{Kind: UpgradeStarted, Manager: m.Name})
 	p, err := m.launch()
 	if err != nil {
 		return err
@@ -229,7 +229,7 @@
 			doomed = p
 		} else {
 			// What the old process had accepted is lost with it. The successor serves or soon does.
-			m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "killed beside its successor"})
+			m.Record.Add(Event{Kind: ManagerStopped, Manager: m.Name, Text: "killed beside its successor"})
 		}
 		m.signalStop(doomed, syscall.SIGKILL)
 		<-doomed.exited
@@ -238,9 +238,9 @@
 		}
 	}
 	return m.awaitReady(p, p.reportsReady, func() {
-		m.Record.Add(Event{Kind: Renewed, Manager: m.Name, Process: p.number})
+		m.Record.Add(Event{Kind: SuccessorReady, Manager: m.Name, Process: p.number})
 		if kill == "old" {
-			m.Record.Add(Event{Kind: Running, Manager: m.Name, Text: "its successor"})
+			m.Record.Add(Event{Kind: ManagerServing, Manager: m.Name, Text: "its successor"})
 		}
 	})
 }
@@ -378,22 +378,22 @@
 		return nil
 	}
 	if s == syscall.SIGTERM {
-		m.Record.Add(Event{Kind: Ending, Manager: m.Name})
+		m.Record.Add(Event{Kind: ManagerStopRequested, Manager: m.Name})
 	}
 	if s == syscall.SIGKILL {
-		m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "killed"})
+		m.Record.Add(Event{Kind: ManagerStopped, Manager: m.Name, Text: "killed"})
 	}
 	for _, p := range l {
 		m.signalStop(p, s)
 	}
-	timeout := time.After(patience)
+	timeout := time.After(defaultWaitTimeout)
 	for _, p := range l {
 		select {
 		case <-p.exited:
 		case <-timeout:
 			p.cmd.Process.Kill()
 			<-p.exited
-			return fmt.Errorf("fleettest: %s is still running %v after %v", m.Name, patience, s)
+			return fmt.Errorf("fleettest: %s is still running %v after %v", m.Name, defaultWaitTimeout, s)
 		}
 	}
 	return nil
@@ -401,7 +401,7 @@
 
 // Pause stops the manager by SIGSTOP: it receives nothing while the clock goes on.
 func (m *Manager) Pause() error {
-	m.Record.Add(Event{Kind: Stopped, Manager: m.Name, Text: "paused"})
+	m.Record.Add(Event{Kind: ManagerStopped, Manager: m.Name, Text: "paused"})
 	return m.signalAll(syscall.SIGSTOP)
 }
 
@@ -409,7 +409,7 @@
 // clock.
 func (m *Manager) Resume() error {
 	err := m.signalAll(syscall.SIGCONT)
-	m.Record.Add(Event{Kind: Running, Manager: m.Name, Text: "resumed"})
+	m.Record.Add(Event{Kind: ManagerServing, Manager: m.Name, Text: "resumed"})
 	return err
 }
 
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -37,7 +37,7 @@
 
 func dialRelay(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
-	c, err := net.DialTimeout("tcp4", r.Addr(), patience)
+	c, err := net.DialTimeout("tcp4", r.Addr(), defaultWaitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	const briefly = 50 * time.Millisecond // waits for what must not come; being slow cannot make the test fail
 	r := newEchoRelay(t)
 	c := dialRelay(t, r)
-	if got, err := exchange(c, "hello", patience); got != "hello" {
+	if got, err := exchange(c, "hello", defaultWaitTimeout); got != "hello" {
 		t.Fatal(got, err)
 	}
 	for _, direction := range []Direction{ToTarget, FromTarget} {
@@ -74,16 +74,16 @@
 		}
 		r.Heal()
 		b := make([]byte, 3)
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "cut" {
 			t.Errorf("healed %v: got %q, %v; want the data held back", direction, b, err)
 		}
-		if got, err := exchange(dialRelay(t, r), "new", patience); got != "new" {
+		if got, err := exchange(dialRelay(t, r), "new", defaultWaitTimeout); got != "new" {
 			t.Errorf("healed %v: a new connection got %q, %v", direction, got, err)
 		}
 	}
 	r.Refuse()
-	if _, err := exchange(c, "x", patience); err == nil {
+	if _, err := exchange(c, "x", defaultWaitTimeout); err == nil {
 		t.Error("a connection is still open after Refuse")
 	}
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -92,7 +92,7 @@
 	if err := r.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := exchange(dialRelay(t, r), "again", patience); got != "again" {
+	if got, err := exchange(dialRelay(t, r), "again", defaultWaitTimeout); got != "again" {
 		t.Errorf("after StopRefusing: got %q, %v", got, err)
 	}
 
@@ -111,26 +111,26 @@
 		hits := 0
 		r.Trap(e.direction, "end", 1, e.action, func() { hits++ })
 		c, other := dialRelay(t, r), dialRelay(t, r)
-		if got, err := exchange(c, "fin", patience); got != "fin" {
+		if got, err := exchange(c, "fin", defaultWaitTimeout); got != "fin" {
 			t.Fatal(got, err)
 		}
-		wait := patience
+		wait := defaultWaitTimeout
 		if e.action == Mute {
 			wait = briefly
 		}
 		if got, err := exchange(c, "end", wait); got != e.want || !errors.Is(err, e.wantErr) {
 			t.Errorf("direction %v, action %v: got %q, %v", e.direction, e.action, got, err)
 		}
-		if got, err := exchange(other, "end", patience); got != "end" || hits != 1 {
+		if got, err := exchange(other, "end", defaultWaitTimeout); got != "end" || hits != 1 {
 			t.Errorf("direction %v, action %v: %d hits; the second connection got %q, %v", e.direction, e.action, hits, got, err)
 		}
 	}
 	r.TrapAt(ToTarget, 4, 1, ResetBefore)
 	c = dialRelay(t, r)
-	if got, err := exchange(c, "abc", patience); got != "abc" {
+	if got, err := exchange(c, "abc", defaultWaitTimeout); got != "abc" {
 		t.Fatal(got, err)
 	}
-	if got, err := exchange(c, "d", patience); err == nil {
+	if got, err := exchange(c, "d", defaultWaitTimeout); err == nil {
 		t.Errorf("byte 4 passed a trap at 4 bytes: %q", got)
 	}
 }
@@ -152,7 +152,7 @@
 		}
 		c.CloseWrite()
 	}()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	got, err := io.ReadAll(c)
 	if err != nil || string(got) != string(want) {
 		t.Errorf("got %d bytes, %v; want all bytes sent, in order", len(got), err)
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -14,94 +14,94 @@
 // Scenario is what a test plays: a fleet, what happens to it and in which order,
 // and what must hold beside the rules.
 type Scenario struct {
-	Name   string
-	Plan   FleetConfig
-	acts   []act
-	expect []expectation
-	check  []func() // what names other parts, checked when all is read
+	Name           string
+	Plan           FleetConfig
+	acts           []act
+	expectations   []expectation
+	deferredChecks []func() // what names other parts, checked when all is read
 }
 
 // act is a step: it waits for its conditions, one after the other, and then does.
 type act struct {
-	name string
-	when []condition
-	do   []step
+	name       string
+	conditions []condition
+	steps      []step
 }
 
 type condition struct {
-	what  string
-	ready func(*run) bool
-	wait  time.Duration // instead: so long
-	after func(*run)    // instead: until it returns
+	name  string
+	holds func(*scenarioRun) bool
+	delay time.Duration      // instead: so long
+	block func(*scenarioRun) // instead: until it returns
 }
 
 type step struct {
-	what string
-	do   func(*run) error
+	name    string
+	perform func(*scenarioRun) error
 }
 
 type expectation struct {
-	what  string
-	holds func(*run) string // what is wrong, or ""
+	name      string
+	violation func(*scenarioRun) string // what is wrong, or ""
 }
 
-// run is a Scenario while it is played.
-type run struct {
+// scenarioRun is a Scenario while it is played.
+type scenarioRun struct {
 	*Fleet
-	began  time.Time // of the act
-	marked []string  // what managers had logged at the mark
-	aside  sync.WaitGroup
+	actStarted  time.Time // of the act
+	markedLines []string  // what managers had logged at the mark
+	background  sync.WaitGroup
 }
 
-const longest = time.Minute
+const maxDuration = time.Minute
 
 // Parse reads a scenario. open reads what it includes; nil: nothing can be included. The
 // error is a *conf.Faults, which tells all that is wrong.
-func Parse(name string, text []byte, open conf.Open) (*Scenario, error) {
-	s := &Scenario{Name: name, Plan: FleetConfig{Seed: 1, WaitTimeout: patience, NodeModel: DefaultNodeModel, Terms: DefaultTerms,
+func Parse(name string, text []byte, open conf.ReadFileFunc) (*Scenario, error) {
+	s := &Scenario{Name: name, Plan: FleetConfig{Seed: 1, WaitTimeout: defaultWaitTimeout, NodeModel: DefaultNodeModel, Terms: DefaultLimits,
 		Load: Load{ClipShare: 0.35, TimeLeft: 3 * time.Second, RetryShare: 0.9, Titles: 8, ManagerWeights: map[string]float64{}}}}
 	faults := new(conf.Faults)
-	conf.Read(conf.Parse(name, text, open, faults), nil, faults, s.keys())
-	for _, f := range s.check {
+	conf.Apply(conf.Parse(name, text, open, faults), nil, faults, s.directives())
+	for _, f := range s.deferredChecks {
 		f()
 	}
 	if err := faults.Err(); err != nil {
 		return nil, err
 	}
 	t := &s.Plan.Terms
-	t.Ops.Files = cmp.Or(s.Plan.Sockets, t.Ops.Files)
-	t.Warm, t.Places, t.Share = s.Plan.NodeModel.WarmUpTime, s.Plan.NodeModel.MaxStreams, s.Plan.NodeModel.StartCapacityShare
+	t.Operations.Descriptors = cmp.Or(s.Plan.Sockets, t.Operations.Descriptors)
+	t.WarmUp, t.NodeCapacity, t.InitialShare = s.Plan.NodeModel.WarmUpTime, s.Plan.NodeModel.MaxStreams, s.Plan.NodeModel.StartCapacityShare
 	return s, nil
 }
 
-func (s *Scenario) keys() []conf.Key {
+func (s *Scenario) directives() []conf.Keyword {
 	p := &s.Plan
-	return []conf.Key{
-		{Name: "seed", Usage: "N", Read: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Read: func(d *conf.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, longest) }},
-		{Name: "level", Usage: "LEVEL", Read: func(d *conf.Directive) {
+	return []conf.Keyword{
+		{Name: "seed", Usage: "N", Apply: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
+		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, maxDuration) }},
+		{Name: "level", Usage: "LEVEL", Apply: func(d *conf.Directive) {
 			p.LogLevel = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
-		{Name: "sockets", Usage: "N", Read: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
-		{Name: "admin", Read: func(*conf.Directive) { p.Admin = true }},
-		{Name: "hall", Usage: "NAME { … }", Many: true, Must: true, Read: s.hall},
-		{Name: "absent", Usage: "NODE…", Many: true, Read: func(d *conf.Directive) {
+		{Name: "sockets", Usage: "N", Apply: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
+		{Name: "admin", Apply: func(*conf.Directive) { p.Admin = true }},
+		{Name: "hall", Usage: "NAME { … }", Repeatable: true, Required: true, Apply: s.readHall},
+		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *conf.Directive) {
 			for first := true; first || d.More(); first = false {
 				p.Unlisted = append(p.Unlisted, d.Word("a node"))
 			}
 		}},
-		{Name: "operator", Usage: "LINE", Many: true, Read: func(d *conf.Directive) {
+		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *conf.Directive) {
 			line, _ := d.Rest()
 			p.OperatorConfig += strings.Trim(line, "`") + "\n"
 		}},
-		{Name: "load", Usage: "{ … }", Read: s.load},
-		{Name: "node", Usage: "{ … }", Read: s.node},
-		{Name: "act", Usage: "NAME { … }", Many: true, Read: s.act},
-		{Name: "expect", Usage: "WHAT …", Many: true, Read: s.expects},
+		{Name: "load", Usage: "{ … }", Apply: s.readLoad},
+		{Name: "node", Usage: "{ … }", Apply: s.readNode},
+		{Name: "act", Usage: "NAME { … }", Repeatable: true, Apply: s.readAct},
+		{Name: "expect", Usage: "WHAT …", Repeatable: true, Apply: s.readExpectation},
 	}
 }
 
-func (s *Scenario) hall(d *conf.Directive) {
+func (s *Scenario) readHall(d *conf.Directive) {
 	h := Hall{Name: d.Word("a name")}
 	names := func(to *[]string) func(*conf.Directive) {
 		return func(d *conf.Directive) {
@@ -110,49 +110,49 @@
 			}
 		}
 	}
-	d.Block(conf.Key{Name: "managers", Usage: "NAME…", Read: names(&h.Managers)}, conf.Key{Name: "nodes", Usage: "NAME…", Read: names(&h.Nodes)})
+	d.Block(conf.Keyword{Name: "managers", Usage: "NAME…", Apply: names(&h.Managers)}, conf.Keyword{Name: "nodes", Usage: "NAME…", Apply: names(&h.Nodes)})
 	s.Plan.Halls = append(s.Plan.Halls, h)
 }
 
-func (s *Scenario) load(d *conf.Directive) {
+func (s *Scenario) readLoad(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Key{Name: "rate", Usage: "N", Read: func(d *conf.Directive) { l.SessionsPerSecond = d.Float("sessions a second", 0, 1000) }},
-		conf.Key{Name: "clip", Usage: "SHARE", Read: func(d *conf.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "again", Usage: "SHARE", Read: func(d *conf.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
-		conf.Key{Name: "titles", Usage: "N", Read: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Key{Name: "left", Usage: "DURATION", Read: func(d *conf.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, longest) }},
-		conf.Key{Name: "weight", Usage: "MANAGER N", Many: true, Read: func(d *conf.Directive) {
+		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.SessionsPerSecond = d.Float("sessions a second", 0, 1000) }},
+		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "titles", Usage: "N", Apply: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
+		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *conf.Directive) {
 			m := d.Word("a manager")
 			l.ManagerWeights[m] = d.Float("a weight", 0, 1000)
-			s.names(d, 1, m)
+			s.checkNames(d, 1, m)
 		}},
 	)
 }
 
-func (s *Scenario) node(d *conf.Directive) {
+func (s *Scenario) readNode(d *conf.Directive) {
 	m := &s.Plan.NodeModel
 	two := func(to *[2]time.Duration) func(*conf.Directive) {
 		return func(d *conf.Directive) {
-			to[0] = d.Duration("a time", 0, longest)
-			to[1] = d.Duration("a longer time", to[0], longest)
+			to[0] = d.Duration("a time", 0, maxDuration)
+			to[1] = d.Duration("a longer time", to[0], maxDuration)
 		}
 	}
 	d.Block(
-		conf.Key{Name: "link", Usage: "KB", Read: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
-		conf.Key{Name: "places", Usage: "N", Read: func(d *conf.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
-		conf.Key{Name: "warm", Usage: "DURATION", Read: func(d *conf.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, longest) }},
-		conf.Key{Name: "share", Usage: "SHARE", Read: func(d *conf.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
-		conf.Key{Name: "idle", Usage: "DURATION", Read: func(d *conf.Directive) { m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, longest) }},
-		conf.Key{Name: "streams", Usage: "N", Read: func(d *conf.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Key{Name: "answer", Usage: "FROM TO", Read: two(&m.AnswerDelay)},
-		conf.Key{Name: "length", Usage: "FROM TO", Read: two(&m.SessionLength)},
+		conf.Keyword{Name: "link", Usage: "KB", Apply: func(d *conf.Directive) { m.LinkKB = d.Float("kB a second", 1, 1e9) }},
+		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
+		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
+		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
+		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.AnswerDelay)},
+		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.SessionLength)},
 	)
 }
 
-// names has names checked once all halls are read.
-func (s *Scenario) names(d *conf.Directive, argument int, names ...string) {
-	s.check = append(s.check, func() {
+// checkNames has names checked once all halls are read.
+func (s *Scenario) checkNames(d *conf.Directive, argument int, names ...string) {
+	s.deferredChecks = append(s.deferredChecks, func() {
 		f := &Fleet{Config: s.Plan, Managers: map[string]*Manager{}, Nodes: map[string]*Node{}}
 		for _, h := range s.Plan.Halls {
 			for _, m := range h.Managers {
@@ -162,52 +162,52 @@
 				f.Nodes[n] = &Node{}
 			}
 		}
-		if _, err := f.Find(names...); err != nil && !d.Bad() {
-			d.Fault(argument, "%v", err)
+		if _, err := f.Find(names...); err != nil && !d.HasFault() {
+			d.ReportFault(argument, "%v", err)
 		}
 	})
 }
 
-func (s *Scenario) act(d *conf.Directive) {
+func (s *Scenario) readAct(d *conf.Directive) {
 	a := act{name: d.Word("a name")}
 	d.Block(
-		conf.Key{Name: "when", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) {
-			if len(a.do) > 0 {
-				d.Fault(0, "comes after what is done: an act waits first, and then does")
+		conf.Keyword{Name: "when", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) {
+			if len(a.steps) > 0 {
+				d.ReportFault(0, "comes after what is done: an act waits first, and then does")
 			}
-			a.when = append(a.when, s.condition(d))
+			a.conditions = append(a.conditions, s.readCondition(d))
 		}},
-		conf.Key{Name: "do", Usage: "WHAT …", Many: true, Read: func(d *conf.Directive) { a.do = append(a.do, s.step(d)) }},
+		conf.Keyword{Name: "do", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) { a.steps = append(a.steps, s.readStep(d)) }},
 	)
 	s.acts = append(s.acts, a)
 }
 
-// counted are the conditions that count events, of all or of a node or a manager.
-var counted = map[string]func(*Event) bool{
-	"asked":    func(e *Event) bool { return e.Kind == Asked },
+// eventConditions are the conditions that count events, of all or of a node or a manager.
+var eventConditions = map[string]func(*Event) bool{
+	"asked":    func(e *Event) bool { return e.Kind == SetUpRequested },
 	"served":   func(e *Event) bool { return e.Kind == Answered && e.Outcome == Served },
 	"refused":  func(e *Event) bool { return e.Kind == Answered && e.Outcome == Refused },
 	"failed":   func(e *Event) bool { return e.Kind == Answered && e.Outcome == Failed },
 	"answered": func(e *Event) bool { return e.Kind == Answered },
-	"sent":     func(e *Event) bool { return e.Kind == Sent },
-	"came":     func(e *Event) bool { return e.Kind == Came },
-	"ended":    func(e *Event) bool { return e.Kind == Ended },
-	"over":     func(e *Event) bool { return e.Kind == Over },
+	"sent":     func(e *Event) bool { return e.Kind == SetUpSent },
+	"came":     func(e *Event) bool { return e.Kind == SetUpReceived },
+	"ended":    func(e *Event) bool { return e.Kind == SessionEnded },
+	"over":     func(e *Event) bool { return e.Kind == ReleaseReceived },
 }
 
-func (s *Scenario) condition(d *conf.Directive) condition {
-	words := append([]string{"after", "standing", "logged", "quiet", "open", "aside"}, sortedKeys(counted)...)
+func (s *Scenario) readCondition(d *conf.Directive) condition {
+	words := append([]string{"after", "standing", "logged", "quiet", "open", "aside"}, sortedKeys(eventConditions)...)
 	i := d.OneOf("a condition", words...)
 	if i < 0 {
 		return condition{}
 	}
-	c := condition{what: words[i]}
+	c := condition{name: words[i]}
 	switch words[i] {
 	case "after":
-		c.wait = d.Duration("a time", 0, longest)
+		c.delay = d.Duration("a time", 0, maxDuration)
 	case "standing": // N [NODE]
-		n, node := d.Int("sessions", 1, 1<<20), s.optional(d)
-		c.ready = func(r *run) bool {
+		n, node := d.Int("sessions", 1, 1<<20), s.readOptionalName(d)
+		c.holds = func(r *scenarioRun) bool {
 			if node != "" {
 				return r.Nodes[node].EstablishedSessions() >= n
 			}
@@ -215,37 +215,39 @@
 		}
 	case "open": // N: set-ups that are out
 		n := d.Int("set-ups", 1, 1<<20)
-		c.ready = func(r *run) bool { return r.Record.Count(counted["asked"])-r.Record.Count(counted["answered"]) >= n }
+		c.holds = func(r *scenarioRun) bool {
+			return r.Record.Count(eventConditions["asked"])-r.Record.Count(eventConditions["answered"]) >= n
+		}
 	case "logged":
-		m := d.Word("a manager")
-		s.names(d, 2, m)
+		manager := d.Word("a manager")
+		s.checkNames(d, 2, manager)
 		text := d.Word("a part of a line")
-		c.ready = func(r *run) bool {
-			return slices.ContainsFunc(r.Managers[m].Log(), func(l string) bool { return strings.Contains(l, text) })
+		c.holds = func(r *scenarioRun) bool {
+			return slices.ContainsFunc(r.Managers[manager].Log(), func(l string) bool { return strings.Contains(l, text) })
 		}
 	case "aside":
-		c.after = func(r *run) { r.aside.Wait() }
+		c.block = func(r *scenarioRun) { r.background.Wait() }
 	case "quiet":
-		c.ready = func(r *run) bool { return r.Fleet.EstablishedSessions() == 0 }
+		c.holds = func(r *scenarioRun) bool { return r.Fleet.EstablishedSessions() == 0 }
 	default: // N [of NODE or MANAGER], since the act before
-		fits := counted[words[i]]
-		n, of := d.Int("how many", 1, 1<<20), s.optional(d)
-		c.ready = func(r *run) bool {
+		matches := eventConditions[words[i]]
+		n, name := d.Int("how many", 1, 1<<20), s.readOptionalName(d)
+		c.holds = func(r *scenarioRun) bool {
 			return r.Record.Count(func(e *Event) bool {
-				return fits(e) && !e.At.Before(r.began) && (of == "" || e.Node == of || e.Manager == of)
+				return matches(e) && !e.At.Before(r.actStarted) && (name == "" || e.Node == name || e.Manager == name)
 			}) >= n
 		}
 	}
 	return c
 }
 
-// optional reads the name of a node or a manager, if there is one.
-func (s *Scenario) optional(d *conf.Directive) string {
+// readOptionalName reads the name of a node or a manager, if there is one.
+func (s *Scenario) readOptionalName(d *conf.Directive) string {
 	if !d.More() {
 		return ""
 	}
 	name := d.Word("a name")
-	s.names(d, d.At(), name)
+	s.checkNames(d, d.ArgumentIndex(), name)
 	return name
 }
 
@@ -253,18 +255,18 @@
 // returns what is wrong: broken rules with the path of their session, managers that
 // ended, and what was expected and isn't so. The fleet is ended by then. watch, if
 // not nil, is told of each act.
-func (s *Scenario) Play(binary, folder string, watch func(string)) (wrong []string, record *Record) {
+func (s *Scenario) Play(binary, folder string, onAct func(string)) (failures []string, record *Record) {
 	f, err := New(s.Plan, binary, folder)
 	defer f.Close()
 	if err != nil {
 		return []string{err.Error()}, f.Record
 	}
-	r := &run{Fleet: f, began: time.Now()}
+	r := &scenarioRun{Fleet: f, actStarted: time.Now()}
 	f.Viewers.Run(f.done)
-	if err := s.play(r, watch); err != nil {
-		wrong = append(wrong, err.Error())
+	if err := s.playActs(r, onAct); err != nil {
+		failures = append(failures, err.Error())
 	}
-	r.aside.Wait()
+	r.background.Wait()
 	if s.Plan.Admin {
 		time.Sleep(600 * time.Millisecond) // what is older has to be in the figures
 		for m := range f.Managers {
@@ -273,41 +275,41 @@
 	}
 	events := f.Record.Events()
 	if found := Judge(events, s.Plan.Terms, time.Now()); len(found) > 0 {
-		wrong = append(wrong, Report(found, events))
+		failures = append(failures, FormatVerdicts(found, events))
 	}
-	for _, e := range s.expect {
-		if why := e.holds(r); why != "" {
-			wrong = append(wrong, "expected "+e.what+": "+why)
+	for _, e := range s.expectations {
+		if why := e.violation(r); why != "" {
+			failures = append(failures, "expected "+e.name+": "+why)
 		}
 	}
 	for _, err := range f.Failures() {
-		wrong = append(wrong, err.Error())
+		failures = append(failures, err.Error())
 	}
-	return wrong, f.Record
+	return failures, f.Record
 }
 
-func (s *Scenario) play(r *run, watch func(string)) error {
+func (s *Scenario) playActs(r *scenarioRun, onAct func(string)) error {
 	for _, a := range s.acts {
-		for _, c := range a.when {
-			if c.after != nil {
-				c.after(r)
+		for _, c := range a.conditions {
+			if c.block != nil {
+				c.block(r)
 				continue
 			}
-			if c.ready == nil {
-				time.Sleep(c.wait)
+			if c.holds == nil {
+				time.Sleep(c.delay)
 				continue
 			}
-			if err := r.WaitFor("act "+a.name+": "+c.what, func() bool { return c.ready(r) }); err != nil {
+			if err := r.WaitFor("act "+a.name+": "+c.name, func() bool { return c.holds(r) }); err != nil {
 				return err
 			}
 		}
-		if watch != nil {
-			watch(a.name)
+		if onAct != nil {
+			onAct(a.name)
 		}
-		r.began = time.Now()
-		for _, d := range a.do {
-			if err := d.do(r); err != nil {
-				return fmt.Errorf("act %s: %s: %w", a.name, d.what, err)
+		r.actStarted = time.Now()
+		for _, d := range a.steps {
+			if err := d.perform(r); err != nil {
+				return fmt.Errorf("act %s: %s: %w", a.name, d.name, err)
 			}
 		}
 	}
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -9,77 +9,77 @@
 	"testing"
 )
 
-// program builds the program once a test run.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program once a test run.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
 		return "", err
 	}
-	return Build(root, folder)
+	return Build(root, buildFolder)
 })
 
-// folder is for what the tests build.
-var folder string
+// buildFolder is for what the tests build.
+var buildFolder string
 
-var onlyOne = flag.String("scenario", "", "play only the scenario of this name, or its faults")
+var onlyScenario = flag.String("scenario", "", "play only the scenario of this name, or its faults")
 
 func TestMain(m *testing.M) {
-	if breaks := os.Getenv(badEnv); breaks != "" {
-		runBad(breaks)
+	if fault := os.Getenv(faultEnv); fault != "" {
+		runScriptedManager(fault)
 		return
 	}
 	flag.Parse()
 	var err error
-	if folder, err = os.MkdirTemp("", "fleettest"); err != nil {
+	if buildFolder, err = os.MkdirTemp("", "fleettest"); err != nil {
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(folder)
+	os.RemoveAll(buildFolder)
 	os.Exit(code)
 }
 
-// atOnce is how many scenarios are played side by side. They mostly wait, so that is
+// playSlots is how many scenarios are played side by side. They mostly wait, so that is
 // more than there are processors.
-var atOnce = make(chan struct{}, 12)
+var playSlots = make(chan struct{}, 12)
 
-// played is a scenario that is being played.
-type played struct {
+// scenarioPlay is a scenario that is being played.
+type scenarioPlay struct {
 	name, rule string // rule: that a fault in the program has to break; empty: none
 	acts       []string
-	wrong      []string
+	failures   []string
 	summary    string
 	done       chan struct{}
 }
 
-// play begins a scenario with a program that build builds.
-func play(t *testing.T, name, rule string, build func() (string, error)) *played {
+// startPlay begins a scenario with a program that build builds.
+func startPlay(t *testing.T, name, rule string, build func() (string, error)) *scenarioPlay {
 	t.Helper()
 	file := filepath.Join("testdata", name+".txt")
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Parse(file, text, os.ReadFile)
+	scenario, err := Parse(file, text, os.ReadFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, own, keep := &played{name: name, rule: rule, done: make(chan struct{})}, t.TempDir(), os.Getenv("FLEETTEST_KEEP")
+	result, playFolder, keep := &scenarioPlay{name: name, rule: rule, done: make(chan struct{})}, t.TempDir(), os.Getenv("FLEETTEST_KEEP")
 	if keep != "" { // a folder for whole records, and the processes' files
-		own = filepath.Join(keep, name)
-		os.RemoveAll(own)
+		playFolder = filepath.Join(keep, name)
+		os.RemoveAll(playFolder)
 	}
 	go func() {
-		defer close(p.done)
-		atOnce <- struct{}{}
-		defer func() { <-atOnce }()
+		defer close(result.done)
+		playSlots <- struct{}{}
+		defer func() { <-playSlots }()
 		binary, err := build()
 		if err != nil {
-			p.wrong = []string{err.Error()}
+			result.failures = []string{err.Error()}
 			return
 		}
 		var record *Record
-		p.wrong, record = s.Play(binary, own, func(act string) { p.acts = append(p.acts, act) })
-		p.summary = record.Summary()
+		result.failures, record = scenario.Play(binary, playFolder, func(act string) { result.acts = append(result.acts, act) })
+		result.summary = record.Summary()
 		if keep != "" {
 			var all strings.Builder
 			for _, e := range record.Events() {
@@ -88,7 +88,7 @@
 			os.WriteFile(filepath.Join(keep, name+".record"), []byte(all.String()), 0o600)
 		}
 	}()
-	return p
+	return result
 }
 
 // TestScenarios plays the files of testdata with processes of the program.
@@ -101,28 +101,28 @@
 	if err != nil || len(files) == 0 {
 		t.Fatal("no scenarios", err)
 	}
-	var all []*played
+	var all []*scenarioPlay
 	for _, file := range files {
-		if *onlyOne != "" && strings.TrimSuffix(filepath.Base(file), ".txt") != *onlyOne {
+		if *onlyScenario != "" && strings.TrimSuffix(filepath.Base(file), ".txt") != *onlyScenario {
 			continue
 		}
-		all = append(all, play(t, strings.TrimSuffix(filepath.Base(file), ".txt"), "", program))
+		all = append(all, startPlay(t, strings.TrimSuffix(filepath.Base(file), ".txt"), "", buildProgram))
 	}
 	for _, p := range all {
 		t.Run(p.name, func(t *testing.T) {
 			<-p.done
 			t.Log(strings.Join(p.acts, "; "))
 			t.Log(p.summary)
-			for _, w := range p.wrong {
+			for _, w := range p.failures {
 				t.Error(w)
 			}
 		})
 	}
 }
 
-// TestScenariosTellFaults puts faults into the program that the named scenario has
+// TestScenariosDetectInjectedFaults puts faults into the program that the named scenario has
 // to tell, by the named rule.
-func TestScenariosTellFaults(t *testing.T) {
+func TestScenariosDetectInjectedFaults(t *testing.T) {
 	if testing.Short() {
 		t.Skip("builds the program once a fault")
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []*played
+	var all []*scenarioPlay
 	for _, e := range []struct {
 		scenario, rule string
 		patches        []Patch
@@ -166,19 +166,19 @@
 			{"control/state.go", "		c.markCold(sv, c.now)\n", ""},
 		}},
 	} {
-		if *onlyOne != "" && e.scenario != *onlyOne {
+		if *onlyScenario != "" && e.scenario != *onlyScenario {
 			continue
 		}
 		folder := t.TempDir()
-		all = append(all, play(t, e.scenario, e.rule, func() (string, error) { return BuildPatched(root, folder, e.patches...) }))
+		all = append(all, startPlay(t, e.scenario, e.rule, func() (string, error) { return BuildPatched(root, folder, e.patches...) }))
 	}
 	for _, p := range all {
 		t.Run(p.name, func(t *testing.T) {
 			<-p.done
-			if !strings.Contains(strings.Join(p.wrong, "\n"), p.rule) {
-				t.Errorf("the fault is not told: %q", p.wrong)
+			if !strings.Contains(strings.Join(p.failures, "\n"), p.rule) {
+				t.Errorf("the fault is not told: %q", p.failures)
 			} else if testing.Verbose() {
-				t.Logf("%.300q", p.wrong)
+				t.Logf("%.300q", p.failures)
 			}
 		})
 	}
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -17,15 +17,15 @@
 	if !*sizes {
 		t.Skip("runs only with -sizes")
 	}
-	binary, err := program()
+	binary, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range []int{4, 16, 40} {
-		p := FleetConfig{Seed: 1, WaitTimeout: patience, NodeModel: DefaultNodeModel, Terms: DefaultTerms,
+		p := FleetConfig{Seed: 1, WaitTimeout: defaultWaitTimeout, NodeModel: DefaultNodeModel, Terms: DefaultLimits,
 			Load: Load{TimeLeft: 3 * time.Second, ClipShare: 0.35, Titles: 8}}
 		p.NodeModel.LinkKB, p.NodeModel.MaxStreams, p.NodeModel.SessionLength = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
-		p.Terms.Places = p.NodeModel.MaxStreams
+		p.Terms.NodeCapacity = p.NodeModel.MaxStreams
 		for i := range 2 {
 			h := Hall{Name: string(rune('a' + i))}
 			for k := range n / 2 {
@@ -54,7 +54,7 @@
 			asked, served := 0, 0
 			for _, e := range f.Record.Events() {
 				if e.At.After(from) && e.At.Before(to) {
-					if e.Kind == Asked {
+					if e.Kind == SetUpRequested {
 						asked++
 					}
 					if e.Kind == Answered && e.Outcome == Served {
@@ -78,7 +78,7 @@
 		f.Viewers.SetRate(0.001)
 		time.Sleep(4 * time.Second)
 		if found := Judge(f.Record.Events(), p.Terms, time.Now()); len(found) > 0 {
-			t.Error(Report(found, f.Record.Events()))
+			t.Error(FormatVerdicts(found, f.Record.Events()))
 		}
 		f.Close()
 		t.Logf("%d managers: started in %v; memory %.0f MB median, %.0f MB at most; %d descriptors at most; %.0f set-ups a second, all served; %v of processor time",
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -40,7 +40,7 @@
 //	                      that one is killed so long after the second one's start
 //	stall N part|drip|body M…  so many callers that never finish a call
 //	aside STEP            does it beside what follows; the condition aside waits for its end
-func (s *Scenario) step(d *conf.Directive) step {
+func (s *Scenario) readStep(d *conf.Directive) step {
 	words := []string{"cut", "heal", "reset", "delay", "trap", "trap-at", "untrap", "kill", "term", "start", "restart", "pause", "resume",
 		"starve", "feed", "hang", "unhang", "fail", "drain", "gone", "join", "late", "silent", "speak", "rate", "burst", "end", "mark",
 		"call", "disable", "enable", "empty", "fill", "upgrade", "stall", "aside"}
@@ -49,30 +49,30 @@
 		return step{}
 	}
 	word := words[i]
-	st := step{what: word}
+	result := step{name: word}
 	switch word {
 	case "cut", "heal", "reset", "delay":
-		st.do = s.between(d, word)
+		result.perform = s.readLinkFault(d, word)
 	case "trap", "trap-at":
-		st.do = s.trap(d, word)
+		result.perform = s.readTrap(d, word)
 	case "untrap":
-		st.do = func(r *run) error {
+		result.perform = func(r *scenarioRun) error {
 			r.eachRelay(r.All(), r.All(), func(l *Relay, _ Direction, _ string) { l.Untrap() })
 			return nil
 		}
 	case "rate":
 		rate := d.Float("sessions a second", 0, 1000)
-		st.do = func(r *run) error { r.Viewers.SetRate(rate); return nil }
+		result.perform = func(r *scenarioRun) error { r.Viewers.SetRate(rate); return nil }
 	case "mark":
-		st.do = func(r *run) error {
+		result.perform = func(r *scenarioRun) error {
 			for _, m := range r.Managers {
-				r.marked = append(r.marked, m.Log()...)
+				r.markedLines = append(r.markedLines, m.Log()...)
 			}
 			return nil
 		}
 	case "burst":
-		n, m := d.Int("viewers", 1, 10000), s.optional(d)
-		st.do = func(r *run) error {
+		n, m := d.Int("viewers", 1, 10000), s.readOptionalName(d)
+		result.perform = func(r *scenarioRun) error {
 			for range n {
 				r.Viewers.Arrive(m)
 			}
@@ -80,33 +80,33 @@
 		}
 	case "end":
 		n, node := d.Int("sessions", 1, 10000), d.Word("a node")
-		s.names(d, 3, node)
-		st.do = func(r *run) error {
+		s.checkNames(d, 3, node)
+		result.perform = func(r *scenarioRun) error {
 			if got := r.Nodes[node].EndSessions("", n); got < n {
 				return fmt.Errorf("%s has only %d sessions to end", node, got)
 			}
 			return nil
 		}
 	case "call", "disable", "enable", "empty", "fill", "upgrade", "stall":
-		st.do = s.operates(d, word)
+		result.perform = s.readOperation(d, word)
 	case "aside":
-		inner := s.step(d)
-		st.do = func(r *run) error {
-			r.aside.Go(func() {
-				if err := inner.do(r); err != nil {
-					r.reportFailure(fmt.Errorf("aside %s: %w", inner.what, err))
+		inner := s.readStep(d)
+		result.perform = func(r *scenarioRun) error {
+			r.background.Go(func() {
+				if err := inner.perform(r); err != nil {
+					r.reportFailure(fmt.Errorf("aside %s: %w", inner.name, err))
 				}
 			})
 			return nil
 		}
 	case "drain", "gone", "join":
-		st.do = s.listed(d, word)
+		result.perform = s.readListUpdate(d, word)
 	case "late", "silent", "speak":
 		var late time.Duration
 		if word == "late" {
-			late = d.Duration("a time", 0, longest)
+			late = d.Duration("a time", 0, maxDuration)
 		}
-		st.do = s.each(d, func(r *run, g Group) error {
+		result.perform = s.forGroup(d, func(r *scenarioRun, g Group) error {
 			for _, m := range append(g.lists, g.managers...) {
 				if word == "late" {
 					r.Coordinators[m].SetDelay(late)
@@ -121,13 +121,13 @@
 		if word == "starve" || word == "fail" {
 			share = d.Float("a share", 0, 1)
 		}
-		st.do = s.each(d, func(r *run, g Group) error { return r.to(word, share, g) })
+		result.perform = s.forGroup(d, func(r *scenarioRun, g Group) error { return r.applyTo(word, share, g) })
 	}
-	return st
+	return result
 }
 
-// to does what needs no more than a group.
-func (r *run) to(word string, share float64, g Group) error {
+// applyTo does what needs no more than a group.
+func (r *scenarioRun) applyTo(word string, share float64, g Group) error {
 	for _, m := range g.managers {
 		p := r.Managers[m]
 		var err error
@@ -179,49 +179,49 @@
 	return nil
 }
 
-// operates reads what is done at a manager's address for calls.
-func (s *Scenario) operates(d *conf.Directive, word string) func(*run) error {
+// readOperation reads what is done at a manager's address for calls.
+func (s *Scenario) readOperation(d *conf.Directive, word string) func(*scenarioRun) error {
 	if !s.Plan.Admin {
-		d.Fault(0, "wants the keyword admin before it")
+		d.ReportFault(0, "wants the keyword admin before it")
 	}
 	switch word {
 	case "call":
-		m, method, path, right := d.Word("a manager"), d.Word("a method"), d.Word("a path"), []string{d.Word("a status")}
-		s.names(d, 2, m)
+		m, method, path, expected := d.Word("a manager"), d.Word("a method"), d.Word("a path"), []string{d.Word("a status")}
+		s.checkNames(d, 2, m)
 		for d.More() {
-			right = append(right, d.Word("a status"))
+			expected = append(expected, d.Word("a status"))
 		}
-		return func(r *run) error {
+		return func(r *scenarioRun) error {
 			status, text, err := r.Call(m, method, path, "")
 			got := fmt.Sprint(status)
-			if slices.Contains(right, "any") { // or none: it may cross the manager's end
+			if slices.Contains(expected, "any") { // or none: it may cross the manager's end
 				return nil
 			}
-			if err == nil && !slices.ContainsFunc(right, func(s string) bool { return s == got || s == got[:1]+"xx" }) {
-				err = fmt.Errorf("%s %s at %s: %s %s, not %s", method, path, m, got, text, strings.Join(right, " or "))
+			if err == nil && !slices.ContainsFunc(expected, func(s string) bool { return s == got || s == got[:1]+"xx" }) {
+				err = fmt.Errorf("%s %s at %s: %s %s, not %s", method, path, m, got, text, strings.Join(expected, " or "))
 			}
 			return err
 		}
 	case "upgrade":
-		m, kill := d.Word("a manager"), ""
+		m, victim := d.Word("a manager"), ""
 		var after time.Duration
-		s.names(d, 2, m)
+		s.checkNames(d, 2, m)
 		if d.More() {
-			kill = []string{"old", "new"}[max(d.OneOf("which is killed", "old", "new"), 0)]
-			after = d.Duration("a time", 0, longest)
+			victim = []string{"old", "new"}[max(d.OneOf("which is killed", "old", "new"), 0)]
+			after = d.Duration("a time", 0, maxDuration)
 		}
-		return func(r *run) error { return r.Upgrade(m, kill, after) }
+		return func(r *scenarioRun) error { return r.Upgrade(m, victim, after) }
 	case "stall":
 		n, kind := d.Int("callers", 1, 1000), []string{"part", "drip", "body"}[max(d.OneOf("a kind", "part", "drip", "body"), 0)]
-		return s.managers(d, func(r *run, m string) error { r.StartStalledCallers(m, n, kind); return nil })
+		return s.forEachManager(d, func(r *scenarioRun, m string) error { r.StartStalledCallers(m, n, kind); return nil })
 	case "disable", "enable":
 		node := d.Word("a node")
-		s.names(d, 2, node)
+		s.checkNames(d, 2, node)
 		d.OneOf("where", "at")
-		return s.managers(d, func(r *run, m string) error { return r.SetNodeDisabled(m, node, word == "disable") })
+		return s.forEachManager(d, func(r *scenarioRun, m string) error { return r.SetNodeDisabled(m, node, word == "disable") })
 	}
 	path := map[string]string{"empty": "/drain", "fill": "/undrain"}[word]
-	return s.managers(d, func(r *run, m string) error {
+	return s.forEachManager(d, func(r *scenarioRun, m string) error {
 		status, text, err := r.Call(m, "POST", path, "")
 		if err == nil && status/100 != 2 {
 			err = fmt.Errorf("%s at %s: %d %s", path, m, status, text)
@@ -230,9 +230,9 @@
 	})
 }
 
-// managers does something to each manager that is named.
-func (s *Scenario) managers(d *conf.Directive, do func(r *run, m string) error) func(*run) error {
-	return s.each(d, func(r *run, g Group) error {
+// forEachManager does something to each manager that is named.
+func (s *Scenario) forEachManager(d *conf.Directive, do func(r *scenarioRun, m string) error) func(*scenarioRun) error {
+	return s.forGroup(d, func(r *scenarioRun, g Group) error {
 		for _, m := range g.managers {
 			if err := do(r, m); err != nil {
 				return err
@@ -242,31 +242,31 @@
 	})
 }
 
-// rest reads names up to one of the stop words, and which one that was.
-func (s *Scenario) rest(d *conf.Directive, stops ...string) (names []string, stop string) {
-	first := d.At() + 1
+// readNames reads names up to one of the stop words, and which one that was.
+func (s *Scenario) readNames(d *conf.Directive, stopWords ...string) (names []string, stop string) {
+	first := d.ArgumentIndex() + 1
 	for d.More() {
-		w := d.Word("a name")
-		for _, x := range stops {
-			if w == x {
-				stop = w
+		word := d.Word("a name")
+		for _, stopWord := range stopWords {
+			if word == stopWord {
+				stop = word
 			}
 		}
 		if stop != "" {
 			break
 		}
-		names = append(names, w)
+		names = append(names, word)
 	}
-	s.names(d, first, names...)
+	s.checkNames(d, first, names...)
 	return names, stop
 }
 
-func (s *Scenario) each(d *conf.Directive, do func(*run, Group) error) func(*run) error {
-	names, _ := s.rest(d)
+func (s *Scenario) forGroup(d *conf.Directive, do func(*scenarioRun, Group) error) func(*scenarioRun) error {
+	names, _ := s.readNames(d)
 	if len(names) == 0 {
-		d.Fault(d.At()+1, "wants names")
+		d.ReportFault(d.ArgumentIndex()+1, "wants names")
 	}
-	return func(r *run) error {
+	return func(r *scenarioRun) error {
 		g, err := r.Find(names...)
 		if err != nil {
 			return err
@@ -275,35 +275,35 @@
 	}
 }
 
-func (s *Scenario) between(d *conf.Directive, word string) func(*run) error {
+func (s *Scenario) readLinkFault(d *conf.Directive, word string) func(*scenarioRun) error {
 	if word == "heal" && !d.More() {
-		return func(r *run) error { r.Heal(r.All(), r.All()); return nil }
+		return func(r *scenarioRun) error { r.Heal(r.All(), r.All()); return nil }
 	}
-	a, stop := s.rest(d, "from", "to")
+	fromNames, stop := s.readNames(d, "from", "to")
 	if stop == "" || word == "delay" && stop != "to" {
-		d.Fault(d.At()+1, "wants A… from B…, or A… to B…")
+		d.ReportFault(d.ArgumentIndex()+1, "wants A… from B…, or A… to B…")
 		return nil
 	}
-	var b []string
-	var by time.Duration
+	var toNames []string
+	var delay time.Duration
 	if word == "delay" {
 		for d.More() {
 			w := d.Word("a name or a time")
 			if t, err := time.ParseDuration(w); err == nil {
-				by = t
+				delay = t
 			} else {
-				b = append(b, w)
+				toNames = append(toNames, w)
 			}
 		}
 	} else {
-		b, _ = s.rest(d)
+		toNames, _ = s.readNames(d)
 	}
-	return func(r *run) error {
-		from, err := r.Find(a...)
+	return func(r *scenarioRun) error {
+		from, err := r.Find(fromNames...)
 		if err != nil {
 			return err
 		}
-		to, err := r.Find(b...)
+		to, err := r.Find(toNames...)
 		if err != nil {
 			return err
 		}
@@ -315,16 +315,16 @@
 		case "reset":
 			r.Reset(from, to)
 		case "delay":
-			r.eachRelay(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, by) })
+			r.eachRelay(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, delay) })
 		}
 		return nil
 	}
 }
 
-func (s *Scenario) trap(d *conf.Directive, word string) func(*run) error {
-	m, n := d.Word("a manager"), d.Word("a node")
-	s.names(d, 2, m)
-	s.names(d, 3, n)
+func (s *Scenario) readTrap(d *conf.Directive, word string) func(*scenarioRun) error {
+	manager, node := d.Word("a manager"), d.Word("a node")
+	s.checkNames(d, 2, manager)
+	s.checkNames(d, 3, node)
 	way := Direction(max(d.OneOf("a direction", "out", "back"), 0))
 	token, bytes := "", 0
 	if word == "trap" {
@@ -334,18 +334,18 @@
 	}
 	act := TrapAction(max(d.OneOf("what becomes of it", "reset", "close", "mute", "after"), 0))
 	times := d.Int("how often", 1, 10000)
-	return func(r *run) error {
-		ms, err := r.Find(m)
+	return func(r *scenarioRun) error {
+		managers, err := r.Find(manager)
 		if err != nil {
 			return err
 		}
-		ns, err := r.Find(n)
+		nodes, err := r.Find(node)
 		if err != nil {
 			return err
 		}
-		from, to := ms, ns
+		from, to := managers, nodes
 		if way == FromTarget {
-			from, to = ns, ms
+			from, to = nodes, managers
 		}
 		r.eachRelay(from, to, func(l *Relay, w Direction, viewersOf string) {
 			if viewersOf != "" {
@@ -361,14 +361,14 @@
 	}
 }
 
-func (s *Scenario) listed(d *conf.Directive, word string) func(*run) error {
-	names, stop := s.rest(d, "for")
+func (s *Scenario) readListUpdate(d *conf.Directive, word string) func(*scenarioRun) error {
+	names, stop := s.readNames(d, "for")
 	lists := []string{"lists"}
 	if stop != "" {
-		lists, _ = s.rest(d)
+		lists, _ = s.readNames(d)
 	}
 	phase := map[string]string{"drain": phaseTerminating, "gone": phaseTerminated, "join": phaseInService}[word]
-	return func(r *run) error {
+	return func(r *scenarioRun) error {
 		nodes, err := r.Find(names...)
 		if err != nil {
 			return err
@@ -384,7 +384,7 @@
 	}
 }
 
-// expects reads what must hold at the end beside the rules.
+// readExpectation reads what must hold at the end beside the rules.
 //
 //	served SHARE           of all tries
 //	connects MANAGER NODE N  connections that came up, at most
@@ -392,67 +392,67 @@
 //	logged MANAGER TEXT, unlogged MANAGER TEXT
 //	unmarked TEXT          in no manager's log up to the mark
 //	order CHEAP DEAR       of the class CHEAP some are refused, and a larger part than of DEAR
-func (s *Scenario) expects(d *conf.Directive) {
+func (s *Scenario) readExpectation(d *conf.Directive) {
 	words := []string{"served", "connects", "sent", "logged", "unlogged", "unmarked", "order"}
 	i := d.OneOf("what can be expected", words...)
 	if i < 0 {
 		return
 	}
-	e := expectation{what: words[i]}
+	e := expectation{name: words[i]}
 	switch words[i] {
 	case "served":
 		share := d.Float("a share", 0, 1)
-		e.holds = func(r *run) string {
-			served, asked := r.Record.Count(counted["served"]), r.Record.Count(counted["asked"])
+		e.violation = func(r *scenarioRun) string {
+			served, asked := r.Record.Count(eventConditions["served"]), r.Record.Count(eventConditions["asked"])
 			if float64(served) < share*float64(asked) {
 				return fmt.Sprintf("%d of %d", served, asked)
 			}
 			return ""
 		}
 	case "connects":
-		m, n := d.Word("a manager"), d.Word("a node")
+		manager, n := d.Word("a manager"), d.Word("a node")
 		most := d.Int("connections", 0, 1<<20)
-		s.names(d, 2, m)
-		s.names(d, 3, n)
-		e.holds = func(r *run) string {
-			if got := r.NodeRelays[m][n].ConnsAccepted(); got > most {
-				return fmt.Sprintf("%d came up from %s to %s, more than %d", got, m, n, most)
+		s.checkNames(d, 2, manager)
+		s.checkNames(d, 3, n)
+		e.violation = func(r *scenarioRun) string {
+			if got := r.NodeRelays[manager][n].ConnsAccepted(); got > most {
+				return fmt.Sprintf("%d came up from %s to %s, more than %d", got, manager, n, most)
 			}
 			return ""
 		}
 	case "sent":
 		n := d.Word("a node")
 		least, most := d.Int("set-ups", 0, 1<<20), d.Int("set-ups", 0, 1<<20)
-		s.names(d, 2, n)
-		e.holds = func(r *run) string {
-			got := r.Record.Count(func(e *Event) bool { return e.Kind == Sent && e.Node == n })
+		s.checkNames(d, 2, n)
+		e.violation = func(r *scenarioRun) string {
+			got := r.Record.Count(func(e *Event) bool { return e.Kind == SetUpSent && e.Node == n })
 			if got < least || got > most {
 				return fmt.Sprintf("%d to %s, not %d to %d", got, n, least, most)
 			}
 			return ""
 		}
 	case "order":
-		cheap, dear := d.Word("a class"), d.Word("a class")
-		e.holds = func(r *run) string {
-			part := func(class string) float64 {
+		cheapClass, dearClass := d.Word("a class"), d.Word("a class")
+		e.violation = func(r *scenarioRun) string {
+			refusedShare := func(class string) float64 {
 				ids := map[string]bool{}
 				for _, e := range r.Record.Events() {
-					if e.Kind == Asked && e.Class == class {
+					if e.Kind == SetUpRequested && e.Class == class {
 						ids[e.ID] = true
 					}
 				}
 				refused := r.Record.Count(func(e *Event) bool { return e.Kind == Answered && e.Outcome == Refused && ids[e.ID] })
 				return float64(refused) / float64(max(len(ids), 1))
 			}
-			if c, d := part(cheap), part(dear); c == 0 || c <= d {
-				return fmt.Sprintf("%.3f of %s are refused, %.3f of %s", c, cheap, d, dear)
+			if c, d := refusedShare(cheapClass), refusedShare(dearClass); c == 0 || c <= d {
+				return fmt.Sprintf("%.3f of %s are refused, %.3f of %s", c, cheapClass, d, dearClass)
 			}
 			return ""
 		}
 	case "unmarked":
 		text := d.Word("a part of a line")
-		e.holds = func(r *run) string {
-			for _, l := range r.marked {
+		e.violation = func(r *scenarioRun) string {
+			for _, l := range r.markedLines {
 				if strings.Contains(l, text) {
 					return fmt.Sprintf("%q was logged before the mark: %s", text, l)
 				}
@@ -460,19 +460,19 @@
 			return ""
 		}
 	case "logged", "unlogged":
-		wanted := words[i] == "logged"
-		m, text := d.Word("a manager"), d.Word("a part of a line")
-		s.names(d, 2, m)
-		e.holds = func(r *run) string {
-			i := slices.IndexFunc(r.Managers[m].Log(), func(l string) bool { return strings.Contains(l, text) })
+		expected := words[i] == "logged"
+		manager, text := d.Word("a manager"), d.Word("a part of a line")
+		s.checkNames(d, 2, manager)
+		e.violation = func(r *scenarioRun) string {
+			i := slices.IndexFunc(r.Managers[manager].Log(), func(l string) bool { return strings.Contains(l, text) })
 			switch {
-			case i < 0 && wanted:
-				return fmt.Sprintf("%q is nowhere in the log of %s", text, m)
-			case i >= 0 && !wanted:
-				return fmt.Sprintf("%q is in the log of %s: %s", text, m, r.Managers[m].Log()[i])
+			case i < 0 && expected:
+				return fmt.Sprintf("%q is nowhere in the log of %s", text, manager)
+			case i >= 0 && !expected:
+				return fmt.Sprintf("%q is in the log of %s: %s", text, manager, r.Managers[manager].Log()[i])
 			}
 			return ""
 		}
 	}
-	s.expect = append(s.expect, e)
+	s.expectations = append(s.expectations, e)
 }
--- a/internal/fleettest/viewer.go
+++ b/internal/fleettest/viewer.go
@@ -288,8 +288,8 @@
 	if v == nil {
 		var err error
 		if v, err = vs.dial(manager); err != nil {
-			vs.Record.Add(Event{Kind: TurnedBack, Manager: manager, ID: id, Text: "refused"})
-			vs.Record.Add(Event{Kind: Dropped, Manager: manager, ID: id})
+			vs.Record.Add(Event{Kind: RequestTurnedBack, Manager: manager, ID: id, Text: "refused"})
+			vs.Record.Add(Event{Kind: ViewerConnClosed, Manager: manager, ID: id})
 			r.hall = ""         // retry in any hall
 			vs.retryLater(r, 0) // no manager has accepted it
 			return ""
@@ -315,7 +315,7 @@
 	resent := r.resent
 	vs.mu.Unlock()
 	if !resent || moved {
-		vs.Record.Add(Event{Kind: Asked, Manager: manager, ID: id, Class: r.class, Paid: vs.BilledClasses[r.class], Left: left})
+		vs.Record.Add(Event{Kind: SetUpRequested, Manager: manager, ID: id, Class: r.class, Billed: vs.BilledClasses[r.class], TimeLeft: left})
 	}
 	if _, err := v.Write(append(line, '\n')); err != nil {
 		v.Close() // readConn then handles the open set-ups
@@ -351,7 +351,7 @@
 	if !unanswered {
 		return
 	}
-	vs.Record.Add(Event{Kind: Left, Manager: v.manager, ID: id})
+	vs.Record.Add(Event{Kind: SetUpAbandoned, Manager: v.manager, ID: id})
 	line, _ := json.Marshal(map[string]any{"type": "release", "id": id, "fields": map[string]string{}, "cause": 16})
 	v.Write(append(line, '\n')) // the manager may have gone
 	vs.retryLater(r, 0)
@@ -387,13 +387,13 @@
 		line, err := in.ReadBytes('\n')
 		if err != nil {
 			if len(line) > 0 {
-				vs.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+				vs.Record.Add(Event{Kind: MalformedMessage, Manager: v.manager, Text: string(line)})
 			}
 			break
 		}
 		var m Message
 		if err := json.Unmarshal(line, &m); err != nil {
-			vs.Record.Add(Event{Kind: Unreadable, Manager: v.manager, Text: string(line)})
+			vs.Record.Add(Event{Kind: MalformedMessage, Manager: v.manager, Text: string(line)})
 			continue
 		}
 		vs.handleMessage(v, &m)
@@ -406,12 +406,12 @@
 	for id := range v.openSetUps {
 		r := vs.requests[id]
 		if !r.resent && time.Since(r.sentAt) < closeRaceWindow && time.Since(vs.resetAt[v.manager]) > 2*closeRaceWindow {
-			vs.Record.Add(Event{Kind: TurnedBack, Manager: v.manager, ID: id, Text: "closed"})
+			vs.Record.Add(Event{Kind: RequestTurnedBack, Manager: v.manager, ID: id, Text: "closed"})
 			r.resent = true
 			resending[id] = r
 			continue
 		}
-		e := Event{Kind: Dropped, Manager: v.manager, ID: id}
+		e := Event{Kind: ViewerConnClosed, Manager: v.manager, ID: id}
 		if !v.received {
 			e.Text = connNeverAnswered
 		}
@@ -468,9 +468,9 @@
 	case m.Type == "answer":
 		e.Outcome, e.Text = Served, m.SDP
 	case m.Type == "move":
-		e.Kind = Moved
+		e.Kind = MoveReceived
 	case m.Type == "release" && served:
-		e.Kind = Over
+		e.Kind = ReleaseReceived
 	case m.Type == "release" && (m.Cause == 34 || m.Cause == 42 || m.Cause == 102):
 		e.Outcome = Refused
 		ms, _ := strconv.Atoi(m.Fields["wait"])
@@ -481,11 +481,11 @@
 		return
 	}
 	vs.Record.Add(e)
-	if e.Kind == Moved || e.Kind == Over { // acknowledge the end of the session
+	if e.Kind == MoveReceived || e.Kind == ReleaseReceived { // acknowledge the end of the session
 		line, _ := json.Marshal(map[string]any{"type": "released", "id": m.ID, "fields": map[string]string{}})
 		v.Write(append(line, '\n'))
 	}
-	if e.Kind == Moved || e.Kind == Over && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
+	if e.Kind == MoveReceived || e.Kind == ReleaseReceived && m.Cause != 16 || e.Outcome == Refused || e.Outcome == Failed {
 		vs.retryLater(r, wait)
 	}
 }
--- a/internal/front/jsonl/jsonl.go
+++ b/internal/front/jsonl/jsonl.go
@@ -182,7 +182,7 @@
 	r, err := c.front.Decoder.Decode(m, message.Origin{Front: "jsonl", Client: c.Addr, Received: time.Now()})
 	r.Client = c
 	if node := m.CurrentNode(); node != nil {
-		return c.resumeSession(m, r, directory.ServerOf(string(node)), err)
+		return c.resumeSession(m, r, directory.ServerIDOf(string(node)), err)
 	}
 	switch {
 	case err != nil && r.ID == 0:
