--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -20,46 +20,46 @@
 )
 
 const (
-	magic     = "mlth"
-	version   = 1
-	headBytes = len(magic) + 2 + 4 + 8 // and the version, the body's length, its hash
-	// mostBytes bounds a file: some ten thousand sessions.
-	mostBytes    = 8 << 20
-	stateFile    = "orders"
-	handoverFile = "estate"
+	magic       = "mlth"
+	version     = 1
+	headerBytes = len(magic) + 2 + 4 + 8 // and the version, the body's length, its hash
+	// maxFileBytes bounds a file: some ten thousand sessions.
+	maxFileBytes  = 8 << 20
+	overridesFile = "orders"
+	handoverFile  = "estate"
 )
 
-// State is what was ordered by hand.
-type State struct {
-	Away  duty.Order            `cbor:"1,keyasint"` // whether clients are sent away
-	Nodes map[string]duty.Order `cbor:"2,keyasint"`
+// StoredOverrides is what was ordered by hand.
+type StoredOverrides struct {
+	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are sent away
+	Nodes map[string]duty.Override `cbor:"2,keyasint"`
 }
 
 // Merge takes what is newer in other. It tells whether anything was.
-func (s *State) Merge(other State) (newer bool) {
-	if other.Away.At.After(s.Away.At) {
-		s.Away, newer = other.Away, true
-	}
-	for id, o := range other.Nodes {
-		if o.At.After(s.Nodes[id].At) {
-			if s.Nodes == nil {
-				s.Nodes = make(map[string]duty.Order)
+func (o *StoredOverrides) Merge(other StoredOverrides) (changed bool) {
+	if other.Drain.At.After(o.Drain.At) {
+		o.Drain, changed = other.Drain, true
+	}
+	for id, override := range other.Nodes {
+		if override.At.After(o.Nodes[id].At) {
+			if o.Nodes == nil {
+				o.Nodes = make(map[string]duty.Override)
 			}
-			s.Nodes[id], newer = o, true
+			o.Nodes[id], changed = override, true
 		}
 	}
-	return newer
+	return changed
 }
 
-// BadFile tells that what another process left can't be used. It costs its content only.
-type BadFile struct {
-	File string
-	Why  string
+// BadFileError tells that what another process left can't be used. It costs its content only.
+type BadFileError struct {
+	File   string
+	Reason string
 }
 
-func (e *BadFile) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Why) }
-func (e *BadFile) Code() string  { return "handover-bad-file" }
-func (e *BadFile) Remedy() string {
+func (e *BadFileError) Error() string { return fmt.Sprintf("%s: %s", e.File, e.Reason) }
+func (e *BadFileError) Code() string  { return "handover-bad-file" }
+func (e *BadFileError) Remedy() string {
 	return "what was ordered by hand before this start is not known: repeat the calls; the file is replaced by the next one"
 }
 
@@ -71,127 +71,131 @@
 }
 
 // encode is a value as it stands in a file.
-func encode[T any](e envelope[T]) ([]byte, error) {
-	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, Sort: cbor.SortCanonical}.EncMode()
+func encode[T any](env envelope[T]) ([]byte, error) {
+	encMode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano, Sort: cbor.SortCanonical}.EncMode()
 	if err != nil {
 		return nil, err
 	}
-	body, err := mode.Marshal(e)
+	body, err := encMode.Marshal(env)
 	if err != nil {
 		return nil, err
 	}
-	b := append([]byte(magic), 0, version)
-	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.BigEndian.AppendUint64(b, xxhash.Sum64(body))
-	return append(b, body...), nil
+	data := append([]byte(magic), 0, version)
+	data = binary.BigEndian.AppendUint32(data, uint32(len(body)))
+	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(body))
+	return append(data, body...), nil
 }
 
 // decode reads a value that was meant for a manager. why is empty if it can be used.
-func decode[T any](b []byte, name, listen string) (v T, why string) {
-	if len(b) < headBytes || string(b[:len(magic)]) != magic {
-		return v, "it is cut off, or not a file of this program"
+func decode[T any](data []byte, name, listen string) (value T, reason string) {
+	if len(data) < headerBytes || string(data[:len(magic)]) != magic {
+		return value, "it is cut off, or not a file of this program"
 	}
-	head, body := b[len(magic):headBytes], b[headBytes:]
-	if got := binary.BigEndian.Uint16(head); got != version {
-		return v, fmt.Sprintf("it is of version %d; this program reads %d", got, version)
+	header, body := data[len(magic):headerBytes], data[headerBytes:]
+	if fileVersion := binary.BigEndian.Uint16(header); fileVersion != version {
+		return value, fmt.Sprintf("it is of version %d; this program reads %d", fileVersion, version)
 	}
-	if n := binary.BigEndian.Uint32(head[2:]); int(n) != len(body) {
-		return v, fmt.Sprintf("it holds %d bytes in place of %d", len(body), n)
+	if length := binary.BigEndian.Uint32(header[2:]); int(length) != len(body) {
+		return value, fmt.Sprintf("it holds %d bytes in place of %d", len(body), length)
 	}
-	if binary.BigEndian.Uint64(head[6:]) != xxhash.Sum64(body) {
-		return v, "its hash is wrong"
+	if binary.BigEndian.Uint64(header[6:]) != xxhash.Sum64(body) {
+		return value, "its hash is wrong"
 	}
-	var e envelope[T]
-	if err := cbor.Unmarshal(body, &e); err != nil {
-		return v, err.Error()
+	var env envelope[T]
+	if err := cbor.Unmarshal(body, &env); err != nil {
+		return value, err.Error()
 	}
-	if e.Name != name || e.Listen != listen {
-		return v, fmt.Sprintf("it is of manager %q at %s", e.Name, e.Listen)
+	if env.Name != name || env.Listen != listen {
+		return value, fmt.Sprintf("it is of manager %q at %s", env.Name, env.Listen)
 	}
-	return e.Body, ""
+	return env.Body, ""
 }
 
 // Folder is what the processes of one manager share.
 type Folder struct {
 	path         string
 	name, listen string
-	read         map[string]fs.FileInfo // of each file when it was last read
+	lastRead     map[string]fs.FileInfo // of each file when it was last read
 }
 
 // Open returns the folder of a manager below a folder for files that don't last.
-func Open(below, name, listen string) (*Folder, error) {
-	f := &Folder{name: name, listen: listen, read: make(map[string]fs.FileInfo),
-		path: filepath.Join(below, fmt.Sprintf("millethinge-%016x", xxhash.Sum64String(name+"\x00"+listen)))}
+func Open(parent, name, listen string) (*Folder, error) {
+	f := &Folder{name: name, listen: listen, lastRead: make(map[string]fs.FileInfo),
+		path: filepath.Join(parent, fmt.Sprintf("millethinge-%016x", xxhash.Sum64String(name+"\x00"+listen)))}
 	if err := os.MkdirAll(f.path, 0o700); err != nil {
-		return nil, &NoFolder{Path: f.path, Err: err}
+		return nil, &FolderError{Path: f.path, Err: err}
 	}
 	return f, nil
 }
 
-// NoFolder tells that nothing can be handed over: there is no folder, or no room in it.
-type NoFolder struct {
+// FolderError tells that nothing can be handed over: there is no folder, or no room in it.
+type FolderError struct {
 	Path string
 	Err  error
 }
 
-func (e *NoFolder) Error() string { return fmt.Sprintf("no folder for an upgrade: %v", e.Err) }
-func (e *NoFolder) Unwrap() error { return e.Err }
-func (e *NoFolder) Code() string  { return "handover-no-folder" }
-func (e *NoFolder) Remedy() string {
+func (e *FolderError) Error() string { return fmt.Sprintf("no folder for an upgrade: %v", e.Err) }
+func (e *FolderError) Unwrap() error { return e.Err }
+func (e *FolderError) Code() string  { return "handover-no-folder" }
+func (e *FolderError) Remedy() string {
 	return "give the program a $TMPDIR that it may write to; without it orders by hand are forgotten at an upgrade, and what stands is cut"
 }
 
-// Orders reads what was ordered by hand, if that has changed since it was last read.
-func (f *Folder) Orders() (s State, changed bool, err error) { return read[State](f, stateFile) }
+// LoadOverrides reads what was ordered by hand, if that has changed since it was last read.
+func (f *Folder) LoadOverrides() (overrides StoredOverrides, changed bool, err error) {
+	return readFile[StoredOverrides](f, overridesFile)
+}
 
-// StoreOrders replaces the file of orders.
-func (f *Folder) StoreOrders(s State) error { return store(f, stateFile, s) }
+// StoreOverrides replaces the file of orders.
+func (f *Folder) StoreOverrides(overrides StoredOverrides) error {
+	return writeFile(f, overridesFile, overrides)
+}
 
-// Forget takes away what older processes handed over, for their heirs only, and what one
+// RemoveHandovers takes away what older processes handed over, for their heirs only, and what one
 // that was killed left half written.
-func (f *Folder) Forget() {
+func (f *Folder) RemoveHandovers() {
 	entries, _ := os.ReadDir(f.path)
-	for _, e := range entries {
-		if strings.HasPrefix(strings.TrimPrefix(e.Name(), "."), handoverFile) {
-			os.Remove(filepath.Join(f.path, e.Name()))
+	for _, entry := range entries {
+		if strings.HasPrefix(strings.TrimPrefix(entry.Name(), "."), handoverFile) {
+			os.Remove(filepath.Join(f.path, entry.Name()))
 		}
 	}
 }
 
-func read[T any](f *Folder, name string) (v T, changed bool, err error) {
-	file := filepath.Join(f.path, name)
-	info, err := os.Stat(file)
-	last := f.read[name]
+func readFile[T any](f *Folder, name string) (value T, changed bool, err error) {
+	filePath := filepath.Join(f.path, name)
+	info, err := os.Stat(filePath)
+	last := f.lastRead[name]
 	if errors.Is(err, fs.ErrNotExist) || err == nil && last != nil && os.SameFile(info, last) && info.ModTime().Equal(last.ModTime()) {
-		return v, false, nil
+		return value, false, nil
 	}
 	if err != nil {
-		return v, false, &BadFile{file, err.Error()}
+		return value, false, &BadFileError{filePath, err.Error()}
 	}
-	f.read[name] = info
-	if info.Size() > mostBytes {
-		return v, false, &BadFile{file, fmt.Sprintf("it holds %d bytes; %d are read at most", info.Size(), mostBytes)}
+	f.lastRead[name] = info
+	if info.Size() > maxFileBytes {
+		return value, false, &BadFileError{filePath, fmt.Sprintf("it holds %d bytes; %d are read at most", info.Size(), maxFileBytes)}
 	}
-	b, err := os.ReadFile(file)
+	data, err := os.ReadFile(filePath)
 	if err != nil {
-		return v, false, &BadFile{file, err.Error()}
+		return value, false, &BadFileError{filePath, err.Error()}
 	}
-	v, why := decode[T](b, f.name, f.listen)
-	if why != "" {
-		return v, false, &BadFile{file, why}
+	value, reason := decode[T](data, f.name, f.listen)
+	if reason != "" {
+		return value, false, &BadFileError{filePath, reason}
 	}
-	return v, true, nil
+	return value, true, nil
 }
 
-// store replaces a file whole: whoever reads finds the old one or the new one, also where
+// writeFile replaces a file whole: whoever reads finds the old one or the new one, also where
 // the process is killed in the middle.
-func store[T any](f *Folder, name string, v T) error {
-	b, err := encode(envelope[T]{f.name, f.listen, v})
+func writeFile[T any](f *Folder, name string, value T) error {
+	data, err := encode(envelope[T]{f.name, f.listen, value})
 	if err != nil {
 		return err
 	}
-	if err := renameio.WriteFile(filepath.Join(f.path, name), b, 0o600, renameio.WithTempDir(f.path)); err != nil {
-		return &NoFolder{Path: f.path, Err: err}
+	if err := renameio.WriteFile(filepath.Join(f.path, name), data, 0o600, renameio.WithTempDir(f.path)); err != nil {
+		return &FolderError{Path: f.path, Err: err}
 	}
 	return nil
 }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -13,9 +13,9 @@
 	"millethinge/internal/duty"
 )
 
-func folder(t *testing.T, below, name string) *Folder {
+func openFolder(t *testing.T, parent, name string) *Folder {
 	t.Helper()
-	f, err := Open(below, name, "127.0.0.1:5060")
+	f, err := Open(parent, name, "127.0.0.1:5060")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,55 +24,55 @@
 
 // A file that is cut off at any length, changed at any byte, or another manager's is told
 // and not used, and the next one that is stored is.
-func TestBadFilesCostTheirContentOnly(t *testing.T) {
-	below := t.TempDir()
-	f := folder(t, below, "n1")
-	want := State{Away: duty.Order{Out: true, At: time.Unix(7, 5)}, Nodes: map[string]duty.Order{"s-1": {Out: true, At: time.Unix(8, 123456789)}}}
-	if err := f.StoreOrders(want); err != nil {
+func TestUnusableFilesAreRejected(t *testing.T) {
+	parent := t.TempDir()
+	f := openFolder(t, parent, "n1")
+	want := StoredOverrides{Drain: duty.Override{Active: true, At: time.Unix(7, 5)}, Nodes: map[string]duty.Override{"s-1": {Active: true, At: time.Unix(8, 123456789)}}}
+	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(f.path, stateFile)
-	whole, err := os.ReadFile(file)
+	filePath := filepath.Join(f.path, overridesFile)
+	data, err := os.ReadFile(filePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := func(b []byte, what string, at int) {
+	expectRejected := func(changedData []byte, fault string, offset int) {
 		t.Helper()
-		if err := os.WriteFile(file, b, 0o600); err != nil {
+		if err := os.WriteFile(filePath, changedData, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var bad *BadFile
-		if s, changed, err := folder(t, below, "n1").Orders(); changed || !errors.As(err, &bad) || s.Nodes != nil {
-			t.Fatalf("%s at %d is taken: %v, %v", what, at, s, err)
+		var badFile *BadFileError
+		if overrides, changed, err := openFolder(t, parent, "n1").LoadOverrides(); changed || !errors.As(err, &badFile) || overrides.Nodes != nil {
+			t.Fatalf("%s at %d is taken: %v, %v", fault, offset, overrides, err)
 		}
 	}
-	for n := range whole {
-		refused(whole[:n], "a file cut off", n)
-		b := append([]byte(nil), whole...)
-		b[n] ^= 0x10
-		refused(b, "a changed byte", n)
+	for i := range data {
+		expectRejected(data[:i], "a file cut off", i)
+		changedData := append([]byte(nil), data...)
+		changedData[i] ^= 0x10
+		expectRejected(changedData, "a changed byte", i)
 	}
-	other, err := encode(envelope[State]{"n2", "127.0.0.1:5060", want})
+	other, err := encode(envelope[StoredOverrides]{"n2", "127.0.0.1:5060", want})
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused(other, "another manager's file", 0)
+	expectRejected(other, "another manager's file", 0)
 
-	if err := f.StoreOrders(want); err != nil {
+	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
-	got, changed, err := folder(t, below, "n1").Orders()
-	if err != nil || !changed || !got.Away.At.Equal(want.Away.At) || !got.Nodes["s-1"].At.Equal(want.Nodes["s-1"].At) || !got.Nodes["s-1"].Out {
+	got, changed, err := openFolder(t, parent, "n1").LoadOverrides()
+	if err != nil || !changed || !got.Drain.At.Equal(want.Drain.At) || !got.Nodes["s-1"].At.Equal(want.Nodes["s-1"].At) || !got.Nodes["s-1"].Active {
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
-	if newer := got.Merge(want); newer {
+	if merged := got.Merge(want); merged {
 		t.Error("an order is newer than itself once it was in a file")
 	}
 }
 
-func enter(t *testing.T, below string, at int64) *Process {
+func register(t *testing.T, parent string, startS int64) *Process {
 	t.Helper()
-	p, err := folder(t, below, "n1").Enter(time.Unix(at, 0))
+	p, err := openFolder(t, parent, "n1").Register(time.Unix(startS, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,92 +81,92 @@
 
 // What is handed over comes as it was, and is seen once.
 func TestHandoverFile(t *testing.T) {
-	below := t.TempDir()
-	old, young := enter(t, below, 1), enter(t, below, 2)
+	parent := t.TempDir()
+	predecessor, successor := register(t, parent, 1), register(t, parent, 2)
 	want := broker.Handover{Final: true, Ended: map[control.SessionID]int{3: 41},
 		Sessions: []broker.EstablishedSession{{ID: 1, Class: 1, Team: -1, Key: "7f", Title: 0x7f, Home: 2, Copies: 3, MaxRung: 4, Server: 9, Rung: 2, EstablishedAtNS: 5, ViewerHost: "127.0.0.9"}}}
-	if _, changed, err := young.Handover(); changed || err != nil {
+	if _, changed, err := successor.LoadHandover(); changed || err != nil {
 		t.Fatal("there is one before it was stored", err)
 	}
-	if err := old.StoreHandover(want, young.born); err != nil {
+	if err := predecessor.StoreHandover(want, successor.startNS); err != nil {
 		t.Fatal(err)
 	}
-	got, changed, err := young.Handover()
+	got, changed, err := successor.LoadHandover()
 	if err != nil || !changed || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, %v", got, changed, err)
 	}
-	if _, changed, _ := young.Handover(); changed {
+	if _, changed, _ := successor.LoadHandover(); changed {
 		t.Error("it is handed over twice")
 	}
-	if err := os.WriteFile(filepath.Join(old.folder.path, ".estate-1-25"), nil, 0o600); err != nil { // half written
+	if err := os.WriteFile(filepath.Join(predecessor.folder.path, ".estate-1-25"), nil, 0o600); err != nil { // half written
 		t.Fatal(err)
 	}
-	young.folder.Forget()
-	if left, _ := filepath.Glob(filepath.Join(old.folder.path, "*estate*")); len(left) > 0 {
-		t.Errorf("files that are left: %v", left)
+	successor.folder.RemoveHandovers()
+	if remaining, _ := filepath.Glob(filepath.Join(predecessor.folder.path, "*estate*")); len(remaining) > 0 {
+		t.Errorf("files that are left: %v", remaining)
 	}
 }
 
 // Two processes know of each other and which is the younger; one that is gone, however it
 // ended, is not counted, and its mark is swept away.
-func TestProcesses(t *testing.T) {
-	below := t.TempDir()
-	enter := func(at int64) *Process { return enter(t, below, at) }
-	look := func(p *Process) Others {
-		o, err := p.Others()
+func TestFindOthers(t *testing.T) {
+	parent := t.TempDir()
+	register := func(startS int64) *Process { return register(t, parent, startS) }
+	find := func(p *Process) Others {
+		others, err := p.FindOthers()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return o
+		return others
 	}
-	a := enter(1)
-	if o := look(a); o.Alive != 0 || len(o.Younger) != 0 {
-		t.Fatalf("alone: %+v", o)
+	first := register(1)
+	if others := find(first); others.Alive != 0 || len(others.Successors) != 0 {
+		t.Fatalf("alone: %+v", others)
 	}
-	b := enter(2)
-	if o := look(a); o.Alive != 1 || len(o.Younger) != 0 {
-		t.Fatalf("the younger one does not serve yet: %+v", o)
+	second := register(2)
+	if others := find(first); others.Alive != 1 || len(others.Successors) != 0 {
+		t.Fatalf("the younger one does not serve yet: %+v", others)
 	}
-	if err := b.Serves(true); err != nil {
+	if err := second.SetServing(true); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Serves(true); err != nil {
+	if err := first.SetServing(true); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); len(o.Younger) != 1 || !o.Alone {
-		t.Fatalf("it serves: %+v", o)
+	if others := find(first); len(others.Successors) != 1 || !others.AtMostOneSeen {
+		t.Fatalf("it serves: %+v", others)
 	}
-	if o := look(b); o.Alive != 1 || len(o.Younger) != 0 {
-		t.Fatalf("the other one is older: %+v", o)
+	if others := find(second); others.Alive != 1 || len(others.Successors) != 0 {
+		t.Fatalf("the other one is older: %+v", others)
 	}
-	if err := b.Serves(false); err != nil {
+	if err := second.SetServing(false); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); o.Alive != 1 || len(o.Younger) != 0 {
-		t.Fatalf("the younger one serves no more: %+v", o)
+	if others := find(first); others.Alive != 1 || len(others.Successors) != 0 {
+		t.Fatalf("the younger one serves no more: %+v", others)
 	}
-	c := enter(3)
-	if o := look(a); o.Alive != 2 || o.Alone {
-		t.Fatalf("three: %+v", o)
+	third := register(3)
+	if others := find(first); others.Alive != 2 || others.AtMostOneSeen {
+		t.Fatalf("three: %+v", others)
 	}
 	// A mark that can't be looked at now, as where no descriptor is left, is not taken for a
 	// dead one's.
-	locked := filepath.Join(a.folder.path, processPrefix+"4-4")
-	if err := os.Symlink(locked, locked); err != nil {
+	unreadable := filepath.Join(first.folder.path, processPrefix+"4-4")
+	if err := os.Symlink(unreadable, unreadable); err != nil {
 		t.Fatal(err)
 	}
-	if o := look(a); o.Alive != 3 || len(o.Younger) != 0 {
-		t.Errorf("one can't be looked at: %+v", o)
+	if others := find(first); others.Alive != 3 || len(others.Successors) != 0 {
+		t.Errorf("one can't be looked at: %+v", others)
 	}
-	if err := os.Remove(locked); err != nil {
+	if err := os.Remove(unreadable); err != nil {
 		t.Error("a mark that can't be looked at is swept away")
 	}
-	c.file.Close() // as its process's end would
-	b.Leave()
-	if o := look(a); o.Alive != 0 || o.Alone {
-		t.Fatalf("both are gone: %+v", o)
+	third.markFile.Close() // as its process's end would
+	second.Unregister()
+	if others := find(first); others.Alive != 0 || others.AtMostOneSeen {
+		t.Fatalf("both are gone: %+v", others)
 	}
-	if left, _ := filepath.Glob(filepath.Join(a.folder.path, processPrefix+"*")); len(left) != 1 {
-		t.Errorf("marks that are left: %v", left)
+	if remaining, _ := filepath.Glob(filepath.Join(first.folder.path, processPrefix+"*")); len(remaining) != 1 {
+		t.Errorf("marks that are left: %v", remaining)
 	}
 }
--- a/internal/media/media_test.go
+++ b/internal/media/media_test.go
@@ -220,7 +220,7 @@
 func TestLostNode(t *testing.T) {
 	for name, lose := range map[string]func(*node){
 		"silent":    func(n *node) { n.lastAliveAt = time.Now().Add(-nodeLostTimeout); n.handle(dialResult{err: io.EOF}) },
-		"restarted": func(n *node) { n.handle(listChange{directory.Member{Up: time.Now().Add(time.Second)}}) },
+		"restarted": func(n *node) { n.handle(listChange{directory.Member{StartedAt: time.Now().Add(time.Second)}}) },
 		"off the list": func(n *node) {
 			n.state.Store(int32(control.Gone))
 			n.handle(listChange{})
@@ -250,7 +250,7 @@
 			n.state.Store(int32(control.Gone))
 			n.handle(listChange{})
 		},
-		"restarted": func(n *node, up time.Time) { n.handle(listChange{directory.Member{Up: up}}) },
+		"restarted": func(n *node, up time.Time) { n.handle(listChange{directory.Member{StartedAt: up}}) },
 	} {
 		for order, steps := range map[string]string{
 			"answer, list": "al", "list, answer": "la", "answer, close, list": "acl", "answer, list, close": "alc",
@@ -512,7 +512,7 @@
 		n.pool.cfg.MaxConns = 0 // the test dials
 		n.pool.nodes[n.server] = n
 		apply := func(s control.ServerID, state control.ServerState, addr string, up time.Time) {
-			n.pool.Apply(directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: addr, Up: up}}})
+			n.pool.Apply(directory.Change{Members: []directory.Member{{Entry: control.Entry{Server: s, State: state}, Addr: addr, StartedAt: up}}})
 		}
 		n.member.Addr = "old:1"
 		c := newStubConn()
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -149,7 +149,7 @@
 // newNode returns the actor of m. Its run method has to be started.
 func newNode(p *Pool, m directory.Member) *node {
 	return &node{
-		pool: p, member: m, server: m.Server, id: m.ID, upSince: m.Up,
+		pool: p, member: m, server: m.Server, id: m.ID, upSince: m.StartedAt,
 		inbox:           mailbox.New[any](inboxLimit),
 		attempts:        make(map[control.SessionID]*attempt),
 		abandonedSetUps: make(map[control.SessionID]abandonedSetUp),
@@ -715,8 +715,8 @@
 		n.endProcess("off the list", time.Now())
 		n.resolveInterrupted(false)
 		clear(n.pendingReleases)
-	case m.member.Up.After(n.upSince):
-		n.upSince = m.member.Up
+	case m.member.StartedAt.After(n.upSince):
+		n.upSince = m.member.StartedAt
 		n.endProcess("restarted", n.upSince)
 	}
 	n.sendQueued() // or ends them, if the node takes no new ones
--- a/internal/member/book.go
+++ b/internal/member/book.go
@@ -10,32 +10,32 @@
 
 // Times of a Book.
 const (
-	// suspectFor is the longest that a suspicion lasts that is neither confirmed nor
+	// maxSuspicion is the longest that a suspicion lasts that is neither confirmed nor
 	// denied: by then the carrier has said that the member is lost, or it answered.
-	suspectFor = 30 * time.Second
-	// twinFor is how long one that met another of its name stays refused without
+	maxSuspicion = 30 * time.Second
+	// duplicateTimeout is how long one that met another of its name stays refused without
 	// meeting it again. It asks again each joinEvery.
-	twinFor = 3 * joinEvery
+	duplicateTimeout = 3 * joinInterval
 )
 
 // Status is what is known of a member.
 type Status int
 
 const (
-	Unheard   Status = iota // named in the file, and never heard of
-	Here                    // in view
-	Suspect                 // in view, but it doesn't answer
-	Lost                    // it doesn't answer, and others say so, too, or can't be asked
-	Departing               // in view, and it has said that it leaves
-	Gone                    // it left
+	StatusUnheard Status = iota // named in the file, and never heard of
+	StatusAlive                 // in view
+	StatusSuspect               // in view, but it doesn't answer
+	StatusLost                  // it doesn't answer, and others say so, too, or can't be asked
+	StatusLeaving               // in view, and it has said that it leaves
+	StatusLeft                  // it left
 )
 
 func (s Status) String() string {
 	return [...]string{"unheard", "here", "suspect", "lost", "departing", "left"}[s]
 }
 
-// InView tells whether a member of this status is counted upon.
-func (s Status) InView() bool { return s == Here || s == Suspect }
+// Present tells whether a member of this status is counted upon.
+func (s Status) Present() bool { return s == StatusAlive || s == StatusSuspect }
 
 // Meta is what a member tells of itself.
 type Meta struct {
@@ -45,22 +45,22 @@
 	// Started names one life of a member: by the clock of its machine, ns since 1970.
 	// Of two under one name the one that started later is the younger; clocks that are
 	// apart may turn that round, but all take the same one for it.
-	Started int64
-	Leaves  bool
+	StartedUnixNano int64
+	Leaving         bool
 }
 
-// older tells whether a is the elder of two of one name.
-func (m Meta) older(o Meta) bool {
-	return cmp.Or(cmp.Compare(m.Started, o.Started), cmp.Compare(m.Address, o.Address)) < 0
+// startedBefore tells whether a is the elder of two of one name.
+func (m Meta) startedBefore(other Meta) bool {
+	return cmp.Or(cmp.Compare(m.StartedUnixNano, other.StartedUnixNano), cmp.Compare(m.Address, other.Address)) < 0
 }
 
-// same tells whether two are one life of one member.
-func (m Meta) same(o Meta) bool {
-	return m.Name == o.Name && m.Started == o.Started && m.Address == o.Address
+// sameIncarnation tells whether two are one life of one member.
+func (m Meta) sameIncarnation(other Meta) bool {
+	return m.Name == other.Name && m.StartedUnixNano == other.StartedUnixNano && m.Address == other.Address
 }
 
-// Named is a member that the file names.
-type Named struct{ Name, Site string }
+// ConfiguredMember is a member that the file names.
+type ConfiguredMember struct{ Name, Site string }
 
 // Member is one of a View.
 type Member struct {
@@ -72,17 +72,17 @@
 // View is who is there, as one member knows it. Views of one life are numbered from 1;
 // another member's numbers mean nothing beside these.
 type View struct {
-	Number  int64
-	Self    string
-	Members []Member // all that are named, in the order of their names
-	InView  int      // how many of them are counted upon
+	Number       int64
+	Self         string
+	Members      []Member // all that are named, in the order of their names
+	PresentCount int      // how many of them are counted upon
 	// Alone: a majority of the named fleet is not in view, so that this may be the part
 	// that was cut off. Two halves of an even fleet are both alone.
-	Alone bool
+	NoQuorum bool
 	// Stale: the program stood still, and nobody has been heard since.
 	Stale bool
 	// Refused: an elder of the same name is there; nobody has this one in view.
-	Refused bool
+	RefusedAsDuplicate bool
 }
 
 // Find returns the member of a name, or nil.
@@ -94,274 +94,276 @@
 	return &v.Members[i]
 }
 
-// What tells what has happened.
-type What string
+// EventKind tells what has happened.
+type EventKind string
 
 // Events.
 const (
-	Joined     What = "joined"
-	Restarted  What = "restarted" // under its name, in another life
-	Suspected  What = "suspected"
-	Cleared    What = "cleared" // of suspicion
-	WasLost    What = "lost"
-	Healed     What = "healed" // it was lost, and is there again in the same life
-	Departs    What = "leaves"
-	Left       What = "left"
-	Stranger   What = "stranger" // the file doesn't name it; it is not let in
-	Twin       What = "twin"     // two of one name: the younger is refused
-	IsAlone    What = "alone"
-	InCompany  What = "in-company"
-	Stood      What = "stood-still"
-	Fresh      What = "heard-again"
-	WasRefused What = "refused" // this one, for an elder of its name
-	LetIn      What = "let-in"  // this one, after that
+	EventJoined           EventKind = "joined"
+	EventRestarted        EventKind = "restarted" // under its name, in another life
+	EventSuspected        EventKind = "suspected"
+	EventSuspicionCleared EventKind = "cleared" // of suspicion
+	EventLost             EventKind = "lost"
+	EventRecovered        EventKind = "healed" // it was lost, and is there again in the same life
+	EventLeaving          EventKind = "leaves"
+	EventLeft             EventKind = "left"
+	EventUnknownMember    EventKind = "stranger" // the file doesn't name it; it is not let in
+	EventDuplicateName    EventKind = "twin"     // two of one name: the younger is refused
+	EventQuorumLost       EventKind = "alone"
+	EventQuorumRegained   EventKind = "in-company"
+	EventProcessPaused    EventKind = "stood-still"
+	EventViewRefreshed    EventKind = "heard-again"
+	EventSelfRefused      EventKind = "refused" // this one, for an elder of its name
+	EventSelfAdmitted     EventKind = "let-in"  // this one, after that
 )
 
 // Event is a change of a View.
 type Event struct {
-	What   What
-	View   int64 // the number of the view that it led to
-	Member Meta
-	Other  Meta // of a twin: the younger
+	Kind       EventKind
+	ViewNumber int64 // the number of the view that it led to
+	Member     Meta
+	Duplicate  Meta // of a twin: the younger
 }
 
-// Book keeps who is there from what a carrier reports. It does no I/O and reads no
+// Tracker keeps who is there from what a carrier reports. It does no I/O and reads no
 // clock: times are arguments, from one that goes on while the program stands. It is for
 // one goroutine.
-type Book struct {
-	self    Meta
-	view    View
-	copied  View              // of view, for others
-	twins   map[[2]int64]bool // told already, by both lives
-	strange map[string]bool
-	refused time.Time // when an elder was met last; zero: none
-	watch   stall.Detector
-	events  []Event
+type Tracker struct {
+	self               Meta
+	view               View
+	snapshot           View              // of view, for others
+	reportedDuplicates map[[2]int64]bool // told already, by both lives
+	reportedUnknown    map[string]bool
+	duplicateSeenAt    time.Time // when an elder was met last; zero: none
+	pauseDetector      stall.Detector
+	pendingEvents      []Event
 }
 
-// mostTold bounds how many strangers and twins are remembered as told.
-const mostTold = 1000
+// maxReported bounds how many strangers and twins are remembered as told.
+const maxReported = 1000
 
-// NewBook returns the Book of a member at its start. named includes itself.
-func NewBook(self Meta, named []Named, now time.Time) *Book {
-	b := &Book{self: self, twins: map[[2]int64]bool{}, strange: map[string]bool{}}
+// NewTracker returns the Book of a member at its start. named includes itself.
+func NewTracker(self Meta, configured []ConfiguredMember, now time.Time) *Tracker {
+	b := &Tracker{self: self, reportedDuplicates: map[[2]int64]bool{}, reportedUnknown: map[string]bool{}}
 	b.view = View{Number: 1, Self: self.Name}
-	for _, n := range named {
+	for _, n := range configured {
 		m := Member{Meta: Meta{Name: n.Name, Site: n.Site}, Since: now}
 		if n.Name == self.Name {
-			m.Meta, m.Status = self, Here
+			m.Meta, m.Status = self, StatusAlive
 		}
 		b.view.Members = append(b.view.Members, m)
 	}
 	slices.SortFunc(b.view.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	b.watch.Reset(now)
-	b.count()
+	b.pauseDetector.Reset(now)
+	b.recount()
 	return b
 }
 
 // View is the present view. Its members are not to be changed. It is made once for each
 // number: nothing of a view changes without a new one.
-func (b *Book) View() View {
-	if b.copied.Number != b.view.Number {
-		b.copied = b.view
-		b.copied.Members = slices.Clone(b.view.Members)
+func (b *Tracker) View() View {
+	if b.snapshot.Number != b.view.Number {
+		b.snapshot = b.view
+		b.snapshot.Members = slices.Clone(b.view.Members)
 	}
-	return b.copied
+	return b.snapshot
 }
 
-// Admit tells whether a carrier is to let in a member that it hears of: the file names
+// Admits tells whether a carrier is to let in a member that it hears of: the file names
 // it, and it is no younger twin. It is what Alive does, without a change.
-func (b *Book) Admit(m Meta) bool {
-	o := b.view.Find(m.Name)
-	return o != nil && !(o.Status.InView() && o.Address != m.Address && o.older(m))
+func (b *Tracker) Admits(m Meta) bool {
+	known := b.view.Find(m.Name)
+	return known != nil && !(known.Status.Present() && known.Address != m.Address && known.startedBefore(m))
 }
 
-// Alive reports that a carrier has a member among those that are there.
-func (b *Book) Alive(m Meta, now time.Time) []Event {
-	o := b.view.Find(m.Name)
+// RecordAlive reports that a carrier has a member among those that are there.
+func (b *Tracker) RecordAlive(m Meta, now time.Time) []Event {
+	known := b.view.Find(m.Name)
 	switch {
-	case o == nil:
-		b.stranger(m)
-		return b.done(now)
+	case known == nil:
+		b.addUnknown(m)
+		return b.finishUpdate(now)
 	case m.Name == b.self.Name:
-		if !m.same(b.self) {
-			b.met(b.self, m, now)
+		if !m.sameIncarnation(b.self) {
+			b.addDuplicate(b.self, m, now)
 		}
-		return b.done(now)
-	case o.Status.InView() && !o.same(m) && o.Address != m.Address:
+		return b.finishUpdate(now)
+	case known.Status.Present() && !known.sameIncarnation(m) && known.Address != m.Address:
 		// The carrier has said nothing of an end of the one in view. If that is the
 		// younger one, the elder takes its place.
-		b.met(o.Meta, m, now)
-		if o.older(m) {
-			return b.done(now)
+		b.addDuplicate(known.Meta, m, now)
+		if known.startedBefore(m) {
+			return b.finishUpdate(now)
 		}
 	}
-	was, before := o.Status, o.Meta
-	o.Meta = m
-	to := Here
+	previousStatus, previous := known.Status, known.Meta
+	known.Meta = m
+	status := StatusAlive
 	switch {
-	case m.Leaves:
-		to = Departing
-	case was == Suspect && before.same(m):
-		to = Suspect // hearsay; what clears it is Answered
+	case m.Leaving:
+		status = StatusLeaving
+	case previousStatus == StatusSuspect && previous.sameIncarnation(m):
+		status = StatusSuspect // hearsay; what clears it is Answered
 	}
-	if was != to || !before.same(m) {
-		o.Status, o.Since = to, now
+	if previousStatus != status || !previous.sameIncarnation(m) {
+		known.Status, known.Since = status, now
 		switch {
-		case to == Departing:
-			b.tell(Departs, m)
-		case was == Unheard || was == Gone && !before.same(m):
-			b.tell(Joined, m)
-		case !before.same(m):
-			b.tell(Restarted, m)
+		case status == StatusLeaving:
+			b.addEvent(EventLeaving, m)
+		case previousStatus == StatusUnheard || previousStatus == StatusLeft && !previous.sameIncarnation(m):
+			b.addEvent(EventJoined, m)
+		case !previous.sameIncarnation(m):
+			b.addEvent(EventRestarted, m)
 		default:
-			b.tell(Healed, m)
+			b.addEvent(EventRecovered, m)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
-// Answered reports that a member itself has answered just now.
-func (b *Book) Answered(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		b.fresh()
-		if o.Status == Suspect {
-			o.Status, o.Since = Here, now
-			b.tell(Cleared, o.Meta)
+// RecordAck reports that a member itself has answered just now.
+func (b *Tracker) RecordAck(name string, now time.Time) []Event {
+	if known := b.view.Find(name); known != nil && name != b.self.Name {
+		b.clearStale()
+		if known.Status == StatusSuspect {
+			known.Status, known.Since = StatusAlive, now
+			b.addEvent(EventSuspicionCleared, known.Meta)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
-// Doubted reports that a member doesn't answer.
-func (b *Book) Doubted(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name && o.Status == Here {
-		o.Status, o.Since = Suspect, now
-		b.tell(Suspected, o.Meta)
+// RecordSuspicion reports that a member doesn't answer.
+func (b *Tracker) RecordSuspicion(name string, now time.Time) []Event {
+	if known := b.view.Find(name); known != nil && name != b.self.Name && known.Status == StatusAlive {
+		known.Status, known.Since = StatusSuspect, now
+		b.addEvent(EventSuspected, known.Meta)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
-// Ended reports that a carrier no longer has a member.
-func (b *Book) Ended(name string, now time.Time) []Event {
-	if o := b.view.Find(name); o != nil && name != b.self.Name {
-		switch o.Status {
-		case Here, Suspect:
-			o.Status, o.Since = Lost, now
-			b.tell(WasLost, o.Meta)
-		case Departing:
-			o.Status, o.Since = Gone, now
-			b.tell(Left, o.Meta)
+// RecordGone reports that a carrier no longer has a member.
+func (b *Tracker) RecordGone(name string, now time.Time) []Event {
+	if known := b.view.Find(name); known != nil && name != b.self.Name {
+		switch known.Status {
+		case StatusAlive, StatusSuspect:
+			known.Status, known.Since = StatusLost, now
+			b.addEvent(EventLost, known.Meta)
+		case StatusLeaving:
+			known.Status, known.Since = StatusLeft, now
+			b.addEvent(EventLeft, known.Meta)
 		}
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
-// Twins reports that a carrier heard of two of one name.
-func (b *Book) Twins(one, other Meta, now time.Time) []Event {
-	if b.view.Find(one.Name) == nil {
-		b.stranger(one)
+// RecordDuplicate reports that a carrier heard of two of one name.
+func (b *Tracker) RecordDuplicate(first, second Meta, now time.Time) []Event {
+	if b.view.Find(first.Name) == nil {
+		b.addUnknown(first)
 	} else {
-		b.met(one, other, now)
+		b.addDuplicate(first, second, now)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
-// Strange reports one that is not to be let in, whatever its name.
-func (b *Book) Strange(m Meta, now time.Time) []Event {
-	b.stranger(m)
-	return b.done(now)
+// RecordUnknown reports one that is not to be let in, whatever its name.
+func (b *Tracker) RecordUnknown(m Meta, now time.Time) []Event {
+	b.addUnknown(m)
+	return b.finishUpdate(now)
 }
 
-// Leaves notes that this member leaves.
-func (b *Book) Leaves(now time.Time) []Event {
-	if o := b.view.Find(b.self.Name); o.Status != Departing {
-		b.self.Leaves, o.Leaves = true, true
-		o.Status, o.Since = Departing, now
-		b.tell(Departs, o.Meta)
+// RecordOwnLeave notes that this member leaves.
+func (b *Tracker) RecordOwnLeave(now time.Time) []Event {
+	if own := b.view.Find(b.self.Name); own.Status != StatusLeaving {
+		b.self.Leaving, own.Leaving = true, true
+		own.Status, own.Since = StatusLeaving, now
+		b.addEvent(EventLeaving, own.Meta)
 	}
-	return b.done(now)
+	return b.finishUpdate(now)
 }
 
 // Tick is to be called each 100 ms. It notices that the program stood still.
-func (b *Book) Tick(now time.Time) []Event { return b.done(now) }
+func (b *Tracker) Tick(now time.Time) []Event { return b.finishUpdate(now) }
 
-func (b *Book) met(one, other Meta, now time.Time) {
-	if !one.older(other) {
-		one, other = other, one
+func (b *Tracker) addDuplicate(first, second Meta, now time.Time) {
+	if !first.startedBefore(second) {
+		first, second = second, first
 	}
-	if other.same(b.self) {
-		b.refused = now
+	if second.sameIncarnation(b.self) {
+		b.duplicateSeenAt = now
 	}
-	if key := [2]int64{one.Started, other.Started}; !b.twins[key] && len(b.twins) < mostTold {
-		b.twins[key] = true
-		b.events = append(b.events, Event{What: Twin, Member: one, Other: other})
+	if key := [2]int64{first.StartedUnixNano, second.StartedUnixNano}; !b.reportedDuplicates[key] && len(b.reportedDuplicates) < maxReported {
+		b.reportedDuplicates[key] = true
+		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventDuplicateName, Member: first, Duplicate: second})
 	}
 }
 
-func (b *Book) stranger(m Meta) {
-	if key := m.Name + " " + m.Address; !b.strange[key] && len(b.strange) < mostTold {
-		b.strange[key] = true
-		b.events = append(b.events, Event{What: Stranger, Member: m})
+func (b *Tracker) addUnknown(m Meta) {
+	if key := m.Name + " " + m.Address; !b.reportedUnknown[key] && len(b.reportedUnknown) < maxReported {
+		b.reportedUnknown[key] = true
+		b.pendingEvents = append(b.pendingEvents, Event{Kind: EventUnknownMember, Member: m})
 	}
 }
 
-func (b *Book) fresh() {
+func (b *Tracker) clearStale() {
 	if b.view.Stale {
 		b.view.Stale = false
-		b.tell(Fresh, b.self)
+		b.addEvent(EventViewRefreshed, b.self)
 	}
 }
 
-func (b *Book) tell(w What, m Meta) { b.events = append(b.events, Event{What: w, Member: m}) }
+func (b *Tracker) addEvent(kind EventKind, m Meta) {
+	b.pendingEvents = append(b.pendingEvents, Event{Kind: kind, Member: m})
+}
 
-// done draws what follows from a report, numbers the view if it has changed, and
+// finishUpdate draws what follows from a report, numbers the view if it has changed, and
 // returns what happened.
-func (b *Book) done(now time.Time) []Event {
-	if stood := b.watch.Heartbeat(now); stood > 0 {
-		b.tell(Stood, b.self)
+func (b *Tracker) finishUpdate(now time.Time) []Event {
+	if paused := b.pauseDetector.Heartbeat(now); paused > 0 {
+		b.addEvent(EventProcessPaused, b.self)
 		b.view.Stale = len(b.view.Members) > 1
-		if !b.refused.IsZero() {
-			b.refused = now
+		if !b.duplicateSeenAt.IsZero() {
+			b.duplicateSeenAt = now
 		}
 	}
 	for i := range b.view.Members {
-		if m := &b.view.Members[i]; m.Status == Suspect && now.Sub(m.Since) > suspectFor {
-			m.Status, m.Since = Here, now
-			b.tell(Cleared, m.Meta)
+		if m := &b.view.Members[i]; m.Status == StatusSuspect && now.Sub(m.Since) > maxSuspicion {
+			m.Status, m.Since = StatusAlive, now
+			b.addEvent(EventSuspicionCleared, m.Meta)
 		}
 	}
-	if refused := !b.refused.IsZero() && now.Sub(b.refused) <= twinFor; refused != b.view.Refused {
-		b.view.Refused = refused
-		b.tell(map[bool]What{true: WasRefused, false: LetIn}[refused], b.self)
+	if refused := !b.duplicateSeenAt.IsZero() && now.Sub(b.duplicateSeenAt) <= duplicateTimeout; refused != b.view.RefusedAsDuplicate {
+		b.view.RefusedAsDuplicate = refused
+		b.addEvent(map[bool]EventKind{true: EventSelfRefused, false: EventSelfAdmitted}[refused], b.self)
 	}
-	alone := b.view.Alone
-	b.count()
-	if b.view.Alone != alone {
-		b.tell(map[bool]What{true: IsAlone, false: InCompany}[b.view.Alone], b.self)
+	hadNoQuorum := b.view.NoQuorum
+	b.recount()
+	if b.view.NoQuorum != hadNoQuorum {
+		b.addEvent(map[bool]EventKind{true: EventQuorumLost, false: EventQuorumRegained}[b.view.NoQuorum], b.self)
 	}
-	events := b.events
-	b.events = nil
+	events := b.pendingEvents
+	b.pendingEvents = nil
 	// What changed nothing of who is there leads to no new view.
 	if slices.ContainsFunc(events, func(e Event) bool {
-		return e.What != Twin && e.What != Stranger && e.What != Stood || b.view.Stale && e.What == Stood
+		return e.Kind != EventDuplicateName && e.Kind != EventUnknownMember && e.Kind != EventProcessPaused || b.view.Stale && e.Kind == EventProcessPaused
 	}) {
 		b.view.Number++
 	}
 	for i := range events {
-		events[i].View = b.view.Number
+		events[i].ViewNumber = b.view.Number
 	}
 	return events
 }
 
-func (b *Book) count() {
-	b.view.InView = 0
+func (b *Tracker) recount() {
+	b.view.PresentCount = 0
 	for i := range b.view.Members {
 		m := &b.view.Members[i]
 		// One that leaves counts itself for as long as it is there.
-		if m.Status.InView() || m.Name == b.self.Name {
-			b.view.InView++
+		if m.Status.Present() || m.Name == b.self.Name {
+			b.view.PresentCount++
 		}
 	}
-	b.view.Alone = 2*b.view.InView <= len(b.view.Members)
+	b.view.NoQuorum = 2*b.view.PresentCount <= len(b.view.Members)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -28,24 +28,24 @@
 
 // Config is what a member is told.
 type Config struct {
-	Self  Meta    // Started is set at the start
-	Named []Named // all, itself among them
-	Join  []string
+	Self              Meta               // Started is set at the start
+	ConfiguredMembers []ConfiguredMember // all, itself among them
+	JoinAddresses     []string
 	// Listen is the address of the sockets, TCP and UDP of one port.
-	Listen string
+	ListenAddress string
 	// At is where members are reached from here, by name, if not at the address that
 	// they tell of themselves: for connections, and for datagrams.
-	At map[string][2]string
+	AddressOverrides map[string][2]string
 	// Keys for all that is sent, AES-128 to 256; the first seals, all open. None: what
 	// is sent is not sealed.
-	Keys [][]byte
+	EncryptionKeys [][]byte
 	// Told, if not nil, is called with what happened and the view that it led to, from
 	// one goroutine. It must not block.
-	Told func(View, []Event)
+	OnEvents func(View, []Event)
 	// Log takes what the carrier remarks, one line each.
-	Log func(string)
+	LogLine func(string)
 
-	via func() memberlist.NodeAwareTransport // in the place of sockets, for tests
+	transportForTest func() memberlist.NodeAwareTransport // in the place of sockets, for tests
 }
 
 // ListenError is an address that a member can't listen at, or be reached at.
@@ -62,30 +62,30 @@
 
 var errNoMembers = errors.New("fleet: no member is named; name all by fleet.members")
 
-// Fixed is a fleet that a file names, all of it taken as there. It sends nothing.
-type Fixed struct{ view View }
+// Static is a fleet that a file names, all of it taken as there. It sends nothing.
+type Static struct{ view View }
 
-// NewFixed returns the fleet of a file.
-func NewFixed(c Config) (*Fixed, error) {
-	if len(c.Named) == 0 {
+// NewStatic returns the fleet of a file.
+func NewStatic(c Config) (*Static, error) {
+	if len(c.ConfiguredMembers) == 0 {
 		return nil, errNoMembers
 	}
-	b := NewBook(c.Self, c.Named, time.Time{})
+	b := NewTracker(c.Self, c.ConfiguredMembers, time.Time{})
 	for i := range b.view.Members {
-		b.view.Members[i].Status = Here
+		b.view.Members[i].Status = StatusAlive
 	}
-	b.count()
-	return &Fixed{b.view}, nil
+	b.recount()
+	return &Static{b.view}, nil
 }
 
 // View returns the one view that there is.
-func (f *Fixed) View() View { return f.view }
+func (f *Static) View() View { return f.view }
 
 // Leave does nothing.
-func (f *Fixed) Leave() {}
+func (f *Static) Leave() {}
 
 // Run waits for ctx.
-func (f *Fixed) Run(ctx context.Context) error {
+func (f *Static) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
--- a/internal/member/transport.go
+++ b/internal/member/transport.go
@@ -14,58 +14,58 @@
 // bytes without the headers of IP, UDP and TCP. What one sends another gets: over a
 // fleet, Sent is all.
 type Traffic struct {
-	Packets, Sent, Streams, Streamed atomic.Int64
+	DatagramsSent, DatagramBytesSent, ConnectionsOpened, ConnectionBytes atomic.Int64
 }
 
 // transport is memberlist's, reaching members where the file says.
 type transport struct {
 	memberlist.NodeAwareTransport
-	at    map[string][2]string
-	count *Traffic
-	port  int
-	ctx   context.Context // of the stay in the fleet: its end breaks what is open
+	addressOverrides map[string][2]string
+	traffic          *Traffic
+	port             int
+	ctx              context.Context // of the stay in the fleet: its end breaks what is open
 }
 
-func (s *Swim) bind() (*transport, error) {
-	if s.config.via != nil {
-		return &transport{s.config.via(), s.config.At, &s.count, 0, context.Background()}, nil
+func (s *Swim) bindTransport() (*transport, error) {
+	if s.config.transportForTest != nil {
+		return &transport{s.config.transportForTest(), s.config.AddressOverrides, &s.traffic, 0, context.Background()}, nil
 	}
-	host, port, err := net.SplitHostPort(s.config.Listen)
+	host, port, err := net.SplitHostPort(s.config.ListenAddress)
 	if err != nil {
-		return nil, &ListenError{s.config.Listen, err}
+		return nil, &ListenError{s.config.ListenAddress, err}
 	}
 	n, err := strconv.Atoi(port)
 	if err == nil && net.ParseIP(host).To4() == nil {
 		err = net.InvalidAddrError("no IPv4 address")
 	}
 	if err != nil {
-		return nil, &ListenError{s.config.Listen, err}
+		return nil, &ListenError{s.config.ListenAddress, err}
 	}
-	for try := 0; ; try++ {
+	for attempts := 0; ; attempts++ {
 		t, err := memberlist.NewNetTransport(&memberlist.NetTransportConfig{BindAddrs: []string{host}, BindPort: n, Logger: s.logger()})
 		if err == nil {
-			return &transport{t, s.config.At, &s.count, t.GetAutoBindPort(), context.Background()}, nil
+			return &transport{t, s.config.AddressOverrides, &s.traffic, t.GetAutoBindPort(), context.Background()}, nil
 		}
 		// With port 0, the port that TCP was given may be in use for UDP.
-		if n != 0 || try == 10 {
-			return nil, &ListenError{s.config.Listen, err}
+		if n != 0 || attempts == 10 {
+			return nil, &ListenError{s.config.ListenAddress, err}
 		}
 	}
 }
 
-// to is an address as the file has it, for connections or for datagrams.
-func (t *transport) to(a memberlist.Address, datagrams int) memberlist.Address {
-	if at, ok := t.at[a.Name]; ok {
-		a.Addr = at[datagrams]
+// resolve is an address as the file has it, for connections or for datagrams.
+func (t *transport) resolve(a memberlist.Address, protocol int) memberlist.Address {
+	if override, ok := t.addressOverrides[a.Name]; ok {
+		a.Addr = override[protocol]
 	}
 	return a
 }
 
 // WriteToAddress sends a datagram.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	t.count.Packets.Add(1)
-	t.count.Sent.Add(int64(len(b)))
-	return t.NodeAwareTransport.WriteToAddress(b, t.to(a, 1))
+	t.traffic.DatagramsSent.Add(1)
+	t.traffic.DatagramBytesSent.Add(int64(len(b)))
+	return t.NodeAwareTransport.WriteToAddress(b, t.resolve(a, 1))
 }
 
 // WriteTo sends a datagram to an address that has no name.
@@ -77,19 +77,19 @@
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	var c net.Conn
 	var err error
-	if _, sockets := t.NodeAwareTransport.(*memberlist.NetTransport); sockets {
+	if _, overSockets := t.NodeAwareTransport.(*memberlist.NetTransport); overSockets {
 		d := net.Dialer{Timeout: timeout}
-		c, err = d.DialContext(t.ctx, "tcp4", t.to(a, 0).Addr)
+		c, err = d.DialContext(t.ctx, "tcp4", t.resolve(a, 0).Addr)
 	} else {
-		c, err = t.NodeAwareTransport.DialAddressTimeout(t.to(a, 0), timeout)
+		c, err = t.NodeAwareTransport.DialAddressTimeout(t.resolve(a, 0), timeout)
 	}
 	if err != nil {
 		return nil, err
 	}
 	// Guard: nobody's silence holds up the program's end.
-	stop := context.AfterFunc(t.ctx, func() { c.Close() })
-	t.count.Streams.Add(1)
-	return &counted{c, t.count, stop}, nil
+	stopAutoClose := context.AfterFunc(t.ctx, func() { c.Close() })
+	t.traffic.ConnectionsOpened.Add(1)
+	return &countedConn{c, t.traffic, stopAutoClose}, nil
 }
 
 // DialTimeout opens a connection to an address that has no name.
@@ -97,25 +97,25 @@
 	return t.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-type counted struct {
+type countedConn struct {
 	net.Conn
-	count *Traffic
-	stop  func() bool
+	traffic       *Traffic
+	stopAutoClose func() bool
 }
 
-func (c *counted) Close() error {
-	c.stop()
+func (c *countedConn) Close() error {
+	c.stopAutoClose()
 	return c.Conn.Close()
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.count.Streamed.Add(int64(n))
+	c.traffic.ConnectionBytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.count.Streamed.Add(int64(n))
+	c.traffic.ConnectionBytes.Add(int64(n))
 	return n, err
 }
--- a/internal/member/virtual_test.go
+++ b/internal/member/virtual_test.go
@@ -13,52 +13,52 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// wire is a network in memory: a port is a place of a slice, from 1.
-type wire []*plug
+// memoryNetwork is a network in memory: a port is a place of a slice, from 1.
+type memoryNetwork []*memoryTransport
 
-// plug is a member's place at a wire. What doesn't fit into a queue is lost.
-type plug struct {
-	wire    *wire
-	at      int
+// memoryTransport is a member's place at a wire. What doesn't fit into a queue is lost.
+type memoryTransport struct {
+	network *memoryNetwork
+	port    int
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	off     atomic.Bool
+	down    atomic.Bool
 }
 
-func (w wire) plug(addr string) *plug {
+func (n memoryNetwork) transportAt(addr string) *memoryTransport {
 	_, port, _ := net.SplitHostPort(addr)
-	if i, err := strconv.Atoi(port); err == nil && i <= len(w) && !w[i-1].off.Load() {
-		return w[i-1]
+	if i, err := strconv.Atoi(port); err == nil && i <= len(n) && !n[i-1].down.Load() {
+		return n[i-1]
 	}
 	return nil
 }
 
-func (p *plug) addr() string { return fmt.Sprintf("10.0.0.1:%d", p.at) }
+func (p *memoryTransport) address() string { return fmt.Sprintf("10.0.0.1:%d", p.port) }
 
-func (p *plug) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	return net.IPv4(10, 0, 0, 1).To4(), p.at, nil
+func (p *memoryTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
+	return net.IPv4(10, 0, 0, 1).To4(), p.port, nil
 }
 
-func (p *plug) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	if to := p.wire.plug(a.Addr); to != nil && !p.off.Load() {
+func (p *memoryTransport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
+	if target := p.network.transportAt(a.Addr); target != nil && !p.down.Load() {
 		select {
-		case to.packets <- &memberlist.Packet{Buf: append([]byte(nil), b...), From: &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: p.at}, Timestamp: time.Now()}:
+		case target.packets <- &memberlist.Packet{Buf: append([]byte(nil), b...), From: &net.UDPAddr{IP: net.IPv4(10, 0, 0, 1), Port: p.port}, Timestamp: time.Now()}:
 		default:
 		}
 	}
 	return time.Now(), nil
 }
 
-func (p *plug) WriteTo(b []byte, addr string) (time.Time, error) {
+func (p *memoryTransport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return p.WriteToAddress(b, memberlist.Address{Addr: addr})
 }
 
-func (p *plug) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
-	if to := p.wire.plug(a.Addr); to != nil && !p.off.Load() {
-		here, there := net.Pipe()
+func (p *memoryTransport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	if target := p.network.transportAt(a.Addr); target != nil && !p.down.Load() {
+		local, remote := net.Pipe()
 		select {
-		case to.streams <- there:
-			return here, nil
+		case target.streams <- remote:
+			return local, nil
 		default:
 		}
 	}
@@ -66,34 +66,34 @@
 	return nil, context.DeadlineExceeded
 }
 
-func (p *plug) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+func (p *memoryTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	return p.DialAddressTimeout(memberlist.Address{Addr: addr}, timeout)
 }
 
-func (p *plug) PacketCh() <-chan *memberlist.Packet { return p.packets }
-func (p *plug) StreamCh() <-chan net.Conn           { return p.streams }
-func (p *plug) Shutdown() error                     { p.off.Store(true); return nil }
+func (p *memoryTransport) PacketCh() <-chan *memberlist.Packet { return p.packets }
+func (p *memoryTransport) StreamCh() <-chan net.Conn           { return p.streams }
+func (p *memoryTransport) Shutdown() error                     { p.down.Store(true); return nil }
 
-// TestVirtual measures a fleet of -sizes members in virtual time: what each sends, and
+// TestVirtualTime measures a fleet of -sizes members in virtual time: what each sends, and
 // how long it takes to know of all, and of one that is lost. At 8 it always runs.
-func TestVirtual(t *testing.T) {
-	n := max(*sizes, 8)
+func TestVirtualTime(t *testing.T) {
+	n := max(*fleetSize, 8)
 	began := time.Now()
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		w := make(wire, n)
-		var named []Named
-		for i := range w {
-			w[i] = &plug{wire: &w, at: i + 1, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64)}
-			named = append(named, Named{fmt.Sprintf("m%04d", i), "s"})
+		transports := make(memoryNetwork, n)
+		var configured []ConfiguredMember
+		for i := range transports {
+			transports[i] = &memoryTransport{network: &transports, port: i + 1, packets: make(chan *memberlist.Packet, 1024), streams: make(chan net.Conn, 64)}
+			configured = append(configured, ConfiguredMember{fmt.Sprintf("m%04d", i), "s"})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, n)
 		var all []*Swim
-		for i := range w {
-			c := Config{Self: Meta{Name: named[i].Name, Address: w[i].addr()}, Named: named, Listen: w[i].addr(), via: func() memberlist.NodeAwareTransport { return w[i] }}
+		for i := range transports {
+			c := Config{Self: Meta{Name: configured[i].Name, Address: transports[i].address()}, ConfiguredMembers: configured, ListenAddress: transports[i].address(), transportForTest: func() memberlist.NodeAwareTransport { return transports[i] }}
 			if i > 0 {
-				c.Join = []string{w[i/8].addr()}
+				c.JoinAddresses = []string{transports[i/8].address()}
 			}
 			s, err := NewSwim(c)
 			if err != nil {
@@ -102,13 +102,13 @@
 			all = append(all, s)
 			go func() { done <- s.Run(ctx) }()
 		}
-		settle := func(what string, want int, who []*Swim) {
+		waitForCount := func(what string, want int, members []*Swim) {
 			from := time.Now()
 			for settled := false; !settled; time.Sleep(100 * time.Millisecond) {
 				settled = true
-				for _, s := range who {
+				for _, s := range members {
 					s.mu.Lock()
-					settled = settled && s.book.view.InView == want
+					settled = settled && s.tracker.view.PresentCount == want
 					s.mu.Unlock()
 				}
 				if time.Since(from) > 5*time.Minute {
@@ -118,10 +118,10 @@
 			}
 			t.Logf("%d members: %s after %v", n, what, time.Since(from))
 		}
-		settle("all in view", n, all)
+		waitForCount("all in view", n, all)
 		sent := func() (packets, bytes, streamed int64) {
 			for _, s := range all {
-				packets, bytes, streamed = packets+s.Traffic().Packets.Load(), bytes+s.Traffic().Sent.Load(), streamed+s.Traffic().Streamed.Load()
+				packets, bytes, streamed = packets+s.Traffic().DatagramsSent.Load(), bytes+s.Traffic().DatagramBytesSent.Load(), streamed+s.Traffic().ConnectionBytes.Load()
 			}
 			return
 		}
@@ -130,8 +130,8 @@
 		time.Sleep(30 * time.Second)
 		p2, b2, s2 := sent()
 		t.Logf("each, at rest: %.1f datagrams and %d bytes a second, and %d on connections", float64(p2-p)/30/float64(n), (b2-b)/30/int64(n), (s2-s)/30/int64(n))
-		w[n-1].off.Store(true)
-		settle("one lost", n-1, all[:n-1])
+		transports[n-1].down.Store(true)
+		waitForCount("one lost", n-1, all[:n-1])
 		cancel()
 		for range all {
 			if err := <-done; err != nil {
--- a/internal/peaks/calendar.go
+++ b/internal/peaks/calendar.go
@@ -35,17 +35,17 @@
 	Lead   time.Duration // before it, for which room is held at most
 	Early  time.Duration // by how much it may come too early
 
-	Classes []bool  // by class: which ones more viewers come for
-	Factor  float64 // of the ordinary rate; 0: Rate is given
-	Rate    float64 // more sessions a second over all managers and classes
-	Sure    float64 // how likely it is to come, from 0 to 1
-	Harm    float64 // the most part of the ordinary sessions' room that a hold may take
+	Classes     []bool  // by class: which ones more viewers come for
+	Factor      float64 // of the ordinary rate; 0: Rate is given
+	ExtraRate   float64 // more sessions a second over all managers and classes
+	Probability float64 // how likely it is to come, from 0 to 1
+	MaxHarm     float64 // the most part of the ordinary sessions' room that a hold may take
 }
 
 // Occurrence is one time that a peak is announced for.
 type Occurrence struct {
 	Peak       *Peak
-	Index      int // of the peak in its calendar
+	PeakIndex  int // of the peak in its calendar
 	Begin, End time.Time
 }
 
@@ -70,17 +70,17 @@
 	}
 }
 
-// More is how many more sessions a second there are of a class at a full peak, of
+// ClassExtraRate is how many more sessions a second there are of a class at a full peak, of
 // which rate come ordinarily; share is the class's part of all the peak's classes'
 // ordinary sessions.
-func (p *Peak) More(class int, rate, share float64) float64 {
+func (p *Peak) ClassExtraRate(class int, rate, share float64) float64 {
 	switch {
 	case class >= len(p.Classes) || !p.Classes[class]:
 		return 0
 	case p.Factor > 0:
 		return max(p.Factor-1, 0) * rate
 	}
-	return p.Rate * share
+	return p.ExtraRate * share
 }
 
 // Calendar is all announcements. Where peaks overlap, what each brings beyond the
@@ -92,31 +92,31 @@
 	var list []Occurrence
 	for i := range c.Peaks {
 		p := &c.Peaks[i]
-		reach := p.Early + p.Lead
+		beforeBegin := p.Early + p.Lead
 		// A window may have begun before: so many days more are looked at.
 		first := from.Add(-p.Length - p.Ramp).In(p.Zone)
-		last := until.Add(reach).In(p.Zone)
+		last := until.Add(beforeBegin).In(p.Zone)
 		day := time.Date(first.Year(), first.Month(), first.Day()-1, 0, 0, 0, 0, time.UTC)
 		end := time.Date(last.Year(), last.Month(), last.Day()+1, 0, 0, 0, 0, time.UTC)
 		for ; !day.After(end); day = day.AddDate(0, 0, 1) {
-			if !p.Days.has(day) {
+			if !p.Days.includes(day) {
 				continue
 			}
-			begin := local(day, p.At, p.Zone)
-			o := Occurrence{Peak: p, Index: i, Begin: begin, End: begin.Add(p.Length)}
+			begin := localTime(day, p.At, p.Zone)
+			o := Occurrence{Peak: p, PeakIndex: i, Begin: begin, End: begin.Add(p.Length)}
 			if a, b := o.Window(); a.Before(until) && b.After(from) {
 				list = append(list, o)
 			}
 		}
 	}
 	slices.SortStableFunc(list, func(a, b Occurrence) int {
-		return cmp.Or(a.Begin.Compare(b.Begin), a.Index-b.Index)
+		return cmp.Or(a.Begin.Compare(b.Begin), a.PeakIndex-b.PeakIndex)
 	})
 	return list
 }
 
-// has tells whether a date, given as its midnight in UTC, is one of the days.
-func (d *Days) has(t time.Time) bool {
+// includes tells whether a date, given as its midnight in UTC, is one of the days.
+func (d *Days) includes(t time.Time) bool {
 	if d.Daily || d.Weekdays[t.Weekday()] {
 		return true
 	}
@@ -127,10 +127,10 @@
 	return slices.Contains(d.OfMonth, n) || slices.Contains(d.OfMonth, 0) && t.AddDate(0, 0, 1).Day() == 1
 }
 
-// local is a time of day on a date in a zone. Where the clocks are put back it is
+// localTime is a time of day on a date in a zone. Where the clocks are put back it is
 // the first of the two; a time that is left out where they are put forward comes
 // as much later.
-func local(day time.Time, at time.Duration, zone *time.Location) time.Time {
+func localTime(day time.Time, at time.Duration, zone *time.Location) time.Time {
 	wall := day.Add(at).Unix()
 	offset := func(t int64) int64 {
 		_, s := time.Unix(t, 0).In(zone).Zone()
--- a/internal/peaks/calendar_test.go
+++ b/internal/peaks/calendar_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func zone(t testing.TB, name string) *time.Location {
+func loadZone(t testing.TB, name string) *time.Location {
 	t.Helper()
 	z, err := time.LoadLocation(name)
 	if err != nil {
@@ -19,14 +19,14 @@
 // quincena is the 15th and the last of the month, at 18:00 for three hours.
 func quincena(t testing.TB) Peak {
 	return Peak{
-		Name: "quincena", Days: Days{OfMonth: []int{15, 0}}, At: 18 * time.Hour, Zone: zone(t, "America/Mexico_City"),
+		Name: "quincena", Days: Days{OfMonth: []int{15, 0}}, At: 18 * time.Hour, Zone: loadZone(t, "America/Mexico_City"),
 		Length: 3 * time.Hour, Ramp: 5 * time.Minute, Lead: 2 * time.Minute, Early: 10 * time.Minute,
-		Classes: []bool{true, true}, Factor: 2, Sure: 0.9, Harm: 0.1,
+		Classes: []bool{true, true}, Factor: 2, Probability: 0.9, MaxHarm: 0.1,
 	}
 }
 
 func TestBetween(t *testing.T) {
-	berlin := zone(t, "Europe/Berlin")
+	berlin := loadZone(t, "Europe/Berlin")
 	for name, e := range map[string]struct {
 		peak        Peak
 		from, until string
@@ -70,7 +70,7 @@
 		}
 	}
 	// Of a time that is twice it is the first.
-	if got := local(time.Date(2026, 10, 25, 0, 0, 0, 0, time.UTC), 150*time.Minute, berlin); !got.Equal(time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)) {
+	if got := localTime(time.Date(2026, 10, 25, 0, 0, 0, 0, time.UTC), 150*time.Minute, berlin); !got.Equal(time.Date(2026, 10, 25, 0, 30, 0, 0, time.UTC)) {
 		t.Error(got)
 	}
 }
@@ -97,17 +97,17 @@
 
 // What a peak brings beyond the ordinary goes by its classes, and is never less
 // than nothing.
-func TestMore(t *testing.T) {
+func TestClassExtraRate(t *testing.T) {
 	for i, e := range []struct {
 		peak Peak
 		want string
 	}{
 		{Peak{Classes: []bool{true, false}, Factor: 3}, "4.0 0.0"},
 		{Peak{Classes: []bool{true, true}, Factor: 0.5}, "0.0 0.0"},
-		{Peak{Classes: []bool{true, true}, Rate: 9}, "3.0 6.0"},
-		{Peak{Classes: []bool{true}, Rate: 9}, "3.0 0.0"},
+		{Peak{Classes: []bool{true, true}, ExtraRate: 9}, "3.0 6.0"},
+		{Peak{Classes: []bool{true}, ExtraRate: 9}, "3.0 0.0"},
 	} {
-		if got := fmt.Sprintf("%.1f %.1f", e.peak.More(0, 2, 1./3), e.peak.More(1, 4, 2./3)); got != e.want {
+		if got := fmt.Sprintf("%.1f %.1f", e.peak.ClassExtraRate(0, 2, 1./3), e.peak.ClassExtraRate(1, 4, 2./3)); got != e.want {
 			t.Errorf("%d: %s, want %s", i, got, e.want)
 		}
 	}
--- a/internal/peaks/plan.go
+++ b/internal/peaks/plan.go
@@ -11,31 +11,31 @@
 // Class is what a plan has to know of a class. Sizes are in slots: streams at the
 // middle rung's rate.
 type Class struct {
-	Rate     float64   // ordinary sessions a second over all managers
-	Survival []float64 // share that lasts so many seconds
-	Sizes    []float64 // by rung
-	Worth    []float64 // of a session, by rung
-	Floor    int       // lowest rung
-	Top      int       // highest rung that most viewers can use
+	Rate        float64   // ordinary sessions a second over all managers
+	Survival    []float64 // share that lasts so many seconds
+	SlotsByRung []float64 // by rung
+	Worth       []float64 // of a session, by rung
+	Floor       int       // lowest rung
+	Top         int       // highest rung that most viewers can use
 }
 
 // Node is a media node as far as it gives room.
 type Node struct {
-	Slots float64
-	Ready bool    // listed, not draining, in a zone that can be reached
-	Warm  float64 // share that it has warmed, from 0 to 1
+	Slots     float64
+	Ready     bool    // listed, not draining, in a zone that can be reached
+	WarmShare float64 // share that it has warmed, from 0 to 1
 }
 
-// Room is what nodes give together: nothing counts on one that drains, is gone or
+// UsableSlots is what nodes give together: nothing counts on one that drains, is gone or
 // is cut off, and of a cold one only what has warmed.
-func Room(nodes []Node) float64 {
-	room := 0.0
+func UsableSlots(nodes []Node) float64 {
+	slots := 0.0
 	for _, n := range nodes {
 		if n.Ready {
-			room += n.Slots * min(max(n.Warm, 0), 1)
+			slots += n.Slots * min(max(n.WarmShare, 0), 1)
 		}
 	}
-	return room
+	return slots
 }
 
 // Plan is how much room is held for an occurrence. The hold grows evenly from a
@@ -43,31 +43,31 @@
 // since the room that it takes has still to be left by those who play.
 type Plan struct {
 	Occurrence
-	From  time.Time
-	Part  []float64 // of the room at the begin, by class
-	Room  float64   // slots that it was made for
-	Short float64   // slots that the full peak lacks even on the lowest rungs; 0: none
+	From          time.Time
+	HeldShares    []float64 // of the room at the begin, by class
+	CapacitySlots float64   // slots that it was made for
+	ShortSlots    float64   // slots that the full peak lacks even on the lowest rungs; 0: none
 	// What is expected to be earned from the earliest hold to settleTime after the
 	// begin, in worth: by the plan, and without any hold.
-	Earned, Without float64
+	ExpectedWorth, WorthWithoutHold float64
 	// Lost is the share of the ordinary sessions' worth before the begin that the
 	// hold costs.
-	Lost float64
+	OrdinaryLoss float64
 }
 
 const (
-	planStep    = 2.0 // s
-	settleTime  = 90 * time.Second
-	releaseTime = 30 * time.Second // in which a hold is given back after a no-show
-	mostHeld    = 0.9              // of the room, whatever is announced
-	mostTrials  = 80               // of holds, while the best is searched
-	mostSearch  = 250 * time.Millisecond
+	stepS         = 2.0 // s
+	settlePeriod  = 90 * time.Second
+	releasePeriod = 30 * time.Second // in which a hold is given back after a no-show
+	maxHeldShare  = 0.9              // of the room, whatever is announced
+	maxTrials     = 80               // of holds, while the best is searched
+	maxSearchTime = 250 * time.Millisecond
 )
 
-// ErrNoRoom tells that no node gives room to plan with.
-var ErrNoRoom = errors.New("peaks: no node gives room")
+// ErrNoCapacity tells that no node gives room to plan with.
+var ErrNoCapacity = errors.New("peaks: no node gives room")
 
-// Make finds the hold with which most is expected to be earned before and in a
+// MakePlan finds the hold with which most is expected to be earned before and in a
 // peak together, the no-show included by how sure the announcement is. It costs
 // the ordinary sessions before the peak at most the part Harm of their worth.
 //
@@ -76,101 +76,101 @@
 // Newcomers are given an equal part of what may be filled, as the decision module
 // levels them, and what finds no room on its lowest rung is lost, as is the share
 // that chance takes on links this full.
-func Make(o Occurrence, room float64, classes []Class) (Plan, error) {
-	p := Plan{Occurrence: o, From: o.Begin, Part: make([]float64, len(classes)), Room: room}
-	if !(room > 0) {
-		return p, ErrNoRoom
-	}
-	m := newModel(o, room, classes)
-	p.Short = max(m.least()-room, 0)
-	none := m.run(0, 0)
-	p.Without = none.total(o.Peak.Sure)
-	p.Earned = p.Without
-	if m.extra == 0 || o.Peak.Lead <= 0 || o.Peak.Harm <= 0 || o.Peak.Sure <= 0 {
+func MakePlan(o Occurrence, capacitySlots float64, classes []Class) (Plan, error) {
+	p := Plan{Occurrence: o, From: o.Begin, HeldShares: make([]float64, len(classes)), CapacitySlots: capacitySlots}
+	if !(capacitySlots > 0) {
+		return p, ErrNoCapacity
+	}
+	m := newModel(o, capacitySlots, classes)
+	p.ShortSlots = max(m.floorSlots()-capacitySlots, 0)
+	noHold := m.simulate(0, 0)
+	p.WorthWithoutHold = noHold.expected(o.Peak.Probability)
+	p.ExpectedWorth = p.WorthWithoutHold
+	if m.totalExtraRate == 0 || o.Peak.Lead <= 0 || o.Peak.MaxHarm <= 0 || o.Peak.Probability <= 0 {
 		return p, nil
 	}
 	lead := o.Peak.Lead.Seconds()
-	most := min(mostHeld, m.demand()/room)
-	held := func(x []float64) (part, tau float64) {
-		return most / (1 + math.Exp(-x[0])), lead / (1 + math.Exp(-x[1]))
-	}
-	value := func(part, tau float64) float64 {
-		out := m.run(part, tau)
-		v := out.total(o.Peak.Sure)
-		if lost := 1 - out.before/max(none.before, 1e-9); lost > o.Peak.Harm {
-			v -= (lost - o.Peak.Harm) * 1e3 * (p.Without + 1) // over what the operator allows
+	maxHoldShare := min(maxHeldShare, m.maxPeakSlots()/capacitySlots)
+	decodeHold := func(x []float64) (holdShare, growthS float64) {
+		return maxHoldShare / (1 + math.Exp(-x[0])), lead / (1 + math.Exp(-x[1]))
+	}
+	objective := func(holdShare, growthS float64) float64 {
+		out := m.simulate(holdShare, growthS)
+		v := out.expected(o.Peak.Probability)
+		if lost := 1 - out.before/max(noHold.before, 1e-9); lost > o.Peak.MaxHarm {
+			v -= (lost - o.Peak.MaxHarm) * 1e3 * (p.WorthWithoutHold + 1) // over what the operator allows
 		}
 		return v
 	}
-	best, part, tau := p.Without, 0.0, 0.0
+	best, holdShare, growthS := p.WorthWithoutHold, 0.0, 0.0
 	try := func(h, t float64) {
-		if v := value(h, t); v > best*(1+1e-9) {
-			best, part, tau = v, h, t
+		if v := objective(h, t); v > best*(1+1e-9) {
+			best, holdShare, growthS = v, h, t
 		}
 	}
-	begin := []float64{0, 0}
+	start := []float64{0, 0}
 	for _, h := range []float64{0.1, 0.3, 0.6, 0.95} { // the surface has a ridge where a hold begins to pay
 		for _, t := range []float64{0.25, 0.6, 0.95} {
 			before := best
-			if try(h*most, t*lead); best > before {
-				begin = []float64{math.Log(h / (1 - h)), math.Log(t / (1 - t))}
+			if try(h*maxHoldShare, t*lead); best > before {
+				start = []float64{math.Log(h / (1 - h)), math.Log(t / (1 - t))}
 			}
 		}
 	}
 	_, err := optimize.Minimize(optimize.Problem{Func: func(x []float64) float64 {
-		h, t := held(x)
-		v := value(h, t)
+		h, t := decodeHold(x)
+		v := objective(h, t)
 		if v > best*(1+1e-9) {
-			best, part, tau = v, h, t
+			best, holdShare, growthS = v, h, t
 		}
 		return -v
-	}}, begin, &optimize.Settings{FuncEvaluations: mostTrials, Runtime: mostSearch}, &optimize.NelderMead{})
-	if err != nil && part == 0 {
+	}}, start, &optimize.Settings{FuncEvaluations: maxTrials, Runtime: maxSearchTime}, &optimize.NelderMead{})
+	if err != nil && holdShare == 0 {
 		return p, nil // nothing pays
 	}
-	if out := m.run(part, tau); part > 0 {
-		p.Earned, p.Lost = out.total(o.Peak.Sure), max(1-out.before/max(none.before, 1e-9), 0)
-		p.From = o.Begin.Add(-time.Duration(tau * float64(time.Second)))
+	if out := m.simulate(holdShare, growthS); holdShare > 0 {
+		p.ExpectedWorth, p.OrdinaryLoss = out.expected(o.Peak.Probability), max(1-out.before/max(noHold.before, 1e-9), 0)
+		p.From = o.Begin.Add(-time.Duration(growthS * float64(time.Second)))
 		for k := range classes {
-			p.Part[k] = part * m.share[k]
+			p.HeldShares[k] = holdShare * m.holdShares[k]
 		}
 	}
 	return p, nil
 }
 
-// At is the part of the room held at a time for each class, if the peak is awaited.
-func (p *Plan) At(t time.Time) []float64 {
+// HeldSharesAt is the part of the room held at a time for each class, if the peak is awaited.
+func (p *Plan) HeldSharesAt(t time.Time) []float64 {
 	if from, until := p.Window(); t.Before(p.From) || t.Before(from) || !t.Before(until) {
-		return make([]float64, len(p.Part))
+		return make([]float64, len(p.HeldShares))
 	}
-	grown := 1.0
+	growth := 1.0
 	if t.Before(p.Begin) {
-		grown = float64(t.Sub(p.From)) / float64(p.Begin.Sub(p.From))
+		growth = float64(t.Sub(p.From)) / float64(p.Begin.Sub(p.From))
 	}
-	part := make([]float64, len(p.Part))
-	for k, h := range p.Part {
-		part[k] = h * grown
+	shares := make([]float64, len(p.HeldShares))
+	for k, h := range p.HeldShares {
+		shares[k] = h * growth
 	}
-	return part
+	return shares
 }
 
 // model follows the sessions of one occurrence.
 type model struct {
-	o       Occurrence
-	room    float64
-	classes []Class
-	more    []float64 // sessions a second at the full peak
-	share   []float64 // of what is held, by class
-	extra   float64   // of all more
-	steady  []float64 // ordinary sessions that play
-	mean    []float64 // s
+	occurrence       Occurrence
+	capacitySlots    float64
+	classes          []Class
+	extraRate        []float64 // sessions a second at the full peak
+	holdShares       []float64 // of what is held, by class
+	totalExtraRate   float64   // of all more
+	ordinarySessions []float64 // ordinary sessions that play
+	meanLengthS      []float64 // s
 }
 
-func newModel(o Occurrence, room float64, classes []Class) *model {
-	m := &model{o: o, room: room, classes: classes}
+func newModel(occurrence Occurrence, capacitySlots float64, classes []Class) *model {
+	m := &model{occurrence: occurrence, capacitySlots: capacitySlots, classes: classes}
 	rates := 0.0
 	for k, c := range classes {
-		if k < len(o.Peak.Classes) && o.Peak.Classes[k] {
+		if k < len(occurrence.Peak.Classes) && occurrence.Peak.Classes[k] {
 			rates += c.Rate
 		}
 	}
@@ -180,36 +180,36 @@
 		if rates > 0 {
 			part = c.Rate / rates
 		}
-		more := o.Peak.More(k, c.Rate, part)
-		m.more = append(m.more, more)
-		m.extra += more
-		mean := Mean(c.Survival)
-		m.mean = append(m.mean, mean)
-		m.steady = append(m.steady, c.Rate*mean)
-		weight := more * mean * c.Sizes[c.Floor]
-		m.share = append(m.share, weight)
+		extraRate := occurrence.Peak.ClassExtraRate(k, c.Rate, part)
+		m.extraRate = append(m.extraRate, extraRate)
+		m.totalExtraRate += extraRate
+		meanLengthS := MeanLength(c.Survival)
+		m.meanLengthS = append(m.meanLengthS, meanLengthS)
+		m.ordinarySessions = append(m.ordinarySessions, c.Rate*meanLengthS)
+		weight := extraRate * meanLengthS * c.SlotsByRung[c.Floor]
+		m.holdShares = append(m.holdShares, weight)
 		total += weight
 	}
-	for k := range m.share {
+	for k := range m.holdShares {
 		if total > 0 {
-			m.share[k] /= total
+			m.holdShares[k] /= total
 		}
 	}
 	return m
 }
 
-// least is what the full peak needs with all sessions on their lowest rungs.
-func (m *model) least() (slots float64) {
+// floorSlots is what the full peak needs with all sessions on their lowest rungs.
+func (m *model) floorSlots() (slots float64) {
 	for k, c := range m.classes {
-		slots += (c.Rate + m.more[k]) * m.mean[k] * c.Sizes[c.Floor]
+		slots += (c.Rate + m.extraRate[k]) * m.meanLengthS[k] * c.SlotsByRung[c.Floor]
 	}
 	return slots
 }
 
-// demand is what more there is of the peak at most, on the top rungs.
-func (m *model) demand() (slots float64) {
+// maxPeakSlots is what more there is of the peak at most, on the top rungs.
+func (m *model) maxPeakSlots() (slots float64) {
 	for k, c := range m.classes {
-		slots += m.more[k] * m.mean[k] * c.Sizes[c.Top]
+		slots += m.extraRate[k] * m.meanLengthS[k] * c.SlotsByRung[c.Top]
 	}
 	return slots
 }
@@ -218,177 +218,179 @@
 type outcome struct {
 	before float64 // until the begin
 	peak   float64 // from then on, if the peak comes
-	quiet  float64 // if it does not
+	noShow float64 // if it does not
 }
 
-func (o outcome) total(sure float64) float64 { return o.before + sure*o.peak + (1-sure)*o.quiet }
+func (o outcome) expected(probability float64) float64 {
+	return o.before + probability*o.peak + (1-probability)*o.noShow
+}
 
 // cohort is the sessions of a class that came in one step.
 type cohort struct {
-	born  int
-	class int
-	n     float64
-	size  float64 // of one
+	startStep int
+	class     int
+	sessions  float64
+	slots     float64 // of one
 }
 
-// run follows the sessions with a hold that grows over so many seconds to a part
+// simulate follows the sessions with a hold that grows over so many seconds to a part
 // of the room.
-func (m *model) run(part, tau float64) (out outcome) {
-	lead := int(m.o.Peak.Lead.Seconds() / planStep)
-	f := m.start()
+func (m *model) simulate(holdShare, growthS float64) (out outcome) {
+	lead := int(m.occurrence.Peak.Lead.Seconds() / stepS)
+	ordinary := m.newSimulation()
 	for i := -lead; i < 0; i++ {
-		room := m.room
-		if left := float64(-i) * planStep; left < tau {
-			room *= 1 - part*(1-left/tau)
+		capacitySlots := m.capacitySlots
+		if leftS := float64(-i) * stepS; leftS < growthS {
+			capacitySlots *= 1 - holdShare*(1-leftS/growthS)
 		}
-		out.before += f.step(i, room, 0)
-	}
-	come, quiet := f, f.clone()
-	for i := range int(settleTime.Seconds() / planStep) {
-		level := m.o.Level(m.o.Begin.Add(time.Duration(float64(i) * planStep * float64(time.Second))))
-		out.peak += come.step(i, m.room, level)
-		room := m.room
-		if float64(i)*planStep < releaseTime.Seconds() {
-			room *= 1 - part
+		out.before += ordinary.step(i, capacitySlots, 0)
+	}
+	withPeak, noShow := ordinary, ordinary.clone()
+	for i := range int(settlePeriod.Seconds() / stepS) {
+		level := m.occurrence.Level(m.occurrence.Begin.Add(time.Duration(float64(i) * stepS * float64(time.Second))))
+		out.peak += withPeak.step(i, m.capacitySlots, level)
+		capacitySlots := m.capacitySlots
+		if float64(i)*stepS < releasePeriod.Seconds() {
+			capacitySlots *= 1 - holdShare
 		}
-		out.quiet += quiet.step(i, room, 0)
+		out.noShow += noShow.step(i, capacitySlots, 0)
 	}
 	return out
 }
 
-// fluid is the sessions at one time.
-type fluid struct {
+// simulation is the sessions at one time.
+type simulation struct {
 	*model
-	old     []cohort
-	n, come []float64 // by class: that play, that come in the step
+	cohorts            []cohort
+	sessions, arrivals []float64 // by class: that play, that come in the step
 }
 
-// start is ordinary traffic that has long been as it is, levelled out over the room.
-func (m *model) start() *fluid {
-	f := &fluid{model: m, n: make([]float64, len(m.classes)), come: make([]float64, len(m.classes))}
-	size := m.level(m.room, m.steady)
+// newSimulation is ordinary traffic that has long been as it is, levelled out over the room.
+func (m *model) newSimulation() *simulation {
+	s := &simulation{model: m, sessions: make([]float64, len(m.classes)), arrivals: make([]float64, len(m.classes))}
+	slots := m.slotsPerSession(m.capacitySlots, m.ordinarySessions)
 	for k, c := range m.classes {
-		f.old = append(f.old, cohort{born: math.MinInt32, class: k, n: m.steady[k], size: c.sizeAt(size)})
+		s.cohorts = append(s.cohorts, cohort{startStep: math.MinInt32, class: k, sessions: m.ordinarySessions[k], slots: c.slotsAt(slots)})
 	}
-	return f
+	return s
 }
 
-func (f *fluid) clone() *fluid {
-	g := f.model.start()
-	g.old = append(g.old[:0], f.old...)
-	return g
+func (s *simulation) clone() *simulation {
+	copied := s.model.newSimulation()
+	copied.cohorts = append(copied.cohorts[:0], s.cohorts...)
+	return copied
 }
 
-// level is the size in slots, over a class's own scale, at which so many sessions
+// slotsPerSession is the size in slots, over a class's own scale, at which so many sessions
 // fill a room.
-func (m *model) level(room float64, n []float64) float64 {
+func (m *model) slotsPerSession(capacitySlots float64, sessions []float64) float64 {
 	sum := 0.0
 	for k := range m.classes {
-		sum += n[k]
+		sum += sessions[k]
 	}
 	if sum <= 0 {
 		return math.Inf(1)
 	}
-	return room / sum
+	return capacitySlots / sum
 }
 
-// sizeAt is the size that a session of a class is given for a level.
-func (c *Class) sizeAt(level float64) float64 {
-	return min(max(level, c.Sizes[c.Floor]), c.Sizes[c.Top])
+// slotsAt is the size that a session of a class is given for a level.
+func (c *Class) slotsAt(slotsPerSession float64) float64 {
+	return min(max(slotsPerSession, c.SlotsByRung[c.Floor]), c.SlotsByRung[c.Top])
 }
 
 // worthAt is what a session of a size earns, between the rungs in proportion.
-func (c *Class) worthAt(size float64) float64 {
+func (c *Class) worthAt(slots float64) float64 {
 	for r := c.Floor; r < c.Top; r++ {
-		a, b := c.Sizes[r], c.Sizes[r+1]
-		if size <= b {
-			if size <= a || b <= a {
+		a, b := c.SlotsByRung[r], c.SlotsByRung[r+1]
+		if slots <= b {
+			if slots <= a || b <= a {
 				return c.Worth[r]
 			}
-			return c.Worth[r] + (c.Worth[r+1]-c.Worth[r])*(size-a)/(b-a)
+			return c.Worth[r] + (c.Worth[r+1]-c.Worth[r])*(slots-a)/(b-a)
 		}
 	}
 	return c.Worth[c.Top]
 }
 
-// left is the share of a cohort that still plays at step i.
-func (m *model) left(c *cohort, i int) float64 {
+// remaining is the share of a cohort that still plays at step i.
+func (m *model) remaining(c *cohort, i int) float64 {
 	s := m.classes[c.class].Survival
-	if c.born == math.MinInt32 {
+	if c.startStep == math.MinInt32 {
 		// Those that played at the start: their ages are spread as the survival is.
-		return m.residual(c.class, i)
+		return m.remainingAtStart(c.class, i)
 	}
-	if age := int(float64(i-c.born) * planStep); age < len(s) {
+	if age := int(float64(i-c.startStep) * stepS); age < len(s) {
 		return s[max(age, 0)]
 	}
 	return 0
 }
 
-// residual is the share of the sessions playing at the start that plays i steps
+// remainingAtStart is the share of the sessions playing at the start that plays i steps
 // later, counted from the start of the lead.
-func (m *model) residual(class, i int) float64 {
-	from := int(float64(i)*planStep) + int(m.o.Peak.Lead.Seconds())
+func (m *model) remainingAtStart(class, i int) float64 {
+	from := int(float64(i)*stepS) + int(m.occurrence.Peak.Lead.Seconds())
 	s, sum := m.classes[class].Survival, 0.0
 	for a := max(from, 0); a+1 < len(s); a++ {
 		sum += (s[a] + s[a+1]) / 2
 	}
-	return sum / max(m.mean[class], 1e-9)
+	return sum / max(m.meanLengthS[class], 1e-9)
 }
 
 // step lets one step's newcomers in, with the peak at a level, and returns what they
 // earn.
-func (f *fluid) step(i int, room, level float64) float64 {
-	used := 0.0
-	n, come := f.n, f.come
-	clear(n)
-	keep := f.old[:0]
-	for _, c := range f.old {
-		left := f.left(&c, i) * c.n
-		if left < 1e-6 {
+func (s *simulation) step(i int, capacitySlots, peakLevel float64) float64 {
+	usedSlots := 0.0
+	sessions, arrivals := s.sessions, s.arrivals
+	clear(sessions)
+	kept := s.cohorts[:0]
+	for _, c := range s.cohorts {
+		remaining := s.remaining(&c, i) * c.sessions
+		if remaining < 1e-6 {
 			continue
 		}
-		used += left * c.size
-		n[c.class] += left
-		keep = append(keep, c)
-	}
-	f.old = keep
-	floors, wanted := 0.0, 0.0
-	for k := range f.classes {
-		come[k] = (f.classes[k].Rate + f.more[k]*level) * planStep
-		n[k] += come[k]
-	}
-	at := f.level(room, n)
-	for k := range f.classes {
-		floors += come[k] * f.classes[k].Sizes[f.classes[k].Floor]
-		wanted += come[k] * f.classes[k].sizeAt(at)
-	}
-	free := max(room-used, 0)
-	served, give := 1.0, 1.0 // share served; of what is wanted beyond the floors
+		usedSlots += remaining * c.slots
+		sessions[c.class] += remaining
+		kept = append(kept, c)
+	}
+	s.cohorts = kept
+	floorSlots, wantedSlots := 0.0, 0.0
+	for k := range s.classes {
+		arrivals[k] = (s.classes[k].Rate + s.extraRate[k]*peakLevel) * stepS
+		sessions[k] += arrivals[k]
+	}
+	fairSlots := s.slotsPerSession(capacitySlots, sessions)
+	for k := range s.classes {
+		floorSlots += arrivals[k] * s.classes[k].SlotsByRung[s.classes[k].Floor]
+		wantedSlots += arrivals[k] * s.classes[k].slotsAt(fairSlots)
+	}
+	freeSlots := max(capacitySlots-usedSlots, 0)
+	servedShare, aboveFloorShare := 1.0, 1.0 // share served; of what is wanted beyond the floors
 	switch {
-	case floors > free:
-		served, give = free/floors, 0
-	case wanted > free:
-		give = (free - floors) / (wanted - floors)
-	}
-	sum, least := 0.0, 0.0
-	for k := range f.classes {
-		sum += n[k]
-		least += n[k] * f.classes[k].Sizes[f.classes[k].Floor]
-	}
-	if sum > 0 && least > 0 { // what chance takes, were all on their lowest rungs
-		served = min(served, 1-erlangLoss(room*sum/least, sum))
-	}
-	earned := 0.0
-	for k := range f.classes {
-		c := &f.classes[k]
-		floor := c.Sizes[c.Floor]
-		size := floor + give*(c.sizeAt(at)-floor)
-		if come[k] > 0 {
-			f.old = append(f.old, cohort{born: i, class: k, n: come[k] * served, size: size})
+	case floorSlots > freeSlots:
+		servedShare, aboveFloorShare = freeSlots/floorSlots, 0
+	case wantedSlots > freeSlots:
+		aboveFloorShare = (freeSlots - floorSlots) / (wantedSlots - floorSlots)
+	}
+	totalSessions, minSlots := 0.0, 0.0
+	for k := range s.classes {
+		totalSessions += sessions[k]
+		minSlots += sessions[k] * s.classes[k].SlotsByRung[s.classes[k].Floor]
+	}
+	if totalSessions > 0 && minSlots > 0 { // what chance takes, were all on their lowest rungs
+		servedShare = min(servedShare, 1-erlangLoss(capacitySlots*totalSessions/minSlots, totalSessions))
+	}
+	worth := 0.0
+	for k := range s.classes {
+		c := &s.classes[k]
+		floor := c.SlotsByRung[c.Floor]
+		slots := floor + aboveFloorShare*(c.slotsAt(fairSlots)-floor)
+		if arrivals[k] > 0 {
+			s.cohorts = append(s.cohorts, cohort{startStep: i, class: k, sessions: arrivals[k] * servedShare, slots: slots})
 		}
-		earned += come[k] * served * c.worthAt(size)
+		worth += arrivals[k] * servedShare * c.worthAt(slots)
 	}
-	return earned
+	return worth
 }
 
 // erlangLoss is the share lost of an offered load on a number of slots, which may
--- a/internal/peaks/plan_test.go
+++ b/internal/peaks/plan_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// site is the classes of a site of 16 nodes whose ordinary traffic fills 45% of the
+// testFleet is the classes of a site of 16 nodes whose ordinary traffic fills 45% of the
 // links at the middle rate, and its room in slots.
-func site(load float64) (float64, []Class) {
-	const room = 16 * 10.0
-	lasts := func(least, most float64) []float64 {
+func testFleet(load float64) (float64, []Class) {
+	const capacitySlots = 16 * 10.0
+	uniformSurvival := func(least, most float64) []float64 {
 		s := make([]float64, 80)
 		for i := range s {
 			s[i] = min(max((most-float64(i))/(most-least), 0), 1)
@@ -27,26 +27,26 @@
 		return out
 	}
 	classes := []Class{
-		{Survival: lasts(26, 65), Sizes: sizes, Worth: worth(2), Floor: 1, Top: 3},
-		{Survival: lasts(20, 50), Sizes: sizes, Worth: worth(1), Floor: 0, Top: 3},
+		{Survival: uniformSurvival(26, 65), SlotsByRung: sizes, Worth: worth(2), Floor: 1, Top: 3},
+		{Survival: uniformSurvival(20, 50), SlotsByRung: sizes, Worth: worth(1), Floor: 0, Top: 3},
 	}
-	sessions := load * room
+	sessions := load * capacitySlots
 	for k, part := range []float64{0.35, 0.65} {
-		classes[k].Rate = sessions * part / (0.35*Mean(classes[0].Survival) + 0.65*Mean(classes[1].Survival))
+		classes[k].Rate = sessions * part / (0.35*MeanLength(classes[0].Survival) + 0.65*MeanLength(classes[1].Survival))
 	}
-	return room, classes
+	return capacitySlots, classes
 }
 
-// doubling is a peak that doubles both classes.
-func doubling() Occurrence {
+// doublingOccurrence is a peak that doubles both classes.
+func doublingOccurrence() Occurrence {
 	o := occurrence(0)
-	o.Peak.Classes, o.Peak.Factor, o.Peak.Sure, o.Peak.Harm, o.Peak.Lead = []bool{true, true}, 2, 0.9, 0.3, 90*time.Second
+	o.Peak.Classes, o.Peak.Factor, o.Peak.Probability, o.Peak.MaxHarm, o.Peak.Lead = []bool{true, true}, 2, 0.9, 0.3, 90*time.Second
 	return o
 }
 
 // A hold is made where it pays, and by more the surer the peak is; it never earns
 // less than none, and costs no more than the operator allows.
-func TestMake(t *testing.T) {
+func TestMakePlan(t *testing.T) {
 	for name, e := range map[string]struct {
 		load   float64
 		change func(*Peak)
@@ -57,78 +57,78 @@
 		"45 to 90":          {0.45, func(*Peak) {}, -0.02},
 		"90 to 180":         {0.9, func(*Peak) {}, -0.02},
 		"one class":         {0.45, func(p *Peak) { p.Classes = []bool{true, false} }, -0.02},
-		"sessions a second": {0.45, func(p *Peak) { p.Factor, p.Rate = 0, 3 }, -0.08},
+		"sessions a second": {0.45, func(p *Peak) { p.Factor, p.ExtraRate = 0, 3 }, -0.08},
 		"45 to 225":         {0.45, func(p *Peak) { p.Factor = 5 }, 0.02},
 		"ten times":         {0.45, func(p *Peak) { p.Factor = 10 }, 0.05},
 		"one class, ten":    {0.45, func(p *Peak) { p.Classes, p.Factor = []bool{true, false}, 10 }, 0.05},
-		"rate, ten":         {0.45, func(p *Peak) { p.Factor, p.Rate = 0, 18 }, 0.05},
-		"little harm":       {0.45, func(p *Peak) { p.Factor, p.Harm = 10, 0.01 }, 0.01},
+		"rate, ten":         {0.45, func(p *Peak) { p.Factor, p.ExtraRate = 0, 18 }, 0.05},
+		"little harm":       {0.45, func(p *Peak) { p.Factor, p.MaxHarm = 10, 0.01 }, 0.01},
 		"no room needed":    {0.02, func(*Peak) {}, 0},
-		"not believed":      {0.45, func(p *Peak) { p.Factor, p.Sure = 10, 0 }, 0},
-		"no harm allowed":   {0.45, func(p *Peak) { p.Factor, p.Harm = 10, 0 }, 0},
+		"not believed":      {0.45, func(p *Peak) { p.Factor, p.Probability = 10, 0 }, 0},
+		"no harm allowed":   {0.45, func(p *Peak) { p.Factor, p.MaxHarm = 10, 0 }, 0},
 		"no lead":           {0.45, func(p *Peak) { p.Factor, p.Lead = 10, 0 }, 0},
 		"nothing more":      {0.45, func(p *Peak) { p.Factor = 1 }, 0},
 	} {
-		room, classes := site(e.load)
-		o := doubling()
+		capacitySlots, classes := testFleet(e.load)
+		o := doublingOccurrence()
 		e.change(o.Peak)
-		p, err := Make(o, room, classes)
+		p, err := MakePlan(o, capacitySlots, classes)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sum := 0.0
-		for k, h := range p.Part {
+		for k, h := range p.HeldShares {
 			if h < 0 || k == 1 && strings.HasPrefix(name, "one class") && h != 0 {
-				t.Errorf("%s: %v", name, p.Part)
+				t.Errorf("%s: %v", name, p.HeldShares)
 			}
 			sum += h
 		}
 		from, _ := p.Window()
-		if e.held > 0 && sum < e.held || e.held <= 0 && sum > -e.held || p.Earned < p.Without || p.Lost > o.Peak.Harm+0.001 || sum > mostHeld || p.From.Before(from) || p.From.After(p.Begin) {
-			t.Errorf("%s: held %.3f from %v, earned %.1f of %.1f, lost %.3f", name, p.Part, p.Begin.Sub(p.From), p.Earned, p.Without, p.Lost)
+		if e.held > 0 && sum < e.held || e.held <= 0 && sum > -e.held || p.ExpectedWorth < p.WorthWithoutHold || p.OrdinaryLoss > o.Peak.MaxHarm+0.001 || sum > maxHeldShare || p.From.Before(from) || p.From.After(p.Begin) {
+			t.Errorf("%s: held %.3f from %v, earned %.1f of %.1f, lost %.3f", name, p.HeldShares, p.Begin.Sub(p.From), p.ExpectedWorth, p.WorthWithoutHold, p.OrdinaryLoss)
 		}
-		t.Logf("%s: held %.3f for %v, expected %.1f, without %.1f (%+.2f%%), ordinary loses %.2f%%, short %.0f slots", name, p.Part, p.Begin.Sub(p.From).Round(time.Second),
-			p.Earned, p.Without, 100*(p.Earned/p.Without-1), 100*p.Lost, p.Short)
+		t.Logf("%s: held %.3f for %v, expected %.1f, without %.1f (%+.2f%%), ordinary loses %.2f%%, short %.0f slots", name, p.HeldShares, p.Begin.Sub(p.From).Round(time.Second),
+			p.ExpectedWorth, p.WorthWithoutHold, 100*(p.ExpectedWorth/p.WorthWithoutHold-1), 100*p.OrdinaryLoss, p.ShortSlots)
 	}
-	if _, err := Make(doubling(), 0, nil); err != ErrNoRoom {
+	if _, err := MakePlan(doublingOccurrence(), 0, nil); err != ErrNoCapacity {
 		t.Error(err)
 	}
 }
 
 // What can't be met even on the lowest rungs is told with what is lacking.
-func TestShort(t *testing.T) {
-	room, classes := site(0.45)
-	o := doubling()
+func TestShortSlots(t *testing.T) {
+	capacitySlots, classes := testFleet(0.45)
+	o := doublingOccurrence()
 	o.Peak.Factor = 10
-	p, err := Make(o, room, classes)
+	p, err := MakePlan(o, capacitySlots, classes)
 	need := 0.0
 	for _, c := range classes {
-		need += 10 * c.Rate * Mean(c.Survival) * c.Sizes[c.Floor]
+		need += 10 * c.Rate * MeanLength(c.Survival) * c.SlotsByRung[c.Floor]
 	}
-	if err != nil || math.Abs(p.Short-(need-room)) > 1e-6 || p.Short <= 0 {
-		t.Errorf("short %v, need %v of %v, %v", p.Short, need, room, err)
+	if err != nil || math.Abs(p.ShortSlots-(need-capacitySlots)) > 1e-6 || p.ShortSlots <= 0 {
+		t.Errorf("short %v, need %v of %v, %v", p.ShortSlots, need, capacitySlots, err)
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestUsableSlots(t *testing.T) {
 	nodes := []Node{{10, true, 1}, {10, false, 1}, {10, true, 0.25}, {10, true, 0}, {10, true, 7}, {10, true, -1}}
-	if got := Room(nodes); got != 22.5 {
+	if got := UsableSlots(nodes); got != 22.5 {
 		t.Error(got)
 	}
 }
 
 // Nothing is held outside of an announcement's window, or before the plan's time.
-func TestAt(t *testing.T) {
-	room, classes := site(0.45)
-	o := doubling()
+func TestHeldSharesAt(t *testing.T) {
+	capacitySlots, classes := testFleet(0.45)
+	o := doublingOccurrence()
 	o.Peak.Factor = 10
-	p, err := Make(o, room, classes)
+	p, err := MakePlan(o, capacitySlots, classes)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, until := p.Window()
 	for at, want := range map[time.Time]bool{p.From.Add(-1): false, p.From.Add(time.Second): true, p.Begin: true, until.Add(-1): true, until: false} {
-		if got := p.At(at)[0] > 0; got != want {
+		if got := p.HeldSharesAt(at)[0] > 0; got != want {
 			t.Errorf("%v: %v", at.Sub(p.Begin), got)
 		}
 	}
@@ -152,11 +152,11 @@
 	for _, nodes := range []int{10, 100, 1000, 10000} {
 		for _, hours := range []int{24, 240} {
 			b.Run(fmt.Sprintf("nodes=%d/hours=%d", nodes, hours), func(b *testing.B) {
-				_, two := site(0.45)
+				_, two := testFleet(0.45)
 				classes := append(two, two...)
 				all := make([]Node, nodes)
 				for i := range all {
-					all[i] = Node{Slots: 10, Ready: i%10 != 0, Warm: 1}
+					all[i] = Node{Slots: 10, Ready: i%10 != 0, WarmShare: 1}
 				}
 				for k := range classes {
 					classes[k].Rate *= float64(nodes) / 16 / 2
@@ -169,7 +169,7 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					for _, o := range c.Between(now, now.Add(time.Duration(hours)*time.Hour)) {
-						if _, err := Make(o, Room(all), classes); err != nil {
+						if _, err := MakePlan(o, UsableSlots(all), classes); err != nil {
 							b.Fatal(err)
 						}
 					}
--- a/internal/peaks/show.go
+++ b/internal/peaks/show.go
@@ -9,153 +9,155 @@
 type State uint8
 
 const (
-	Awaited  State = iota // its time has not come, or it is not told yet
-	Came                  // more come, early, in time or late
-	NoShow                // it does not come; what was held has been given back
-	Finished              // its window is over
+	StateAwaited  State = iota // its time has not come, or it is not told yet
+	StateArrived               // more come, early, in time or late
+	StateNoShow                // it does not come; what was held has been given back
+	StateFinished              // its window is over
 )
 
 func (s State) String() string {
 	return [...]string{"awaited", "came", "no show", "finished"}[s]
 }
 
-// Errors are the rates at which a Show may be wrong.
-type Errors struct {
-	Miss  float64 // that a peak of the announced size is taken for a no-show
-	False float64 // that ordinary traffic at its begin is taken for the peak
+// ErrorRates are the rates at which a Show may be wrong.
+type ErrorRates struct {
+	MissedPeak float64 // that a peak of the announced size is taken for a no-show
+	FalsePeak  float64 // that ordinary traffic at its begin is taken for the peak
 	// Alarm is how often in its early window ordinary traffic is taken for the peak
 	// that comes early: a probability for the whole window.
-	Alarm float64
+	EarlyFalseAlarm float64
 	// Spread is how much more counts vary than those of independent arrivals: the
 	// variance over the mean.
-	Spread float64
+	Dispersion float64
 }
 
-// DefaultErrors are those that the operators' page states.
-var DefaultErrors = Errors{Miss: 0.01, False: 0.01, Alarm: 0.01, Spread: 1.5}
+// DefaultErrorRates are those that the operators' page states.
+var DefaultErrorRates = ErrorRates{MissedPeak: 0.01, FalsePeak: 0.01, EarlyFalseAlarm: 0.01, Dispersion: 1.5}
 
 const (
-	// longestDoubt is after which the likelier is taken, counted from when the peak
+	// maxDecisionDelay is after which the likelier is taken, counted from when the peak
 	// should have been told: when ordinary traffic would have brought the ratio down
 	// to its bound on the mean.
-	longestDoubt = 8 * time.Second
-	sizeTime     = 15.0 // s over which the size of a peak that came is measured
+	maxDecisionDelay = 8 * time.Second
+	sizeWindowS      = 15.0 // s over which the size of a peak that came is measured
 )
 
-// Show tells from arrivals whether an announced peak comes. It is a sequential
+// Detector tells from arrivals whether an announced peak comes. It is a sequential
 // test of the peak as it was announced against ordinary traffic, and beside it a
 // cumulative sum that finds the peak whenever else it begins.
-type Show struct {
+type Detector struct {
 	Occurrence
-	Errors
-	state State
-	told  time.Time // when the state was last decided
-	ratio float64   // log likelihood of the peak over ordinary traffic
+	ErrorRates
+	state     State
+	decidedAt time.Time // when the state was last decided
+	logRatio  float64   // log likelihood of the peak over ordinary traffic
 	// sums are the same for the peak and for one of half its size, each since the
 	// last moment at which it was least.
-	sums  [2]float64
-	size  float64   // of what came, by the announced: 1 is as announced
-	doubt time.Time // when the peak should have been told; zero: not yet
-	due   float64   // sessions that the peak should have brought
-	info  float64   // by how much the ratio should have fallen without a peak
-	last  time.Time
+	cusums           [2]float64
+	size             float64   // of what came, by the announced: 1 is as announced
+	decisionDueAt    time.Time // when the peak should have been told; zero: not yet
+	expectedSessions float64   // sessions that the peak should have brought
+	expectedFall     float64   // by how much the ratio should have fallen without a peak
+	lastTick         time.Time
 }
 
-// NewShow begins to watch for an occurrence.
-func NewShow(o Occurrence, e Errors) *Show { return &Show{Occurrence: o, Errors: e} }
+// NewDetector begins to watch for an occurrence.
+func NewDetector(o Occurrence, e ErrorRates) *Detector {
+	return &Detector{Occurrence: o, ErrorRates: e}
+}
 
 // State is what has been decided, and when.
-func (s *Show) State() (State, time.Time) { return s.state, s.told }
+func (d *Detector) State() (State, time.Time) { return d.state, d.decidedAt }
 
 // Size is how large the peak is that came, by what was announced.
-func (s *Show) Size() float64 { return s.size }
+func (d *Detector) Size() float64 { return d.size }
 
 // Tick takes the arrivals of the peak's classes, or of its own requests, since the
 // last Tick: count of them came, base a second come ordinarily, and more a second
 // would come besides at the full peak.
-func (s *Show) Tick(now time.Time, count int, base, more float64) State {
-	dt := now.Sub(s.last).Seconds()
-	first := s.last.IsZero()
-	s.last = now
+func (d *Detector) Tick(now time.Time, count int, ordinaryRate, extraRate float64) State {
+	dt := now.Sub(d.lastTick).Seconds()
+	first := d.lastTick.IsZero()
+	d.lastTick = now
 	if first || !(dt > 0) || dt > 60 { // guard: a clock that jumped tells nothing of a rate
-		return s.state
+		return d.state
 	}
-	from := s.Begin.Add(-s.Peak.Early)
+	from := d.Begin.Add(-d.Peak.Early)
 	switch {
-	case s.state == Finished:
-		return s.state
-	case !now.Before(s.End.Add(s.Peak.Ramp)):
-		return s.decide(Finished, now)
-	case now.Before(from) || more <= 0:
-		return s.state
+	case d.state == StateFinished:
+		return d.state
+	case !now.Before(d.End.Add(d.Peak.Ramp)):
+		return d.setState(StateFinished, now)
+	case now.Before(from) || extraRate <= 0:
+		return d.state
 	}
-	base = max(base, 0.01) // nobody comes at no rate at all
+	ordinaryRate = max(ordinaryRate, 0.01) // nobody comes at no rate at all
 	n := float64(count)
-	for i, part := range [...]float64{1, 0.5} {
-		s.sums[i] = max(s.sums[i]+s.llr(n, base, base+part*more, dt), 0)
+	for i, scale := range [...]float64{1, 0.5} {
+		d.cusums[i] = max(d.cusums[i]+d.logLikelihoodRatio(n, ordinaryRate, ordinaryRate+scale*extraRate, dt), 0)
 	}
-	s.size += (max(n/dt-base, 0)/more - s.size) * (1 - math.Exp(-dt/sizeTime))
-	switch s.state {
-	case Awaited:
-		if s.alarm() {
-			return s.decide(Came, now)
+	d.size += (max(n/dt-ordinaryRate, 0)/extraRate - d.size) * (1 - math.Exp(-dt/sizeWindowS))
+	switch d.state {
+	case StateAwaited:
+		if d.cusumAlarm() {
+			return d.setState(StateArrived, now)
 		}
-		if now.Before(s.Begin) {
-			return s.state
+		if now.Before(d.Begin) {
+			return d.state
 		}
-		return s.test(now, n, base, more, dt)
-	case NoShow: // it may still come, late
-		if s.alarm() {
-			return s.decide(Came, now)
+		return d.testAnnounced(now, n, ordinaryRate, extraRate, dt)
+	case StateNoShow: // it may still come, late
+		if d.cusumAlarm() {
+			return d.setState(StateArrived, now)
 		}
 	}
-	return s.state
+	return d.state
 }
 
-// test holds the peak as announced against ordinary traffic.
-func (s *Show) test(now time.Time, n, base, more, dt float64) State {
-	level := s.Level(now.Add(-time.Duration(dt * float64(time.Second) / 2)))
-	s.ratio += s.llr(n, base, base+more*level, dt)
-	s.due += more * level * dt
-	s.info -= s.llr(base*dt, base, base+more*level, dt)
-	upper, lower := math.Log((1-s.Miss)/s.False), math.Log(s.Miss/(1-s.False))
+// testAnnounced holds the peak as announced against ordinary traffic.
+func (d *Detector) testAnnounced(now time.Time, n, ordinaryRate, extraRate, dt float64) State {
+	level := d.Level(now.Add(-time.Duration(dt * float64(time.Second) / 2)))
+	d.logRatio += d.logLikelihoodRatio(n, ordinaryRate, ordinaryRate+extraRate*level, dt)
+	d.expectedSessions += extraRate * level * dt
+	d.expectedFall -= d.logLikelihoodRatio(ordinaryRate*dt, ordinaryRate, ordinaryRate+extraRate*level, dt)
+	upper, lower := math.Log((1-d.MissedPeak)/d.FalsePeak), math.Log(d.MissedPeak/(1-d.FalsePeak))
 	// Guard: at its very begin a peak with a ramp brings next to nothing, and what
 	// would tell it from nothing is noise.
-	if s.due < leastDue {
-		return s.state
+	if d.expectedSessions < minExpectedSessions {
+		return d.state
 	}
-	if s.doubt.IsZero() && s.info >= -lower {
-		s.doubt = now
+	if d.decisionDueAt.IsZero() && d.expectedFall >= -lower {
+		d.decisionDueAt = now
 	}
-	late := !s.doubt.IsZero() && now.Sub(s.doubt) >= longestDoubt
+	overdue := !d.decisionDueAt.IsZero() && now.Sub(d.decisionDueAt) >= maxDecisionDelay
 	switch {
-	case s.ratio >= upper, late && s.ratio > 0:
-		return s.decide(Came, now)
-	case s.ratio <= lower, late:
-		return s.decide(NoShow, now)
+	case d.logRatio >= upper, overdue && d.logRatio > 0:
+		return d.setState(StateArrived, now)
+	case d.logRatio <= lower, overdue:
+		return d.setState(StateNoShow, now)
 	}
-	return s.state
+	return d.state
 }
 
-// leastDue is how many sessions a peak has to have brought before it can be
+// minExpectedSessions is how many sessions a peak has to have brought before it can be
 // missed.
-const leastDue = 8
+const minExpectedSessions = 8
 
-// llr is the log likelihood of rate b over rate a for n arrivals in dt, for counts
+// logLikelihoodRatio is the log likelihood of rate b over rate a for n arrivals in dt, for counts
 // that vary as stated.
-func (s *Show) llr(n, a, b, dt float64) float64 {
-	return (n*math.Log(b/a) - (b-a)*dt) / max(s.Spread, 1)
+func (d *Detector) logLikelihoodRatio(n, a, b, dt float64) float64 {
+	return (n*math.Log(b/a) - (b-a)*dt) / max(d.Dispersion, 1)
 }
 
-// alarm tells whether a sum is so high that ordinary traffic is improbable in the
+// cusumAlarm tells whether a sum is so high that ordinary traffic is improbable in the
 // whole early window: each second may begin a new sum, and there are two.
-func (s *Show) alarm() bool {
-	return max(s.sums[0], s.sums[1]) > math.Log(2*max(s.Peak.Early.Seconds(), 60)/s.Alarm)
+func (d *Detector) cusumAlarm() bool {
+	return max(d.cusums[0], d.cusums[1]) > math.Log(2*max(d.Peak.Early.Seconds(), 60)/d.EarlyFalseAlarm)
 }
 
-func (s *Show) decide(state State, now time.Time) State {
-	if state != s.state {
-		s.state, s.told = state, now
+func (d *Detector) setState(state State, now time.Time) State {
+	if state != d.state {
+		d.state, d.decidedAt = state, now
 	}
-	return s.state
+	return d.state
 }
--- a/internal/peaks/show_test.go
+++ b/internal/peaks/show_test.go
@@ -17,19 +17,19 @@
 	return Occurrence{Peak: p, Begin: begin, End: begin.Add(p.Length)}
 }
 
-// watch ticks a show each second of a day on which base sessions a second come,
+// runDetector ticks a show each second of a day on which base sessions a second come,
 // and more at what level tells. Counts vary as spread says.
-func watch(o Occurrence, seed uint64, base, more, spread float64, level func(time.Time) float64, each func(time.Time, State)) *Show {
-	s := NewShow(o, DefaultErrors)
+func runDetector(o Occurrence, seed uint64, ordinaryRate, extraRate, dispersion float64, level func(time.Time) float64, each func(time.Time, State)) *Detector {
+	s := NewDetector(o, DefaultErrorRates)
 	src := rand.NewPCG(seed, 1)
 	for now := o.Begin.Add(-15 * time.Minute); now.Before(o.End.Add(2 * time.Minute)); now = now.Add(time.Second) {
 		// A negative binomial of that mean and spread: a mixture of Poissons.
-		mean := base + more*level(now)
-		if spread > 1 {
-			mean = distuv.Gamma{Alpha: mean / (spread - 1), Beta: 1 / (spread - 1), Src: src}.Rand()
+		mean := ordinaryRate + extraRate*level(now)
+		if dispersion > 1 {
+			mean = distuv.Gamma{Alpha: mean / (dispersion - 1), Beta: 1 / (dispersion - 1), Src: src}.Rand()
 		}
 		n := int(distuv.Poisson{Lambda: mean, Src: src}.Rand())
-		st := s.Tick(now, n, base, more)
+		st := s.Tick(now, n, ordinaryRate, extraRate)
 		if each != nil {
 			each(now, st)
 		}
@@ -37,9 +37,9 @@
 	return s
 }
 
-// TestShow holds what a show decides, and when, against days of which the truth is
+// TestDetector holds what a show decides, and when, against days of which the truth is
 // known, at the error rates that it states. 400 days of each kind, fixed seeds.
-func TestShow(t *testing.T) {
+func TestDetector(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
@@ -53,15 +53,15 @@
 		within     time.Duration
 		from       func(o Occurrence) time.Time
 	}{
-		"as announced":    {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t) }, Came, 0.02, 20 * time.Second, Occurrence.begin},
-		"with a ramp":     {3.7, 3.7, time.Minute, func(o Occurrence, t time.Time) float64 { return o.Level(t) }, Came, 0.02, time.Minute, Occurrence.begin},
-		"larger":          {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return 2 * o.Level(t) }, Came, 0.01, 10 * time.Second, Occurrence.begin},
-		"no show":         {3.7, 3.7, 0, func(Occurrence, time.Time) float64 { return 0 }, NoShow, 0.03, 16 * time.Second, Occurrence.begin},
-		"no show, many":   {40, 40, 0, func(Occurrence, time.Time) float64 { return 0 }, NoShow, 0.03, 4 * time.Second, Occurrence.begin},
-		"no show, ramp":   {3.7, 3.7, time.Minute, func(Occurrence, time.Time) float64 { return 0 }, NoShow, 0.03, 50 * time.Second, Occurrence.begin},
-		"ten min. early":  {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t.Add(10 * time.Minute)) }, Came, 0.01, 30 * time.Second, Occurrence.early},
-		"one minute late": {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t.Add(-time.Minute)) }, Came, 0.01, 100 * time.Second, Occurrence.begin},
-		"at half size":    {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t) / 2 }, Came, 0.05, 3 * time.Minute, Occurrence.begin},
+		"as announced":    {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t) }, StateArrived, 0.02, 20 * time.Second, Occurrence.beginTime},
+		"with a ramp":     {3.7, 3.7, time.Minute, func(o Occurrence, t time.Time) float64 { return o.Level(t) }, StateArrived, 0.02, time.Minute, Occurrence.beginTime},
+		"larger":          {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return 2 * o.Level(t) }, StateArrived, 0.01, 10 * time.Second, Occurrence.beginTime},
+		"no show":         {3.7, 3.7, 0, func(Occurrence, time.Time) float64 { return 0 }, StateNoShow, 0.03, 16 * time.Second, Occurrence.beginTime},
+		"no show, many":   {40, 40, 0, func(Occurrence, time.Time) float64 { return 0 }, StateNoShow, 0.03, 4 * time.Second, Occurrence.beginTime},
+		"no show, ramp":   {3.7, 3.7, time.Minute, func(Occurrence, time.Time) float64 { return 0 }, StateNoShow, 0.03, 50 * time.Second, Occurrence.beginTime},
+		"ten min. early":  {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t.Add(10 * time.Minute)) }, StateArrived, 0.01, 30 * time.Second, Occurrence.earlyTime},
+		"one minute late": {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t.Add(-time.Minute)) }, StateArrived, 0.01, 100 * time.Second, Occurrence.beginTime},
+		"at half size":    {3.7, 3.7, 0, func(o Occurrence, t time.Time) float64 { return o.Level(t) / 2 }, StateArrived, 0.05, 3 * time.Minute, Occurrence.beginTime},
 	} {
 		o := occurrence(e.ramp)
 		wrong := 0
@@ -69,12 +69,12 @@
 		for seed := range uint64(days) {
 			var last State
 			var at time.Time
-			s := watch(o, seed, e.base, e.more, DefaultErrors.Spread, func(t time.Time) float64 { return e.level(o, t) }, func(now time.Time, st State) {
-				if st != last && st != Finished {
+			s := runDetector(o, seed, e.base, e.more, DefaultErrorRates.Dispersion, func(t time.Time) float64 { return e.level(o, t) }, func(now time.Time, st State) {
+				if st != last && st != StateFinished {
 					last, at = st, now
 				}
 			})
-			if st, _ := s.State(); st != Finished {
+			if st, _ := s.State(); st != StateFinished {
 				t.Fatalf("%s: %v at the end", name, st)
 			}
 			if last != e.want {
@@ -93,18 +93,18 @@
 			t.Errorf("%s: told after %.0f s in 95 of 100 days, %v is wanted", name, late, e.within)
 		}
 		// Without a ramp, what is held for a no-show is given back within 30 s, always.
-		if worst := took[len(took)-1]; name == "no show" && worst+((releaseIn-1)*releaseStep).Seconds() > 30 {
+		if worst := took[len(took)-1]; name == "no show" && worst+((releaseSteps-1)*releaseInterval).Seconds() > 30 {
 			t.Errorf("%s: told after %.0f s in the worst", name, worst)
 		}
 		t.Logf("%s: %d of %d wrong, told after %.0f s (median), %.0f s (95 of 100), %.0f s (worst)", name, wrong, days, took[len(took)/2], late, took[len(took)-1])
 	}
 }
 
-func (o Occurrence) begin() time.Time { return o.Begin }
-func (o Occurrence) early() time.Time { return o.Begin.Add(-o.Peak.Early) }
+func (o Occurrence) beginTime() time.Time { return o.Begin }
+func (o Occurrence) earlyTime() time.Time { return o.Begin.Add(-o.Peak.Early) }
 
 // Ordinary traffic is taken for an early peak no more often than stated.
-func TestFalseAlarms(t *testing.T) {
+func TestDetectorFalseAlarms(t *testing.T) {
 	if testing.Short() {
 		t.Skip("short: one goroutine, and run without the race detector")
 	}
@@ -113,45 +113,45 @@
 	const days = 1000
 	for seed := range uint64(days) {
 		came := false
-		watch(o, seed, 3.7, 3.7, DefaultErrors.Spread, func(time.Time) float64 { return 0 }, func(now time.Time, st State) {
-			came = came || st == Came && now.Before(o.Begin)
+		runDetector(o, seed, 3.7, 3.7, DefaultErrorRates.Dispersion, func(time.Time) float64 { return 0 }, func(now time.Time, st State) {
+			came = came || st == StateArrived && now.Before(o.Begin)
 		})
 		if came {
 			alarms++
 		}
 	}
-	if float64(alarms) > 2*DefaultErrors.Alarm*days {
+	if float64(alarms) > 2*DefaultErrorRates.EarlyFalseAlarm*days {
 		t.Errorf("%d of %d early windows", alarms, days)
 	}
 	t.Logf("%d of %d early windows", alarms, days)
 }
 
 // A clock that jumps decides nothing.
-func TestShowAndTheClock(t *testing.T) {
+func TestDetectorClockJump(t *testing.T) {
 	o := occurrence(0)
-	s := NewShow(o, DefaultErrors)
+	s := NewDetector(o, DefaultErrorRates)
 	s.Tick(o.Begin.Add(-time.Minute), 0, 4, 4)
 	s.Tick(o.Begin.Add(10*time.Minute), 5000, 4, 4)
 	s.Tick(o.Begin.Add(9*time.Minute), 5000, 4, 4)
 	s.Tick(o.Begin.Add(9*time.Minute), 5000, 4, 4)
-	if st, _ := s.State(); st != Awaited {
+	if st, _ := s.State(); st != StateAwaited {
 		t.Error(st)
 	}
 	for i := range 20 {
 		s.Tick(o.Begin.Add(9*time.Minute+time.Duration(i+1)*time.Second), 8, 4, 4)
 	}
-	if st, _ := s.State(); st != Came {
+	if st, _ := s.State(); st != StateArrived {
 		t.Error("it is not told any more: ", st)
 	}
 }
 
 // The size of a peak that came is near the truth.
-func TestSize(t *testing.T) {
+func TestDetectorSize(t *testing.T) {
 	o := occurrence(0)
 	for _, size := range []float64{0.5, 1, 2} {
 		sum, n := 0.0, 0
 		for seed := range uint64(50) {
-			s := NewShow(o, DefaultErrors)
+			s := NewDetector(o, DefaultErrorRates)
 			src := rand.NewPCG(seed, 2)
 			for i := range 120 {
 				s.Tick(o.Begin.Add(time.Duration(i)*time.Second), int(distuv.Poisson{Lambda: 10 + 10*size, Src: src}.Rand()), 10, 10)
@@ -167,11 +167,11 @@
 
 // Lengths are estimated without bias, also where half of the sessions are cut
 // short, which a plain mean of what ended would miss.
-func TestLengths(t *testing.T) {
+func TestLengthEstimator(t *testing.T) {
 	src := rand.NewPCG(7, 7)
 	length := distuv.Uniform{Min: 26, Max: 65, Src: src} // as clips last
 	cutAt := distuv.Exponential{Rate: 1. / 50, Src: src}
-	l := NewLengths(10)
+	l := NewLengthEstimator(10)
 	plain, ended := 0.0, 0.0
 	for range 3000 {
 		s, c := length.Rand(), cutAt.Rand()
@@ -182,7 +182,7 @@
 		}
 	}
 	s := l.Survival(nil)
-	if mean := Mean(s); math.Abs(mean-45.5) > 1.5 || plain/ended > 44 {
+	if mean := MeanLength(s); math.Abs(mean-45.5) > 1.5 || plain/ended > 44 {
 		t.Errorf("mean %.1f, that of those which ended %.1f, the truth 45.5", mean, plain/ended)
 	}
 	for i := 1; i < len(s); i++ {
@@ -194,10 +194,10 @@
 		t.Errorf("%.3f last 20 s, %.3f 70 s", s[20], s[70])
 	}
 	// Until anything is seen it is the guess; sessions that play say that it is too short.
-	if m := Mean(NewLengths(40).Survival(nil)); math.Abs(m-40) > 1 {
+	if m := MeanLength(NewLengthEstimator(40).Survival(nil)); math.Abs(m-40) > 1 {
 		t.Errorf("the guess: %v", m)
 	}
-	if m := Mean(NewLengths(10).Survival(slices.Repeat([]float64{100}, 50))); m < 30 {
+	if m := MeanLength(NewLengthEstimator(10).Survival(slices.Repeat([]float64{100}, 50))); m < 30 {
 		t.Errorf("50 sessions have played for 100 s: %v", m)
 	}
 	l.Add(math.NaN(), false)
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -21,16 +21,16 @@
 	Remedy() string // what the operator can do, as a sentence
 }
 
-// Of returns the outermost Error in err's tree, if there is one.
-func Of(err error) (e Error, ok bool) {
-	ok = errors.As(err, &e)
-	return e, ok
+// FromError returns the outermost Error in err's tree, if there is one.
+func FromError(err error) (found Error, ok bool) {
+	ok = errors.As(err, &found)
+	return found, ok
 }
 
 // Fields is err for the log. An err without a code has its text alone.
 func Fields(err error) []zap.Field {
 	fields := []zap.Field{zap.Error(err)}
-	if e, ok := Of(err); ok {
+	if e, ok := FromError(err); ok {
 		fields = append(fields, zap.String("code", e.Code()), zap.String("remedy", e.Remedy()))
 	}
 	return fields
@@ -40,15 +40,15 @@
 // code followed by it and by what to do.
 func Text(err error) string {
 	if joined, ok := err.(interface{ Unwrap() []error }); ok {
-		if _, whole := err.(Error); !whole {
-			var parts []string
-			for _, one := range joined.Unwrap() {
-				parts = append(parts, Text(one))
+		if _, hasCode := err.(Error); !hasCode {
+			var texts []string
+			for _, child := range joined.Unwrap() {
+				texts = append(texts, Text(child))
 			}
-			return strings.Join(parts, "\n")
+			return strings.Join(texts, "\n")
 		}
 	}
-	if e, ok := Of(err); ok {
+	if e, ok := FromError(err); ok {
 		return err.Error() + "\n    [" + e.Code() + "] " + e.Remedy()
 	}
 	return err.Error()
--- a/internal/remedy/remedy_test.go
+++ b/internal/remedy/remedy_test.go
@@ -15,18 +15,18 @@
 	"testing"
 )
 
-type full struct{ places int }
+type fullError struct{ capacity int }
 
-func (f *full) Error() string  { return fmt.Sprintf("all %d places are taken", f.places) }
-func (f *full) Code() string   { return "test-full" }
-func (f *full) Remedy() string { return "Wait." }
+func (f *fullError) Error() string  { return fmt.Sprintf("all %d places are taken", f.capacity) }
+func (f *fullError) Code() string   { return "test-full" }
+func (f *fullError) Remedy() string { return "Wait." }
 
-func TestSeam(t *testing.T) {
-	wrapped := fmt.Errorf("hall: %w", &full{3})
-	if e, ok := Of(wrapped); !ok || e.(*full).places != 3 {
+func TestErrorInTree(t *testing.T) {
+	wrapped := fmt.Errorf("hall: %w", &fullError{3})
+	if e, ok := FromError(wrapped); !ok || e.(*fullError).capacity != 3 {
 		t.Errorf("%v, %t", e, ok)
 	}
-	if _, ok := Of(errors.New("bare")); ok {
+	if _, ok := FromError(errors.New("bare")); ok {
 		t.Error("a bare error has a code")
 	}
 	if n, bare := len(Fields(wrapped)), len(Fields(errors.New("bare"))); n != 3 || bare != 1 {
@@ -38,24 +38,24 @@
 	}
 }
 
-// TestPage holds docs/errors.md against the sources: each code has its row there, no
+// TestCodesDocumented holds docs/errors.md against the sources: each code has its row there, no
 // row is of a code that is gone, and no two types share one.
-func TestPage(t *testing.T) {
-	page, err := os.ReadFile("../../docs/errors.md")
+func TestCodesDocumented(t *testing.T) {
+	doc, err := os.ReadFile("../../docs/errors.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := make(map[string]bool)
-	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z0-9-]+)` \\| [^|]+ \\| [^|]+ \\|$").FindAllSubmatch(page, -1) {
+	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z0-9-]+)` \\| [^|]+ \\| [^|]+ \\|$").FindAllSubmatch(doc, -1) {
 		rows[string(m[1])] = true
 	}
-	codes := codesOf(t, "../..")
-	for code, places := range codes {
-		if len(places) > 1 {
-			t.Errorf("%s: more than one type has it: %s", code, strings.Join(places, ", "))
+	codes := findCodes(t, "../..")
+	for code, positions := range codes {
+		if len(positions) > 1 {
+			t.Errorf("%s: more than one type has it: %s", code, strings.Join(positions, ", "))
 		}
 		if !rows[code] {
-			t.Errorf("%s: %s has no whole row in docs/errors.md", places[0], code)
+			t.Errorf("%s: %s has no whole row in docs/errors.md", positions[0], code)
 		}
 	}
 	for code := range rows {
@@ -68,14 +68,14 @@
 	}
 }
 
-// codesOf finds what the methods Code of all sources under root return, and where.
-func codesOf(t *testing.T, root string) map[string][]string {
-	found, files := make(map[string][]string), token.NewFileSet()
+// findCodes finds what the methods Code of all sources under root return, and where.
+func findCodes(t *testing.T, root string) map[string][]string {
+	found, fileSet := make(map[string][]string), token.NewFileSet()
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		file, err := parser.ParseFile(files, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 		if err != nil {
 			return err
 		}
@@ -85,21 +85,21 @@
 				continue
 			}
 			ast.Inspect(f.Body, func(n ast.Node) bool {
-				r, ok := n.(*ast.ReturnStmt)
+				ret, ok := n.(*ast.ReturnStmt)
 				if !ok {
 					return true
 				}
-				at := files.Position(r.Pos()).String()
-				lit, ok := r.Results[0].(*ast.BasicLit)
+				position := fileSet.Position(ret.Pos()).String()
+				lit, ok := ret.Results[0].(*ast.BasicLit)
 				if !ok || lit.Kind != token.STRING {
-					t.Errorf("%s: Code returns something else than a literal", at)
+					t.Errorf("%s: Code returns something else than a literal", position)
 					return false
 				}
 				code, err := strconv.Unquote(lit.Value)
 				if err != nil {
-					t.Errorf("%s: %v", at, err)
+					t.Errorf("%s: %v", position, err)
 				}
-				found[code] = append(found[code], at)
+				found[code] = append(found[code], position)
 				return false
 			})
 		}
--- a/internal/server/exchange_test.go
+++ b/internal/server/exchange_test.go
@@ -61,7 +61,7 @@
 // startManagerWith is startManager, but modify changes the configuration first.
 func startManagerWith(t *testing.T, coordinator, members string, cells int, operator string, modify func(*config.Config)) *manager {
 	t.Helper()
-	cfg, err := config.Parse(fmt.Appendf(nil, platformJSON, coordinator, members, cells))
+	cfg, err := config.ParsePlatform(fmt.Appendf(nil, platformJSON, coordinator, members, cells))
 	if err == nil && operator != "" {
 		cfg.Operator, err = config.ParseOperator("operator", []byte(operator), nil, cfg.Deployment())
 	}
@@ -79,10 +79,10 @@
 		if rules, ok := strings.CutPrefix(input, "operator "); ok { // a new operator's file
 			next := *running
 			var err error
-			next.Operator, err = config.ParseOperator("operator", []byte(rules), nil, running.InUse())
+			next.Operator, err = config.ParseOperator("operator", []byte(rules), nil, running.RunningDeployment())
 			return next, err
 		}
-		return config.Parse(fmt.Appendf(nil, platformJSON, input, members, cells))
+		return config.ParsePlatform(fmt.Appendf(nil, platformJSON, input, members, cells))
 	}
 	go func() { mgr.done <- Run(cfg, mgr.listeners, mgr.signals, reload, zap.NewNop()) }()
 	t.Cleanup(func() {
--- a/internal/server/fleet.go
+++ b/internal/server/fleet.go
@@ -16,16 +16,16 @@
 // names, and returns a function that leaves it. Without a fleet block in the file, it
 // starts nothing.
 func joinFleet(ctx context.Context, group *errgroup.Group, cfg *config.Config, log *zap.Logger) (leave func(), err error) {
-	c, ok := cfg.Membership()
+	c, ok := cfg.MemberConfig()
 	if !ok {
 		return func() {}, nil
 	}
 	log = log.Named("fleet")
-	c.Told = func(v members.View, events []members.Event) { logFleetEvents(log, v, events) }
-	c.Log = func(line string) { log.Debug("membership", zap.String("remark", line)) }
+	c.OnEvents = func(v members.View, events []members.Event) { logFleetEvents(log, v, events) }
+	c.LogLine = func(line string) { log.Debug("membership", zap.String("remark", line)) }
 	var fleet members.Fleet
-	if c.Listen == "" {
-		fixed, err := members.NewFixed(c)
+	if c.ListenAddress == "" {
+		fixed, err := members.NewStatic(c)
 		if err != nil {
 			return nil, err
 		}
@@ -47,20 +47,20 @@
 // logged as warnings.
 func logFleetEvents(log *zap.Logger, v members.View, events []members.Event) {
 	for _, e := range events {
-		fields := []zap.Field{zap.String("what", string(e.What)), zap.String("member", e.Member.Name), zap.String("site", e.Member.Site), zap.String("address", e.Member.Address)}
+		fields := []zap.Field{zap.String("what", string(e.Kind)), zap.String("member", e.Member.Name), zap.String("site", e.Member.Site), zap.String("address", e.Member.Address)}
 		logEvent := log.Info
-		switch e.What {
-		case members.Twin:
-			fields = append(fields, zap.String("refused", e.Other.Address),
+		switch e.Kind {
+		case members.EventDuplicateName:
+			fields = append(fields, zap.String("refused", e.Duplicate.Address),
 				zap.String("do", "two managers have the same name: give the one that started later, at the refused address, a name of its own"))
 			logEvent = log.Warn
-		case members.Stranger:
+		case members.EventUnknownMember:
 			fields = append(fields, zap.String("do", "it is not admitted to the fleet: add it to fleet.members, or stop it"))
 			logEvent = log.Warn
-		case members.IsAlone:
+		case members.EventQuorumLost:
 			fields = append(fields, zap.String("do", "no majority of the fleet can be reached: this manager may be in the smaller part of a network partition; check the network and the other managers"))
 			logEvent = log.Warn
-		case members.WasLost, members.WasRefused, members.Stood:
+		case members.EventLost, members.EventSelfRefused, members.EventProcessPaused:
 			logEvent = log.Warn
 		}
 		logEvent("fleet", append(fields, viewFields(v))...)
@@ -80,7 +80,7 @@
 	v := members.View(m)
 	e.AddInt64("view", v.Number)
 	e.AddInt("named", len(v.Members))
-	e.AddString("in_view", strings.Join(v.Names(), " "))
-	e.AddBool("alone", v.Alone)
+	e.AddString("in_view", strings.Join(v.PresentNames(), " "))
+	e.AddBool("alone", v.NoQuorum)
 	return nil
 }
--- a/internal/server/fleet_test.go
+++ b/internal/server/fleet_test.go
@@ -60,7 +60,7 @@
 	if g, d := membershipResources(t); g != 1 || d != 0 {
 		t.Errorf("without a listen address: %d goroutines, %d sockets", g, d)
 	}
-	other, err := members.NewSwim(members.Config{Self: members.Meta{Name: "n1"}, Named: []members.Named{{Name: "n0"}, {Name: "n1"}}, Listen: "127.0.0.1:0"})
+	other, err := members.NewSwim(members.Config{Self: members.Meta{Name: "n1"}, ConfiguredMembers: []members.ConfiguredMember{{Name: "n0"}, {Name: "n1"}}, ListenAddress: "127.0.0.1:0"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,10 +82,10 @@
 			}
 		}
 	}
-	waitForStatus(members.Here)
+	waitForStatus(members.StatusAlive)
 	if g, d := membershipResources(t); g < 10 || d != 2 {
 		t.Errorf("with two members in this process: %d goroutines, %d sockets", g, d)
 	}
 	mgr.signals <- syscall.SIGTERM
-	waitForStatus(members.Gone)
+	waitForStatus(members.StatusLeft)
 }
--- a/internal/server/operation.go
+++ b/internal/server/operation.go
@@ -46,29 +46,29 @@
 	process             *handover.Process
 	shared              atomic.Bool // whether another process of this manager is alive
 	ready               atomic.Bool
-	stopping            atomic.Bool   // set once this process is asked to end
-	coordinatorAnswered chan struct{} // closed at the coordinator's first answer since the start
-	overrides           *duty.Orders  // owned by the list's actor goroutine
+	stopping            atomic.Bool     // set once this process is asked to end
+	coordinatorAnswered chan struct{}   // closed at the coordinator's first answer since the start
+	overrides           *duty.Overrides // owned by the list's actor goroutine
 
 	mu            sync.Mutex
-	overrideState handover.State // the overrides as they are stored for other processes
-	handingOver   bool           // whether this process leaves its sessions to a successor
-	successorBorn int64          // identifies the successor: the time at which it started
-	finalHandover bool           // whether this process has handed over for the last time, and adopts no more
+	overrideState handover.StoredOverrides // the overrides as they are stored for other processes
+	handingOver   bool                     // whether this process leaves its sessions to a successor
+	successorBorn int64                    // identifies the successor: the time at which it started
+	finalHandover bool                     // whether this process has handed over for the last time, and adopts no more
 }
 
 // newAdminService returns nil where no admin address is configured.
 func newAdminService(cfg *config.Config, log *zap.Logger) *adminService {
-	if cfg.Admin == "" {
+	if cfg.AdminListen == "" {
 		return nil
 	}
-	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.Classes)), overrides: duty.NewOrders(), log: log, coordinatorAnswered: make(chan struct{})}
-	if cfg.Temp == "" {
+	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.ClassNames)), overrides: duty.NewOverrides(), log: log, coordinatorAnswered: make(chan struct{})}
+	if cfg.SharedDir == "" {
 		return s
 	}
-	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
+	folder, err := handover.Open(cfg.SharedDir, cfg.Name, cfg.Listen)
 	if err == nil {
-		s.process, err = folder.Enter(time.Now())
+		s.process, err = folder.Register(time.Now())
 	}
 	if err != nil {
 		warnOperator(log, err)
@@ -77,13 +77,13 @@
 	s.folder = folder
 	others := s.checkProcesses()
 	if others.Alive == 0 {
-		folder.Forget()
+		folder.RemoveHandovers()
 	}
 	s.loadOverrides()
-	if others.Alive == 0 && s.overrideState.Away.Out {
+	if others.Alive == 0 && s.overrideState.Drain.Active {
 		// A drain that an operator ordered continues through an upgrade only: a manager that
 		// starts with no other process alive accepts clients.
-		s.Drain(context.Background(), false)
+		s.SetDraining(context.Background(), false)
 	}
 	return s
 }
@@ -100,7 +100,7 @@
 		return listSink
 	}
 	s.listSink = listSink
-	return func(c directory.Change) { listSink(s.overrides.Listed(c)) }
+	return func(c directory.Change) { listSink(s.overrides.ApplyListChange(c)) }
 }
 
 // Gate returns the gate by which a drain turns clients away, or nil for a nil s.
@@ -126,9 +126,9 @@
 // maxCallers returns how many operators' connections may be open at once.
 func (s *adminService) maxCallers() int {
 	if s.Shared() {
-		return s.cfg.Half().CallerConns()
+		return s.cfg.WithHalfSockets().MaxOperatorConns()
 	}
-	return s.cfg.CallerConns()
+	return s.cfg.MaxOperatorConns()
 }
 
 // run answers operators' calls and watches for other processes of this manager until ctx
@@ -183,7 +183,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.process.Serves(s.Ready()); err != nil {
+	if err := s.process.SetServing(s.Ready()); err != nil {
 		warnOperator(s.log, err)
 	}
 }
@@ -201,11 +201,11 @@
 			wasShared := s.shared.Load()
 			s.checkProcesses()
 			if overrides := s.loadOverrides(); overrides != nil {
-				s.nodeList.After(func() { s.applyOverrides(overrides) })
+				s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 			}
 			s.adoptSessions()
 			if wasShared && !s.shared.Load() {
-				s.folder.Forget() // no process is left to use the files of one that was killed
+				s.folder.RemoveHandovers() // no process is left to use the files of one that was killed
 			}
 		}
 	}
@@ -220,7 +220,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	others, err := s.process.Others()
+	others, err := s.process.FindOthers()
 	if err != nil {
 		return others
 	}
@@ -237,27 +237,27 @@
 
 // loadOverrides merges the overrides that another process stored. It returns those for media
 // nodes if any override is new, otherwise nil.
-func (s *adminService) loadOverrides() map[string]duty.Order {
+func (s *adminService) loadOverrides() map[string]duty.Override {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loadOverridesLocked()
 }
 
 // loadOverridesLocked is loadOverrides for callers that hold s.mu.
-func (s *adminService) loadOverridesLocked() map[string]duty.Order {
-	stored, changed, err := s.folder.Orders()
+func (s *adminService) loadOverridesLocked() map[string]duty.Override {
+	stored, changed, err := s.folder.LoadOverrides()
 	if err != nil {
 		warnOperator(s.log, err)
 	}
 	if !changed {
 		return nil
 	}
-	previousDrain := s.overrideState.Away
+	previousDrain := s.overrideState.Drain
 	if !s.overrideState.Merge(stored) {
 		return nil
 	}
-	if s.overrideState.Away != previousDrain {
-		s.applyDrain(s.overrideState.Away)
+	if s.overrideState.Drain != previousDrain {
+		s.applyDrain(s.overrideState.Drain)
 	}
 	return stored.Nodes
 }
@@ -270,7 +270,7 @@
 		return
 	}
 	for {
-		h, changed, err := s.process.Handover()
+		h, changed, err := s.process.LoadHandover()
 		if err != nil {
 			warnOperator(s.log, err)
 		}
@@ -309,8 +309,8 @@
 	s.finalHandover = h.Final
 	// Guard: the successor may have ended, or may have been asked to end, since it was chosen,
 	// so it is chosen anew.
-	if others, err := s.process.Others(); err == nil {
-		s.successorBorn = others.Successor(s.successorBorn)
+	if others, err := s.process.FindOthers(); err == nil {
+		s.successorBorn = others.ChooseSuccessor(s.successorBorn)
 	}
 	if err := s.process.StoreHandover(h, s.successorBorn); err != nil {
 		warnOperator(s.log, err)
@@ -318,18 +318,18 @@
 }
 
 // applyDrain closes or opens the gate for clients as ordered.
-func (s *adminService) applyDrain(override duty.Order) {
-	if override.Out {
-		s.gate.Shut(override.At)
+func (s *adminService) applyDrain(override duty.Override) {
+	if override.Active {
+		s.gate.StartDrain(override.At)
 	} else {
-		s.gate.Open()
+		s.gate.StopDrain()
 	}
 }
 
 // applyOverrides puts overrides for media nodes into effect. It must be called only from the
 // list's actor goroutine.
-func (s *adminService) applyOverrides(overrides map[string]duty.Order) {
-	if c := s.overrides.Take(overrides); len(c.Members) > 0 {
+func (s *adminService) applyOverrides(overrides map[string]duty.Override) {
+	if c := s.overrides.Merge(overrides); len(c.Members) > 0 {
 		s.listSink(c)
 	}
 }
@@ -337,12 +337,12 @@
 // restoreOverrides applies the stored overrides to the initial list.
 func (s *adminService) restoreOverrides() {
 	if s != nil {
-		s.overrides.Take(s.overrideState.Nodes)
+		s.overrides.Merge(s.overrideState.Nodes)
 	}
 }
 
 // storeOverrides merges newer overrides and stores the result for the other processes.
-func (s *adminService) storeOverrides(newer handover.State) {
+func (s *adminService) storeOverrides(newer handover.StoredOverrides) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.overrideState.Merge(newer)
@@ -350,9 +350,9 @@
 		return
 	}
 	if overrides := s.loadOverridesLocked(); overrides != nil {
-		s.nodeList.After(func() { s.applyOverrides(overrides) })
+		s.nodeList.AfterPending(func() { s.applyOverrides(overrides) })
 	}
-	if err := s.folder.StoreOrders(s.overrideState); err != nil {
+	if err := s.folder.StoreOverrides(s.overrideState); err != nil {
 		warnOperator(s.log, err)
 	}
 }
@@ -367,21 +367,21 @@
 	s.stopping.Store(true)
 	s.publishReadiness()
 	others := s.checkProcesses()
-	if len(others.Younger) == 0 {
+	if len(others.Successors) == 0 {
 		return false
 	}
-	if n := len(others.Younger); n > 1 {
-		s.log.Info("several younger processes serve; the youngest takes over the established sessions", zap.Int("serve", n), zap.Int64("born", others.Younger[0]))
+	if n := len(others.Successors); n > 1 {
+		s.log.Info("several younger processes serve; the youngest takes over the established sessions", zap.Int("serve", n), zap.Int64("born", others.Successors[0]))
 	}
 	for _, l := range listeners {
-		if l == nil || !others.Alone {
+		if l == nil || !others.AtMostOneSeen {
 			continue
 		}
-		if err := handover.LeadAway(l); err != nil {
+		if err := handover.DirectToSuccessor(l); err != nil {
 			s.log.Warn("new connections are not led to the younger process", zap.Error(err))
 		}
 	}
-	s.gate.Move(time.Now())
+	s.gate.StartHandover(time.Now())
 	s.handingOver = true
 	return true
 }
@@ -389,7 +389,7 @@
 // close removes the mark of this process from the shared folder.
 func (s *adminService) close() {
 	if s != nil && s.process != nil {
-		s.process.Leave()
+		s.process.Unregister()
 	}
 }
 
@@ -398,71 +398,71 @@
 // Ready reports whether this process serves and has not been asked to end.
 func (s *adminService) Ready() bool { return s.ready.Load() && !s.stopping.Load() }
 
-// Figures returns the counts of results, sessions and media nodes.
-func (s *adminService) Figures(ctx context.Context) (admin.Figures, error) {
+// Metrics returns the counts of results, sessions and media nodes.
+func (s *adminService) Metrics(ctx context.Context) (admin.Metrics, error) {
 	perClass := func(counts []atomic.Int64) map[string]int64 {
 		m := make(map[string]int64, len(counts))
 		for i := range counts {
-			m[s.cfg.Classes[i]] = counts[i].Load()
+			m[s.cfg.ClassNames[i]] = counts[i].Load()
 		}
 		return m
 	}
 	c, err := s.sessionBroker.Stats(ctx)
 	if err != nil {
-		return admin.Figures{}, &admin.Late{What: "the figures"}
+		return admin.Metrics{}, &admin.TimeoutError{Operation: "the figures"}
 	}
 	type size struct{ listed, disabled int }
 	memberCounts := make(chan size, 1)
-	s.nodeList.After(func() {
-		listed, disabled := s.overrides.Size()
+	s.nodeList.AfterPending(func() {
+		listed, disabled := s.overrides.NodeCounts()
 		memberCounts <- size{listed, disabled}
 	})
 	var members size
 	select {
 	case members = <-memberCounts:
 	case <-ctx.Done():
-		return admin.Figures{}, &admin.Late{What: "the figures"}
+		return admin.Metrics{}, &admin.TimeoutError{Operation: "the figures"}
 	}
-	return admin.Figures{
-		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), Tries: s.counts.Attempts.Load(),
-		Active: c.Open + c.Playing, Size: members.listed, Ejected: members.disabled + c.Avoided,
+	return admin.Metrics{
+		OK: perClass(s.counts.Served), Shed: perClass(s.counts.Refused), Errors: perClass(s.counts.Failed), AttemptsSent: s.counts.Attempts.Load(),
+		Active: c.Open + c.Playing, PoolSize: members.listed, PoolEjected: members.disabled + c.Avoided,
 	}, nil
 }
 
-// Out disables a media node, or enables it again.
-func (s *adminService) Out(ctx context.Context, member string, disable bool) error {
-	override := duty.Order{Out: disable, At: time.Now()}
+// SetDisabled disables a media node, or enables it again.
+func (s *adminService) SetDisabled(ctx context.Context, member string, disable bool) error {
+	override := duty.Override{Active: disable, At: time.Now()}
 	done := make(chan error, 1)
-	s.nodeList.After(func() {
-		c, known := s.overrides.Give(member, override)
+	s.nodeList.AfterPending(func() {
+		c, known := s.overrides.Set(member, override)
 		if !known {
-			listed, _ := s.overrides.Size()
-			done <- &admin.UnknownMember{Member: member, Listed: listed}
+			listed, _ := s.overrides.NodeCounts()
+			done <- &admin.UnknownMemberError{Member: member, ListedCount: listed}
 			return
 		}
 		if len(c.Members) > 0 {
 			s.listSink(c)
 		}
-		s.storeOverrides(handover.State{Nodes: map[string]duty.Order{member: override}})
+		s.storeOverrides(handover.StoredOverrides{Nodes: map[string]duty.Override{member: override}})
 		done <- nil
 	})
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return &admin.Late{What: "the order for " + member}
+		return &admin.TimeoutError{Operation: "the order for " + member}
 	}
 }
 
-// Drain begins or ends a drain of clients.
-func (s *adminService) Drain(_ context.Context, on bool) error {
-	override := duty.Order{Out: on, At: time.Now()}
+// SetDraining begins or ends a drain of clients.
+func (s *adminService) SetDraining(_ context.Context, on bool) error {
+	override := duty.Override{Active: on, At: time.Now()}
 	s.mu.Lock()
-	if current := s.overrideState.Away; current.Out == on {
+	if current := s.overrideState.Drain; current.Active == on {
 		override = current // a repeated call keeps the time of the first
 	}
 	s.mu.Unlock()
 	s.applyDrain(override)
-	s.storeOverrides(handover.State{Away: override})
+	s.storeOverrides(handover.StoredOverrides{Drain: override})
 	return nil
 }
--- a/internal/server/operation_test.go
+++ b/internal/server/operation_test.go
@@ -18,7 +18,7 @@
 // processes, no overrides of the list, and no other process may listen at the viewers' address.
 func TestNoAdminServiceWithoutAddress(t *testing.T) {
 	temp := t.TempDir()
-	mgr := startManagerWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) { cfg.Temp = temp })
+	mgr := startManagerWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) { cfg.SharedDir = temp })
 	if mgr.listeners.Operators != nil {
 		t.Error("the manager listens for operators' calls")
 	}
@@ -28,7 +28,7 @@
 	if files, err := os.ReadDir(temp); err != nil || len(files) > 0 {
 		t.Errorf("files: %v, %v", files, err)
 	}
-	service := newAdminService(&config.Config{Temp: temp}, zap.NewNop())
+	service := newAdminService(&config.Config{SharedDir: temp}, zap.NewNop())
 	changes := 0
 	service.withOverrides(func(directory.Change) { changes++ })(directory.Change{})
 	service.restoreOverrides()
@@ -43,7 +43,7 @@
 	temp := t.TempDir()
 	startWithAdmin := func() *manager {
 		return startManagerWith(t, "127.0.0.1:1", memberJSON("a", "127.0.0.1:1", 0), 2, "", func(cfg *config.Config) {
-			cfg.Temp, cfg.Admin = temp, "127.0.0.1:0"
+			cfg.SharedDir, cfg.AdminListen = temp, "127.0.0.1:0"
 		})
 	}
 	call := func(mgr *manager, method, path string) (int, string) {
--- a/internal/server/rate_test.go
+++ b/internal/server/rate_test.go
@@ -227,7 +227,7 @@
 	}
 	evaluation := lockedHistogram{histogram: hdrhistogram.New(1, 1e9, 3)}
 	mgr := startManagerWith(t, "127.0.0.1:1", members, strings.Count(members, "host_port"), rateOperatorFile(t), func(cfg *config.Config) {
-		cfg.Admin = "127.0.0.1:0"
+		cfg.AdminListen = "127.0.0.1:0"
 		cfg.Operator.Routes.ObserveDurations(evaluation.record)
 		fmt.Printf("result %d rules, at most %d steps\n", len(cfg.Operator.Routes.RuleNames()), cfg.Operator.Routes.MaxCost())
 	})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -48,8 +48,8 @@
 			err = &ListenError{clients, addr, listenErr}
 		}
 	}
-	if cfg.Admin != "" {
-		listen(&listeners.Operators, "operators'", cfg.Admin)
+	if cfg.AdminListen != "" {
+		listen(&listeners.Operators, "operators'", cfg.AdminListen)
 		openListener = handover.Listen // another process of this manager may listen at the same address
 	}
 	listen(&listeners.Viewers, "viewers'", cfg.Listen)
@@ -95,26 +95,26 @@
 	defer service.close()
 	counts := service.Counts()
 
-	halfConfig := cfg.Half()
+	halfConfig := cfg.WithHalfSockets()
 	// The broker and the pool refer to each other. The broker processes nothing
 	// before its Run is called, so the pool can be created first.
 	var sessionBroker *broker.Broker
-	var coordinator *directory.Coordinator
+	var coordinator *directory.CoordinatorClient
 	pool := media.NewPool(ctx, group, media.Config{
-		ClassNames: cfg.Classes, LoadFields: cfg.Settings.LoadFields,
-		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.ConnIdle,
-		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.NodeConns(), MaxConnsInUpgrade: halfConfig.NodeConns(),
+		ClassNames: cfg.ClassNames, LoadFields: cfg.Settings.LoadFields,
+		ConnectTimeout: cfg.ConnectTimeout, ConnIdleTimeout: cfg.IdleConnTimeout,
+		StreamsPerConn: cfg.StreamsPerConn, MaxConns: cfg.MaxNodeConns(), MaxConnsInUpgrade: halfConfig.MaxNodeConns(),
 		DrainGrace:        cfg.DrainGrace,
 		DisableProbes:     !cfg.Settings.ProbesAllowed,
 		UpgradeInProgress: service.Shared, OnSetUpSent: counts.CountAttempt,
 		Report: func(r broker.Report) { sessionBroker.Report(r) }, Log: log,
 		OnPause: func(d time.Duration) {
-			coordinator.Ask()
+			coordinator.PollNow()
 			sessionBroker.ProcessPaused(d)
 		},
 	})
 	sessionBroker, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.Announced(), Sites: cfg.Watched(), Nodes: pool, Counters: counts, HandOver: service.HandoverFunc(), Log: log,
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.BrokerPeaks(), Sites: cfg.BrokerSites(), Nodes: pool, Counters: counts, HandOver: service.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
@@ -123,22 +123,22 @@
 		pool.Apply(c) // before the broker, so that a draining node gets no set-up that is already queued
 		sessionBroker.UpdateList(brokerList(c))
 	}))
-	coordinator = directory.NewCoordinator(cfg.Known, cfg.Names, nodeList.Source("coordinator"), log)
-	coordinator.Heard = func(requested time.Time) {
-		nodeList.After(func() {
+	coordinator = directory.NewCoordinatorClient(cfg.KnownNodes, cfg.DirectoryNames, nodeList.SinkFor("coordinator"), log)
+	coordinator.OnResponse = func(requested time.Time) {
+		nodeList.AfterPending(func() {
 			pool.ListRefreshed(requested)
 			service.noteCoordinatorAnswer()
 		})
 	}
-	coordinator.Follow(cfg.Coordinator)
+	coordinator.SetAddr(cfg.Coordinator)
 	if service != nil {
-		coordinator.Ask() // readiness waits for the first answer, which must not wait for a change of the list
+		coordinator.PollNow() // readiness waits for the first answer, which must not wait for a change of the list
 	}
 	service.restoreOverrides()
-	nodeList.Settle()
+	nodeList.ProcessPending()
 	if d := cfg.Operator.DNSSD; d != nil {
-		discovery := &directory.DNSSD{
-			Server: d.Server, Service: d.Service, Names: cfg.Names, Log: log, Sink: nodeList.Source("dns-sd"),
+		discovery := &directory.DNSSDClient{
+			ServerAddr: d.Server, Service: d.Service, Names: cfg.DirectoryNames, Log: log, Sink: nodeList.SinkFor("dns-sd"),
 		}
 		group.Go(func() error { return discovery.Run(ctx) })
 	}
@@ -155,8 +155,8 @@
 	catalog := Catalog(&cfg)
 	catalog.Routes = routes
 	linesFront := &jsonl.Front{
-		Broker: sessionBroker, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.Reasons, Log: log,
-		Limits: peer.Limits{MaxConns: cfg.ViewerConns(), MaxConnsInUpgrade: halfConfig.ViewerConns(), UpgradeInProgress: service.Shared, MaxSetups: cfg.Operator.Viewers.MostOpen, Gate: service.Gate()},
+		Broker: sessionBroker, Decoder: catalog, Counts: counts, SendReasons: cfg.Operator.Viewers.IncludeReasons, Log: log,
+		Limits: peer.Limits{MaxConns: cfg.MaxViewerConns(), MaxConnsInUpgrade: halfConfig.MaxViewerConns(), UpgradeInProgress: service.Shared, MaxSetups: cfg.Operator.Viewers.MaxOpenSetups, Gate: service.Gate()},
 	}
 	// The fronts stop before the parts that answer them, so that the last set-up read is still answered.
 	frontsCtx, stopFronts := context.WithCancel(ctx)
@@ -171,11 +171,11 @@
 	}
 	if w := cfg.Operator.WebSocket; w != nil {
 		// The fronts share the file descriptors that are set aside for clients.
-		linesFront.Limits.MaxConns, linesFront.Limits.MaxConnsInUpgrade = (cfg.ViewerConns()+1)/2, (halfConfig.ViewerConns()+1)/2
+		linesFront.Limits.MaxConns, linesFront.Limits.MaxConnsInUpgrade = (cfg.MaxViewerConns()+1)/2, (halfConfig.MaxViewerConns()+1)/2
 		webSocketFront := &websocket.Front{
 			Broker: sessionBroker, Decoder: catalog, Path: w.Path, Grace: w.Grace, Counts: counts, Limits: linesFront.Limits, Log: log,
 		}
-		webSocketFront.Limits.MaxConns, webSocketFront.Limits.MaxConnsInUpgrade = cfg.ViewerConns()/2, halfConfig.ViewerConns()/2
+		webSocketFront.Limits.MaxConns, webSocketFront.Limits.MaxConnsInUpgrade = cfg.MaxViewerConns()/2, halfConfig.MaxViewerConns()/2
 		serve(webSocketFront.Serve, listeners.Players)
 	}
 	group.Go(func() error { return sessionBroker.Run(ctx) })
@@ -197,7 +197,7 @@
 				logReloadError(err, log)
 				continue
 			}
-			coordinator.Follow(next.Coordinator)
+			coordinator.SetAddr(next.Coordinator)
 			routes.Replace(next.Operator.Routes)
 			logReloaded(&next, log)
 		}
@@ -247,8 +247,8 @@
 // under cfg.
 func Catalog(cfg *config.Config) message.SetupDecoder {
 	return message.SetupDecoder{
-		Classes: cfg.Classes, Teams: cfg.Teams(),
-		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MaxTimeLeft: cfg.MostLeft,
+		Classes: cfg.ClassNames, Teams: cfg.TeamNames(),
+		Cells: cfg.Settings.Cells, MaxRung: len(cfg.Settings.RatesKB) - 1, MaxTimeLeft: cfg.TimeLeftLimit,
 	}
 }
 
--- a/internal/server/shapes_test.go
+++ b/internal/server/shapes_test.go
@@ -94,7 +94,7 @@
 			t.Parallel()
 			node, listener := &standin.Node{Counts: standin.NewCounts(), Decide: func(string, int) standin.Response { return standin.Response{Status: 200} }}, loopback(t)
 			go node.Serve(listener)
-			cfg, err := config.Parse(deploymentJSON(t, d, listener.Addr().String()))
+			cfg, err := config.ParsePlatform(deploymentJSON(t, d, listener.Addr().String()))
 			if err == nil && d.operator != "" {
 				cfg.Operator, err = config.ParseOperator("op", []byte(d.operator), nil, cfg.Deployment())
 			}
@@ -103,12 +103,12 @@
 			}
 			mgr := startManagerWith(t, "127.0.0.1:1", "", 1, "", func(c *config.Config) { *c = cfg })
 			conn := connect(t, mgr, false)
-			left := min(cfg.MostLeft, testTimeout).Milliseconds()
+			left := min(cfg.TimeLeftLimit, testTimeout).Milliseconds()
 			if giveUp, ok := d.changes["giveUp"]; ok {
 				left = min(left, int64(giveUp.(float64)*1000))
 			}
 			tenant := ""
-			if len(cfg.Tenants) > 0 {
+			if len(cfg.TenantNames) > 0 {
 				tenant = `"tenant":"t",`
 			}
 			deadline, n := time.Now().Add(testTimeout), 0
--- a/internal/server/signal_test.go
+++ b/internal/server/signal_test.go
@@ -42,16 +42,16 @@
 // A process that was asked to end must not become the successor of an older one, even if it was
 // asked before it was ready.
 func TestStoppingProcessIsNoSuccessor(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
-	folder, err := handover.Open(cfg.Temp, cfg.Name, cfg.Listen)
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
+	folder, err := handover.Open(cfg.SharedDir, cfg.Name, cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	predecessor, err := folder.Enter(time.Unix(1, 0))
+	predecessor, err := folder.Register(time.Unix(1, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer predecessor.Leave()
+	defer predecessor.Unregister()
 	for name, test := range map[string]struct {
 		steps []func(*adminService)
 		want  bool
@@ -65,7 +65,7 @@
 		for _, step := range test.steps {
 			step(service)
 		}
-		if others, err := predecessor.Others(); err != nil || others.Alive != 1 || (len(others.Younger) == 1) != test.want {
+		if others, err := predecessor.FindOthers(); err != nil || others.Alive != 1 || (len(others.Successors) == 1) != test.want {
 			t.Errorf("%s: %+v, %v", name, others, err)
 		}
 		service.close()
@@ -86,20 +86,20 @@
 		},
 	} {
 		core, logged := observer.New(zap.WarnLevel)
-		cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+		cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 		if breakFolder == nil {
-			cfg.Temp = filepath.Join(cfg.Temp, "file")
-			os.WriteFile(cfg.Temp, nil, 0o600)
+			cfg.SharedDir = filepath.Join(cfg.SharedDir, "file")
+			os.WriteFile(cfg.SharedDir, nil, 0o600)
 		}
 		service := newAdminService(&cfg, zap.New(core))
 		if breakFolder != nil {
-			folders, _ := filepath.Glob(filepath.Join(cfg.Temp, "*"))
+			folders, _ := filepath.Glob(filepath.Join(cfg.SharedDir, "*"))
 			if err := breakFolder(folders[0]); err != nil {
 				t.Fatal(err)
 			}
 		}
 		service.markReady()
-		if err := service.Drain(t.Context(), true); err != nil || service.Gate().AcceptsClients() || !service.Ready() || service.leaveToSuccessor() {
+		if err := service.SetDraining(t.Context(), true); err != nil || service.Gate().AcceptsClients() || !service.Ready() || service.leaveToSuccessor() {
 			t.Error(name, "the drain has no effect:", err)
 		}
 		service.handOver(broker.Handover{})
@@ -117,7 +117,7 @@
 // Established sessions must have exactly one successor, even if several younger processes are
 // ready, the successor ends before the last handover, or two processes hand over at once.
 func TestOneSuccessor(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 	var services [4]*adminService
 	for i := range services {
 		services[i] = newAdminService(&cfg, zap.NewNop())
@@ -130,7 +130,7 @@
 		t.Helper()
 		var taken []string
 		for i, s := range services {
-			for h, changed, err := s.process.Handover(); changed || err != nil; h, changed, err = s.process.Handover() {
+			for h, changed, err := s.process.LoadHandover(); changed || err != nil; h, changed, err = s.process.LoadHandover() {
 				taken = append(taken, fmt.Sprint(i, " takes ", len(h.Sessions)))
 			}
 		}
@@ -161,7 +161,7 @@
 // The periodic check and a signal may check for other processes at the same time. The race
 // detector finds unprotected access.
 func TestConcurrentProcessChecks(t *testing.T) {
-	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", Admin: "127.0.0.1:0", Temp: t.TempDir(), MemoryMB: 1 << 20}
+	cfg := config.Config{Name: "n1", Listen: "127.0.0.1:0", AdminListen: "127.0.0.1:0", SharedDir: t.TempDir(), MemoryMB: 1 << 20}
 	first, second := newAdminService(&cfg, zap.NewNop()), newAdminService(&cfg, zap.NewNop())
 	defer first.close()
 	defer second.close()
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -15,9 +15,9 @@
 
 // Rack is nodes behind one uplink.
 type Rack struct {
-	LinksKB  float64 // of its nodes together, a second, as far as they are to be filled
-	UplinkKB float64 // likewise; 0: not told
-	Places   float64 // streams at most, of its nodes together
+	LinksKB    float64 // of its nodes together, a second, as far as they are to be filled
+	UplinkKB   float64 // likewise; 0: not told
+	MaxStreams float64 // streams at most, of its nodes together
 }
 
 // Site is what is lost together.
@@ -26,16 +26,16 @@
 	Racks []Rack
 }
 
-// Room is what a site carries: kB a second, and streams.
-func (s *Site) Room() (kb, places float64) {
+// Capacity is what a site carries: kB a second, and streams.
+func (s *Site) Capacity() (kb, streams float64) {
 	for _, r := range s.Racks {
-		room := r.LinksKB
+		usableKB := r.LinksKB
 		if r.UplinkKB > 0 {
-			room = min(room, r.UplinkKB)
+			usableKB = min(usableKB, r.UplinkKB)
 		}
-		kb, places = kb+room, places+r.Places
+		kb, streams = kb+usableKB, streams+r.MaxStreams
 	}
-	return kb, places
+	return kb, streams
 }
 
 // Class is one class of session.
@@ -50,7 +50,7 @@
 // Demand is sessions that are alike.
 type Demand struct {
 	Class    int
-	Home     int     // site of its viewers
+	HomeSite int     // site of its viewers
 	Sessions float64 // that would play at a time if all were taken
 	Top      int     // highest rung that its viewers can use
 	Tier     int     // of a higher tier all are taken, on their lowest rung, before any of a lower; 0: by worth alone
@@ -58,14 +58,14 @@
 
 // Fleet is what a plan is made for.
 type Fleet struct {
-	Sites   []Site
-	Classes []Class
-	Demands []Demand
-	Cross   float64 // what a session that crosses sites costs, as a part of its worth on its top rung
+	Sites         []Site
+	Classes       []Class
+	Demands       []Demand
+	CrossSiteCost float64 // what a session that crosses sites costs, as a part of its worth on its top rung
 }
 
-// Check tells what can't be planned with.
-func (f *Fleet) Check() error {
+// Validate tells what can't be planned with.
+func (f *Fleet) Validate() error {
 	var errs []error
 	for i, c := range f.Classes {
 		switch {
@@ -82,57 +82,57 @@
 		}
 	}
 	for i, d := range f.Demands {
-		if d.Class < 0 || d.Class >= len(f.Classes) || d.Home < 0 || d.Home >= len(f.Sites) || !(d.Sessions >= 0) || math.IsInf(d.Sessions, 0) {
-			errs = append(errs, fmt.Errorf("demand %d: class %d, site %d, %g sessions", i, d.Class, d.Home, d.Sessions))
+		if d.Class < 0 || d.Class >= len(f.Classes) || d.HomeSite < 0 || d.HomeSite >= len(f.Sites) || !(d.Sessions >= 0) || math.IsInf(d.Sessions, 0) {
+			errs = append(errs, fmt.Errorf("demand %d: class %d, site %d, %g sessions", i, d.Class, d.HomeSite, d.Sessions))
 		}
 	}
 	for _, s := range f.Sites {
-		if kb, places := s.Room(); !(kb >= 0) || !(places >= 0) || math.IsInf(kb+places, 0) {
-			errs = append(errs, fmt.Errorf("site %s: room for %g kB a second and %g streams", s.Name, kb, places))
+		if kb, streams := s.Capacity(); !(kb >= 0) || !(streams >= 0) || math.IsInf(kb+streams, 0) {
+			errs = append(errs, fmt.Errorf("site %s: room for %g kB a second and %g streams", s.Name, kb, streams))
 		}
 	}
-	if !(f.Cross >= 0) || math.IsInf(f.Cross, 0) {
-		errs = append(errs, fmt.Errorf("crossing costs %g", f.Cross))
+	if !(f.CrossSiteCost >= 0) || math.IsInf(f.CrossSiteCost, 0) {
+		errs = append(errs, fmt.Errorf("crossing costs %g", f.CrossSiteCost))
 	}
 	return errors.Join(errs...)
 }
 
-// Take is what becomes of one demand.
-type Take struct {
-	Rungs    []float64 // sessions by rung
-	Refused  float64   // sessions
-	Crossing float64   // of those taken, how many play at another site than their viewers'
+// Allocation is what becomes of one demand.
+type Allocation struct {
+	ByRung    []float64 // sessions by rung
+	Refused   float64   // sessions
+	CrossSite float64   // of those taken, how many play at another site than their viewers'
 }
 
-// Taken is how many sessions play.
-func (t *Take) Taken() (n float64) {
-	for _, s := range t.Rungs {
+// Accepted is how many sessions play.
+func (a *Allocation) Accepted() (n float64) {
+	for _, s := range a.ByRung {
 		n += s
 	}
 	return n
 }
 
-// Step is something that is given up as room shrinks.
-type Step struct {
-	Demand   int
-	From, To int // rungs; To under 0: refused
-	Ratio    float64
+// DegradationStep is something that is given up as room shrinks.
+type DegradationStep struct {
+	Demand           int
+	FromRung, ToRung int // rungs; To under 0: refused
+	WorthPerKB       float64
 }
 
 // Plan is what is to be done while some sites are lost.
 type Plan struct {
-	Lost   []int
-	Before float64   // worth a second with all sites
-	Worth  float64   // worth a second without the lost ones
-	Bound  float64   // no plan earns more than this
-	Takes  []Take    // by demand
-	Use    []float64 // by site, the part of its kB a second that is asked for
-	Price  float64   // worth of one kB a second more; 0: there is room for all
-	Order  []Step    // what is given up, the first first
-	Short  float64   // sessions of a tier over 0 that are refused
+	LostSites        []int
+	WorthBefore      float64           // worth a second with all sites
+	Worth            float64           // worth a second without the lost ones
+	WorthBound       float64           // no plan earns more than this
+	Allocations      []Allocation      // by demand
+	Utilization      []float64         // by site, the part of its kB a second that is asked for
+	MarginalWorth    float64           // worth of one kB a second more; 0: there is room for all
+	DegradationOrder []DegradationStep // what is given up, the first first
+	TieredRefused    float64           // sessions of a tier over 0 that are refused
 }
 
-// Make plans for the loss of some sites; with none it is the plan for an ordinary time.
+// MakePlan plans for the loss of some sites; with none it is the plan for an ordinary time.
 //
 // It takes all sites that are left as one room first. Each demand offers its rungs, of
 // which those count that lie on the concave hull of worth over rate; room is given to
@@ -151,8 +151,8 @@
 // room is left; and in turn each site chooses anew, the same way, among what plays there
 // and what is refused, until that earns no more. Worth is what comes of it, so that
 // Worth over Bound tells how good a plan is at least.
-func Make(f *Fleet, lost ...int) (Plan, error) {
-	if err := f.Check(); err != nil {
+func MakePlan(f *Fleet, lost ...int) (Plan, error) {
+	if err := f.Validate(); err != nil {
 		return Plan{}, fmt.Errorf("site: %w", err)
 	}
 	for _, l := range lost {
@@ -160,161 +160,161 @@
 			return Plan{}, fmt.Errorf("site: there is no site %d", l)
 		}
 	}
-	p := f.make(lost)
+	p := f.makePlan(lost)
 	if len(lost) > 0 {
-		p.Before = f.make(nil).Worth
+		p.WorthBefore = f.makePlan(nil).Worth
 	} else {
-		p.Before = p.Worth
+		p.WorthBefore = p.Worth
 	}
 	return p, nil
 }
 
-func (f *Fleet) make(lost []int) Plan {
-	p := Plan{Lost: slices.Clone(lost)}
-	slices.Sort(p.Lost)
-	var kb, places float64
-	room := make([]space, len(f.Sites))
+func (f *Fleet) makePlan(lost []int) Plan {
+	p := Plan{LostSites: slices.Clone(lost)}
+	slices.Sort(p.LostSites)
+	var kb, streams float64
+	capacities := make([]siteCapacity, len(f.Sites))
 	for i := range f.Sites {
 		if !slices.Contains(lost, i) {
-			k, n := f.Sites[i].Room()
-			room[i] = space{k, n}
-			kb, places = kb+k, places+n
+			k, n := f.Sites[i].Capacity()
+			capacities[i] = siteCapacity{k, n}
+			kb, streams = kb+k, streams+n
 		}
 	}
-	in := f.offers(func(home int) bool { return slices.Contains(lost, home) })
-	best, _ := in.fill(kb, places)
-	p.Bound = in.worth(best)
-	in.strict = true
-	pooled, price := in.fill(kb, places)
-	p.Price, p.Order = price, in.order()
-	p.Takes = make([]Take, len(f.Demands))
+	problem := f.newKnapsack(func(home int) bool { return slices.Contains(lost, home) })
+	best, _ := problem.solve(kb, streams)
+	p.WorthBound = problem.totalWorth(best)
+	problem.floorsFirst = true
+	pooled, price := problem.solve(kb, streams)
+	p.MarginalWorth, p.DegradationOrder = price, problem.degradationOrder()
+	p.Allocations = make([]Allocation, len(f.Demands))
 	for i, d := range f.Demands {
-		p.Takes[i] = Take{Rungs: make([]float64, len(pooled[i])), Refused: d.Sessions}
+		p.Allocations[i] = Allocation{ByRung: make([]float64, len(pooled[i])), Refused: d.Sessions}
 	}
-	at := f.settle(&p, pooled, room)
-	for range sweeps {
+	bySite := f.placeSessions(&p, pooled, capacities)
+	for range maxReallocationRounds {
 		before := p.Worth
-		if f.improve(&p, at, room); p.Worth <= before*(1+1e-6) {
+		if f.reallocateSites(&p, bySite, capacities); p.Worth <= before*(1+1e-6) {
 			break
 		}
 	}
-	f.count(&p, at, room)
+	f.summarize(&p, bySite, capacities)
 	return p
 }
 
-// sweeps is how often each site chooses anew at most.
-const sweeps = 8
+// maxReallocationRounds is how often each site chooses anew at most.
+const maxReallocationRounds = 8
 
-// space is what a site has.
-type space struct{ kb, places float64 }
+// siteCapacity is what a site has.
+type siteCapacity struct{ kb, streams float64 }
 
-// offers is the demands as a plan fills a room with them.
-type offers struct {
-	fleet *Fleet
-	most  []float64 // by demand, sessions
-	rungs [][2]int  // by demand, from and to; empty where to is under from
-	fee   []float64 // by demand, what each session costs because it has to cross
+// knapsack is the demands as a plan fills a room with them.
+type knapsack struct {
+	fleet        *Fleet
+	maxSessions  []float64 // by demand, sessions
+	rungRanges   [][2]int  // by demand, from and to; empty where to is under from
+	crossingCost []float64 // by demand, what each session costs because it has to cross
 	// strict has all lowest rungs come before any upper one: rungs go down before
 	// sessions are refused.
-	strict bool
+	floorsFirst bool
 }
 
-// offers are those of all sessions, of which those have to cross whose home is one
+// newKnapsack are those of all sessions, of which those have to cross whose home is one
 // that crosses tells.
-func (f *Fleet) offers(crosses func(home int) bool) *offers {
-	o := &offers{fleet: f}
+func (f *Fleet) newKnapsack(mustCross func(home int) bool) *knapsack {
+	ks := &knapsack{fleet: f}
 	for _, d := range f.Demands {
 		c := &f.Classes[d.Class]
-		o.most = append(o.most, d.Sessions)
-		o.rungs = append(o.rungs, [2]int{c.Floor, min(c.Top, d.Top)})
-		fee := 0.0
-		if crosses(d.Home) {
-			fee = f.crossing(d)
+		ks.maxSessions = append(ks.maxSessions, d.Sessions)
+		ks.rungRanges = append(ks.rungRanges, [2]int{c.Floor, min(c.Top, d.Top)})
+		crossingCost := 0.0
+		if mustCross(d.HomeSite) {
+			crossingCost = f.sessionCrossingCost(d)
 		}
-		o.fee = append(o.fee, fee)
+		ks.crossingCost = append(ks.crossingCost, crossingCost)
 	}
-	return o
+	return ks
 }
 
-// crossing is what a session of a demand costs a second where it crosses.
-func (f *Fleet) crossing(d Demand) float64 {
+// sessionCrossingCost is what a session of a demand costs a second where it crosses.
+func (f *Fleet) sessionCrossingCost(d Demand) float64 {
 	c := &f.Classes[d.Class]
 	top := min(c.Top, d.Top)
 	if top < c.Floor {
 		return 0
 	}
-	return f.Cross * c.Worth[top]
+	return f.CrossSiteCost * c.Worth[top]
 }
 
 // item is one step up of a demand: from nothing to a rung, or from rung to rung.
 type item struct {
-	demand   int
-	from, to int // from under 0: nothing
-	kb       float64
-	ratio    float64 // worth for a kB
-	tier     int     // of a first step
+	demand           int
+	fromRung, toRung int // from under 0: nothing
+	kb               float64
+	worthPerKB       float64 // worth for a kB
+	tier             int     // of a first step
 }
 
 // items are the steps of the hulls of all demands, with a charge for each stream, in
 // the order in which room is given to them.
-func (o *offers) items(charge float64) []item {
+func (ks *knapsack) items(streamCharge float64) []item {
 	var all []item
-	lowest := o.strict && charge == 0 // with a charge it is not rungs that want room
-	for i, d := range o.fleet.Demands {
-		c := &o.fleet.Classes[d.Class]
-		if o.most[i] <= 0 {
+	lowestFirst := ks.floorsFirst && streamCharge == 0 // with a charge it is not rungs that want room
+	for i, d := range ks.fleet.Demands {
+		c := &ks.fleet.Classes[d.Class]
+		if ks.maxSessions[i] <= 0 {
 			continue
 		}
-		low, high := o.rungs[i][0], o.rungs[i][1]
-		from, kb, worth := -1, 0.0, 0.0
-		for from < high {
+		low, high := ks.rungRanges[i][0], ks.rungRanges[i][1]
+		fromRung, kb, worth := -1, 0.0, 0.0
+		for fromRung < high {
 			// The next point of the hull is the one with the steepest way there.
-			best, ratio := -1, math.Inf(-1)
-			for r := max(low, from+1); r <= high; r++ {
-				w := c.Worth[r] - o.fee[i] - charge
-				if k := c.RatesKB[r] - kb; k > 0 && (w-worth)/k > ratio {
-					best, ratio = r, (w-worth)/k
+			best, worthPerKB := -1, math.Inf(-1)
+			for r := max(low, fromRung+1); r <= high; r++ {
+				w := c.Worth[r] - ks.crossingCost[i] - streamCharge
+				if k := c.RatesKB[r] - kb; k > 0 && (w-worth)/k > worthPerKB {
+					best, worthPerKB = r, (w-worth)/k
 				}
 			}
 			tier := 0
-			if from < 0 && (d.Tier > 0 || lowest) {
+			if fromRung < 0 && (d.Tier > 0 || lowestFirst) {
 				// Who is to be taken is so on the lowest rung, whatever that earns.
 				tier, best = d.Tier, low
-				ratio = (c.Worth[low] - o.fee[i] - charge) / c.RatesKB[low]
+				worthPerKB = (c.Worth[low] - ks.crossingCost[i] - streamCharge) / c.RatesKB[low]
 			}
-			if best < 0 || ratio <= 0 && tier == 0 {
+			if best < 0 || worthPerKB <= 0 && tier == 0 {
 				break
 			}
-			all = append(all, item{i, from, best, c.RatesKB[best] - kb, ratio, tier})
-			from, kb, worth = best, c.RatesKB[best], c.Worth[best]-o.fee[i]-charge
+			all = append(all, item{i, fromRung, best, c.RatesKB[best] - kb, worthPerKB, tier})
+			fromRung, kb, worth = best, c.RatesKB[best], c.Worth[best]-ks.crossingCost[i]-streamCharge
 		}
 	}
 	slices.SortStableFunc(all, func(a, b item) int {
-		if order := cmp.Compare(b.tier, a.tier); order != 0 || !lowest || (a.from < 0) == (b.from < 0) {
-			return cmp.Or(order, cmp.Compare(b.ratio, a.ratio))
+		if order := cmp.Compare(b.tier, a.tier); order != 0 || !lowestFirst || (a.fromRung < 0) == (b.fromRung < 0) {
+			return cmp.Or(order, cmp.Compare(b.worthPerKB, a.worthPerKB))
 		}
-		return cmp.Compare(a.from, b.from) // nothing is less than any rung
+		return cmp.Compare(a.fromRung, b.fromRung) // nothing is less than any rung
 	})
 	return all
 }
 
-// fill gives a room to the offers. It returns, by demand and rung, how many sessions
+// solve gives a room to the offers. It returns, by demand and rung, how many sessions
 // play, and what one more kB would earn.
-func (o *offers) fill(kb, places float64) ([][]float64, float64) {
-	full, price, streams := o.pour(kb, places, 0)
-	if streams <= places*(1+1e-9) {
-		return full, price
+func (ks *knapsack) solve(kb, maxStreams float64) ([][]float64, float64) {
+	uncharged, price, streams := ks.fillGreedily(kb, maxStreams, 0)
+	if streams <= maxStreams*(1+1e-9) {
+		return uncharged, price
 	}
 	low, high := 0.0, 0.0
-	for _, c := range o.fleet.Classes {
+	for _, c := range ks.fleet.Classes {
 		high = max(high, slices.Max(c.Worth))
 	}
-	over, overStreams := full, streams
-	under, underPrice, underStreams := o.pour(kb, places, high)
+	over, overStreams := uncharged, streams
+	under, underPrice, underStreams := ks.fillGreedily(kb, maxStreams, high)
 	for range 48 {
 		mid := (low + high) / 2
-		got, p, n := o.pour(kb, places, mid)
-		if n > places {
+		got, p, n := ks.fillGreedily(kb, maxStreams, mid)
+		if n > maxStreams {
 			low, over, overStreams = mid, got, n
 		} else {
 			high, under, underPrice, underStreams = mid, got, p, n
@@ -322,198 +322,198 @@
 	}
 	// Of two plans at one price, of which one takes a stream too many, the mix that
 	// takes all streams is the best there is.
-	part := 0.0
+	overShare := 0.0
 	if overStreams > underStreams {
-		part = min((places-underStreams)/(overStreams-underStreams), 1)
+		overShare = min((maxStreams-underStreams)/(overStreams-underStreams), 1)
 	}
-	if part <= 0 {
+	if overShare <= 0 {
 		return under, underPrice
 	}
 	for i := range under {
 		for r := range under[i] {
-			under[i][r] += part * (over[i][r] - under[i][r])
+			under[i][r] += overShare * (over[i][r] - under[i][r])
 		}
 	}
 	return under, underPrice
 }
 
-// pour fills a room of kB at a charge for streams. Tiers over 0 pay none: they are cut
+// fillGreedily fills a room of kB at a charge for streams. Tiers over 0 pay none: they are cut
 // off only where they alone want more streams than there are.
-func (o *offers) pour(kb, places, charge float64) (got [][]float64, price, streams float64) {
-	got = make([][]float64, len(o.fleet.Demands))
-	for i, d := range o.fleet.Demands {
-		got[i] = make([]float64, len(o.fleet.Classes[d.Class].RatesKB))
-	}
-	for _, it := range o.items(charge) {
-		n := o.most[it.demand]
-		if it.from >= 0 {
-			n = got[it.demand][it.from] // those that came so far
+func (ks *knapsack) fillGreedily(kb, maxStreams, streamCharge float64) (sessions [][]float64, price, streams float64) {
+	sessions = make([][]float64, len(ks.fleet.Demands))
+	for i, d := range ks.fleet.Demands {
+		sessions[i] = make([]float64, len(ks.fleet.Classes[d.Class].RatesKB))
+	}
+	for _, it := range ks.items(streamCharge) {
+		n := ks.maxSessions[it.demand]
+		if it.fromRung >= 0 {
+			n = sessions[it.demand][it.fromRung] // those that came so far
 		} else if it.tier > 0 {
-			n = min(n, max(places-streams, 0))
+			n = min(n, max(maxStreams-streams, 0))
 		}
 		if n <= 0 {
 			continue
 		}
 		fits := min(n, kb/it.kb)
 		if fits < n && price == 0 {
-			price = it.ratio
+			price = it.worthPerKB
 		}
 		if fits <= 0 {
 			continue
 		}
 		kb -= fits * it.kb
-		got[it.demand][it.to] += fits
-		if it.from >= 0 {
-			got[it.demand][it.from] -= fits
+		sessions[it.demand][it.toRung] += fits
+		if it.fromRung >= 0 {
+			sessions[it.demand][it.fromRung] -= fits
 		} else {
 			streams += fits
 		}
 	}
-	return got, price, streams
+	return sessions, price, streams
 }
 
-// worth is what sessions earn a second.
-func (o *offers) worth(got [][]float64) (w float64) {
-	for i, d := range o.fleet.Demands {
-		for r, n := range got[i] {
-			w += n * (o.fleet.Classes[d.Class].Worth[r] - o.fee[i])
+// totalWorth is what sessions earn a second.
+func (ks *knapsack) totalWorth(sessions [][]float64) (w float64) {
+	for i, d := range ks.fleet.Demands {
+		for r, n := range sessions[i] {
+			w += n * (ks.fleet.Classes[d.Class].Worth[r] - ks.crossingCost[i])
 		}
 	}
 	return w
 }
 
-// order is what is given up as room shrinks: the steps up, backwards.
-func (o *offers) order() (steps []Step) {
-	for _, it := range slices.Backward(o.items(0)) {
-		steps = append(steps, Step{it.demand, it.to, it.from, it.ratio})
+// degradationOrder is what is given up as room shrinks: the steps up, backwards.
+func (ks *knapsack) degradationOrder() (steps []DegradationStep) {
+	for _, it := range slices.Backward(ks.items(0)) {
+		steps = append(steps, DegradationStep{it.demand, it.toRung, it.fromRung, it.worthPerKB})
 	}
 	return steps
 }
 
-// settle finds a place for each session that the plan takes. Those of whom a crossing
+// placeSessions finds a place for each session that the plan takes. Those of whom a crossing
 // would cost most for their room stay at home first; of the others each site takes
 // what it has room for, the one with most room first. It returns, by site, demand and
 // rung, how many play.
-func (f *Fleet) settle(p *Plan, got [][]float64, room []space) (at [][][]float64) {
-	type part struct {
+func (f *Fleet) placeSessions(p *Plan, accepted [][]float64, capacities []siteCapacity) (bySite [][][]float64) {
+	type portion struct {
 		demand, rung int
 		n            float64
 		tier         int
 	}
-	var parts []part
+	var portions []portion
 	for i, d := range f.Demands {
-		for r, n := range got[i] {
+		for r, n := range accepted[i] {
 			if n > 1e-12 {
-				parts = append(parts, part{i, r, n, d.Tier})
+				portions = append(portions, portion{i, r, n, d.Tier})
 			}
 		}
 	}
-	rate := func(x *part) float64 { return f.Classes[f.Demands[x.demand].Class].RatesKB[x.rung] }
-	slices.SortStableFunc(parts, func(a, b part) int {
+	rate := func(x *portion) float64 { return f.Classes[f.Demands[x.demand].Class].RatesKB[x.rung] }
+	slices.SortStableFunc(portions, func(a, b portion) int {
 		return cmp.Or(cmp.Compare(b.tier, a.tier),
-			cmp.Compare(f.crossing(f.Demands[b.demand])/rate(&b), f.crossing(f.Demands[a.demand])/rate(&a)))
+			cmp.Compare(f.sessionCrossingCost(f.Demands[b.demand])/rate(&b), f.sessionCrossingCost(f.Demands[a.demand])/rate(&a)))
 	})
-	free := slices.Clone(room)
+	free := slices.Clone(capacities)
 	for range f.Sites {
-		by := make([][]float64, len(f.Demands))
-		for i := range by {
-			by[i] = make([]float64, len(got[i]))
+		byRung := make([][]float64, len(f.Demands))
+		for i := range byRung {
+			byRung[i] = make([]float64, len(accepted[i]))
 		}
-		at = append(at, by)
+		bySite = append(bySite, byRung)
 	}
-	place := func(x *part, site int) {
+	place := func(x *portion, site int) {
 		s := &free[site]
-		n := max(min(x.n, s.kb/rate(x), s.places), 0)
-		s.kb, s.places, x.n = s.kb-n*rate(x), s.places-n, x.n-n
-		at[site][x.demand][x.rung] += n
-		p.Takes[x.demand].Refused -= n
+		n := max(min(x.n, s.kb/rate(x), s.streams), 0)
+		s.kb, s.streams, x.n = s.kb-n*rate(x), s.streams-n, x.n-n
+		bySite[site][x.demand][x.rung] += n
+		p.Allocations[x.demand].Refused -= n
 	}
-	for i := range parts {
-		place(&parts[i], f.Demands[parts[i].demand].Home)
+	for i := range portions {
+		place(&portions[i], f.Demands[portions[i].demand].HomeSite)
 	}
-	for i := range parts {
-		for x := &parts[i]; x.n > 1e-9; {
-			most := 0
+	for i := range portions {
+		for x := &portions[i]; x.n > 1e-9; {
+			roomiest := 0
 			for s := range free {
-				if min(free[s].kb, free[s].places*rate(x)) > min(free[most].kb, free[most].places*rate(x)) {
-					most = s
+				if min(free[s].kb, free[s].streams*rate(x)) > min(free[roomiest].kb, free[roomiest].streams*rate(x)) {
+					roomiest = s
 				}
 			}
 			before := x.n
-			if place(x, most); x.n >= before*(1-1e-9) {
+			if place(x, roomiest); x.n >= before*(1-1e-9) {
 				break
 			}
 		}
 	}
-	return at
+	return bySite
 }
 
-// improve has each site choose anew among what plays there and what is refused.
-func (f *Fleet) improve(p *Plan, at [][][]float64, room []space) {
+// reallocateSites has each site choose anew among what plays there and what is refused.
+func (f *Fleet) reallocateSites(p *Plan, bySite [][][]float64, capacities []siteCapacity) {
 	p.Worth = 0
 	for s := range f.Sites {
-		if room[s].kb <= 0 || room[s].places <= 0 {
+		if capacities[s].kb <= 0 || capacities[s].streams <= 0 {
 			continue
 		}
-		in := f.offers(func(home int) bool { return home != s })
-		in.strict = true
+		problem := f.newKnapsack(func(home int) bool { return home != s })
+		problem.floorsFirst = true
 		for i := range f.Demands {
-			in.most[i] = max(p.Takes[i].Refused, 0)
-			for _, n := range at[s][i] {
-				in.most[i] += n
+			problem.maxSessions[i] = max(p.Allocations[i].Refused, 0)
+			for _, n := range bySite[s][i] {
+				problem.maxSessions[i] += n
 			}
 		}
-		got, _ := in.fill(room[s].kb, room[s].places)
+		sessions, _ := problem.solve(capacities[s].kb, capacities[s].streams)
 		for i := range f.Demands {
-			p.Takes[i].Refused = in.most[i]
-			for _, n := range got[i] {
-				p.Takes[i].Refused -= n
+			p.Allocations[i].Refused = problem.maxSessions[i]
+			for _, n := range sessions[i] {
+				p.Allocations[i].Refused -= n
 			}
 		}
-		at[s] = got
-		p.Worth += in.worth(got)
+		bySite[s] = sessions
+		p.Worth += problem.totalWorth(sessions)
 	}
 }
 
-// count tells what a plan comes to.
-func (f *Fleet) count(p *Plan, at [][][]float64, room []space) {
-	p.Use = make([]float64, len(f.Sites))
+// summarize tells what a plan comes to.
+func (f *Fleet) summarize(p *Plan, bySite [][][]float64, capacities []siteCapacity) {
+	p.Utilization = make([]float64, len(f.Sites))
 	p.Worth = 0
 	for i, d := range f.Demands {
 		c := &f.Classes[d.Class]
-		t := &p.Takes[i]
+		t := &p.Allocations[i]
 		for s := range f.Sites {
-			for r, n := range at[s][i] {
+			for r, n := range bySite[s][i] {
 				if n <= 0 {
 					continue
 				}
-				t.Rungs[r] += n
+				t.ByRung[r] += n
 				p.Worth += n * c.Worth[r]
-				p.Use[s] += n * c.RatesKB[r] / room[s].kb
-				if s != d.Home {
-					t.Crossing += n
-					p.Worth -= n * f.crossing(d)
+				p.Utilization[s] += n * c.RatesKB[r] / capacities[s].kb
+				if s != d.HomeSite {
+					t.CrossSite += n
+					p.Worth -= n * f.sessionCrossingCost(d)
 				}
 			}
 		}
-		t.Refused = max(d.Sessions-t.Taken(), 0)
+		t.Refused = max(d.Sessions-t.Accepted(), 0)
 		if d.Tier > 0 {
-			p.Short += t.Refused
+			p.TieredRefused += t.Refused
 		}
 	}
 }
 
-// Losses plans for the loss of each site, and of each pair where there are more than
+// PlanLosses plans for the loss of each site, and of each pair where there are more than
 // two.
-func Losses(f *Fleet) ([]Plan, error) {
-	if err := f.Check(); err != nil {
+func PlanLosses(f *Fleet) ([]Plan, error) {
+	if err := f.Validate(); err != nil {
 		return nil, fmt.Errorf("site: %w", err)
 	}
-	before := f.make(nil).Worth
+	before := f.makePlan(nil).Worth
 	var plans []Plan
 	add := func(lost ...int) {
-		p := f.make(lost)
-		p.Before = before
+		p := f.makePlan(lost)
+		p.WorthBefore = before
 		plans = append(plans, p)
 	}
 	for i := range f.Sites {
@@ -529,46 +529,46 @@
 	return plans, nil
 }
 
-// Return is how a site that was lost takes its load back.
-type Return struct {
-	Warm   time.Duration // until a node that starts cold is warm
-	Share  float64       // of its pace and links that is warm at the start
-	Places float64       // streams of all nodes that come back
+// Recovery is how a site that was lost takes its load back.
+type Recovery struct {
+	WarmUp       time.Duration // until a node that starts cold is warm
+	InitialShare float64       // of its pace and links that is warm at the start
+	MaxStreams   float64       // streams of all nodes that come back
 	// Returns is how often the site has come back within the last minute, this time
 	// included. A site that comes and goes is trusted half as much each time.
-	Returns int
+	ReturnCount int
 }
 
-// Pace is how many sessions a second all managers together may send to a site that
+// MaxSessionRate is how many sessions a second all managers together may send to a site that
 // has been back for a time: no more than its places over its warm-up, times the share
 // that it has warmed.
-func (r Return) Pace(since time.Duration) float64 {
-	if r.Warm <= 0 {
+func (r Recovery) MaxSessionRate(since time.Duration) float64 {
+	if r.WarmUp <= 0 {
 		return math.Inf(1)
 	}
-	return r.Places / r.Warm.Seconds() * r.Warmed(since) * math.Pow(0.5, float64(max(r.Returns-1, 0)))
+	return r.MaxStreams / r.WarmUp.Seconds() * r.WarmShare(since) * math.Pow(0.5, float64(max(r.ReturnCount-1, 0)))
 }
 
-// Warmed is the part of the site's room that has warmed after a time.
-func (r Return) Warmed(since time.Duration) float64 {
-	if r.Warm <= 0 {
+// WarmShare is the part of the site's room that has warmed after a time.
+func (r Recovery) WarmShare(since time.Duration) float64 {
+	if r.WarmUp <= 0 {
 		return 1
 	}
-	return min(r.Share+(1-r.Share)*float64(max(since, 0))/float64(r.Warm), 1)
+	return min(r.InitialShare+(1-r.InitialShare)*float64(max(since, 0))/float64(r.WarmUp), 1)
 }
 
-// Back tells how long it takes until a part of so many sessions plays at the site
+// TimeToRestore tells how long it takes until a part of so many sessions plays at the site
 // again, where its viewers ask for them at a rate and they last so long in the mean.
 // What found a place elsewhere stays there. False: it never does.
-func (r Return) Back(sessions, rate float64, lasts time.Duration, part float64) (time.Duration, bool) {
+func (r Recovery) TimeToRestore(sessions, rate float64, meanLength time.Duration, share float64) (time.Duration, bool) {
 	const step = 50 * time.Millisecond
-	standing := 0.0
+	playing := 0.0
 	for t := time.Duration(0); t < time.Hour; t += step {
-		if standing >= part*sessions {
+		if playing >= share*sessions {
 			return t, true
 		}
-		in := min(rate, r.Pace(t))
-		standing += (in - standing/max(lasts.Seconds(), 1e-3)) * step.Seconds()
+		arriving := min(rate, r.MaxSessionRate(t))
+		playing += (arriving - playing/max(meanLength.Seconds(), 1e-3)) * step.Seconds()
 	}
 	return 0, false
 }
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -13,27 +13,27 @@
 
 var ladder = []float64{172, 364, 767, 1617}
 
-func classes() []Class {
+func testClasses() []Class {
 	return []Class{
 		{Name: "clip", Floor: 1, Top: 3, RatesKB: ladder, Worth: []float64{0.52, 1.06, 1.54, 2}},
 		{Name: "feed", Floor: 0, Top: 3, RatesKB: ladder, Worth: []float64{0.26, 0.53, 0.77, 1}},
 	}
 }
 
-// fleet is sites of racks, each of eight nodes, and the load that would fill a part of
+// testFleet is sites of racks, each of eight nodes, and the load that would fill a part of
 // their links at the middle rate.
-func fleet(sites, racks int, load float64) *Fleet {
-	f := &Fleet{Classes: classes(), Cross: 0.021}
+func testFleet(sites, racks int, load float64) *Fleet {
+	f := &Fleet{Classes: testClasses(), CrossSiteCost: 0.021}
 	for i := range sites {
 		s := Site{Name: fmt.Sprintf("site-%d", i)}
 		for range racks {
-			s.Racks = append(s.Racks, Rack{LinksKB: 8 * 3500 * 2, UplinkKB: 8 * 3500 * 2 * 0.7, Places: 8 * 24})
+			s.Racks = append(s.Racks, Rack{LinksKB: 8 * 3500 * 2, UplinkKB: 8 * 3500 * 2 * 0.7, MaxStreams: 8 * 24})
 		}
 		f.Sites = append(f.Sites, s)
-		kb, _ := s.Room()
+		kb, _ := s.Capacity()
 		for class, part := range []float64{0.35, 0.65} {
 			for top, share := range map[int]float64{3: 0.7, 1: 0.3} {
-				f.Demands = append(f.Demands, Demand{Class: class, Home: i, Sessions: load * kb / ladder[2] * part * share, Top: top})
+				f.Demands = append(f.Demands, Demand{Class: class, HomeSite: i, Sessions: load * kb / ladder[2] * part * share, Top: top})
 			}
 		}
 	}
@@ -52,8 +52,8 @@
 		for s := range f.Sites {
 			for r := k.Floor; r <= min(k.Top, d.Top) && s != lost; r++ {
 				w := k.Worth[r]
-				if s != d.Home {
-					w -= f.crossing(d)
+				if s != d.HomeSite {
+					w -= f.sessionCrossingCost(d)
 				}
 				vars, c = append(vars, key{i, s, r}), append(c, -w)
 			}
@@ -76,8 +76,8 @@
 	}
 	for s := range f.Sites {
 		if s != lost {
-			kb, places := f.Sites[s].Room()
-			b[len(f.Demands)+2*s], b[len(f.Demands)+2*s+1] = kb/1000, places
+			kb, streams := f.Sites[s].Capacity()
+			b[len(f.Demands)+2*s], b[len(f.Demands)+2*s+1] = kb/1000, streams
 		}
 	}
 	best, _, err := lp.Simplex(c, a, b, 1e-9, nil)
@@ -89,30 +89,30 @@
 
 // No plan earns more than Bound, and none that is made asks for more than there is;
 // how far it stays below the optimum of the whole linear programme is bounded here.
-func TestPlanAgainstLinearProgramme(t *testing.T) {
-	src := rand.New(rand.NewPCG(1, 2))
+func TestPlanAgainstLinearProgram(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	worst, sum, n := 0.0, 0.0, 0
 	for range 150 {
-		f := fleet(2+src.IntN(2), 1, 0.2+1.5*src.Float64())
+		f := testFleet(2+rng.IntN(2), 1, 0.2+1.5*rng.Float64())
 		for i := range f.Sites {
-			f.Sites[i].Racks[0].UplinkKB *= 0.4 + src.Float64()
-			f.Sites[i].Racks[0].Places = math.Round(f.Sites[i].Racks[0].Places * (0.1 + src.Float64())) // streams run out, too
+			f.Sites[i].Racks[0].UplinkKB *= 0.4 + rng.Float64()
+			f.Sites[i].Racks[0].MaxStreams = math.Round(f.Sites[i].Racks[0].MaxStreams * (0.1 + rng.Float64())) // streams run out, too
 		}
 		for i := range f.Demands {
-			f.Demands[i].Sessions *= 2 * src.Float64()
+			f.Demands[i].Sessions *= 2 * rng.Float64()
 		}
-		lost := src.IntN(len(f.Sites))
-		p, err := Make(f, lost)
+		lost := rng.IntN(len(f.Sites))
+		p, err := MakePlan(f, lost)
 		if err != nil {
 			t.Fatal(err)
 		}
-		best := optimum(t, f, lost)
-		if p.Worth > best*(1+1e-6) || best > p.Bound*(1+1e-6) {
-			t.Fatalf("worth %g, optimum %g, bound %g", p.Worth, best, p.Bound)
+		optimal := optimum(t, f, lost)
+		if p.Worth > optimal*(1+1e-6) || optimal > p.WorthBound*(1+1e-6) {
+			t.Fatalf("worth %g, optimum %g, bound %g", p.Worth, optimal, p.WorthBound)
 		}
-		gap := 1 - p.Worth/best
+		gap := 1 - p.Worth/optimal
 		worst, sum, n = max(worst, gap), sum+gap, n+1
-		feasible(t, f, &p)
+		checkFeasible(t, f, &p)
 	}
 	t.Logf("below the optimum by %.3f%% in the mean of %d, %.2f%% at worst", 100*sum/float64(n), n, 100*worst)
 	if sum/float64(n) > 0.005 || worst > 0.1 {
@@ -120,36 +120,36 @@
 	}
 }
 
-// feasible holds a plan against the room of the sites that are left.
-func feasible(t *testing.T, f *Fleet, p *Plan) {
+// checkFeasible holds a plan against the room of the sites that are left.
+func checkFeasible(t *testing.T, f *Fleet, p *Plan) {
 	t.Helper()
-	var kb, places, asked, streams float64
+	var capacityKB, maxStreams, usedKB, streams float64
 	for i := range f.Sites {
-		if k, n := f.Sites[i].Room(); !contains(p.Lost, i) {
-			kb, places = kb+k, places+n
+		if k, n := f.Sites[i].Capacity(); !contains(p.LostSites, i) {
+			capacityKB, maxStreams = capacityKB+k, maxStreams+n
 		}
-		if p.Use[i] > 1+1e-9 || contains(p.Lost, i) && p.Use[i] != 0 {
-			t.Errorf("site %d is used at %g", i, p.Use[i])
+		if p.Utilization[i] > 1+1e-9 || contains(p.LostSites, i) && p.Utilization[i] != 0 {
+			t.Errorf("site %d is used at %g", i, p.Utilization[i])
 		}
 	}
-	for i, take := range p.Takes {
+	for i, take := range p.Allocations {
 		d := f.Demands[i]
 		c := f.Classes[d.Class]
-		for r, n := range take.Rungs {
+		for r, n := range take.ByRung {
 			if n > 0 && (r < c.Floor || r > min(c.Top, d.Top)) {
 				t.Errorf("%s plays on rung %d", c.Name, r)
 			}
-			asked, streams = asked+n*c.RatesKB[r], streams+n
+			usedKB, streams = usedKB+n*c.RatesKB[r], streams+n
 		}
-		if got := take.Taken() + take.Refused; math.Abs(got-d.Sessions) > 1e-6*max(d.Sessions, 1) {
+		if got := take.Accepted() + take.Refused; math.Abs(got-d.Sessions) > 1e-6*max(d.Sessions, 1) {
 			t.Errorf("of %g sessions %g are accounted for", d.Sessions, got)
 		}
-		if contains(p.Lost, d.Home) && math.Abs(take.Crossing-take.Taken()) > 1e-6 {
+		if contains(p.LostSites, d.HomeSite) && math.Abs(take.CrossSite-take.Accepted()) > 1e-6 {
 			t.Error("sessions of a lost site play at home")
 		}
 	}
-	if asked > kb*(1+1e-9) || streams > places*(1+1e-9) {
-		t.Errorf("%g of %g kB and %g of %g streams are asked for", asked, kb, streams, places)
+	if usedKB > capacityKB*(1+1e-9) || streams > maxStreams*(1+1e-9) {
+		t.Errorf("%g of %g kB and %g of %g streams are asked for", usedKB, capacityKB, streams, maxStreams)
 	}
 }
 
@@ -164,28 +164,28 @@
 
 // What gives way, as room shrinks: upper rungs first, then the class that earns less
 // for a kB, and a tier over 0 last; clip never plays on the lowest rung.
-func TestOrder(t *testing.T) {
-	f := fleet(2, 1, 0.9)
+func TestDegradationOrder(t *testing.T) {
+	f := testFleet(2, 1, 0.9)
 	for i := range f.Demands {
-		if f.Demands[i].Class == 1 && f.Demands[i].Home == 0 {
+		if f.Demands[i].Class == 1 && f.Demands[i].HomeSite == 0 {
 			f.Demands[i].Tier = 1 // what a contract guarantees, though it earns less
 		}
 	}
-	p, err := Make(f, 1)
+	p, err := MakePlan(f, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	refusedAt := map[string]int{}
-	for i, s := range p.Order {
+	for i, s := range p.DegradationOrder {
 		d := f.Demands[s.Demand]
 		name := fmt.Sprint(f.Classes[d.Class].Name, " tier ", d.Tier)
-		if s.To < 0 {
+		if s.ToRung < 0 {
 			refusedAt[name] = i
 		}
-		if f.Classes[d.Class].Name == "clip" && (s.To == 0 || s.From == 0) {
+		if f.Classes[d.Class].Name == "clip" && (s.ToRung == 0 || s.FromRung == 0) {
 			t.Error("clip on the lowest rung")
 		}
-		if s.To >= 0 && s.From >= 2 {
+		if s.ToRung >= 0 && s.FromRung >= 2 {
 			if at, ok := refusedAt[name]; ok && at < i {
 				t.Errorf("%s is refused before its upper rungs go", name)
 			}
@@ -197,16 +197,16 @@
 	// As the room shrinks further the plans follow that order.
 	for _, part := range []float64{0.8, 0.3, 0.1, 0.04, 0.02} {
 		f.Sites[0].Racks[0].UplinkKB = 8 * 3500 * 2 * 0.7 * part
-		p, err := Make(f, 1)
+		p, err := MakePlan(f, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		feasible(t, f, &p)
+		checkFeasible(t, f, &p)
 		refused, taken := map[string]float64{}, map[string]float64{}
-		for i, take := range p.Takes {
+		for i, take := range p.Allocations {
 			d := f.Demands[i]
 			name := fmt.Sprint(f.Classes[d.Class].Name, " tier ", d.Tier)
-			refused[name], taken[name] = refused[name]+take.Refused, taken[name]+take.Taken()
+			refused[name], taken[name] = refused[name]+take.Refused, taken[name]+take.Accepted()
 		}
 		if refused["clip tier 0"] > 1e-6 && taken["feed tier 0"] > 1e-6 || refused["feed tier 1"] > 1e-6 && taken["clip tier 0"] > 1e-6 {
 			t.Errorf("at %g: refused %v while %v play", part, refused, taken)
@@ -215,89 +215,89 @@
 }
 
 // Nothing is left, nothing is asked for, or what is told makes no sense.
-func TestEdges(t *testing.T) {
-	f := fleet(3, 1, 0.5)
-	p, err := Make(f, 0, 1, 2)
-	if err != nil || p.Worth != 0 || p.Bound != 0 {
+func TestMakePlanEdgeCases(t *testing.T) {
+	f := testFleet(3, 1, 0.5)
+	p, err := MakePlan(f, 0, 1, 2)
+	if err != nil || p.Worth != 0 || p.WorthBound != 0 {
 		t.Errorf("all lost: %+v, %v", p, err)
 	}
-	for i, take := range p.Takes {
+	for i, take := range p.Allocations {
 		if math.Abs(take.Refused-f.Demands[i].Sessions) > 1e-9 {
 			t.Error("not all are refused")
 		}
 	}
-	if p, err := Make(f, 0, 1); err != nil || !(p.Worth > 0) || p.Worth > p.Bound*(1+1e-9) {
+	if p, err := MakePlan(f, 0, 1); err != nil || !(p.Worth > 0) || p.Worth > p.WorthBound*(1+1e-9) {
 		t.Errorf("two of three lost: %+v, %v", p, err)
 	}
 	empty := &Fleet{Sites: f.Sites, Classes: f.Classes}
-	if p, err := Make(empty, 0); err != nil || p.Worth != 0 || p.Price != 0 {
+	if p, err := MakePlan(empty, 0); err != nil || p.Worth != 0 || p.MarginalWorth != 0 {
 		t.Errorf("%+v, %v", p, err)
 	}
-	if _, err := Make(f, 3); err == nil {
+	if _, err := MakePlan(f, 3); err == nil {
 		t.Error("a site that there isn't")
 	}
 	for name, spoil := range map[string]func(f *Fleet){
 		"NaN sessions": func(f *Fleet) { f.Demands[0].Sessions = math.NaN() },
 		"no rates":     func(f *Fleet) { f.Classes[0].RatesKB = nil },
 		"rate 0":       func(f *Fleet) { f.Classes[0].RatesKB = []float64{0, 1, 2, 3} },
-		"home":         func(f *Fleet) { f.Demands[0].Home = 7 },
+		"home":         func(f *Fleet) { f.Demands[0].HomeSite = 7 },
 		"floor":        func(f *Fleet) { f.Classes[0].Floor = 9 },
 		"endless":      func(f *Fleet) { f.Sites[0].Racks[0].LinksKB, f.Sites[0].Racks[0].UplinkKB = math.Inf(1), 0 },
-		"crossing":     func(f *Fleet) { f.Cross = -1 },
+		"crossing":     func(f *Fleet) { f.CrossSiteCost = -1 },
 	} {
-		f := fleet(2, 1, 0.5)
-		if spoil(f); f.Check() == nil {
+		f := testFleet(2, 1, 0.5)
+		if spoil(f); f.Validate() == nil {
 			t.Errorf("%s: no fault", name)
 		}
 	}
-	losses, err := Losses(fleet(5, 1, 0.5))
+	losses, err := PlanLosses(testFleet(5, 1, 0.5))
 	if err != nil || len(losses) != 5+10 {
 		t.Errorf("%d losses of 5 sites, %v", len(losses), err)
 	}
-	if losses, err = Losses(fleet(2, 1, 0.5)); err != nil || len(losses) != 2 {
+	if losses, err = PlanLosses(testFleet(2, 1, 0.5)); err != nil || len(losses) != 2 {
 		t.Errorf("%d losses of 2 sites, %v", len(losses), err)
 	}
 }
 
 // The load goes back no faster than nodes warm, and slower to a site that comes and
 // goes.
-func TestReturn(t *testing.T) {
-	r := Return{Warm: 10 * time.Second, Share: 0.2, Places: 100, Returns: 1}
+func TestRecovery(t *testing.T) {
+	r := Recovery{WarmUp: 10 * time.Second, InitialShare: 0.2, MaxStreams: 100, ReturnCount: 1}
 	for since, want := range map[time.Duration]float64{0: 2, 5 * time.Second: 6, 10 * time.Second: 10, time.Hour: 10, -time.Second: 2} {
-		if got := r.Pace(since); math.Abs(got-want) > 1e-9 {
+		if got := r.MaxSessionRate(since); math.Abs(got-want) > 1e-9 {
 			t.Errorf("%g a second after %v, want %g", got, since, want)
 		}
 	}
-	once, ok := r.Back(100, 3, 30*time.Second, 0.5)
+	once, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.5)
 	if !ok {
 		t.Fatal("never back")
 	}
-	r.Returns = 3
-	if got := r.Pace(10 * time.Second); got != 2.5 {
+	r.ReturnCount = 3
+	if got := r.MaxSessionRate(10 * time.Second); got != 2.5 {
 		t.Errorf("the third time within a minute %g a second", got)
 	}
-	if thrice, ok := r.Back(100, 3, 30*time.Second, 0.5); !ok || thrice <= once {
+	if thrice, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.5); !ok || thrice <= once {
 		t.Errorf("back after %v the first time, %v the third", once, thrice)
 	}
-	if _, ok := r.Back(100, 3, 30*time.Second, 0.95); ok {
+	if _, ok := r.TimeToRestore(100, 3, 30*time.Second, 0.95); ok {
 		t.Error("more play than come")
 	}
-	if got := (Return{}).Pace(0); !math.IsInf(got, 1) {
+	if got := (Recovery{}).MaxSessionRate(0); !math.IsInf(got, 1) {
 		t.Errorf("with no warm-up %g a second", got)
 	}
 }
 
 func BenchmarkPlan(b *testing.B) {
 	for _, sites := range []int{2, 5, 20} {
-		f := fleet(sites, 5000/8/sites, 0.75)
+		f := testFleet(sites, 5000/8/sites, 0.75)
 		b.Run(fmt.Sprintf("one loss of %d sites", sites), func(b *testing.B) {
 			for b.Loop() {
-				Make(f, 0)
+				MakePlan(f, 0)
 			}
 		})
 		b.Run(fmt.Sprintf("all losses of %d sites", sites), func(b *testing.B) {
 			for b.Loop() {
-				Losses(f)
+				PlanLosses(f)
 			}
 		})
 	}
