--- a/internal/site/watch_test.go
+++ b/internal/site/watch_test.go
@@ -7,81 +7,81 @@
 	"time"
 )
 
-// world is two sites of eight nodes as one manager sees them, which sends ten set-ups a
+// watchHarness is two sites of eight nodes as one manager sees them, which sends ten set-ups a
 // second to nodes drawn at random.
-type world struct {
-	w     *Watch
-	now   time.Time
-	src   *rand.Rand
-	sign  func(node int) (Sign, bool) // of a set-up; false: it is not sent
-	told  []string
-	after map[string]time.Duration // when each state was first told, since the last mark
-	mark  time.Time
+type watchHarness struct {
+	watch        *Watch
+	now          time.Time
+	rng          *rand.Rand
+	nextSign     func(node int) (Sign, bool) // of a set-up; false: it is not sent
+	noticed      []string
+	noticedAfter map[string]time.Duration // when each state was first told, since the last mark
+	markedAt     time.Time
 }
 
-func newWorld(seed uint64) *world {
-	v := &world{w: NewWatch([]string{"a", "b"}), now: time.Unix(1000, 0), src: rand.New(rand.NewPCG(seed, 5)), after: map[string]time.Duration{}}
+func newWatchHarness(seed uint64) *watchHarness {
+	h := &watchHarness{watch: NewWatch([]string{"a", "b"}), now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(seed, 5)), noticedAfter: map[string]time.Duration{}}
 	for n := range 16 {
-		v.w.Listed(n/8, uint64(n), true)
+		h.watch.UpdateNode(n/8, uint64(n), true)
 	}
-	v.sign = func(int) (Sign, bool) { return Heard, true }
-	v.mark = v.now
-	return v
+	h.nextSign = func(int) (Sign, bool) { return SignHeard, true }
+	h.markedAt = h.now
+	return h
 }
 
-func (v *world) run(d time.Duration) {
-	for end := v.now.Add(d); v.now.Before(end); v.now = v.now.Add(100 * time.Millisecond) {
-		n := v.src.IntN(16)
-		if sign, ok := v.sign(n); ok {
-			v.w.Saw(v.now, uint64(n), sign)
+func (h *watchHarness) advance(d time.Duration) {
+	for end := h.now.Add(d); h.now.Before(end); h.now = h.now.Add(100 * time.Millisecond) {
+		n := h.rng.IntN(16)
+		if nextSign, ok := h.nextSign(n); ok {
+			h.watch.RecordSign(h.now, uint64(n), nextSign)
 		}
-		for _, x := range v.w.Tick(v.now) {
+		for _, x := range h.watch.Tick(h.now) {
 			text := fmt.Sprint(x.Site, " ", x.State)
 			if x.Site < 0 {
-				text = fmt.Sprint("alone ", x.Alone)
+				text = fmt.Sprint("alone ", x.Isolated)
 			}
-			v.told = append(v.told, text)
-			if _, ok := v.after[text]; !ok {
-				v.after[text] = v.now.Sub(v.mark)
+			h.noticed = append(h.noticed, text)
+			if _, ok := h.noticedAfter[text]; !ok {
+				h.noticedAfter[text] = h.now.Sub(h.markedAt)
 			}
 		}
 	}
 }
 
-// fails has nodes from to fail by a sign, the others be heard.
-func fails(sign Sign, from, to int) func(int) (Sign, bool) {
+// nodesFail has nodes from to fail by a sign, the others be heard.
+func nodesFail(sign Sign, from, to int) func(int) (Sign, bool) {
 	return func(n int) (Sign, bool) {
 		if n >= from && n < to {
 			return sign, true
 		}
-		return Heard, true
+		return SignHeard, true
 	}
 }
 
 // What happens, and what is told of it. A loss is told within 4 s at ten set-ups a
 // second, and nothing else is taken for one.
-func TestWatchTells(t *testing.T) {
+func TestWatchNotices(t *testing.T) {
 	for name, e := range map[string]struct {
 		during func(int) (Sign, bool)
 		want   []string
 	}{
-		"nothing":                 {fails(Heard, 0, 0), nil},
-		"one node":                {fails(NoWay, 8, 9), nil},
-		"a rack of four of eight": {fails(NoWay, 8, 12), []string{"1 thin", "1 present"}},
-		"a slow site":             {fails(Silence, 8, 16), []string{"1 slow", "1 present"}},
-		"a site":                  {fails(NoWay, 8, 16), []string{"1 lost", "1 back", "1 present"}},
-		"this manager":            {fails(NoWay, 0, 16), []string{"alone true", "alone false"}},
-		"this manager, silently":  {fails(Silence, 0, 16), nil},
+		"nothing":                 {nodesFail(SignHeard, 0, 0), nil},
+		"one node":                {nodesFail(SignUnreachable, 8, 9), nil},
+		"a rack of four of eight": {nodesFail(SignUnreachable, 8, 12), []string{"1 thin", "1 present"}},
+		"a slow site":             {nodesFail(SignNoAnswer, 8, 16), []string{"1 slow", "1 present"}},
+		"a site":                  {nodesFail(SignUnreachable, 8, 16), []string{"1 lost", "1 back", "1 present"}},
+		"this manager":            {nodesFail(SignUnreachable, 0, 16), []string{"alone true", "alone false"}},
+		"this manager, silently":  {nodesFail(SignNoAnswer, 0, 16), nil},
 		"nobody asks":             {func(int) (Sign, bool) { return 0, false }, nil},
 	} {
 		for seed := range uint64(20) {
-			v := newWorld(seed)
-			v.run(10 * time.Second)
-			v.mark, v.sign = v.now, e.during
-			v.run(15 * time.Second)
-			v.sign = fails(Heard, 0, 0)
-			v.run(40 * time.Second)
-			got := v.told
+			h := newWatchHarness(seed)
+			h.advance(10 * time.Second)
+			h.markedAt, h.nextSign = h.now, e.during
+			h.advance(15 * time.Second)
+			h.nextSign = nodesFail(SignHeard, 0, 0)
+			h.advance(40 * time.Second)
+			got := h.noticed
 			// On the way a loss may look like a thin site, or a cut-off manager's world.
 			var end []string
 			for i, s := range got {
@@ -99,10 +99,10 @@
 			if fmt.Sprint(end) != fmt.Sprint(e.want) {
 				t.Errorf("%s, seed %d: told %v, want %v", name, seed, got, e.want)
 			}
-			if at, ok := v.after["1 lost"]; ok && at > 4*time.Second {
+			if at, ok := h.noticedAfter["1 lost"]; ok && at > 4*time.Second {
 				t.Errorf("%s, seed %d: told after %v", name, seed, at)
 			}
-			if at, ok := v.after["alone true"]; ok && at > 5*time.Second {
+			if at, ok := h.noticedAfter["alone true"]; ok && at > 5*time.Second {
 				t.Errorf("%s, seed %d: alone after %v", name, seed, at)
 			}
 		}
@@ -111,29 +111,29 @@
 
 // A rolling release: nodes of a site go one after the other, and the list says of each
 // that it drains before it goes, or a few seconds late.
-func TestWatchRelease(t *testing.T) {
+func TestWatchRollingRelease(t *testing.T) {
 	for _, late := range []time.Duration{0, 3 * time.Second} {
 		for seed := range uint64(10) {
-			v := newWorld(seed)
+			h := newWatchHarness(seed)
 			gone := map[int]bool{}
-			v.sign = func(n int) (Sign, bool) {
+			h.nextSign = func(n int) (Sign, bool) {
 				if gone[n] {
-					return NoWay, true
+					return SignUnreachable, true
 				}
-				return Heard, true
+				return SignHeard, true
 			}
 			for n := 8; n < 16; n++ {
 				gone[n] = true
-				v.run(late)
-				v.w.Listed(1, uint64(n), false)
-				v.run(4*time.Second - late)
+				h.advance(late)
+				h.watch.UpdateNode(1, uint64(n), false)
+				h.advance(4*time.Second - late)
 				gone[n] = false
-				v.w.Listed(1, uint64(n), true)
-				v.run(time.Second)
+				h.watch.UpdateNode(1, uint64(n), true)
+				h.advance(time.Second)
 			}
-			for _, s := range v.told {
+			for _, s := range h.noticed {
 				if s == "1 lost" || s == "alone true" {
-					t.Errorf("late by %v, seed %d: %v", late, seed, v.told)
+					t.Errorf("late by %v, seed %d: %v", late, seed, h.noticed)
 				}
 			}
 		}
@@ -142,65 +142,65 @@
 
 // A site that comes and goes is counted; one that is back for a second is lost again
 // within 4 s; a list that names it no more ends nothing before it is heard of.
-func TestWatchFlaps(t *testing.T) {
-	v := newWorld(3)
-	v.run(5 * time.Second)
+func TestWatchFlappingSite(t *testing.T) {
+	h := newWatchHarness(3)
+	h.advance(5 * time.Second)
 	for i := range 3 {
-		v.sign = fails(NoWay, 8, 16)
-		v.run(8 * time.Second)
-		if v.w.State(1) != Lost {
-			t.Fatalf("loss %d: %v, told %v", i, v.w.State(1), v.told)
+		h.nextSign = nodesFail(SignUnreachable, 8, 16)
+		h.advance(8 * time.Second)
+		if h.watch.State(1) != StateLost {
+			t.Fatalf("loss %d: %v, told %v", i, h.watch.State(1), h.noticed)
 		}
-		v.sign = fails(Heard, 0, 0)
-		v.run(time.Second)
-		if v.w.State(1) == Lost || v.w.Returns(v.now, 1) != i+1 {
-			t.Fatalf("return %d: %v, %d returns", i, v.w.State(1), v.w.Returns(v.now, 1))
+		h.nextSign = nodesFail(SignHeard, 0, 0)
+		h.advance(time.Second)
+		if h.watch.State(1) == StateLost || h.watch.ReturnCount(h.now, 1) != i+1 {
+			t.Fatalf("return %d: %v, %d returns", i, h.watch.State(1), h.watch.ReturnCount(h.now, 1))
 		}
 	}
-	v.run(70 * time.Second)
-	if v.w.State(1) != Present || v.w.Returns(v.now, 1) != 0 {
-		t.Errorf("a minute later: %v, %d returns", v.w.State(1), v.w.Returns(v.now, 1))
+	h.advance(70 * time.Second)
+	if h.watch.State(1) != StatePresent || h.watch.ReturnCount(h.now, 1) != 0 {
+		t.Errorf("a minute later: %v, %d returns", h.watch.State(1), h.watch.ReturnCount(h.now, 1))
 	}
-	v.sign = fails(NoWay, 8, 16)
-	v.run(6 * time.Second)
+	h.nextSign = nodesFail(SignUnreachable, 8, 16)
+	h.advance(6 * time.Second)
 	for n := 8; n < 16; n++ {
-		v.w.Listed(1, uint64(n), false)
+		h.watch.UpdateNode(1, uint64(n), false)
 	}
-	v.run(2 * time.Second)
-	if v.w.State(1) != Lost {
-		t.Errorf("off the list: %v", v.w.State(1))
+	h.advance(2 * time.Second)
+	if h.watch.State(1) != StateLost {
+		t.Errorf("off the list: %v", h.watch.State(1))
 	}
-	v.w.Listed(1, 20, true)
-	v.w.Saw(v.now, 20, Heard)
-	if v.run(time.Second); v.w.State(1) == Lost {
+	h.watch.UpdateNode(1, 20, true)
+	h.watch.RecordSign(h.now, 20, SignHeard)
+	if h.advance(time.Second); h.watch.State(1) == StateLost {
 		t.Error("a new node of it is heard of, and it is lost still")
 	}
 	// What times out at once after this manager stood still is no evidence.
-	v = newWorld(4)
-	v.run(5 * time.Second)
+	h = newWatchHarness(4)
+	h.advance(5 * time.Second)
 	for n := range uint64(16) {
-		v.w.Saw(v.now, n, NoWay)
+		h.watch.RecordSign(h.now, n, SignUnreachable)
 	}
-	v.w.Forget()
-	if v.run(10 * time.Second); len(v.told) != 0 {
-		t.Errorf("after a stand: %v", v.told)
+	h.watch.ForgetFailures()
+	if h.advance(10 * time.Second); len(h.noticed) != 0 {
+		t.Errorf("after a stand: %v", h.noticed)
 	}
 }
 
 // A manager that is cut off in a moment in which a site has failed by chance: what fails
 // from there on is its own.
 func TestWatchCutOffAfterFailures(t *testing.T) {
-	v := newWorld(5)
-	v.run(5 * time.Second)
+	h := newWatchHarness(5)
+	h.advance(5 * time.Second)
 	for n := range uint64(3) { // three failures of a, each with a word of b before
-		v.w.Saw(v.now, n, Silence)
-		v.now = v.now.Add(50 * time.Millisecond)
-		v.w.Saw(v.now, 8, Heard)
+		h.watch.RecordSign(h.now, n, SignNoAnswer)
+		h.now = h.now.Add(50 * time.Millisecond)
+		h.watch.RecordSign(h.now, 8, SignHeard)
 	}
-	v.sign = fails(NoWay, 0, 16)
-	v.run(8 * time.Second)
-	if v.w.State(0) == Lost || v.w.State(1) == Lost || !v.w.Alone() {
-		t.Errorf("told %v", v.told)
+	h.nextSign = nodesFail(SignUnreachable, 0, 16)
+	h.advance(8 * time.Second)
+	if h.watch.State(0) == StateLost || h.watch.State(1) == StateLost || !h.watch.Isolated() {
+		t.Errorf("told %v", h.noticed)
 	}
 }
 
@@ -211,33 +211,33 @@
 	if testing.Short() {
 		day = time.Hour
 	}
-	v := newWorld(9)
-	bad := map[int]Sign{}
-	until := map[int]time.Time{}
-	v.sign = func(n int) (Sign, bool) {
-		if s, ok := bad[n]; ok && v.now.Before(until[n]) {
+	h := newWatchHarness(9)
+	faulty := map[int]Sign{}
+	faultyUntil := map[int]time.Time{}
+	h.nextSign = func(n int) (Sign, bool) {
+		if s, ok := faulty[n]; ok && h.now.Before(faultyUntil[n]) {
 			return s, true
 		}
-		return Heard, true
+		return SignHeard, true
 	}
 	faults := 0
-	for v.now.Before(time.Unix(1000, 0).Add(day)) {
-		for range 1 + v.src.IntN(3) { // of sixteen nodes up to three at a time, as the operators' days have it
-			n := v.src.IntN(16)
-			bad[n] = []Sign{NoWay, Silence, Broke}[v.src.IntN(3)]
-			until[n] = v.now.Add(5*time.Second + time.Duration(v.src.Int64N(int64(25*time.Second))))
+	for h.now.Before(time.Unix(1000, 0).Add(day)) {
+		for range 1 + h.rng.IntN(3) { // of sixteen nodes up to three at a time, as the operators' days have it
+			n := h.rng.IntN(16)
+			faulty[n] = []Sign{SignUnreachable, SignNoAnswer, SignConnectionLost}[h.rng.IntN(3)]
+			faultyUntil[n] = h.now.Add(5*time.Second + time.Duration(h.rng.Int64N(int64(25*time.Second))))
 			faults++
 		}
-		v.run(20 * time.Second)
+		h.advance(20 * time.Second)
 	}
-	lost := 0
-	for _, s := range v.told {
+	falseAlarms := 0
+	for _, s := range h.noticed {
 		if s[2:] == "lost" || s == "alone true" {
-			lost++
+			falseAlarms++
 		}
 	}
-	t.Logf("%d faults of nodes in %v: %d false alarms, %d notices", faults, day, lost, len(v.told))
-	if lost > 0 {
-		t.Errorf("%d false alarms", lost)
+	t.Logf("%d faults of nodes in %v: %d false alarms, %d notices", faults, day, falseAlarms, len(h.noticed))
+	if falseAlarms > 0 {
+		t.Errorf("%d false alarms", falseAlarms)
 	}
 }
--- a/internal/standin/loss.go
+++ b/internal/standin/loss.go
@@ -61,8 +61,8 @@
 		}}, e.Seed)
 	defer fleet.Close()
 	rate := e.Utilization * settings.FleetLinkKB / 640 / (0.35*45.5 + 0.65*35)
-	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.Expect{{Lasts: 45500 * time.Millisecond}, {Lasts: 35 * time.Second}},
-		Rules: []site.Rule{{Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}, {Tier: []int{0, 0}, Warm: 3 * time.Second, Share: 0.2}}}
+	sites := broker.SiteConfig{Names: []string{"a", "b"}, SiteByZone: []int{0, 1}, Expected: []site.ExpectedLoad{{MeanLength: 45500 * time.Millisecond}, {MeanLength: 35 * time.Second}},
+		Rules: []site.Rule{{Tiers: []int{0, 0}, WarmUp: 3 * time.Second, InitialShare: 0.2}, {Tiers: []int{0, 0}, WarmUp: 3 * time.Second, InitialShare: 0.2}}}
 	for k, c := range settings.Classes {
 		class := site.Class{Name: []string{"clip", "feed"}[k], Floor: c.FloorRung, Top: c.TopRung, RatesKB: settings.RatesKB}
 		for _, w := range settings.LadderWorth {
@@ -167,14 +167,14 @@
 func optimumDuringLoss(s broker.SiteConfig, settings control.Settings, links []float64, zones []int, rate float64, managersLost bool) (float64, error) {
 	var nodes []site.Node
 	for i, kb := range links {
-		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, Places: float64(settings.MaxStreamsByKind[0])})
+		nodes = append(nodes, site.Node{Site: zones[i], Rack: i, LinkKB: kb * control.TargetUtilization, MaxStreams: float64(settings.MaxStreamsByKind[0])})
 	}
-	f := &site.Fleet{Classes: s.Classes, Sites: site.Build(s.Names, nodes, 1e12)}
-	f.Demands = f.Spread([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
+	f := &site.Fleet{Classes: s.Classes, Sites: site.BuildSites(s.Names, nodes, 1e12)}
+	f.Demands = f.SpreadDemand([]float64{rate * 0.35 * 45.5, rate * 0.65 * 35}, func(int, int) int { return 0 })
 	if !managersLost { // viewers of lost managers ask managers of the first site and do not cross zones
-		f.Cross = settings.CrossZoneCost
+		f.CrossSiteCost = settings.CrossZoneCost
 	}
-	p, err := site.Make(f, 1)
+	p, err := site.MakePlan(f, 1)
 	return p.Worth, err
 }
 
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,56 +14,56 @@
 )
 
 const (
-	headerLen   = 20
-	replyLen    = 8
-	maxFrame    = 1 << 30 // larger frames are taken as a fault of the stream
-	entryLen    = 24
-	recordStart = 5
+	batchHeaderLen  = 20
+	replyHeaderLen  = 8
+	maxFrame        = 1 << 30 // larger frames are taken as a fault of the stream
+	listEntryLen    = 24
+	recordHeaderLen = 5
 )
 
 // Codes of the records that are read.
 const (
-	codeUp      = 1
-	codeView    = 2
-	codeArrival = 3
-	codeHead    = 4
-	codeEnd     = 5
-	codeAborted = 6
-	codeFired   = 7
-	codePong    = 8
-	codeDestroy = 10
-	codeOpen    = 11
-	codeNote    = 12
-	codeCensus  = 13
-	listNumbers = 256
-	codeWatch   = 1
-	codePitch   = 2
-	codeBailOut = 3
-	codeWake    = 4
-	codeAskLoad = 7
-	codeRemark  = 8
-	codeDeny    = 9
-	codeFail    = 10
-	codeMove    = 13
-	codeHandOff = 14
+	codeStart          = 1
+	codeList           = 2
+	codeArrival        = 3
+	codeStarted        = 4
+	codeAttemptEnded   = 5
+	codeAbandoned      = 6
+	codeTimer          = 7
+	codeProbeResult    = 8
+	codeKill           = 10
+	codeEstablished    = 11
+	codeNote           = 12
+	codeListContents   = 13
+	maxLists           = 256
+	codeSubscribe      = 1
+	codeSetRung        = 2
+	codeInstanceFailed = 3
+	codeSetTimer       = 4
+	codeProbe          = 7
+	codeRemark         = 8
+	codeRefuse         = 9
+	codeFail           = 10
+	codeMove           = 13
+	codeSetUp          = 14
 )
 
 // Kind tells the records that concern the adapter from those it passes on.
 type Kind int
 
 const (
-	KindEvent   Kind = iota // Event is for the instance's Controller
-	KindUp                  // the instance starts: Seed, Params
-	KindDestroy             // the instance is killed
+	KindEvent Kind = iota // Event is for the instance's Controller
+	KindStart             // the instance starts: Seed, Params
+	KindKill              // the instance is killed
 )
 
 // Record is one decoded record of a batch.
 type Record struct {
-	Kind     Kind
-	Instance uint16
-	Seed     uint64
-	Params   []byte
-	Event    control.Event
+	Kind         Kind
+	Instance     uint16
+	Seed         uint64
+	SettingsJSON []byte
+	Event        control.Event
 }
 
 // Batch is one decoded frame.
@@ -80,7 +80,7 @@
 type Decoder struct {
 	r     *bufio.Reader
 	buf   []byte
-	lists [listNumbers][]control.Entry
+	lists [maxLists][]control.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -91,19 +91,19 @@
 // Next reads one batch. It returns io.EOF at the end of input between frames.
 // The batch's byte slices are valid until the next call.
 func (d *Decoder) Next() (Batch, error) {
-	var head [headerLen]byte
+	var head [batchHeaderLen]byte
 	if _, err := io.ReadFull(d.r, head[:]); err != nil {
 		if err == io.EOF {
 			return Batch{}, io.EOF
 		}
 		return Batch{}, ErrTruncated
 	}
-	size := binary.LittleEndian.Uint32(head[12:])
+	frameSize := binary.LittleEndian.Uint32(head[12:])
 	count := binary.LittleEndian.Uint32(head[16:])
-	if size < headerLen || size > maxFrame {
-		return Batch{}, fmt.Errorf("wire: frame size %d", size)
+	if frameSize < batchHeaderLen || frameSize > maxFrame {
+		return Batch{}, fmt.Errorf("wire: frame size %d", frameSize)
 	}
-	body, err := d.read(int(size) - headerLen)
+	body, err := d.read(int(frameSize) - batchHeaderLen)
 	if err != nil {
 		return Batch{}, err
 	}
@@ -112,21 +112,21 @@
 		Now: math.Float64frombits(binary.LittleEndian.Uint64(head[4:])),
 	}
 	for i := uint32(0); i < count; i++ {
-		if len(body) < recordStart {
+		if len(body) < recordHeaderLen {
 			return Batch{}, fmt.Errorf("wire: record %d: %w", i, ErrTruncated)
 		}
-		n := binary.LittleEndian.Uint32(body[1:])
-		if uint64(n) > uint64(len(body)-recordStart) {
+		size := binary.LittleEndian.Uint32(body[1:])
+		if uint64(size) > uint64(len(body)-recordHeaderLen) {
 			return Batch{}, fmt.Errorf("wire: record %d overruns its frame", i)
 		}
-		rec, ok, err := d.record(body[0], body[recordStart:recordStart+n])
+		rec, ok, err := d.decodeRecord(body[0], body[recordHeaderLen:recordHeaderLen+size])
 		if err != nil {
 			return Batch{}, fmt.Errorf("wire: record %d, code %d: %w", i, body[0], err)
 		}
 		if ok {
 			b.Records = append(b.Records, rec)
 		}
-		body = body[recordStart+n:]
+		body = body[recordHeaderLen+size:]
 	}
 	if len(body) != 0 {
 		return Batch{}, fmt.Errorf("wire: %d bytes after the last record", len(body))
@@ -137,100 +137,100 @@
 // read returns the next n bytes. It grows the buffer as bytes come in, so that
 // a false length can't make it allocate much more than was sent.
 func (d *Decoder) read(n int) ([]byte, error) {
-	const step = 1 << 20
+	const maxStep = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < n {
-		m := min(n-len(d.buf), step)
-		at := len(d.buf)
-		d.buf = append(d.buf, make([]byte, m)...)
-		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
+		step := min(n-len(d.buf), maxStep)
+		start := len(d.buf)
+		d.buf = append(d.buf, make([]byte, step)...)
+		if _, err := io.ReadFull(d.r, d.buf[start:]); err != nil {
 			return nil, ErrTruncated
 		}
 	}
 	return d.buf, nil
 }
 
-// fields reads the fields of one record; past the end it notes an error and
+// fieldReader reads the fields of one record; past the end it notes an error and
 // yields zeros.
-type fields struct {
-	b     []byte
-	short bool
+type fieldReader struct {
+	rest      []byte
+	truncated bool
 }
 
-func (f *fields) take(n int) []byte {
-	if n > len(f.b) {
-		f.short = true
-		f.b = nil
+func (f *fieldReader) take(n int) []byte {
+	if n > len(f.rest) {
+		f.truncated = true
+		f.rest = nil
 		return make([]byte, min(n, 8))
 	}
-	v := f.b[:n]
-	f.b = f.b[n:]
-	return v
+	taken := f.rest[:n]
+	f.rest = f.rest[n:]
+	return taken
 }
 
-func (f *fields) u8() uint8    { return f.take(1)[0] }
-func (f *fields) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
-func (f *fields) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
-func (f *fields) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
-func (f *fields) f64() float64 { return math.Float64frombits(f.u64()) }
-func (f *fields) f32() float64 { return float64(math.Float32frombits(f.u32())) }
+func (f *fieldReader) u8() uint8    { return f.take(1)[0] }
+func (f *fieldReader) u16() uint16  { return binary.LittleEndian.Uint16(f.take(2)) }
+func (f *fieldReader) u32() uint32  { return binary.LittleEndian.Uint32(f.take(4)) }
+func (f *fieldReader) u64() uint64  { return binary.LittleEndian.Uint64(f.take(8)) }
+func (f *fieldReader) f64() float64 { return math.Float64frombits(f.u64()) }
+func (f *fieldReader) f32() float64 { return float64(math.Float32frombits(f.u32())) }
 
-func (f *fields) server() control.ServerID {
+func (f *fieldReader) server() control.ServerID {
 	addr := f.take(4)
 	a := binary.BigEndian.Uint32(addr)
 	return control.ServerID(uint64(a)<<16 | uint64(f.u16()))
 }
 
 // bytes returns n bytes, or nothing when fewer are left.
-func (f *fields) bytes(n int) []byte {
-	if n > len(f.b) {
-		f.short = true
+func (f *fieldReader) bytes(n int) []byte {
+	if n > len(f.rest) {
+		f.truncated = true
 		return nil
 	}
 	return f.take(n)
 }
 
-func (f *fields) load() []float64 {
-	n := int(f.u8())
-	if n == 0 || n*4 > len(f.b) {
-		f.short = f.short || n > 0
+func (f *fieldReader) loadReport() []float64 {
+	count := int(f.u8())
+	if count == 0 || count*4 > len(f.rest) {
+		f.truncated = f.truncated || count > 0
 		return nil
 	}
-	v := make([]float64, n)
-	for i := range v {
-		v[i] = f.f32()
+	values := make([]float64, count)
+	for i := range values {
+		values[i] = f.f32()
 	}
-	return v
+	return values
 }
 
-// whole turns a wire number into a count; what is no small number becomes -1.
-func whole(v float64) int {
+// countOrInvalid turns a wire number into a count; what is no small number becomes -1.
+func countOrInvalid(v float64) int {
 	if v >= 0 && v < 1<<30 {
 		return int(v)
 	}
 	return -1
 }
 
-const markHint = 1
+const flagLengthKnown = 1
 
-func (d *Decoder) record(code byte, b []byte) (Record, bool, error) {
-	f := &fields{b: b}
-	if code == codeCensus {
-		return Record{}, false, d.census(f)
+func (d *Decoder) decodeRecord(code byte, b []byte) (Record, bool, error) {
+	f := &fieldReader{rest: b}
+	if code == codeListContents {
+		return Record{}, false, d.decodeList(f)
 	}
-	if code < codeUp || code > codeCensus {
+	if code < codeStart || code > codeListContents {
 		return Record{}, false, nil
 	}
 	rec := Record{Instance: f.u16()}
 	e := &rec.Event
 	switch code {
-	case codeUp:
-		rec.Kind = KindUp
+	case codeStart:
+		rec.Kind = KindStart
 		rec.Seed = f.u64()
-		rec.Params = f.bytes(int(f.u32()))
-	case codeDestroy:
-		rec.Kind = KindDestroy
-	case codeView:
+		rec.SettingsJSON = f.bytes(int(f.u32()))
+	case codeKill:
+		rec.Kind = KindKill
+	case codeList:
 		e.Kind = control.EventList
 		list := f.u8()
 		f.u32()
@@ -255,42 +255,42 @@
 		f.u64() // the viewer
 		e.Title = f.u64()
 		e.TimeLeftS, e.ExpectedLengthS = f.f64(), f.f64()
-		e.HomeCell, e.Copies, e.MaxRung = whole(f.f32()), whole(f.f32()), f.f32()
-		marks(e, f.u16())
-	case codeOpen:
+		e.HomeCell, e.Copies, e.MaxRung = countOrInvalid(f.f32()), countOrInvalid(f.f32()), f.f32()
+		applyFlags(e, f.u16())
+	case codeEstablished:
 		e.Kind = control.EventEstablished
 		e.Session = control.SessionID(f.u64())
-		e.HomeCell = whole(f.f32())
+		e.HomeCell = countOrInvalid(f.f32())
 		f.u16() // the tenant
 		e.Title = f.u64()
 		e.Server = f.server()
-		m := f.u16()
+		flags := f.u16()
 		e.ExpectedLengthS, e.TimeLeftS = f.f64(), f.f64()
-		e.Class, e.Copies, e.MaxRung = int(f.u16()), whole(f.f32()), f.f32()
+		e.Class, e.Copies, e.MaxRung = int(f.u16()), countOrInvalid(f.f32()), f.f32()
 		f.u64() // the viewer
-		marks(e, m)
-	case codeHead:
+		applyFlags(e, flags)
+	case codeStarted:
 		e.Kind = control.EventStarted
 		e.Session, e.Server = control.SessionID(f.u64()), f.server()
 		f.f64() // how long ago it was sent
 		e.Attempt = int(f.u8())
-	case codeEnd:
+	case codeAttemptEnded:
 		e.Kind = control.EventAttemptEnded
 		e.Session, e.Attempt = control.SessionID(f.u64()), int(f.u8())
 		e.Server, e.Status = f.server(), control.Status(f.u8())
 		f.f64() // how long ago it was sent
-		e.RequestFinished, e.Load = f.u8() != 0, f.load()
-	case codeAborted:
+		e.RequestFinished, e.Load = f.u8() != 0, f.loadReport()
+	case codeAbandoned:
 		e.Kind = control.EventAbandoned
 		e.Session = control.SessionID(f.u64())
-	case codeFired:
+	case codeTimer:
 		e.Kind = control.EventTimer
 		e.Token = f.u32()
-	case codePong:
+	case codeProbeResult:
 		e.Kind = control.EventProbeResult
 		e.Server, e.Status = f.server(), control.Status(f.u8())
 		f.f64() // how long ago it was asked
-		e.Load = f.load()
+		e.Load = f.loadReport()
 	case codeNote:
 		e.Kind = control.EventNote
 		e.Session, e.Note = control.SessionID(f.u64()), control.NoteKind(f.u8())
@@ -298,22 +298,22 @@
 	default: // a message of another front, say: nothing here reads it
 		return Record{}, false, nil
 	}
-	if f.short {
+	if f.truncated {
 		return Record{}, false, ErrTruncated
 	}
 	return rec, true, nil
 }
 
-func marks(e *control.Event, m uint16) {
-	if m&markHint == 0 {
+func applyFlags(e *control.Event, flags uint16) {
+	if flags&flagLengthKnown == 0 {
 		e.ExpectedLengthS = 0
 	}
 }
 
-func (d *Decoder) census(f *fields) error {
+func (d *Decoder) decodeList(f *fieldReader) error {
 	list := f.u8()
 	n := int(f.u32())
-	if f.short || n > len(f.b)/entryLen {
+	if f.truncated || n > len(f.rest)/listEntryLen {
 		return ErrTruncated
 	}
 	entries := make([]control.Entry, n)
@@ -356,15 +356,15 @@
 	return err
 }
 
-func (e *Encoder) open(code byte, instance uint16) int {
+func (e *Encoder) beginRecord(code byte, instance uint16) int {
 	e.buf = append(e.buf, code, 0, 0, 0, 0)
-	at := len(e.buf)
+	start := len(e.buf)
 	e.buf = binary.LittleEndian.AppendUint16(e.buf, instance)
-	return at
+	return start
 }
 
-func (e *Encoder) close(at int) {
-	binary.LittleEndian.PutUint32(e.buf[at-4:], uint32(len(e.buf)-at))
+func (e *Encoder) endRecord(start int) {
+	binary.LittleEndian.PutUint32(e.buf[start-4:], uint32(len(e.buf)-start))
 }
 
 func (e *Encoder) u8(v int)      { e.buf = append(e.buf, byte(v)) }
@@ -382,51 +382,51 @@
 	e.buf = binary.LittleEndian.AppendUint16(e.buf, uint16(s))
 }
 
-// BailOut adds the word that an instance's decision code has failed.
-func (e *Encoder) BailOut(instance uint16, text string) {
-	at := e.open(codeBailOut, instance)
+// InstanceFailed adds the word that an instance's decision code has failed.
+func (e *Encoder) InstanceFailed(instance uint16, text string) {
+	start := e.beginRecord(codeInstanceFailed, instance)
 	e.text([]byte(text))
-	e.close(at)
+	e.endRecord(start)
 }
 
 // Action adds one action of an instance.
 func (e *Encoder) Action(instance uint16, a control.Action) {
 	code := actionCodes[a.Kind]
-	at := e.open(code, instance)
+	start := e.beginRecord(code, instance)
 	switch code {
-	case codeHandOff:
+	case codeSetUp:
 		e.u64(uint64(a.Session))
 		e.server(a.Server)
 		e.f64(a.SetupTimeoutS)
-	case codePitch:
+	case codeSetRung:
 		e.u64(uint64(a.Session))
 		e.u8(a.Rung)
-	case codeDeny:
+	case codeRefuse:
 		e.u64(uint64(a.Session))
 		e.f64(a.RetryAfterS)
 	case codeFail, codeMove:
 		e.u64(uint64(a.Session))
-	case codeWake:
+	case codeSetTimer:
 		e.f64(a.DelayS)
 		e.u32(a.Token)
-	case codeAskLoad:
+	case codeProbe:
 		e.server(a.Server)
-	case codeWatch:
+	case codeSubscribe:
 		e.u8(1)
 	case codeRemark:
 		e.text([]byte(a.Text))
 	}
-	e.close(at)
+	e.endRecord(start)
 }
 
 var actionCodes = [...]byte{
-	control.ActionSetUp:     codeHandOff,
-	control.ActionSetRung:   codePitch,
-	control.ActionRefuse:    codeDeny,
+	control.ActionSetUp:     codeSetUp,
+	control.ActionSetRung:   codeSetRung,
+	control.ActionRefuse:    codeRefuse,
 	control.ActionFail:      codeFail,
-	control.ActionSetTimer:  codeWake,
-	control.ActionProbe:     codeAskLoad,
-	control.ActionSubscribe: codeWatch,
+	control.ActionSetTimer:  codeSetTimer,
+	control.ActionProbe:     codeProbe,
+	control.ActionSubscribe: codeSubscribe,
 	control.ActionRemark:    codeRemark,
 	control.ActionMove:      codeMove,
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -96,18 +96,18 @@
 
 func frame(records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
-	b := make([]byte, headerLen, headerLen+len(body))
-	binary.LittleEndian.PutUint32(b[12:], uint32(headerLen+len(body)))
+	b := make([]byte, batchHeaderLen, batchHeaderLen+len(body))
+	binary.LittleEndian.PutUint32(b[12:], uint32(batchHeaderLen+len(body)))
 	binary.LittleEndian.PutUint32(b[16:], uint32(len(records)))
 	return append(b, body...)
 }
 
-func TestServersRoundTrip(t *testing.T) {
-	census := unhex(t, `0d 35000000 00 02000000
+func TestServerListRoundTrip(t *testing.T) {
+	contents := unhex(t, `0d 35000000 00 02000000
 		01 0100 0000 0000000000000000 0a124a07 931f 00 0000803f
 		00 0200 0100 6666666666661840 0a9011f2 bc1f 01 0000c03f`)
-	view := unhex(t, `02 08000000 0300 00 29000000 01`)
-	b, err := NewDecoder(bytes.NewReader(frame(census, view))).Next()
+	list := unhex(t, `02 08000000 0300 00 29000000 01`)
+	b, err := NewDecoder(bytes.NewReader(frame(contents, list))).Next()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,19 +126,19 @@
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestDecodeErrors(t *testing.T) {
 	good := unhex(t, goldenBatch)
-	long := append([]byte(nil), good...)
-	binary.LittleEndian.PutUint32(long[12:], 1<<29)
+	falseLength := append([]byte(nil), good...)
+	binary.LittleEndian.PutUint32(falseLength[12:], 1<<29)
 	overrun := frame([]byte{6, 200, 0, 0, 0, 1, 0})
 	for name, in := range map[string][]byte{
 		"header cut":    good[:7],
 		"body cut":      good[:len(good)-3],
-		"false length":  long,
+		"false length":  falseLength,
 		"record long":   overrun,
 		"record short":  frame([]byte{6, 2, 0, 0, 0, 1, 0}),
 		"census count":  frame([]byte{13, 5, 0, 0, 0, 0, 255, 255, 255, 255}),
-		"size too low":  make([]byte, headerLen),
+		"size too low":  make([]byte, batchHeaderLen),
 		"trailing byte": append(frame()[:0], func() []byte { b := frame(nil); b[16] = 0; b[12]++; return append(b, 9) }()...),
 	} {
 		if _, err := NewDecoder(bytes.NewReader(in)).Next(); err == nil || errors.Is(err, io.EOF) {
@@ -146,7 +146,7 @@
 		}
 	}
 	b, err := NewDecoder(bytes.NewReader(frame([]byte{99, 1, 0, 0, 0, 7}, []byte{9, 2, 0, 0, 0, 4, 0}, []byte{10, 2, 0, 0, 0, 4, 0}))).Next()
-	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindDestroy {
+	if err != nil || len(b.Records) != 1 || b.Records[0].Kind != KindKill {
 		t.Errorf("an unknown code is not skipped: %+v, %v", b, err)
 	}
 }
