--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -35,7 +35,7 @@
 
 // instanceRecords returns the records of one instance.
 func instanceRecords(name, state string, port uint16) []dnsmessage.Resource {
-	return standin.Instance(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
+	return standin.ServiceRecords(service, name, 1, port, "ZONE=west", "kind=std", "cell=3", "size=1.5", "up=2000", "state="+state, "zone=east")
 }
 
 // listenUDPAndTCP listens on one port over both transports.
@@ -58,7 +58,7 @@
 	udp, tcp := listenUDPAndTCP(t)
 	defer udp.Close()
 	defer tcp.Close()
-	var server standin.DNS
+	var server standin.DNSServer
 	go server.Serve(udp, tcp)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -77,16 +77,16 @@
 		}
 	}
 	a, b := "a._rtsp._tcp.media.example 127.0.0.1:1001 ", "b._rtsp._tcp.media.example 127.0.0.1:1002 "
-	server.Set(false, instanceRecords("a", "ready", 1001)...)
+	server.SetRecords(false, instanceRecords("a", "ready", 1001)...)
 	go d.Run(ctx)
 	expect(a + "1 1 3 1.5 2")
-	server.Set(true, append(instanceRecords("a", "ready", 1001), instanceRecords("b", "ready", 1002)...)...) // over TCP
+	server.SetRecords(true, append(instanceRecords("a", "ready", 1001), instanceRecords("b", "ready", 1002)...)...) // over TCP
 	expect(b + "1 1 3 1.5 2")
-	server.Set(false, append(instanceRecords("a", "draining", 1001), instanceRecords("b", "ready", 1002)...)...)
+	server.SetRecords(false, append(instanceRecords("a", "draining", 1001), instanceRecords("b", "ready", 1002)...)...)
 	expect(a + "0 1 3 1.5 2")
-	server.Set(false, instanceRecords("b", "ready", 1002)...)
+	server.SetRecords(false, instanceRecords("b", "ready", 1002)...)
 	expect(a + "2 1 3 1.5 2")
-	server.Set(false)
+	server.SetRecords(false)
 	expect(b + "2 1 3 1.5 2")
 }
 
--- a/internal/fleettest/judge.go
+++ b/internal/fleettest/judge.go
@@ -202,7 +202,7 @@
 	if len(s.answers) > 0 || abandonedEarly || due.After(j.recordEnd) {
 		return
 	}
-	if u := j.upgradeAt(s.request.Manager, s.request.At); u != nil && s.connClosed != nil && s.connClosed.Text == unread && len(s.attempts) == 0 {
+	if u := j.upgradeAt(s.request.Manager, s.request.At); u != nil && s.connClosed != nil && s.connClosed.Text == connNeverAnswered && len(s.attempts) == 0 {
 		u.turnedBack++ // the manager never read the request
 		return
 	}
@@ -320,7 +320,7 @@
 		e := &events[i]
 		key := pair{e.Manager, e.Node}
 		switch {
-		case e.Kind == ListUpdated && e.Text == inService:
+		case e.Kind == ListUpdated && e.Text == phaseInService:
 			delete(drainTold, key)
 		case e.Kind == ListUpdated:
 			if _, ok := drainTold[key]; !ok {
--- a/internal/fleettest/judge_ops.go
+++ b/internal/fleettest/judge_ops.go
@@ -25,7 +25,7 @@
 
 // DefaultOperationLimits are the limits that the operators' documentation states.
 var DefaultOperationLimits = OperationLimits{CallAnswer: 2 * time.Second, DisableEffect: time.Second, DisableOverlap: 250 * time.Millisecond, Reuse: 7 * time.Second,
-	DrainTime: 4500 * time.Millisecond, UndrainTime: 3 * time.Second, SuccessorStart: 10 * time.Second, SuccessorListTime: 2 * time.Second, TurnedBack: 2, Descriptors: 1024, MemoryMB: managerMB}
+	DrainTime: 4500 * time.Millisecond, UndrainTime: 3 * time.Second, SuccessorStart: 10 * time.Second, SuccessorListTime: 2 * time.Second, TurnedBack: 2, Descriptors: 1024, MemoryMB: managerMemoryMB}
 
 // upgrade is a time span in which a manager has two processes.
 type upgrade struct {
@@ -130,7 +130,7 @@
 			}
 		case NodeStopped, NodeStarted, ListUpdated: // an unavailable node is not used; cold starts are judged by checkColdNodes
 			for other := range reenabled {
-				if other.node == e.Node && (e.Kind == NodeStopped || e.Kind == ListUpdated && e.Manager == other.manager && e.Text != inService) {
+				if other.node == e.Node && (e.Kind == NodeStopped || e.Kind == ListUpdated && e.Manager == other.manager && e.Text != phaseInService) {
 					delete(reenabled, other)
 				}
 			}
@@ -416,7 +416,7 @@
 	}
 	size, disabled := 0, 0
 	for node, phase := range state.phases {
-		if phase == terminated {
+		if phase == phaseTerminated {
 			continue
 		}
 		size++
--- a/internal/fleettest/judge_ops_test.go
+++ b/internal/fleettest/judge_ops_test.go
@@ -28,7 +28,7 @@
 	frontSample := func(ms int, ready bool, idle, recent int) Event {
 		return Event{At: at(ms), Kind: FrontSampled, Manager: "m", Ready: ready, IdleConns: idle, RecentConns: recent}
 	}
-	metricsRead := func(ms, process int, g Figures) Event {
+	metricsRead := func(ms, process int, g Metrics) Event {
 		return Event{At: at(ms), Kind: MetricsRead, Manager: "m", Process: process, Figures: &g}
 	}
 	repeat := func(e Event, n, gapMS int) (list []Event) {
@@ -57,7 +57,7 @@
 		}
 		return all
 	}
-	counters := func(n, tries int) Figures { return Figures{OK: map[string]int{"clip": n}, Tries: tries, PoolSize: 1} }
+	counters := func(n, tries int) Metrics { return Metrics{OK: map[string]int{"clip": n}, Tries: tries, PoolSize: 1} }
 	established := func(n int) (all []Event) { // sessions established at 101 ms
 		for i := range n {
 			id := fmt.Sprint("s", i)
@@ -66,7 +66,7 @@
 		}
 		return all
 	}
-	listed := Event{At: at(-9000), Kind: ListUpdated, Manager: "m", Node: "a", Text: inService}
+	listed := Event{At: at(-9000), Kind: ListUpdated, Manager: "m", Node: "a", Text: phaseInService}
 	upgrade := list(managerEvent(1000, UpgradeStarted, ""), managerEvent(2000, SuccessorReady, ""), managerEvent(4000, ProcessReplaced, "ended"))
 	turnedBack := Event{At: at(2100), Kind: RequestTurnedBack, Manager: "m", Text: "closed"}
 	unanswered := func(ms int, text string) []Event {
@@ -102,10 +102,10 @@
 		"two requests turned back in an upgrade":                          {concat(upgrade, repeat(turnedBack, 2, 10)), ""},
 		"three requests turned back in an upgrade":                        {concat(upgrade, repeat(turnedBack, 3, 10)), "turned back"},
 		"three requests turned back without an upgrade":                   {repeat(turnedBack, 3, 10), ""},
-		"unread request lost in an upgrade":                               {concat(upgrade, unanswered(3000, unread)), ""},
-		"unread request lost in an upgrade counts as turned back":         {concat(upgrade, repeat(turnedBack, 2, 10), unanswered(3000, unread)), "turned back"},
+		"unread request lost in an upgrade":                               {concat(upgrade, unanswered(3000, connNeverAnswered)), ""},
+		"unread request lost in an upgrade counts as turned back":         {concat(upgrade, repeat(turnedBack, 2, 10), unanswered(3000, connNeverAnswered)), "turned back"},
 		"read request lost in an upgrade":                                 {concat(upgrade, unanswered(3000, "")), "one answer"},
-		"unread request lost without an upgrade":                          {unanswered(3000, unread), "one answer"},
+		"unread request lost without an upgrade":                          {unanswered(3000, connNeverAnswered), "one answer"},
 		"successor ready late":                                            {list(managerEvent(0, UpgradeStarted, ""), managerEvent(11000, SuccessorReady, "")), "turned back"},
 		"resources within the limits":                                     {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1024, MemoryMB: 128}), ""},
 		"too many descriptors":                                            {list(Event{At: at(0), Kind: ResourcesSampled, Manager: "m", Descriptors: 1025}), "limits"},
@@ -114,16 +114,16 @@
 		"counters within the tolerance":                                   {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(17, 23)))), ""},
 		"ok counter too low":                                              {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(16, 20)))), "figures"},
 		"tries counter too high":                                          {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 24)))), "figures"},
-		"shed counter for a class without requests":                       {concat(list(listed), list(metricsRead(900, 1, Figures{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
-		"pool size differs from the list":                                 {list(listed, metricsRead(900, 1, Figures{PoolSize: 2})), "figures"},
-		"disabled node not counted as ejected":                            {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1})), "figures"},
-		"disabled node counted as ejected":                                {list(listed, disable(0, 1, 200), metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"node avoided by the manager's own decision":                      {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 1})), ""},
-		"more nodes ejected than listed":                                  {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, PoolEjected: 2})), "figures"},
-		"active sessions reported, none open":                             {list(listed, metricsRead(900, 1, Figures{PoolSize: 1, Active: 4})), "figures"},
-		"active sessions within the tolerance":                            {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
-		"active sessions too few":                                         {concat(list(listed), established(60), list(metricsRead(900, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
-		"active sessions as of half a second before":                      {concat(list(listed), established(60), list(metricsRead(500, 1, Figures{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
+		"shed counter for a class without requests":                       {concat(list(listed), list(metricsRead(900, 1, Metrics{Shed: map[string]int{"x": 4}, PoolSize: 1}))), "figures"},
+		"pool size differs from the list":                                 {list(listed, metricsRead(900, 1, Metrics{PoolSize: 2})), "figures"},
+		"disabled node not counted as ejected":                            {list(listed, disable(0, 1, 200), metricsRead(900, 1, Metrics{PoolSize: 1})), "figures"},
+		"disabled node counted as ejected":                                {list(listed, disable(0, 1, 200), metricsRead(900, 1, Metrics{PoolSize: 1, PoolEjected: 1})), ""},
+		"node avoided by the manager's own decision":                      {list(listed, metricsRead(900, 1, Metrics{PoolSize: 1, PoolEjected: 1})), ""},
+		"more nodes ejected than listed":                                  {list(listed, metricsRead(900, 1, Metrics{PoolSize: 1, PoolEjected: 2})), "figures"},
+		"active sessions reported, none open":                             {list(listed, metricsRead(900, 1, Metrics{PoolSize: 1, Active: 4})), "figures"},
+		"active sessions within the tolerance":                            {concat(list(listed), established(60), list(metricsRead(900, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 54}))), ""},
+		"active sessions too few":                                         {concat(list(listed), established(60), list(metricsRead(900, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1, Active: 53}))), "figures"},
+		"active sessions as of half a second before":                      {concat(list(listed), established(60), list(metricsRead(500, 1, Metrics{OK: map[string]int{"clip": 60}, PoolSize: 1}))), ""},
 		"counters of both processes of an upgrade":                        {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(20, 20)))), ""},
 		"successor counts the requests of both processes":                 {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), upgrade, servedRequests(5000, 20), list(metricsRead(6000, 2, counters(40, 40)))), "figures"},
 		"requests of a killed process after the last read of its metrics": {concat(list(listed), servedRequests(0, 20), list(metricsRead(900, 1, counters(20, 20))), servedRequests(1000, 9), list(managerEvent(1100, ManagerStopped, "killed"), managerEvent(1200, ManagerServing, ""), metricsRead(2000, 2, counters(0, 0)))), ""},
--- a/internal/fleettest/judge_test.go
+++ b/internal/fleettest/judge_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		panic(err)
 	}
-	var cfg struct{ Known updates }
+	var cfg struct{ Known listUpdates }
 	if err := json.Unmarshal(text, &cfg); err != nil {
 		panic(err)
 	}
--- a/internal/fleettest/list.go
+++ b/internal/fleettest/list.go
@@ -11,13 +11,13 @@
 
 // Phases of a media node on the list.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated"
+	phaseInService   = "in_service"
+	phaseTerminating = "terminating"
+	phaseTerminated  = "terminated"
 )
 
-// Member is one line of the list.
-type Member struct {
+// ListEntry is one media node of the list.
+type ListEntry struct {
 	ID       string `json:"id"`
 	HostPort string `json:"host_port"`
 	Locality string `json:"locality"`
@@ -28,141 +28,148 @@
 	UpSince  int64  `json:"up_since_ms"`
 }
 
-type endpoints struct {
-	Revision int      `json:"revision"`
-	Complete bool     `json:"complete"`
-	Members  []Member `json:"members"`
+// listEndpoints is the content of one update: entries that replace those of the same id, or with
+// Complete the whole list.
+type listEndpoints struct {
+	Revision int         `json:"revision"`
+	Complete bool        `json:"complete"`
+	Members  []ListEntry `json:"members"`
 }
 
-type update struct {
-	Index     int        `json:"index"`
-	Endpoints *endpoints `json:"endpoints"`
+// listUpdate is one numbered update.
+type listUpdate struct {
+	Index     int            `json:"index"`
+	Endpoints *listEndpoints `json:"endpoints"`
 }
 
-type updates struct {
-	Index   int      `json:"index"`
-	Updates []update `json:"updates"`
+// listUpdates is the answer to a poll: the updates after the requested index.
+type listUpdates struct {
+	Index   int          `json:"index"`
+	Updates []listUpdate `json:"updates"`
 }
 
-// List is the coordinator as one manager sees it. Each manager has its own, so that
-// a list may be late, wrong or silent for some.
-type List struct {
-	mu      sync.Mutex
-	all     updates
-	changed chan struct{}
-	late    time.Duration
-	silent  bool
-	lis     net.Listener
-	server  *http.Server
-	done    chan struct{}
+// Coordinator is the coordinator as one manager sees it. Each manager has one of its own, so that
+// the list can be late, wrong or unavailable for some managers only.
+type Coordinator struct {
+	mu       sync.Mutex
+	history  listUpdates   // all updates so far
+	changed  chan struct{} // closed and replaced at each change
+	delay    time.Duration // of updates
+	silent   bool          // polls are not answered
+	listener net.Listener
+	server   *http.Server
+	done     chan struct{}
 }
 
-// NewList returns a list that holds members from its start.
-func NewList(members []Member) (*List, error) {
+// NewCoordinator returns a running coordinator whose first update lists entries.
+func NewCoordinator(entries []ListEntry) (*Coordinator, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &List{changed: make(chan struct{}), lis: l, done: make(chan struct{})}
-	c.add(&endpoints{Complete: true, Members: members})
+	coordinator := &Coordinator{changed: make(chan struct{}), listener: l, done: make(chan struct{})}
+	coordinator.appendUpdate(&listEndpoints{Complete: true, Members: entries})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v2/stream", c.stream)
-	c.server = &http.Server{Handler: mux}
+	mux.HandleFunc("GET /v2/stream", coordinator.serveStream)
+	coordinator.server = &http.Server{Handler: mux}
 	go func() {
-		c.server.Serve(l)
-		close(c.done)
+		coordinator.server.Serve(l)
+		close(coordinator.done)
 	}()
-	return c, nil
+	return coordinator, nil
 }
 
-// Addr is where it answers.
-func (l *List) Addr() string { return l.lis.Addr().String() }
+// Addr returns the address at which the coordinator answers.
+func (c *Coordinator) Addr() string { return c.listener.Addr().String() }
 
-// Close ends it.
-func (l *List) Close() {
-	l.server.Close()
-	<-l.done
+// Close stops the coordinator.
+func (c *Coordinator) Close() {
+	c.server.Close()
+	<-c.done
 }
 
-// Late has what changes from now on be told so much later.
-func (l *List) Late(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.late = d
+// SetDelay delays updates that are made from now on.
+func (c *Coordinator) SetDelay(d time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.delay = d
 }
 
-// Silent has polls stay open and unanswered, or ends that.
-func (l *List) Silent(on bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.silent = on
-	l.wake()
+// SetSilent sets whether polls stay open without an answer.
+func (c *Coordinator) SetSilent(on bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent = on
+	c.notifyChanged()
 }
 
-// Set tells of a change, at once or as late as the list is. told runs when it is
-// there for the manager to read.
-func (l *List) Set(m Member, told func()) {
-	l.mu.Lock()
-	late := l.late
-	l.mu.Unlock()
+// Update publishes the state of a node, after the delay that SetDelay set. told is called when the
+// manager can read it.
+func (c *Coordinator) Update(entry ListEntry, told func()) {
+	c.mu.Lock()
+	delay := c.delay
+	c.mu.Unlock()
 	do := func() {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.add(&endpoints{Members: []Member{m}})
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.appendUpdate(&listEndpoints{Members: []ListEntry{entry}})
 		told()
 	}
-	if late > 0 {
-		time.AfterFunc(late, do)
+	if delay > 0 {
+		time.AfterFunc(delay, do)
 		return
 	}
 	do()
 }
 
-// add is called with the lock held, or before the list is used.
-func (l *List) add(e *endpoints) {
-	l.all.Index++
-	e.Revision = l.all.Index
-	l.all.Updates = append(l.all.Updates, update{l.all.Index, e})
-	l.wake()
+// appendUpdate appends to the history. l.mu must be held, unless the coordinator is not in use yet.
+func (c *Coordinator) appendUpdate(e *listEndpoints) {
+	c.history.Index++
+	e.Revision = c.history.Index
+	c.history.Updates = append(c.history.Updates, listUpdate{c.history.Index, e})
+	c.notifyChanged()
 }
 
-func (l *List) wake() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+// notifyChanged wakes open polls. l.mu must be held.
+func (c *Coordinator) notifyChanged() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// Known is what a manager that starts now is told.
-func (l *List) Known() updates {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return updates{l.all.Index, append([]update(nil), l.all.Updates...)}
+// KnownUpdates returns the list that a starting manager is given in its configuration.
+func (c *Coordinator) KnownUpdates() listUpdates {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return listUpdates{c.history.Index, append([]listUpdate(nil), c.history.Updates...)}
 }
 
-func (l *List) stream(w http.ResponseWriter, r *http.Request) {
+// serveStream answers a long poll: at once if there are updates after the index that the manager
+// has, else after the next update or the requested waiting time, of at most 5 s.
+func (c *Coordinator) serveStream(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("follow"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	until := time.After(time.Duration(min(max(ms, 0), 5000)) * time.Millisecond)
-	var out updates
+	var out listUpdates
 	for waiting := true; waiting; {
-		l.mu.Lock()
-		out = updates{Index: l.all.Index, Updates: []update{}}
-		for _, u := range l.all.Updates {
+		c.mu.Lock()
+		out = listUpdates{Index: c.history.Index, Updates: []listUpdate{}}
+		for _, u := range c.history.Updates {
 			if u.Index > after {
 				out.Updates = append(out.Updates, u)
 			}
 		}
-		changed, silent := l.changed, l.silent
-		l.mu.Unlock()
+		changed, silent := c.changed, c.silent
+		c.mu.Unlock()
 		if len(out.Updates) > 0 && !silent {
 			break
 		}
-		var late <-chan time.Time
+		var timeout <-chan time.Time
 		if !silent {
-			late = until
+			timeout = until
 		}
 		select {
 		case <-changed:
-		case <-late:
+		case <-timeout:
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -174,5 +181,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(b) // a manager that is gone asks again
+	w.Write(b) // a manager whose connection broke polls again
 }
--- a/internal/fleettest/members.go
+++ b/internal/fleettest/members.go
@@ -10,31 +10,31 @@
 	"time"
 )
 
-// Members is managers that tell each other who is there, each pair through relays of
-// Peers. They have a list, and nobody to serve. What each has in view is read from its
-// log: nothing else shows it.
-type Members struct {
+// MembershipFleet is a fleet of managers that exchange membership, each pair through the relays of
+// Network. They have media nodes on their list, and no viewers. The view of each is read from its
+// log, which is the only place that shows it.
+type MembershipFleet struct {
 	*Fleet
-	Peers *Peers
-	Names []string
-	Took  []string // what was settled, and after how long
+	Network      *PeerNetwork
+	ManagerNames []string
+	Timings      []string // what AwaitView waited for, and for how long
 }
 
-// NewMembers builds such a fleet and starts it. It is to be closed also where an error
-// is returned.
-func NewMembers(halls []Hall, seed uint64, binary, folder string) (*Members, error) {
-	f := &Fleet{Plan: Plan{Seed: seed, Halls: halls, Model: DefaultModel, Load: Load{Left: 3 * time.Second}, Terms: DefaultLimits, Patience: 2 * defaultWaitTimeout},
-		Record: NewRecord(), Managers: map[string]*Process{}, Nodes: map[string]*Node{}, Lists: map[string]*List{},
-		ToNode: map[string]map[string]*Relay{}, ToList: map[string]*Relay{}, ToManager: map[string]*Relay{}, done: make(chan struct{})}
-	m := &Members{Fleet: f}
-	named := "members"
+// NewMembershipFleet builds and starts such a fleet. The caller must close it even when an error is
+// returned.
+func NewMembershipFleet(halls []Hall, seed uint64, binary, folder string) (*MembershipFleet, error) {
+	f := &Fleet{Config: FleetConfig{Seed: seed, Halls: halls, NodeModel: DefaultNodeModel, Load: Load{TimeLeft: 3 * time.Second}, Terms: DefaultLimits, WaitTimeout: 2 * defaultWaitTimeout},
+		Record: NewRecord(), Managers: map[string]*Manager{}, Nodes: map[string]*Node{}, Coordinators: map[string]*Coordinator{},
+		NodeRelays: map[string]map[string]*Relay{}, CoordinatorRelays: map[string]*Relay{}, ViewerRelays: map[string]*Relay{}, done: make(chan struct{})}
+	m := &MembershipFleet{Fleet: f}
+	membersLine := "members"
 	for i, h := range halls {
 		for _, n := range h.Nodes {
-			f.Nodes[n] = NewNode(n, "s-"+n, h.Name, i, f.Plan.Model, seed, f.Record)
+			f.Nodes[n] = NewNode(n, "s-"+n, h.Name, i, f.Config.NodeModel, seed, f.Record)
 		}
 		for _, name := range h.Managers {
-			m.Names = append(m.Names, name)
-			named += " " + name + " " + h.Name
+			m.ManagerNames = append(m.ManagerNames, name)
+			membersLine += " " + name + " " + h.Name
 		}
 	}
 	key := filepath.Join(folder, "key")
@@ -42,26 +42,26 @@
 		return m, err
 	}
 	var err error
-	if m.Peers, err = NewPeers(m.Names, seed); err != nil {
+	if m.Network, err = NewPeerNetwork(m.ManagerNames, seed); err != nil {
 		return m, err
 	}
 	for _, h := range halls {
 		for _, name := range h.Managers {
-			if err := f.manager(name, h.Name, binary, folder); err != nil {
+			if err := f.addManager(name, h.Name, binary, folder); err != nil {
 				return m, err
 			}
-			text := "fleet {\n" + named + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
-			// They tell of addresses at which nobody is, and reach each other at relays.
-			text += fmt.Sprintf("address 127.0.0.1:%d\n", 1+slices.Index(m.Names, name))
-			for _, to := range m.Names {
+			text := "fleet {\n" + membersLine + "\nlisten 127.0.0.1:0\nkey " + key + "\n"
+			// The managers announce addresses at which nobody listens, and reach each other at the relays.
+			text += fmt.Sprintf("address 127.0.0.1:%d\n", 1+slices.Index(m.ManagerNames, name))
+			for _, to := range m.ManagerNames {
 				if to != name {
-					text += fmt.Sprintf("at %s %s %s\n", to, m.Peers.TCP[name][to].Addr(), m.Peers.UDP[name][to].Addr())
+					text += fmt.Sprintf("at %s %s %s\n", to, m.Network.TCP[name][to].Addr(), m.Network.UDP[name][to].Addr())
 				}
 			}
-			f.Managers[name].Operator = text + "}\n"
+			f.Managers[name].OperatorConfig = text + "}\n"
 		}
 	}
-	for _, name := range m.Names {
+	for _, name := range m.ManagerNames {
 		if err := m.Start(name); err != nil {
 			return m, err
 		}
@@ -70,58 +70,58 @@
 }
 
 // Start starts a manager and tells the relays where it listens.
-func (m *Members) Start(name string) error {
+func (m *MembershipFleet) Start(name string) error {
 	if err := m.Managers[name].Start(); err != nil {
 		return err
 	}
-	l, ok := m.told(name, func(l logged) bool { return l.What == "listening" })
+	l, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == "listening" })
 	if !ok {
-		return fmt.Errorf("fleettest: %s does not say where it listens for others", name)
+		return fmt.Errorf("fleettest: %s has not logged where it listens for other managers", name)
 	}
-	m.Peers.SetPeer(name, l.Listen, l.Listen)
+	m.Network.SetListenAddrs(name, l.Listen, l.Listen)
 	return nil
 }
 
-// Kill ends a manager at once.
-func (m *Members) Kill(name string) error {
-	m.Peers.SetPeer(name, "", "")
+// Kill kills a manager.
+func (m *MembershipFleet) Kill(name string) error {
+	m.Network.SetListenAddrs(name, "", "")
 	return m.Managers[name].Kill()
 }
 
-// logged is a line of a manager's log about its fleet.
-type logged struct {
+// membershipLogLine is a line of a manager's log about membership.
+type membershipLogLine struct {
 	Logger, What, Member, Listen string
 	View                         int64
 	InView                       string `json:"in_view"`
 	Alone                        bool
 }
 
-// told is the last such line that fits.
-func (m *Members) told(name string, fits func(logged) bool) (last logged, ok bool) {
+// lastLogged returns the last such line of a manager that matches fits.
+func (m *MembershipFleet) lastLogged(name string, fits func(membershipLogLine) bool) (last membershipLogLine, ok bool) {
 	for _, line := range slices.Backward(m.Managers[name].Log()) {
-		var l logged
+		var l membershipLogLine
 		if json.Unmarshal([]byte(line), &l) == nil && l.Logger == "fleet" && l.What != "" && fits(l) {
 			return l, true
 		}
 	}
-	return logged{}, false
+	return membershipLogLine{}, false
 }
 
-// Told tells whether a manager has logged an event of a member.
-func (m *Members) Told(name, what, of string) bool {
-	_, ok := m.told(name, func(l logged) bool { return l.What == what && l.Member == of })
+// HasLogged reports whether a manager has logged an event of a member.
+func (m *MembershipFleet) HasLogged(name, what, of string) bool {
+	_, ok := m.lastLogged(name, func(l membershipLogLine) bool { return l.What == what && l.Member == of })
 	return ok
 }
 
-// Settle waits until the last view that each of who has logged is of want alone, and
-// tells of each whether it is alone.
-func (m *Members) Settle(what string, alone bool, who []string, want ...string) error {
+// AwaitView waits until the last view that each manager of who has logged consists of exactly want
+// and has the given value of alone. what names the step in errors and Timings.
+func (m *MembershipFleet) AwaitView(what string, alone bool, who []string, want ...string) error {
 	views, began := "", time.Now()
-	err := m.Wait(what, func() bool {
+	err := m.WaitFor(what, func() bool {
 		views = ""
 		settled := true
 		for _, n := range who {
-			l, _ := m.told(n, func(l logged) bool { return l.View > 0 })
+			l, _ := m.lastLogged(n, func(l membershipLogLine) bool { return l.View > 0 })
 			settled = settled && l.InView == strings.Join(want, " ") && l.Alone == alone
 			views += fmt.Sprintf("\n%s: view %d of %s, alone %v", n, l.View, l.InView, l.Alone)
 		}
@@ -130,14 +130,14 @@
 	if err != nil {
 		return fmt.Errorf("%w; last views:%s", err, views)
 	}
-	m.Took = append(m.Took, fmt.Sprintf("%s after %v", what, time.Since(began).Round(10*time.Millisecond)))
+	m.Timings = append(m.Timings, fmt.Sprintf("%s after %v", what, time.Since(began).Round(10*time.Millisecond)))
 	return nil
 }
 
-// Close ends all of it.
-func (m *Members) Close() {
+// Close stops all parties and the relays between managers.
+func (m *MembershipFleet) Close() {
 	m.Fleet.Close()
-	if m.Peers != nil {
-		m.Peers.Close()
+	if m.Network != nil {
+		m.Network.Close()
 	}
 }
--- a/internal/fleettest/node.go
+++ b/internal/fleettest/node.go
@@ -14,120 +14,120 @@
 	"millethinge/internal/stream"
 )
 
-// Model is what media nodes are like.
-type Model struct {
-	LinkKB   float64       // a second, at full warmth
-	Places   int           // streams at most
-	Guard    float64       // refuses as full at this use of its link
-	Warm     time.Duration // until a node that started late is warm
-	Share    float64       // of its link and pace that is warm at the start
-	RatesKB  []float64     // of the ladder
-	Answer   [2]time.Duration
-	Length   [2]time.Duration // of sessions
-	ConnIdle time.Duration    // after which it closes a connection
-	Streams  int              // set-ups that may be open on one connection
-	Paid     map[string]bool  // classes that are billed
-}
-
-// Node is a stand-in media node. It serves each manager at a listener of its own,
-// so that it knows whose each connection is.
+// NodeModel describes how media nodes behave.
+type NodeModel struct {
+	LinkKB             float64          // kB/s, of a node that is warm
+	MaxStreams         int              // concurrent sessions
+	FullAtUtilization  float64          // link utilization from which set-ups are refused as full
+	WarmUpTime         time.Duration    // from a start until the whole capacity is available
+	StartCapacityShare float64          // share of the link and of the set-up rate that is available at a start
+	RatesKB            []float64        // kB/s by rung of the rate ladder
+	AnswerDelay        [2]time.Duration // least and most time from a SETUP to its answer
+	SessionLength      [2]time.Duration // least and most
+	ConnIdleTimeout    time.Duration    // a connection without messages is closed after it
+	StreamsPerConn     int              // set-ups that may be open on one connection
+	BilledClasses      map[string]bool  // classes whose set-ups are billed
+}
+
+// Node is a stand-in media node. It has one listener for each manager, which tells it to which
+// manager a connection belongs.
 type Node struct {
-	Name, ID, Hall string // ID is the list's
+	Name, ID, Hall string // ID is the one on the list
 	Cell           int
-	Addr           map[string]string // where its listener for each manager is
+	Addrs          map[string]string // of the listeners, by manager
 
-	model  Model
+	model  NodeModel
 	seed   uint64
 	record *Record
 
-	mu       sync.Mutex
-	up       bool
-	cold     bool
-	since    time.Time
-	hung     chan struct{} // it stands still until this is closed
-	failing  float64       // share of set-ups that it fails at once
-	conns    map[string]map[*nodeConn]bool
-	sessions map[string]*nodeSession
-	pending  map[string][]string // by manager: ends to be said again on the next connection
-	group    sync.WaitGroup
-	lis      []net.Listener
+	mu          sync.Mutex
+	running     bool
+	cold        bool
+	startedAt   time.Time
+	hangEnded   chan struct{} // closed when the current hang ends; nil: the node does not hang
+	failShare   float64       // share of set-ups that are answered with an error
+	conns       map[string]map[*nodeConn]bool
+	sessions    map[string]*nodeSession
+	pendingEnds map[string][]string // by manager: sessions whose TEARDOWN is sent again on the next connection
+	goroutines  sync.WaitGroup
+	listeners   []net.Listener
 }
 
 type nodeConn struct {
 	net.Conn
-	manager string
-	wmu     sync.Mutex
-	open    map[string]bool // set-ups that wait for their answer
-	closed  bool
+	manager    string
+	writeMu    sync.Mutex
+	openSetUps map[string]bool // set-ups without an answer
+	closed     bool
 }
 
 type nodeSession struct {
 	manager string
-	conn    *nodeConn // of its set-up
+	conn    *nodeConn // on which it was set up
 	rung    int
 	class   string
 	timer   *time.Timer
 }
 
-// NewNode returns a node that runs and is warm. Listen has it serve managers.
-func NewNode(name, id, hall string, cell int, m Model, seed uint64, record *Record) *Node {
-	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addr: map[string]string{}, model: m, seed: seed, record: record,
-		up: true, since: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
-		sessions: map[string]*nodeSession{}, pending: map[string][]string{}}
+// NewNode returns a node that runs and is warm. Listen makes it accept connections.
+func NewNode(name, id, hall string, cell int, m NodeModel, seed uint64, record *Record) *Node {
+	n := &Node{Name: name, ID: id, Hall: hall, Cell: cell, Addrs: map[string]string{}, model: m, seed: seed, record: record,
+		running: true, startedAt: time.Now().Add(-time.Hour), conns: map[string]map[*nodeConn]bool{},
+		sessions: map[string]*nodeSession{}, pendingEnds: map[string][]string{}}
 	record.Add(Event{Kind: NodeStarted, Node: name})
 	return n
 }
 
-// Listen serves one manager.
+// Listen accepts connections of one manager, at an address that Addrs then holds.
 func (n *Node) Listen(manager string) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return fmt.Errorf("fleettest: %w", err)
 	}
 	n.mu.Lock()
-	n.Addr[manager] = l.Addr().String()
-	n.lis = append(n.lis, l)
+	n.Addrs[manager] = l.Addr().String()
+	n.listeners = append(n.listeners, l)
 	n.conns[manager] = map[*nodeConn]bool{}
 	n.mu.Unlock()
-	n.group.Go(func() {
+	n.goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			n.group.Go(func() { n.talk(&nodeConn{Conn: c, manager: manager, open: map[string]bool{}}) })
+			n.goroutines.Go(func() { n.serveConn(&nodeConn{Conn: c, manager: manager, openSetUps: map[string]bool{}}) })
 		}
 	})
 	return nil
 }
 
-// Close ends the node for good.
+// Close stops the node and its listeners.
 func (n *Node) Close() {
 	n.Kill()
 	n.mu.Lock()
-	for _, l := range n.lis {
+	for _, l := range n.listeners {
 		l.Close()
 	}
 	n.mu.Unlock()
-	n.group.Wait()
+	n.goroutines.Wait()
 }
 
-// Kill ends its process: connections are reset, sessions cut. What is said after it
-// is up to the relays before it, which refuse until it is started again.
+// Kill simulates a crash: connections are reset and sessions end without a message. The listeners
+// stay open; the relays before them have to refuse connections until Start.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.up {
+	if !n.running {
 		return
 	}
-	n.up = false
+	n.running = false
 	n.unhang()
 	for id, s := range n.sessions {
 		s.timer.Stop()
 		n.record.Add(Event{Kind: SessionLost, Manager: s.manager, Node: n.Name, ID: id, Class: s.class})
 	}
 	clear(n.sessions)
-	clear(n.pending)
+	clear(n.pendingEnds)
 	for _, l := range n.conns {
 		for c := range l {
 			c.closed = true
@@ -141,31 +141,31 @@
 	n.record.Add(Event{Kind: NodeStopped, Node: n.Name})
 }
 
-// Start has it run again, from nothing and cold.
+// Start starts a killed node again, cold and without sessions.
 func (n *Node) Start() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.up, n.cold, n.since = true, true, time.Now()
+	n.running, n.cold, n.startedAt = true, true, time.Now()
 	n.record.Add(Event{Kind: NodeStarted, Node: n.Name, Cold: true})
 }
 
-// Since is when it last started.
-func (n *Node) Since() time.Time {
+// StartedAt returns the time of the last start.
+func (n *Node) StartedAt() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.since
+	return n.startedAt
 }
 
-// Hang has it stand still: it takes connections and answers nothing.
+// Hang makes the node accept connections and answer nothing until Unhang.
 func (n *Node) Hang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.hung == nil {
-		n.hung = make(chan struct{})
+	if n.hangEnded == nil {
+		n.hangEnded = make(chan struct{})
 	}
 }
 
-// Unhang has it go on.
+// Unhang ends a hang.
 func (n *Node) Unhang() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,29 +173,28 @@
 }
 
 func (n *Node) unhang() {
-	if n.hung != nil {
-		close(n.hung)
-		n.hung = nil
+	if n.hangEnded != nil {
+		close(n.hangEnded)
+		n.hangEnded = nil
 	}
 }
 
-// Fail has it fail a share of its set-ups at once.
-func (n *Node) Fail(share float64) {
+// SetFailShare makes the node answer a share of its set-ups with status 500.
+func (n *Node) SetFailShare(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.failing = share
+	n.failShare = share
 }
 
-// Standing is how many sessions it plays.
-func (n *Node) Standing() int {
+// EstablishedSessions returns how many sessions the node plays.
+func (n *Node) EstablishedSessions() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.sessions)
 }
 
-// EndSome has up to so many of its sessions of a manager ("" for any) come to their
-// end now, and tells how many did.
-func (n *Node) EndSome(manager string, most int) int {
+// EndSessions ends up to most sessions of a manager ("": of any) and returns how many it ended.
+func (n *Node) EndSessions(manager string, most int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	done := 0
@@ -203,42 +202,42 @@
 		if done < most && (manager == "" || s.manager == manager) {
 			done++
 			s.timer.Stop()
-			n.end(id)
+			n.endSession(id)
 		}
 	}
 	return done
 }
 
-// wait holds while the node stands still.
-func (n *Node) wait() {
+// waitWhileHung blocks while the node hangs.
+func (n *Node) waitWhileHung() {
 	n.mu.Lock()
-	hung := n.hung
+	hung := n.hangEnded
 	n.mu.Unlock()
 	if hung != nil {
 		<-hung
 	}
 }
 
-func (n *Node) talk(c *nodeConn) {
+func (n *Node) serveConn(c *nodeConn) {
 	defer c.Close()
-	n.wait()
+	n.waitWhileHung()
 	n.mu.Lock()
-	if !n.up {
+	if !n.running {
 		n.mu.Unlock()
 		return
 	}
 	n.conns[c.manager][c] = true
-	for _, id := range n.pending[c.manager] { // once more on the next connection that opens
-		c.say(endOf(id, 16))
+	for _, id := range n.pendingEnds[c.manager] { // repeated on the next connection that opens
+		c.send(buildTeardown(id, 16))
 	}
-	delete(n.pending, c.manager)
+	delete(n.pendingEnds, c.manager)
 	n.mu.Unlock()
 	in := stream.NewReader(c, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
-		c.SetReadDeadline(time.Now().Add(n.model.ConnIdle))
+		c.SetReadDeadline(time.Now().Add(n.model.ConnIdleTimeout))
 		err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) })
-		n.wait()
+		n.waitWhileHung()
 		if err != nil {
 			break
 		}
@@ -249,19 +248,20 @@
 		case "TEARDOWN":
 			n.tearDown(c, session)
 		case "SET_PARAMETER":
-			n.rate(session, rung(&m))
+			n.setRung(session, rungOf(&m))
 		case "OPTIONS":
-			c.say(n.report(string(m.Get("CSeq")), session))
+			c.send(n.loadReport(string(m.Get("CSeq")), session))
 		}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c.closed = true
-	clear(c.open) // a closed connection gives up the set-ups open on it
+	clear(c.openSetUps) // a closed connection abandons the set-ups open on it
 	delete(n.conns[c.manager], c)
 }
 
-func rung(m *rtsp.Message) int {
+// rungOf returns the rung that a message names, or -1.
+func rungOf(m *rtsp.Message) int {
 	v, ok := header.ParseDecimal(m.Get("X-Quality"))
 	if !ok {
 		return -1
@@ -269,66 +269,67 @@
 	return int(v)
 }
 
-// draw is a number from 0 to 1 that a session has with this node, whatever the order
-// in which things happen.
-func (n *Node) draw(id, what string) float64 {
+// fraction returns a pseudo-random number from 0 to 1 for one use (what) of a session at this node.
+// It does not depend on the order of events.
+func (n *Node) fraction(id, what string) float64 {
 	h := fnv.New64a()
 	h.Write([]byte(n.Name + id + what))
 	return rand.New(rand.NewPCG(n.seed, h.Sum64())).Float64()
 }
 
-func between(l [2]time.Duration, at float64) time.Duration {
+// interpolate returns the duration at a fraction of the way from l[0] to l[1].
+func interpolate(l [2]time.Duration, at float64) time.Duration {
 	return l[0] + time.Duration(at*float64(l[1]-l[0]))
 }
 
 func (n *Node) setUp(c *nodeConn, id string, m *rtsp.Message) {
-	class, q, body := string(m.Get("Call-Kind")), rung(m), string(m.Body)
+	class, rung, body := string(m.Get("Call-Kind")), rungOf(m), string(m.Body)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.record.Add(Event{Kind: SetUpReceived, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.Paid[class], Rung: q})
+	n.record.Add(Event{Kind: SetUpReceived, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.BilledClasses[class], Rung: rung})
 	status := 200
 	switch {
-	case n.draw(id, "fails") < n.failing:
+	case n.fraction(id, "fails") < n.failShare:
 		status = 500
-	case len(n.sessions) >= n.model.Places || n.asked() >= n.model.Guard*n.link():
+	case len(n.sessions) >= n.model.MaxStreams || n.demandKB() >= n.model.FullAtUtilization*n.linkKB():
 		status = 453
 	}
-	c.open[id] = true
-	time.AfterFunc(between(n.model.Answer, n.draw(id, "answer")), func() {
-		n.wait()
+	c.openSetUps[id] = true
+	time.AfterFunc(interpolate(n.model.AnswerDelay, n.fraction(id, "answer")), func() {
+		n.waitWhileHung()
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		if !n.up || !c.open[id] {
-			return // given up
+		if !n.running || !c.openSetUps[id] {
+			return // abandoned
 		}
-		delete(c.open, id)
+		delete(c.openSetUps, id)
 		text := ""
 		if status == 200 {
 			text = n.Name + ";" + body
-			length := between(n.model.Length, n.draw(id, "length"))
-			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(q, 0), class: class, timer: time.AfterFunc(length, func() {
-				n.wait()
+			length := interpolate(n.model.SessionLength, n.fraction(id, "length"))
+			n.sessions[id] = &nodeSession{manager: c.manager, conn: c, rung: max(rung, 0), class: class, timer: time.AfterFunc(length, func() {
+				n.waitWhileHung()
 				n.mu.Lock()
 				defer n.mu.Unlock()
-				n.end(id)
+				n.endSession(id)
 			})}
-			n.record.Add(Event{Kind: SessionEstablished, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.Paid[class], Text: text})
+			n.record.Add(Event{Kind: SessionEstablished, Manager: c.manager, Node: n.Name, ID: id, Class: class, Billed: n.model.BilledClasses[class], Text: text})
 		}
 		n.record.Add(Event{Kind: SetUpAnswered, Manager: c.manager, Node: n.Name, ID: id, Cause: status})
-		c.say(answer(status, "1", id, text))
+		c.send(buildResponse(status, "1", id, text))
 	})
 }
 
-// end brings a session to its end, and says so on the connection of its set-up or
-// else on any open one, and once more on the next that opens.
-func (n *Node) end(id string) {
+// endSession ends a session by the node's own decision. It sends TEARDOWN on the connection of the
+// set-up, or if that is closed on any open one, and once more on the next connection that opens.
+func (n *Node) endSession(id string) {
 	s := n.sessions[id]
 	if s == nil {
 		return
 	}
 	delete(n.sessions, id)
 	n.record.Add(Event{Kind: SessionEnded, Manager: s.manager, Node: n.Name, ID: id, Class: s.class, Cause: 16})
-	n.pending[s.manager] = append(n.pending[s.manager], id)
+	n.pendingEnds[s.manager] = append(n.pendingEnds[s.manager], id)
 	c := s.conn
 	if c.closed {
 		c = nil
@@ -338,7 +339,7 @@
 		}
 	}
 	if c != nil {
-		c.say(endOf(id, 16))
+		c.send(buildTeardown(id, 16))
 	}
 }
 
@@ -346,88 +347,91 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for o := range n.conns[c.manager] {
-		delete(o.open, id) // the set-up is given up
+		delete(o.openSetUps, id) // abandon the set-up
 	}
 	if s := n.sessions[id]; s != nil && s.manager == c.manager {
 		s.timer.Stop()
 		delete(n.sessions, id)
 		n.record.Add(Event{Kind: SessionTornDown, Manager: c.manager, Node: n.Name, ID: id, Class: s.class})
 	}
-	c.say(answer(200, "2", id, ""))
+	c.send(buildResponse(200, "2", id, ""))
 }
 
-func (n *Node) rate(id string, q int) {
+func (n *Node) setRung(id string, rung int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if s := n.sessions[id]; s != nil && q >= 0 {
-		s.rung = q
+	if s := n.sessions[id]; s != nil && rung >= 0 {
+		s.rung = rung
 	}
 }
 
-func (n *Node) asked() (kb float64) {
+// demandKB returns the kB/s that the sessions need.
+func (n *Node) demandKB() (kb float64) {
 	for _, s := range n.sessions {
 		kb += n.model.RatesKB[min(s.rung, len(n.model.RatesKB)-1)]
 	}
 	return kb
 }
 
-// link is what its link gives at present.
-func (n *Node) link() float64 {
+// linkKB returns the kB/s that the link gives at present, which grows during the warm-up.
+func (n *Node) linkKB() float64 {
 	if !n.cold {
 		return n.model.LinkKB
 	}
-	warm := min(time.Since(n.since).Seconds()/n.model.Warm.Seconds(), 1)
-	return n.model.LinkKB * (n.model.Share + (1-n.model.Share)*warm)
+	warm := min(time.Since(n.startedAt).Seconds()/n.model.WarmUpTime.Seconds(), 1)
+	return n.model.LinkKB * (n.model.StartCapacityShare + (1-n.model.StartCapacityShare)*warm)
 }
 
-func (n *Node) report(seq, id string) []byte {
+// loadReport returns the answer to an OPTIONS request.
+func (n *Node) loadReport(seq, id string) []byte {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	b := rtsp.AppendResponse(nil, 200, "OK")
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
-	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.asked()/n.link())), nil)
+	return rtsp.AppendBody(rtsp.AppendHeader(b, "Link-State", fmt.Sprintf("util:%.3f;x1:0.1", n.demandKB()/n.linkKB())), nil)
 }
 
-// Note tells each manager with sessions here what share is delivered, on one of its
-// sessions, while that is short. It is to be called each second.
-func (n *Node) Note() {
+// AnnounceShortfall tells each manager on one of its sessions which share of the rate is delivered,
+// if the link is too small for the demand. The caller calls it once a second.
+func (n *Node) AnnounceShortfall() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	asked := n.asked()
-	if !n.up || n.hung != nil || asked <= n.link() {
+	demandKB := n.demandKB()
+	if !n.running || n.hangEnded != nil || demandKB <= n.linkKB() {
 		return
 	}
-	told := map[string]bool{}
+	announced := map[string]bool{}
 	for id, s := range n.sessions {
-		if told[s.manager] || s.conn.closed {
+		if announced[s.manager] || s.conn.closed {
 			continue
 		}
-		told[s.manager] = true
+		announced[s.manager] = true
 		b := rtsp.AppendRequest(nil, "ANNOUNCE", "rtsp://media/"+id)
 		b = rtsp.AppendHeader(b, "CSeq", "4")
 		b = rtsp.AppendHeader(b, "Session", id)
 		b = rtsp.AppendHeader(b, "Fail-Word", "delivered")
-		s.conn.say(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.link()/asked)), nil))
+		s.conn.send(rtsp.AppendBody(rtsp.AppendHeader(b, "X-Reading", fmt.Sprintf("%.3f", n.linkKB()/demandKB)), nil))
 	}
 }
 
-// say writes one message. A manager that reads nothing is not waited for.
-func (c *nodeConn) say(b []byte) {
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
+// send writes one message. The write deadline keeps a manager that reads nothing from blocking the
+// node.
+func (c *nodeConn) send(b []byte) {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(time.Second))
-	c.Write(b) // one that is gone needs no answer
+	c.Write(b) // the peer may have closed
 }
 
-func answer(code int, seq, id, body string) []byte {
+func buildResponse(code int, seq, id, body string) []byte {
 	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", id)
 	return rtsp.AppendBody(b, []byte(body))
 }
 
-func endOf(id string, cause int) []byte {
+func buildTeardown(id string, cause int) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+id)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", id)
--- a/internal/fleettest/record.go
+++ b/internal/fleettest/record.go
@@ -87,7 +87,7 @@
 	Cold        bool
 	Text        string
 	Elapsed     time.Duration // of a call; At is when it was answered
-	Figures     *Figures
+	Figures     *Metrics
 	Process     int  // number of the process among those of its manager, counted from 1
 	Ready       bool // the manager answered that it is ready for new viewers
 	IdleConns   int  // viewer connections on which nothing has been open for a while
--- a/internal/fleettest/relay_test.go
+++ b/internal/fleettest/relay_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// echo is a server that sends back what it gets, behind a relay.
-func echo(t *testing.T) *Relay {
+// newEchoRelay starts a server that sends back what it receives, and returns a relay to it.
+func newEchoRelay(t *testing.T) *Relay {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return r
 }
 
-func dial(t *testing.T, r *Relay) *net.TCPConn {
+func dialRelay(t *testing.T, r *Relay) *net.TCPConn {
 	t.Helper()
 	c, err := net.DialTimeout("tcp4", r.Addr(), defaultWaitTimeout)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return c.(*net.TCPConn)
 }
 
-// says writes text and reads what comes back within d.
-func says(c net.Conn, text string, d time.Duration) (string, error) {
+// exchange writes text and reads the echo within d.
+func exchange(c net.Conn, text string, d time.Duration) (string, error) {
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
 	}
@@ -56,90 +56,92 @@
 	return string(b[:n]), err
 }
 
+// TestRelayFaults applies each fault of a relay and checks what both sides see of it.
 func TestRelayFaults(t *testing.T) {
-	const short = 50 * time.Millisecond // for what must not come; nothing fails by being late
-	r := echo(t)
-	c := dial(t, r)
-	if got, err := says(c, "hello", defaultWaitTimeout); got != "hello" {
+	const briefly = 50 * time.Millisecond // waits for what must not come; being slow cannot make the test fail
+	r := newEchoRelay(t)
+	c := dialRelay(t, r)
+	if got, err := exchange(c, "hello", defaultWaitTimeout); got != "hello" {
 		t.Fatal(got, err)
 	}
-	for _, way := range []Way{Out, Back} {
-		r.Cut(way)
-		if got, err := says(c, "cut", short); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("cut %v: %q, %v", way, got, err)
+	for _, direction := range []Direction{ToTarget, FromTarget} {
+		r.Cut(direction)
+		if got, err := exchange(c, "cut", briefly); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("cut %v: got %q, %v; want a timeout", direction, got, err)
 		}
-		if n, err := net.DialTimeout("tcp4", r.Addr(), short); !os.IsTimeout(err) {
-			t.Errorf("cut %v: a connection came up: %v, %v", way, n, err)
+		if n, err := net.DialTimeout("tcp4", r.Addr(), briefly); !os.IsTimeout(err) {
+			t.Errorf("cut %v: dial: %v, %v; want a timeout", direction, n, err)
 		}
 		r.Heal()
 		b := make([]byte, 3)
 		c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 		if _, err := io.ReadFull(c, b); err != nil || string(b) != "cut" {
-			t.Errorf("healed %v: %q, %v", way, b, err)
+			t.Errorf("healed %v: got %q, %v; want the data held back", direction, b, err)
 		}
-		if got, err := says(dial(t, r), "new", defaultWaitTimeout); got != "new" {
-			t.Errorf("healed %v: %q, %v", way, got, err)
+		if got, err := exchange(dialRelay(t, r), "new", defaultWaitTimeout); got != "new" {
+			t.Errorf("healed %v: a new connection got %q, %v", direction, got, err)
 		}
 	}
 	r.Refuse()
-	if _, err := says(c, "x", defaultWaitTimeout); err == nil {
-		t.Error("still open after Refuse")
+	if _, err := exchange(c, "x", defaultWaitTimeout); err == nil {
+		t.Error("a connection is still open after Refuse")
 	}
 	if _, err := net.Dial("tcp4", r.Addr()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("not refused: %v", err)
+		t.Errorf("dial after Refuse: %v; want ECONNREFUSED", err)
 	}
-	if err := r.Accept(); err != nil {
+	if err := r.StopRefusing(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := says(dial(t, r), "again", defaultWaitTimeout); got != "again" {
-		t.Errorf("%q, %v", got, err)
+	if got, err := exchange(dialRelay(t, r), "again", defaultWaitTimeout); got != "again" {
+		t.Errorf("after StopRefusing: got %q, %v", got, err)
 	}
 
 	for _, e := range []struct {
-		way  Way
-		act  Act
-		got  string
-		fail error
+		direction Direction
+		action    TrapAction
+		want      string
+		wantErr   error
 	}{
-		{Back, ResetBefore, "", syscall.ECONNRESET},
-		{Out, ResetBefore, "", syscall.ECONNRESET},
-		{Back, CloseBefore, "", io.EOF},
-		{Back, Mute, "", os.ErrDeadlineExceeded},
-		{Back, ResetAfter, "end", nil},
+		{FromTarget, ResetBefore, "", syscall.ECONNRESET},
+		{ToTarget, ResetBefore, "", syscall.ECONNRESET},
+		{FromTarget, CloseBefore, "", io.EOF},
+		{FromTarget, Mute, "", os.ErrDeadlineExceeded},
+		{FromTarget, ResetAfter, "end", nil},
 	} {
 		hits := 0
-		r.Trap(e.way, "end", 1, e.act, func() { hits++ })
-		c, other := dial(t, r), dial(t, r)
-		if got, err := says(c, "fin", defaultWaitTimeout); got != "fin" {
+		r.Trap(e.direction, "end", 1, e.action, func() { hits++ })
+		c, other := dialRelay(t, r), dialRelay(t, r)
+		if got, err := exchange(c, "fin", defaultWaitTimeout); got != "fin" {
 			t.Fatal(got, err)
 		}
 		wait := defaultWaitTimeout
-		if e.act == Mute {
-			wait = short
+		if e.action == Mute {
+			wait = briefly
 		}
-		if got, err := says(c, "end", wait); got != e.got || !errors.Is(err, e.fail) {
-			t.Errorf("%v %v: %q, %v", e.way, e.act, got, err)
+		if got, err := exchange(c, "end", wait); got != e.want || !errors.Is(err, e.wantErr) {
+			t.Errorf("direction %v, action %v: got %q, %v", e.direction, e.action, got, err)
 		}
-		if got, err := says(other, "end", defaultWaitTimeout); got != "end" || hits != 1 {
-			t.Errorf("%v %v: %d hits, the other got %q, %v", e.way, e.act, hits, got, err)
+		if got, err := exchange(other, "end", defaultWaitTimeout); got != "end" || hits != 1 {
+			t.Errorf("direction %v, action %v: %d hits; the second connection got %q, %v", e.direction, e.action, hits, got, err)
 		}
 	}
-	r.TrapAt(Out, 4, 1, ResetBefore)
-	c = dial(t, r)
-	if got, err := says(c, "abc", defaultWaitTimeout); got != "abc" {
+	r.TrapAt(ToTarget, 4, 1, ResetBefore)
+	c = dialRelay(t, r)
+	if got, err := exchange(c, "abc", defaultWaitTimeout); got != "abc" {
 		t.Fatal(got, err)
 	}
-	if got, err := says(c, "d", defaultWaitTimeout); err == nil {
-		t.Errorf("byte 4 passed: %q", got)
+	if got, err := exchange(c, "d", defaultWaitTimeout); err == nil {
+		t.Errorf("byte 4 passed a trap at 4 bytes: %q", got)
 	}
 }
 
-// What is held or dripped keeps its order, and a close comes after all of it.
-func TestRelayHoldsInOrder(t *testing.T) {
-	r := echo(t)
-	r.Delay(Out, time.Millisecond)
-	r.Drip(Back, 7)
-	c := dial(t, r)
+// TestRelayKeepsOrder checks that delayed and throttled data keeps its order, and that a close
+// arrives after all of it.
+func TestRelayKeepsOrder(t *testing.T) {
+	r := newEchoRelay(t)
+	r.Delay(ToTarget, time.Millisecond)
+	r.Throttle(FromTarget, 7)
+	c := dialRelay(t, r)
 	var want []byte
 	for i := range 200 {
 		want = append(want, byte(i), byte(i>>4))
@@ -153,6 +155,6 @@
 	c.SetReadDeadline(time.Now().Add(defaultWaitTimeout))
 	got, err := io.ReadAll(c)
 	if err != nil || string(got) != string(want) {
-		t.Errorf("got %d bytes, %v", len(got), err)
+		t.Errorf("got %d bytes, %v; want all bytes sent, in order", len(got), err)
 	}
 }
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -15,7 +15,7 @@
 // hold at the end in addition to the rules of Judge.
 type Scenario struct {
 	Name           string
-	Plan           Plan
+	Plan           FleetConfig
 	acts           []act
 	expectations   []expectation
 	deferredChecks []func() // checks of names, which run after the whole file is read
@@ -63,8 +63,8 @@
 // Parse reads a scenario. open reads included files; if it is nil, includes are rejected. The
 // error is a *conf.Faults with all faults of the file.
 func Parse(name string, text []byte, open conf.ReadFileFunc) (*Scenario, error) {
-	s := &Scenario{Name: name, Plan: Plan{Seed: 1, Patience: defaultWaitTimeout, Model: DefaultModel, Terms: DefaultLimits,
-		Load: Load{Clip: 0.35, Left: 3 * time.Second, Again: 0.9, Titles: 8, Weight: map[string]float64{}}}}
+	s := &Scenario{Name: name, Plan: FleetConfig{Seed: 1, WaitTimeout: defaultWaitTimeout, NodeModel: DefaultNodeModel, Terms: DefaultLimits,
+		Load: Load{ClipShare: 0.35, TimeLeft: 3 * time.Second, RetryShare: 0.9, Titles: 8, ManagerWeights: map[string]float64{}}}}
 	faults := new(conf.Faults)
 	conf.Apply(conf.Parse(name, text, open, faults), nil, faults, s.directives())
 	for _, f := range s.deferredChecks {
@@ -75,7 +75,7 @@
 	}
 	t := &s.Plan.Terms
 	t.Operations.Descriptors = cmp.Or(s.Plan.Sockets, t.Operations.Descriptors)
-	t.WarmUp, t.NodeCapacity, t.InitialShare = s.Plan.Model.Warm, s.Plan.Model.Places, s.Plan.Model.Share
+	t.WarmUp, t.NodeCapacity, t.InitialShare = s.Plan.NodeModel.WarmUpTime, s.Plan.NodeModel.MaxStreams, s.Plan.NodeModel.StartCapacityShare
 	return s, nil
 }
 
@@ -84,21 +84,21 @@
 	p := &s.Plan
 	return []conf.Keyword{
 		{Name: "seed", Usage: "N", Apply: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.Patience = d.Duration("a time", time.Second, maxDuration) }},
+		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, maxDuration) }},
 		{Name: "level", Usage: "LEVEL", Apply: func(d *conf.Directive) {
-			p.Level = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
+			p.LogLevel = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
 		{Name: "sockets", Usage: "N", Apply: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
 		{Name: "admin", Apply: func(*conf.Directive) { p.Admin = true }},
 		{Name: "hall", Usage: "NAME { … }", Repeatable: true, Required: true, Apply: s.readHall},
 		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *conf.Directive) {
 			for first := true; first || d.More(); first = false {
-				p.Absent = append(p.Absent, d.Word("a node"))
+				p.Unlisted = append(p.Unlisted, d.Word("a node"))
 			}
 		}},
 		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *conf.Directive) {
 			line, _ := d.Rest()
-			p.Operator += strings.Trim(line, "`") + "\n"
+			p.OperatorConfig += strings.Trim(line, "`") + "\n"
 		}},
 		{Name: "load", Usage: "{ … }", Apply: s.readLoad},
 		{Name: "node", Usage: "{ … }", Apply: s.readNode},
@@ -125,14 +125,14 @@
 func (s *Scenario) readLoad(d *conf.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.Rate = d.Float("sessions per second", 0, 1000) }},
-		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Clip = d.Float("a share", 0, 1) }},
-		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.Again = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.SessionsPerSecond = d.Float("sessions per second", 0, 1000) }},
+		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
+		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
 		conf.Keyword{Name: "titles", Usage: "N", Apply: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.Left = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
 		conf.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *conf.Directive) {
 			m := d.Word("a manager")
-			l.Weight[m] = d.Float("a weight", 0, 1000)
+			l.ManagerWeights[m] = d.Float("a weight", 0, 1000)
 			s.checkNames(d, 1, m)
 		}},
 	)
@@ -140,7 +140,7 @@
 
 // readNode reads the model of the media nodes.
 func (s *Scenario) readNode(d *conf.Directive) {
-	m := &s.Plan.Model
+	m := &s.Plan.NodeModel
 	two := func(to *[2]time.Duration) func(*conf.Directive) {
 		return func(d *conf.Directive) {
 			to[0] = d.Duration("a time", 0, maxDuration)
@@ -149,13 +149,13 @@
 	}
 	d.Block(
 		conf.Keyword{Name: "link", Usage: "KB", Apply: func(d *conf.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
-		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.Places = d.Int("streams", 1, 10000) }},
-		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.Warm = d.Duration("a time", time.Millisecond, maxDuration) }},
-		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.Share = d.Float("a share", 0.01, 1) }},
-		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdle = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
-		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.Streams = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.Answer)},
-		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.Length)},
+		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
+		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
+		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
+		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.AnswerDelay)},
+		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.SessionLength)},
 	)
 }
 
@@ -163,10 +163,10 @@
 // halls are read; it reports its fault at the argument with this number.
 func (s *Scenario) checkNames(d *conf.Directive, argument int, names ...string) {
 	s.deferredChecks = append(s.deferredChecks, func() {
-		f := &Fleet{Plan: s.Plan, Managers: map[string]*Process{}, Nodes: map[string]*Node{}}
+		f := &Fleet{Config: s.Plan, Managers: map[string]*Manager{}, Nodes: map[string]*Node{}}
 		for _, h := range s.Plan.Halls {
 			for _, m := range h.Managers {
-				f.Managers[m] = &Process{}
+				f.Managers[m] = &Manager{}
 			}
 			for _, n := range h.Nodes {
 				f.Nodes[n] = &Node{}
@@ -222,9 +222,9 @@
 		n, node := d.Int("sessions", 1, 1<<20), s.readOptionalName(d)
 		c.holds = func(r *scenarioRun) bool {
 			if node != "" {
-				return r.Nodes[node].Standing() >= n
+				return r.Nodes[node].EstablishedSessions() >= n
 			}
-			return r.Fleet.Standing() >= n
+			return r.Fleet.EstablishedSessions() >= n
 		}
 	case "open": // N: set-up requests without an answer
 		n := d.Int("set-ups", 1, 1<<20)
@@ -241,7 +241,7 @@
 	case "aside":
 		c.block = func(r *scenarioRun) { r.background.Wait() }
 	case "quiet":
-		c.holds = func(r *scenarioRun) bool { return r.Fleet.Standing() == 0 }
+		c.holds = func(r *scenarioRun) bool { return r.Fleet.EstablishedSessions() == 0 }
 	default: // N [NODE or MANAGER], counted from the start of the steps of the previous act
 		matches := eventConditions[words[i]]
 		n, name := d.Int("how many", 1, 1<<20), s.readOptionalName(d)
@@ -277,7 +277,7 @@
 		return []string{err.Error()}, f.Record
 	}
 	r := &scenarioRun{Fleet: f, actStarted: time.Now()}
-	f.Crowd.Run(f.done)
+	f.Viewers.Run(f.done)
 	if err := s.playActs(r, onAct); err != nil {
 		failures = append(failures, err.Error())
 	}
@@ -285,7 +285,7 @@
 	if s.Plan.Admin {
 		time.Sleep(600 * time.Millisecond) // the metrics include everything that is older than this
 		for m := range f.Managers {
-			f.scrape(m)
+			f.scrapeMetrics(m)
 		}
 	}
 	events := f.Record.Events()
@@ -297,7 +297,7 @@
 			failures = append(failures, "expected "+e.name+": "+why)
 		}
 	}
-	for _, err := range f.Fails() {
+	for _, err := range f.Failures() {
 		failures = append(failures, err.Error())
 	}
 	return failures, f.Record
@@ -315,7 +315,7 @@
 				time.Sleep(c.delay)
 				continue
 			}
-			if err := r.Wait("act "+a.name+": "+c.name, func() bool { return c.holds(r) }); err != nil {
+			if err := r.WaitFor("act "+a.name+": "+c.name, func() bool { return c.holds(r) }); err != nil {
 				return err
 			}
 		}
--- a/internal/fleettest/sizes_test.go
+++ b/internal/fleettest/sizes_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-var sizes = flag.Bool("sizes", false, "measure how many managers this machine bears as processes")
+var sizes = flag.Bool("sizes", false, "measure how many manager processes this machine can run")
 
-// TestSizes measures what 4, 16 and 40 managers cost as processes: time to start,
-// memory, descriptors, and set-ups a second that are all answered. It is long, and its
-// figures are the machine's: it fails by broken rules alone.
-func TestSizes(t *testing.T) {
+// TestManagerProcessCost measures what 4, 16 and 40 managers cost as processes: time to start,
+// memory, descriptors, and set-ups a second that are all answered. It is slow, and its figures
+// depend on the machine: it fails only if a rule of the judge is broken.
+func TestManagerProcessCost(t *testing.T) {
 	if !*sizes {
-		t.Skip("with -sizes only")
+		t.Skip("runs only with -sizes")
 	}
 	binary, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, n := range []int{4, 16, 40} {
-		p := Plan{Seed: 1, Patience: defaultWaitTimeout, Model: DefaultModel, Terms: DefaultLimits,
-			Load: Load{Left: 3 * time.Second, Clip: 0.35, Titles: 8}}
-		p.Model.LinkKB, p.Model.Places, p.Model.Length = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
-		p.Terms.NodeCapacity = p.Model.Places
+		p := FleetConfig{Seed: 1, WaitTimeout: defaultWaitTimeout, NodeModel: DefaultNodeModel, Terms: DefaultLimits,
+			Load: Load{TimeLeft: 3 * time.Second, ClipShare: 0.35, Titles: 8}}
+		p.NodeModel.LinkKB, p.NodeModel.MaxStreams, p.NodeModel.SessionLength = 1e7, 4000, [2]time.Duration{time.Second, 2 * time.Second}
+		p.Terms.NodeCapacity = p.NodeModel.MaxStreams
 		for i := range 2 {
 			h := Hall{Name: string(rune('a' + i))}
 			for k := range n / 2 {
@@ -43,10 +43,10 @@
 			t.Fatal(err)
 		}
 		started := time.Since(began)
-		f.Crowd.Run(f.done)
-		best := 0.0
+		f.Viewers.Run(f.done)
+		bestRate := 0.0
 		for rate := 250.0; rate <= 4000; rate *= 2 {
-			f.Crowd.SetRate(rate)
+			f.Viewers.SetRate(rate)
 			time.Sleep(time.Second)
 			from := time.Now()
 			time.Sleep(3 * time.Second)
@@ -65,23 +65,23 @@
 			if float64(served) < 0.98*float64(asked) || float64(asked) < 0.9*rate*3 {
 				break
 			}
-			best = rate
+			bestRate = rate
 		}
 		var memory []float64
-		most, cpu := 0, time.Duration(0)
+		maxDescriptors, cpu := 0, time.Duration(0)
 		for _, m := range f.Managers {
-			mb, fds, c := m.Usage()
+			mb, descriptors, c := m.Usage()
 			memory = append(memory, mb)
-			most, cpu = max(most, fds), cpu+c
+			maxDescriptors, cpu = max(maxDescriptors, descriptors), cpu+c
 		}
 		slices.Sort(memory)
-		f.Crowd.SetRate(0.001)
+		f.Viewers.SetRate(0.001)
 		time.Sleep(4 * time.Second)
 		if found := Judge(f.Record.Events(), p.Terms, time.Now()); len(found) > 0 {
 			t.Error(FormatVerdicts(found, f.Record.Events()))
 		}
 		f.Close()
-		t.Logf("%d managers: started in %v; memory %.0f MB in the middle, %.0f at most; %d descriptors at most; %.0f set-ups a second all served; %v of processor time",
-			n, started.Round(time.Millisecond), memory[len(memory)/2], memory[len(memory)-1], most, best, cpu)
+		t.Logf("%d managers: started in %v; memory %.0f MB median, %.0f MB at most; %d descriptors at most; %.0f set-ups a second, all served; %v of processor time",
+			n, started.Round(time.Millisecond), memory[len(memory)/2], memory[len(memory)-1], maxDescriptors, bestRate, cpu)
 	}
 }
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -58,12 +58,12 @@
 		result.perform = s.readTrap(d, word)
 	case "untrap":
 		result.perform = func(r *scenarioRun) error {
-			r.between(r.All(), r.All(), func(l *Relay, _ Way, _ string) { l.Untrap() })
+			r.eachRelay(r.All(), r.All(), func(l *Relay, _ Direction, _ string) { l.Untrap() })
 			return nil
 		}
 	case "rate":
 		rate := d.Float("sessions per second", 0, 1000)
-		result.perform = func(r *scenarioRun) error { r.Crowd.SetRate(rate); return nil }
+		result.perform = func(r *scenarioRun) error { r.Viewers.SetRate(rate); return nil }
 	case "mark":
 		result.perform = func(r *scenarioRun) error {
 			for _, m := range r.Managers {
@@ -75,7 +75,7 @@
 		n, m := d.Int("viewers", 1, 10000), s.readOptionalName(d)
 		result.perform = func(r *scenarioRun) error {
 			for range n {
-				r.Crowd.Come(m)
+				r.Viewers.Arrive(m)
 			}
 			return nil
 		}
@@ -83,7 +83,7 @@
 		n, node := d.Int("sessions", 1, 10000), d.Word("a node")
 		s.checkNames(d, 3, node)
 		result.perform = func(r *scenarioRun) error {
-			if got := r.Nodes[node].EndSome("", n); got < n {
+			if got := r.Nodes[node].EndSessions("", n); got < n {
 				return fmt.Errorf("%s has only %d sessions to end", node, got)
 			}
 			return nil
@@ -95,7 +95,7 @@
 		result.perform = func(r *scenarioRun) error {
 			r.background.Go(func() {
 				if err := inner.perform(r); err != nil {
-					r.fail(fmt.Errorf("aside %s: %w", inner.name, err))
+					r.reportFailure(fmt.Errorf("aside %s: %w", inner.name, err))
 				}
 			})
 			return nil
@@ -110,9 +110,9 @@
 		result.perform = s.forGroup(d, func(r *scenarioRun, g Group) error {
 			for _, m := range append(g.lists, g.managers...) {
 				if word == "late" {
-					r.Lists[m].Late(late)
+					r.Coordinators[m].SetDelay(late)
 				} else {
-					r.Lists[m].Silent(word == "silent")
+					r.Coordinators[m].SetSilent(word == "silent")
 				}
 			}
 			return nil
@@ -138,11 +138,11 @@
 		case "term":
 			// The manager counts as serving until it exits: how it handles the requests that it
 			// accepted is judged.
-			err = p.Term()
+			err = p.Terminate()
 		case "start":
 			err = p.Start()
 		case "restart":
-			if err = p.Term(); err == nil {
+			if err = p.Terminate(); err == nil {
 				err = p.Start()
 			}
 		case "pause":
@@ -152,7 +152,7 @@
 		case "starve":
 			p.Starve(share)
 		case "feed":
-			p.Feed()
+			p.StopStarving()
 		default:
 			err = fmt.Errorf("step %s does not apply to managers", word)
 		}
@@ -173,7 +173,7 @@
 		case "unhang":
 			r.Nodes[n].Unhang()
 		case "fail":
-			r.Nodes[n].Fail(share)
+			r.Nodes[n].SetFailShare(share)
 		default:
 			return fmt.Errorf("step %s does not apply to nodes", word)
 		}
@@ -215,12 +215,12 @@
 		return func(r *scenarioRun) error { return r.Upgrade(m, victim, after) }
 	case "stall":
 		n, kind := d.Int("callers", 1, 1000), []string{"part", "drip", "body"}[max(d.OneOf("a kind", "part", "drip", "body"), 0)]
-		return s.forEachManager(d, func(r *scenarioRun, m string) error { r.Stall(m, n, kind); return nil })
+		return s.forEachManager(d, func(r *scenarioRun, m string) error { r.StartStalledCallers(m, n, kind); return nil })
 	case "disable", "enable":
 		node := d.Word("a node")
 		s.checkNames(d, 2, node)
 		d.OneOf("where", "at")
-		return s.forEachManager(d, func(r *scenarioRun, m string) error { return r.Ban(m, node, word == "disable") })
+		return s.forEachManager(d, func(r *scenarioRun, m string) error { return r.SetNodeDisabled(m, node, word == "disable") })
 	}
 	path := map[string]string{"empty": "/drain", "fill": "/undrain"}[word]
 	return s.forEachManager(d, func(r *scenarioRun, m string) error {
@@ -321,7 +321,7 @@
 		case "reset":
 			r.Reset(from, to)
 		case "delay":
-			r.between(from, to, func(l *Relay, w Way, _ string) { l.Delay(w, delay) })
+			r.eachRelay(from, to, func(l *Relay, w Direction, _ string) { l.Delay(w, delay) })
 		}
 		return nil
 	}
@@ -332,14 +332,14 @@
 	manager, node := d.Word("a manager"), d.Word("a node")
 	s.checkNames(d, 2, manager)
 	s.checkNames(d, 3, node)
-	way := Way(max(d.OneOf("a direction", "out", "back"), 0))
+	way := Direction(max(d.OneOf("a direction", "out", "back"), 0))
 	token, bytes := "", 0
 	if word == "trap" {
 		token = d.Word("what passes")
 	} else {
 		bytes = d.Int("bytes", 1, 1<<20)
 	}
-	act := Act(max(d.OneOf("what becomes of it", "reset", "close", "mute", "after"), 0))
+	act := TrapAction(max(d.OneOf("what becomes of it", "reset", "close", "mute", "after"), 0))
 	times := d.Int("how often", 1, 10000)
 	return func(r *scenarioRun) error {
 		managers, err := r.Find(manager)
@@ -351,12 +351,12 @@
 			return err
 		}
 		from, to := managers, nodes
-		if way == Back {
+		if way == FromTarget {
 			from, to = nodes, managers
 		}
-		r.between(from, to, func(l *Relay, w Way, viewersOf string) {
+		r.eachRelay(from, to, func(l *Relay, w Direction, viewersOf string) {
 			if viewersOf != "" {
-				r.Crowd.Broken(viewersOf)
+				r.Viewers.NoteReset(viewersOf)
 			}
 			if word == "trap" {
 				l.Trap(w, token, times, act, nil)
@@ -375,7 +375,7 @@
 	if stop != "" {
 		lists, _ = s.readNames(d)
 	}
-	phase := map[string]string{"drain": terminating, "gone": terminated, "join": inService}[word]
+	phase := map[string]string{"drain": phaseTerminating, "gone": phaseTerminated, "join": phaseInService}[word]
 	return func(r *scenarioRun) error {
 		nodes, err := r.Find(names...)
 		if err != nil {
@@ -386,7 +386,7 @@
 			return err
 		}
 		for _, n := range nodes.nodes {
-			r.List(append(to.lists, to.managers...), n, phase)
+			r.SetNodePhase(append(to.lists, to.managers...), n, phase)
 		}
 		return nil
 	}
@@ -423,7 +423,7 @@
 		s.checkNames(d, 2, manager)
 		s.checkNames(d, 3, n)
 		e.violation = func(r *scenarioRun) string {
-			if got := r.ToNode[manager][n].Opened(); got > most {
+			if got := r.NodeRelays[manager][n].ConnsAccepted(); got > most {
 				return fmt.Sprintf("%d connections were opened from %s to %s, more than %d", got, manager, n, most)
 			}
 			return ""
--- a/internal/member/swim_test.go
+++ b/internal/member/swim_test.go
@@ -70,9 +70,9 @@
 }
 
 // startRelayed starts members whose traffic to each other goes through relays.
-func startRelayed(t *testing.T, names ...string) (map[string]*testMember, *fleettest.Peers) {
+func startRelayed(t *testing.T, names ...string) (map[string]*testMember, *fleettest.PeerNetwork) {
 	t.Helper()
-	p, err := fleettest.NewPeers(names, 1)
+	p, err := fleettest.NewPeerNetwork(names, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,12 +80,12 @@
 	all := map[string]*testMember{}
 	for i, n := range names {
 		all[n] = startMember(t, relayedConfig(p, names, i))
-		p.SetPeer(n, all[n].Addr(), all[n].Addr())
+		p.SetListenAddrs(n, all[n].Addr(), all[n].Addr())
 	}
 	return all, p
 }
 
-func relayedConfig(p *fleettest.Peers, names []string, i int) Config {
+func relayedConfig(p *fleettest.PeerNetwork, names []string, i int) Config {
 	c := Config{Self: Meta{Name: names[i], Site: "s", Address: fmt.Sprintf("127.0.0.1:%d", i+1)}, EncryptionKeys: [][]byte{bytes.Repeat([]byte{7}, 16)}, AddressOverrides: map[string][2]string{}}
 	for _, n := range names {
 		c.ConfiguredMembers = append(c.ConfiguredMembers, ConfiguredMember{n, "s"})
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -10,72 +10,72 @@
 	"millethinge/internal/broker"
 )
 
-// Fleet is media nodes without a wire, for brokers that run in virtual time: it
-// takes their attempts, shares each link equally among what plays there, refuses
-// over the guard, reports loads and tells of short delivery.
+// Fleet simulates media nodes without a network, for brokers that run in virtual time. It accepts
+// attempts, shares each link equally among the sessions on it, refuses set-ups above the
+// utilization limit, reports loads and announces short delivery.
 type Fleet struct {
-	Settings control.Settings
-	LinksKB  []float64     // true links of the nodes, which are servers 1 and on
-	Way      time.Duration // one way
-	Length   func(session control.SessionID, class int) time.Duration
-	Spread   float64 // true rates lie so much above or below the ladder
-	Zones    []int   // of the nodes; nil: all 0
+	Settings      control.Settings
+	LinksKB       []float64     // kB/s: true link capacities of the nodes, which are servers 1 to n
+	OneWayDelay   time.Duration // between a manager and a node
+	SessionLength func(session control.SessionID, class int) time.Duration
+	RateSpread    float64 // largest relative difference of a session's true rate from the rate ladder
+	NodeZones     []int   // zone of each node; nil: all in zone 0
 
-	mu       sync.Mutex
-	src      *rand.Rand
-	nodes    []*fleetNode
-	sessions map[control.SessionID]*fleetSession
-	timers   []*time.Timer
-	closed   bool
-	Earned   float64 // worth of what played, by rung and delivery
-	Played   int
-	Full     int // set-ups refused as full
+	mu             sync.Mutex
+	rng            *rand.Rand
+	nodes          []*fleetNode
+	sessions       map[control.SessionID]*fleetSession
+	timers         []*time.Timer
+	closed         bool
+	EarnedWorth    float64 // sum over the ended sessions of their average worth by rung and delivery
+	SessionsPlayed int     // number of sessions in EarnedWorth
+	RefusedFull    int     // number of set-ups refused as full
 }
 
 type fleetNode struct {
-	link     float64
-	zone     int
-	asked    float64
-	down     bool // it is cut off: it answers nothing, and no connection comes up
-	downAt   time.Time
-	falls    int       // set-ups beyond what it bore while it was cold
-	cold     time.Time // until when
-	began    time.Time
-	sent     int // since
-	sessions map[control.SessionID]*fleetSession
+	linkKB           float64 // kB/s
+	zone             int
+	demandKB         float64 // kB/s that the sessions need
+	down             bool    // it answers nothing, and no connection is established
+	downAt           time.Time
+	excessColdSetUps int // set-ups beyond what it could take while it was cold
+	coldUntil        time.Time
+	startedAt        time.Time
+	setUpsSinceStart int // counted while it is cold
+	sessions         map[control.SessionID]*fleetSession
 }
 
 type fleetSession struct {
-	id      control.SessionID
-	class   int
-	number  int
-	rung    int
-	factor  float64 // of its true rate
-	home    int     // zone of its manager
-	node    *fleetNode
-	server  control.ServerID
-	to      *broker.Broker
-	began   time.Time
-	ends    time.Time
-	earned  float64 // rung's worth times seconds
-	counted time.Time
+	id            control.SessionID
+	class         int
+	attemptNumber int
+	rung          int
+	rateFactor    float64 // true rate relative to the rate ladder
+	managerZone   int
+	node          *fleetNode
+	server        control.ServerID
+	broker        *broker.Broker
+	startedAt     time.Time
+	endsAt        time.Time
+	earnedWorth   float64 // worth multiplied by seconds
+	accruedUntil  time.Time
 }
 
-// NewFleet returns a fleet with a seed of its own.
+// NewFleet initializes and returns f, with random numbers drawn from seed.
 func NewFleet(f *Fleet, seed uint64) *Fleet {
-	f.src = rand.New(rand.NewPCG(seed, 9))
+	f.rng = rand.New(rand.NewPCG(seed, 9))
 	f.sessions = make(map[control.SessionID]*fleetSession)
 	for i, kb := range f.LinksKB {
-		n := &fleetNode{link: kb, sessions: make(map[control.SessionID]*fleetSession)}
-		if f.Zones != nil {
-			n.zone = f.Zones[i]
+		n := &fleetNode{linkKB: kb, sessions: make(map[control.SessionID]*fleetSession)}
+		if f.NodeZones != nil {
+			n.zone = f.NodeZones[i]
 		}
 		f.nodes = append(f.nodes, n)
 	}
 	return f
 }
 
-// Close stops what is still to happen.
+// Close cancels all pending events.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// after runs do later, with the lock held.
-func (f *Fleet) after(d time.Duration, do func()) {
+// schedule runs do after d, with f.mu held.
+func (f *Fleet) schedule(d time.Duration, do func()) {
 	f.timers = append(f.timers, time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -95,27 +95,26 @@
 		}
 	}))
 	if len(f.timers) > 1<<16 {
-		f.timers = append(f.timers[:0], f.timers[1<<15:]...) // the oldest have run
+		f.timers = append(f.timers[:0], f.timers[1<<15:]...) // the oldest have fired
 	}
 }
 
-// Manager is the nodes as one broker sees them. It has to be given the broker
-// before that runs.
-type Manager struct {
+// ManagerNodes is the nodes as one broker sees them. Broker has to be set before the broker runs.
+type ManagerNodes struct {
 	*Fleet
 	Broker *broker.Broker
 	Zone   int
 }
 
-// Times of managers towards a node that can't be reached.
+// Times of managers towards a node that cannot be reached.
 const (
-	openTime    = 500 * time.Millisecond // its open connections are silent, later ones don't come up
-	connectTime = 250 * time.Millisecond
-	lostTime    = 3 * time.Second // until what stood there is given up
+	silentConnTime     = 500 * time.Millisecond // during which connections to it stay open and silent; later set-ups need a new one
+	connectTimeout     = 250 * time.Millisecond // of a new connection
+	sessionLossTimeout = 3 * time.Second        // after which its established sessions are given up
 )
 
-// Lose cuts a zone's nodes off, which end what plays there.
-func (f *Fleet) Lose(zone int) {
+// FailZone cuts off the nodes of a zone, which ends their sessions.
+func (f *Fleet) FailZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
@@ -124,61 +123,63 @@
 		}
 		n.down, n.downAt = true, time.Now()
 		for _, p := range n.sessions {
-			f.end(p)
-			f.after(lostTime, func() {
-				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.number, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
+			f.endSession(p)
+			f.schedule(sessionLossTimeout, func() {
+				p.broker.Report(broker.Report{Kind: broker.ReportEnded, Server: p.server, ID: p.id, AttemptNumber: p.attemptNumber, Status: control.ConnectionReset, Cause: broker.CauseInterrupted})
 			})
 		}
 	}
 }
 
-// Return brings a zone's nodes back, cold where the settings have a warm-up.
-func (f *Fleet) Return(zone int) {
+// RestoreZone brings the nodes of a zone back, cold if the settings have a warm-up time.
+func (f *Fleet) RestoreZone(zone int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.zone == zone {
-			n.down, n.began, n.sent = false, time.Now(), 0
-			n.cold = n.began.Add(time.Duration(f.Settings.WarmAfterS * float64(time.Second)))
+			n.down, n.startedAt, n.setUpsSinceStart = false, time.Now(), 0
+			n.coldUntil = n.startedAt.Add(time.Duration(f.Settings.WarmAfterS * float64(time.Second)))
 		}
 	}
 }
 
-// Falls is how many set-ups came to cold nodes beyond what these bear: a multiple of
-// what has warmed of their streams over the warm-up, over all managers, and two more.
-func (f *Fleet) Falls() (n int) {
+// ExcessColdSetUps returns how many set-ups cold nodes received beyond what they can take. Over all
+// managers, a cold node can take ColdSetupMultiple times the streams that are warm at the moment
+// per warm-up time, and two more set-ups in all.
+func (f *Fleet) ExcessColdSetUps() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range f.nodes {
-		n += o.falls
+		n += o.excessColdSetUps
 	}
 	return n
 }
 
-// bears counts a set-up against the fall-over rule.
-func (f *Fleet) bears(n *fleetNode) {
-	if !time.Now().Before(n.cold) || len(f.Settings.MaxStreamsByKind) == 0 {
+// countColdSetUp counts a set-up of a node that is cold against what it can take.
+func (f *Fleet) countColdSetUp(n *fleetNode) {
+	if !time.Now().Before(n.coldUntil) || len(f.Settings.MaxStreamsByKind) == 0 {
 		return
 	}
-	t, warm := time.Since(n.began).Seconds(), f.Settings.WarmAfterS
+	t, warm := time.Since(n.startedAt).Seconds(), f.Settings.WarmAfterS
 	streams, start := float64(f.Settings.MaxStreamsByKind[0]), f.Settings.StartCapacityShare
-	// What it bore so far: the pace grows from the start's share to the whole.
-	bore := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
-	if n.sent++; float64(n.sent) > bore+2 {
-		n.falls++
+	// What it could take so far: the rate grows linearly from the start capacity to the whole.
+	allowed := f.Settings.ColdSetupMultiple * streams / warm * (start*t + (1-start)*t*t/(2*warm))
+	if n.setUpsSinceStart++; float64(n.setUpsSinceStart) > allowed+2 {
+		n.excessColdSetUps++
 	}
 }
 
-// Worth is what plays earns a second, less what crossing zones costs.
-func (f *Fleet) Worth() (w float64) {
+// WorthPerSecond returns the worth that the present sessions earn each second, less the cost of
+// crossing zones.
+func (f *Fleet) WorthPerSecond() (w float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
-		part := n.part()
+		share := n.worthShare()
 		for _, p := range n.sessions {
 			k := &f.Settings.Classes[p.class]
-			w += k.Worth * f.Settings.LadderWorth[p.rung] * part
-			if p.home != n.zone {
+			w += k.Worth * f.Settings.LadderWorth[p.rung] * share
+			if p.managerZone != n.zone {
 				w -= k.Worth * f.Settings.CrossZoneCost
 			}
 		}
@@ -186,143 +187,145 @@
 	return w
 }
 
-// part is what sessions there get of their worth: under 98% of their rate they lose 7
-// points for each that is missing.
-func (n *fleetNode) part() float64 {
+// worthShare returns the share of their worth that the sessions of a node earn. Below 98% of their
+// rate they lose 7 points for each missing point.
+func (n *fleetNode) worthShare() float64 {
 	share := 1.0
-	if n.asked > n.link {
-		share = n.link / n.asked
+	if n.demandKB > n.linkKB {
+		share = n.linkKB / n.demandKB
 	}
 	return max(1-7*max(0.98-share, 0), 0)
 }
 
-func (m *Manager) node(s control.ServerID) *fleetNode {
+// node returns a server's node, or nil if there is none.
+func (m *ManagerNodes) node(s control.ServerID) *fleetNode {
 	if s < 1 || int(s) > len(m.nodes) {
 		return nil
 	}
 	return m.nodes[s-1]
 }
 
-// SetUp sends an attempt.
-func (m *Manager) SetUp(s control.ServerID, a broker.Attempt) bool {
+// SetUp implements broker.Nodes: it sends an attempt.
+func (m *ManagerNodes) SetUp(s control.ServerID, a broker.Attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
 	if n == nil {
 		return false
 	}
-	m.after(m.Way, func() {
+	m.schedule(m.OneWayDelay, func() {
 		if n.down {
-			if time.Since(n.downAt) > openTime {
-				m.after(connectTime, func() {
+			if time.Since(n.downAt) > silentConnTime {
+				m.schedule(connectTimeout, func() {
 					m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.ConnectFailed})
 				})
 			}
 			return
 		}
-		m.bears(n)
-		if n.asked >= m.Settings.FullAtUtilization*n.link {
-			m.Full++
-			m.after(m.Way, func() {
-				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.load(n)})
+		m.countColdSetUp(n)
+		if n.demandKB >= m.Settings.FullAtUtilization*n.linkKB {
+			m.RefusedFull++
+			m.schedule(m.OneWayDelay, func() {
+				m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.Full, Load: m.loadReport(n)})
 			})
 			return
 		}
-		p := &fleetSession{id: a.ID, class: a.Class, number: a.Number, rung: a.Rung, node: n, server: s, to: m.Broker, home: m.Zone,
-			factor: 1 + m.Spread*(2*m.src.Float64()-1), began: time.Now(), counted: time.Now()}
-		length := m.Length(a.ID, a.Class)
-		p.ends = p.began.Add(length)
-		m.settle(n)
+		p := &fleetSession{id: a.ID, class: a.Class, attemptNumber: a.Number, rung: a.Rung, node: n, server: s, broker: m.Broker, managerZone: m.Zone,
+			rateFactor: 1 + m.RateSpread*(2*m.rng.Float64()-1), startedAt: time.Now(), accruedUntil: time.Now()}
+		length := m.SessionLength(a.ID, a.Class)
+		p.endsAt = p.startedAt.Add(length)
+		m.accrueWorth(n)
 		n.sessions[a.ID], m.sessions[a.ID] = p, p
-		m.recount(n)
-		m.after(m.Way, func() {
+		m.updateDemand(n)
+		m.schedule(m.OneWayDelay, func() {
 			m.Broker.Report(broker.Report{Kind: broker.ReportStarted, Server: s, ID: a.ID, AttemptNumber: a.Number, Description: []byte("d")})
 		})
-		m.after(length, func() {
-			if m.end(p) {
-				p.to.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
+		m.schedule(length, func() {
+			if m.endSession(p) {
+				p.broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: a.ID, AttemptNumber: a.Number, Status: control.OK, Cause: broker.CauseEnded})
 			}
 		})
 	})
 	return true
 }
 
-// settle counts what the sessions of a node have earned until now.
-func (f *Fleet) settle(n *fleetNode) {
+// accrueWorth adds what the sessions of a node have earned since the last call.
+func (f *Fleet) accrueWorth(n *fleetNode) {
 	now := time.Now()
-	part := n.part()
+	share := n.worthShare()
 	for _, p := range n.sessions {
 		k := &f.Settings.Classes[p.class]
-		p.earned += k.Worth * f.Settings.LadderWorth[p.rung] * part * now.Sub(p.counted).Seconds()
-		p.counted = now
+		p.earnedWorth += k.Worth * f.Settings.LadderWorth[p.rung] * share * now.Sub(p.accruedUntil).Seconds()
+		p.accruedUntil = now
 	}
 }
 
-func (f *Fleet) recount(n *fleetNode) {
-	n.asked = 0
+// updateDemand computes the demand of a node from its sessions.
+func (f *Fleet) updateDemand(n *fleetNode) {
+	n.demandKB = 0
 	for _, p := range n.sessions {
-		n.asked += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.factor
+		n.demandKB += f.Settings.RatesKB[p.rung] * f.Settings.Classes[p.class].RateScale * p.rateFactor
 	}
 }
 
-// end takes a session off its node. False: it is not there.
-func (f *Fleet) end(p *fleetSession) bool {
+// endSession removes a session from its node. It returns false if the session has already ended.
+func (f *Fleet) endSession(p *fleetSession) bool {
 	if f.sessions[p.id] != p {
 		return false
 	}
-	f.settle(p.node)
+	f.accrueWorth(p.node)
 	delete(f.sessions, p.id)
 	delete(p.node.sessions, p.id)
-	f.recount(p.node)
-	if s := p.counted.Sub(p.began).Seconds(); s > 0 {
-		f.Earned += p.earned / s
-		f.Played++
+	f.updateDemand(p.node)
+	if s := p.accruedUntil.Sub(p.startedAt).Seconds(); s > 0 {
+		f.EarnedWorth += p.earnedWorth / s
+		f.SessionsPlayed++
 	}
 	return true
 }
 
-// Abandon ends an attempt.
-func (m *Manager) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
+// Abandon implements broker.Nodes: it abandons an attempt.
+func (m *ManagerNodes) Abandon(s control.ServerID, id control.SessionID, number int, timedOut bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
-		m.end(p)
+		m.endSession(p)
 	}
-	m.after(m.Way, func() {
+	m.schedule(m.OneWayDelay, func() {
 		m.Broker.Report(broker.Report{Kind: broker.ReportEnded, Server: s, ID: id, AttemptNumber: number, Status: control.TimedOut})
 	})
 }
 
-// AddEstablished knows of no session from before the start.
-func (m *Manager) AddEstablished(control.ServerID, control.SessionID) bool { return false }
+// AddEstablished implements broker.Nodes. No session is older than the manager.
+func (m *ManagerNodes) AddEstablished(control.ServerID, control.SessionID) bool { return false }
 
-// Release ends a session that stands.
-func (m *Manager) Release(_ control.ServerID, id control.SessionID, _ int) {
+// Release implements broker.Nodes: it ends an established session.
+func (m *ManagerNodes) Release(_ control.ServerID, id control.SessionID, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil {
-		m.end(p)
+		m.endSession(p)
 	}
 }
 
-// SetRung changes a rung, which costs a part of the session's worth.
-func (m *Manager) SetRung(_ control.ServerID, id control.SessionID, rung int) {
+// SetRung implements broker.Nodes. A change of rung costs a part of the session's worth.
+func (m *ManagerNodes) SetRung(_ control.ServerID, id control.SessionID, rung int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if p := m.sessions[id]; p != nil && p.rung != rung {
-		m.settle(p.node)
-		p.earned -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
+		m.accrueWorth(p.node)
+		p.earnedWorth -= m.Settings.RungChangeCostS * m.Settings.Classes[p.class].Worth * m.Settings.LadderWorth[p.rung]
 		p.rung = rung
-		m.recount(p.node)
+		m.updateDemand(p.node)
 	}
 }
 
-// Probe reports a node's load.
-func (m *Manager) Probe(s control.ServerID) {
+// Probe implements broker.Nodes: it reports a node's load.
+func (m *ManagerNodes) Probe(s control.ServerID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.node(s)
-	m.after(2*m.Way, func() {
+	m.schedule(2*m.OneWayDelay, func() {
 		if n == nil {
 			return
 		}
@@ -330,34 +333,34 @@
 			m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.ConnectFailed})
 			return
 		}
-		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.load(n)})
+		m.Broker.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Load: m.loadReport(n)})
 	})
 }
 
-// load is a report: the link's use and the uplink's, which is never short here.
-func (f *Fleet) load(n *fleetNode) []float64 { return []float64{n.asked / n.link, 0.1} }
+// loadReport returns the utilization of the link and of the uplink, which is never short here.
+func (f *Fleet) loadReport(n *fleetNode) []float64 { return []float64{n.demandKB / n.linkKB, 0.1} }
 
-// Notes tells each session on a node that delivers short its share, as nodes do each
-// second. It is to be called as often.
-func (f *Fleet) Notes() {
+// AnnounceShortfalls tells each session on a node that delivers less than 98% which share is
+// delivered. The caller calls it once a second, as often as nodes announce it.
+func (f *Fleet) AnnounceShortfalls() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
-		if share := n.link / math.Max(n.asked, 1); share < 0.98 {
+		if share := n.linkKB / math.Max(n.demandKB, 1); share < 0.98 {
 			for _, p := range n.sessions {
-				p.to.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.number, Note: control.NoteDeliveredShare, Value: share})
+				p.broker.Report(broker.Report{Kind: broker.ReportNote, Server: p.server, ID: p.id, AttemptNumber: p.attemptNumber, Note: control.NoteDeliveredShare, Value: share})
 			}
 		}
 	}
 }
 
-// Use is the part of all links that is asked for.
-func (f *Fleet) Use() float64 {
+// Utilization returns the demand on all links relative to their capacity.
+func (f *Fleet) Utilization() float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	asked, links := 0.0, 0.0
+	demand, capacity := 0.0, 0.0
 	for _, n := range f.nodes {
-		asked, links = asked+n.asked, links+n.link
+		demand, capacity = demand+n.demandKB, capacity+n.linkKB
 	}
-	return asked / links
+	return demand / capacity
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,5 +1,6 @@
-// Package standin is a media node to try and test the program with. It plays
-// nothing: it answers as its Decide says and keeps a bill.
+// Package standin provides stand-ins for the peers of the program: a media node that answers
+// set-ups without playing anything, simulated nodes for virtual time, a DNS server and a listener
+// that accepts nothing.
 package standin
 
 import (
@@ -12,68 +13,69 @@
 	"millethinge/internal/stream"
 )
 
-// Verdict is what a node does with one SETUP.
-type Verdict struct {
-	Status int           // of the answer; 0: none is ever sent
-	Delay  time.Duration // before the answer
-	Length time.Duration // after which the node ends the session; 0: never
+// Response is how a node answers one SETUP.
+type Response struct {
+	Status        int           // 0: the SETUP is never answered
+	Delay         time.Duration // before the answer
+	SessionLength time.Duration // after which the node ends the session; 0: never
 }
 
-// Bill counts what nodes did, over all of them.
-type Bill struct {
-	mu    sync.Mutex
-	SetUp map[string]int // SETUPs by session
-	Ran   map[string]int // of these, the ones that stood
-	Class map[string]int // sessions that stood, by class
-	Ended map[string]int // TEARDOWNs by session
+// Counts counts what happened at the nodes that share it.
+type Counts struct {
+	mu                 sync.Mutex
+	SetUps             map[string]int // SETUP messages by session
+	Established        map[string]int // SETUP messages answered with 200, by session
+	EstablishedByClass map[string]int // the same by class
+	Teardowns          map[string]int // TEARDOWN messages by session
 }
 
-// NewBill returns an empty Bill.
-func NewBill() *Bill {
-	return &Bill{SetUp: map[string]int{}, Ran: map[string]int{}, Class: map[string]int{}, Ended: map[string]int{}}
+// NewCounts returns empty Counts.
+func NewCounts() *Counts {
+	return &Counts{SetUps: map[string]int{}, Established: map[string]int{}, EstablishedByClass: map[string]int{}, Teardowns: map[string]int{}}
 }
 
-// Read calls f while the bill stands still.
-func (b *Bill) Read(f func(*Bill)) {
+// WithLock calls f with the mutex held.
+func (b *Counts) WithLock(f func(*Counts)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f(b)
 }
 
-// Node answers on the connections it is given.
+// Node is a stand-in media node.
 type Node struct {
-	// Decide says what becomes of the nth SETUP of a session, from 1.
-	Decide func(session string, nth int) Verdict
-	Bill   *Bill
+	// Decide returns the response to the nth SETUP of a session, counted from 1. It is called with the
+	// mutex of Counts held.
+	Decide func(session string, nth int) Response
+	Counts *Counts
 }
 
-// Serve accepts until l is closed.
+// Serve accepts connections until l is closed.
 func (n *Node) Serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go n.talk(c)
+		go n.serveConn(c)
 	}
 }
 
-// line is a connection that several sessions write to.
-type line struct {
+// sharedConn is a connection that several goroutines write to.
+type sharedConn struct {
 	net.Conn
 	mu sync.Mutex
 }
 
-func (l *line) send(b []byte) {
+func (l *sharedConn) send(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Write(b) // a manager that is gone needs no answer
+	l.Write(b) // the manager may have gone
 }
 
-func (n *Node) talk(nc net.Conn) {
-	defer nc.Close()
-	c := &line{Conn: nc}
-	in := stream.NewReader(nc, rtsp.MaxMessageSize)
+func (n *Node) serveConn(conn net.Conn) {
+	defer conn.Close()
+	c := &sharedConn{Conn: conn}
+	in := stream.NewReader(conn, rtsp.MaxMessageSize)
 	var m rtsp.Message
 	for {
 		if err := in.Next(func(b []byte) (int, error) { return rtsp.Parse(b, &m) }); err != nil {
@@ -84,8 +86,8 @@
 		case "SETUP":
 			n.setUp(c, session, string(m.Get("Call-Kind")), string(m.Body))
 		case "TEARDOWN":
-			n.Bill.Read(func(b *Bill) { b.Ended[session]++ })
-			c.send(reply(200, "2", session, ""))
+			n.Counts.WithLock(func(b *Counts) { b.Teardowns[session]++ })
+			c.send(buildResponse(200, "2", session, ""))
 		case "OPTIONS":
 			b := rtsp.AppendResponse(nil, 200, "OK")
 			b = rtsp.AppendHeader(b, "CSeq", string(m.Get("CSeq")))
@@ -95,44 +97,44 @@
 	}
 }
 
-func (n *Node) setUp(c *line, session, class, description string) {
-	var v Verdict
-	n.Bill.Read(func(b *Bill) {
-		b.SetUp[session]++
-		v = n.Decide(session, b.SetUp[session])
-		if v.Status == 200 {
-			b.Ran[session]++
-			b.Class[class]++
+func (n *Node) setUp(c *sharedConn, session, class, description string) {
+	var response Response
+	n.Counts.WithLock(func(b *Counts) {
+		b.SetUps[session]++
+		response = n.Decide(session, b.SetUps[session])
+		if response.Status == 200 {
+			b.Established[session]++
+			b.EstablishedByClass[class]++
 		}
 	})
-	if v.Status == 0 {
+	if response.Status == 0 {
 		return
 	}
-	act := func() {
-		if v.Status != 200 {
-			c.send(reply(v.Status, "1", session, ""))
+	respond := func() {
+		if response.Status != 200 {
+			c.send(buildResponse(response.Status, "1", session, ""))
 			return
 		}
-		c.send(reply(200, "1", session, "node;"+description))
-		if v.Length > 0 {
-			time.AfterFunc(v.Length, func() { c.send(end(session)) })
+		c.send(buildResponse(200, "1", session, "node;"+description))
+		if response.SessionLength > 0 {
+			time.AfterFunc(response.SessionLength, func() { c.send(buildTeardown(session)) })
 		}
 	}
-	if v.Delay > 0 {
-		time.AfterFunc(v.Delay, act)
+	if response.Delay > 0 {
+		time.AfterFunc(response.Delay, respond)
 		return
 	}
-	act()
+	respond()
 }
 
-func reply(code int, seq, session, body string) []byte {
+func buildResponse(code int, seq, session, body string) []byte {
 	b := rtsp.AppendResponse(nil, code, strconv.Itoa(code))
 	b = rtsp.AppendHeader(b, "CSeq", seq)
 	b = rtsp.AppendHeader(b, "Session", session)
 	return rtsp.AppendBody(b, []byte(body))
 }
 
-func end(session string) []byte {
+func buildTeardown(session string) []byte {
 	b := rtsp.AppendRequest(nil, "TEARDOWN", "rtsp://media/"+session)
 	b = rtsp.AppendHeader(b, "CSeq", "4")
 	b = rtsp.AppendHeader(b, "Session", session)
