--- a/cmd/millethinge/command.go
+++ b/cmd/millethinge/command.go
@@ -10,7 +10,7 @@
 	"github.com/alecthomas/kong"
 
 	"millethinge/internal/config"
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 // cli is the command line, from which kong derives commands and flags. The Run
@@ -93,7 +93,7 @@
 		return int(ended)
 	}
 	if err != nil {
-		fmt.Fprintln(a.err, "millethinge:", remedy.Text(err))
+		fmt.Fprintln(a.err, "millethinge:", diagnostic.Text(err))
 		return statusFailed
 	}
 	return statusOK
@@ -117,7 +117,7 @@
 func (checkCmd) Run(a *app) error {
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
-		fmt.Fprintln(a.err, remedy.Text(err))
+		fmt.Fprintln(a.err, diagnostic.Text(err))
 		return exitStatus(statusFailed)
 	}
 	for _, w := range append(cfg.Operator.Warnings, cfg.SiteWarnings()...) {
--- a/cmd/millethinge/main.go
+++ b/cmd/millethinge/main.go
@@ -14,7 +14,7 @@
 	"go.uber.org/zap"
 
 	"millethinge/internal/config"
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 	"millethinge/internal/server"
 )
 
@@ -50,7 +50,7 @@
 	signal.Notify(signals, syscall.SIGHUP)
 	cfg, err := config.Load(a.getenv)
 	if err != nil {
-		fmt.Fprintln(a.err, "millethinge:", remedy.Text(err))
+		fmt.Fprintln(a.err, "millethinge:", diagnostic.Text(err))
 		return statusUsage
 	}
 	runtime.GOMAXPROCS(maxProcs(cfg.Cores))
@@ -68,7 +68,7 @@
 		err = server.Run(cfg, listeners, signals, reload, log)
 	}
 	if err != nil {
-		log.Error("ended", remedy.Fields(err)...)
+		log.Error("ended", diagnostic.Fields(err)...)
 		return statusFailed
 	}
 	return statusOK
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -12,7 +12,7 @@
 
 	"go.uber.org/zap"
 
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 // Limits of one call.
@@ -128,7 +128,7 @@
 // them, and logs the refusal.
 func writeError(w http.ResponseWriter, r *http.Request, err error, log *zap.Logger) {
 	status, body := http.StatusServiceUnavailable, map[string]string{"error": err.Error()}
-	if withCode, ok := remedy.FromError(err); ok {
+	if withCode, ok := diagnostic.FromError(err); ok {
 		body["code"], body["remedy"] = withCode.Code(), withCode.Remedy()
 	}
 	var withStatus interface{ Status() int }
--- a/internal/agreed/document.go
+++ b/internal/agreement/document.go
@@ -1,9 +1,9 @@
-// Package agreed decides on which version of its rules and lists a fleet of managers may act,
+// Package agreement decides on which version of its rules and lists a fleet of managers may act,
 // so that no two managers act on incompatible versions. Versions are accepted by a raft log of
 // a few voters, and managers act on them under leases. The package does no I/O: times are
 // arguments, and messages to send are returned. Machine is its interface;
-// docs/agreed-design.md gives the reasons.
-package agreed
+// docs/agreement-design.md gives the reasons.
+package agreement
 
 import (
 	"bytes"
--- a/internal/agreed/plays_test.go
+++ b/internal/agreement/random_test.go
@@ -1,4 +1,4 @@
-package agreed
+package agreement
 
 import (
 	"errors"
--- a/internal/agreed/carry/frame.go
+++ b/internal/agreement/runner/frame.go
@@ -1,4 +1,4 @@
-package carry
+package runner
 
 import (
 	"bufio"
@@ -14,11 +14,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"millethinge/internal/agreed"
+	"millethinge/internal/agreement"
 )
 
 // maxFrameBytes bounds a frame: two documents and the fields around them.
-const maxFrameBytes = 2*agreed.MaxDocumentBytes + 64<<10
+const maxFrameBytes = 2*agreement.MaxDocumentBytes + 64<<10
 
 // FrameTooLongError reports a frame that is longer than any message. Its connection is closed.
 type FrameTooLongError struct{ Bytes, Limit int }
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		if !r.events.Put(agreed.Event{Kind: agreed.EventMessage, From: name, Bytes: b}) {
+		if !r.events.Put(agreement.Event{Kind: agreement.EventMessage, From: name, Bytes: b}) {
 			r.droppedMessages.Add(1)
 		}
 	}
--- a/internal/agreed/carry/carry.go
+++ b/internal/agreement/runner/runner.go
@@ -1,7 +1,7 @@
-// Package carry runs an agreed.Machine and carries its messages between managers over TCP. All
-// decisions are made by agreed.Machine. Messages that can't be sent at once are dropped, since
+// Package runner runs an agreement.Machine and carries its messages between managers over TCP. All
+// decisions are made by agreement.Machine. Messages that can't be sent at once are dropped, since
 // the agreement repeats its requests.
-package carry
+package runner
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 	"golang.org/x/sync/errgroup"
 
-	"millethinge/internal/agreed"
+	"millethinge/internal/agreement"
 	"millethinge/internal/mailbox"
 )
 
@@ -30,11 +30,11 @@
 
 // Config is the configuration of a Runner.
 type Config struct {
-	Machine            agreed.Config
+	Machine            agreement.Config
 	Listener           net.Listener      // closed by Run
 	Addresses          map[string]string // of all managers by name, including this one
 	Log                *zap.Logger
-	OnInForce          func(*agreed.Document)          // called when a version comes into force; must not block; may be nil
+	OnInForce          func(*agreement.Document)       // called when a version comes into force; must not block; may be nil
 	OnSubmissionResult func(version uint64, err error) // called with the result of a submission; must not block; may be nil
 }
 
@@ -43,8 +43,8 @@
 type Runner struct {
 	config          Config
 	startedAt       time.Time
-	machine         *agreed.Machine
-	events          *mailbox.Box[agreed.Event]
+	machine         *agreement.Machine
+	events          *mailbox.Box[agreement.Event]
 	peerQueues      map[string]*mailbox.Box[[]byte]
 	current         atomic.Pointer[leasedConfig]
 	droppedMessages atomic.Int64
@@ -52,20 +52,20 @@
 
 // leasedConfig is an effective configuration with the expiry of its lease.
 type leasedConfig struct {
-	effective   agreed.EffectiveConfig
+	effective   agreement.EffectiveConfig
 	leaseExpiry time.Duration
 }
 
 // New returns a Runner. Run starts it.
 func New(c Config) *Runner {
-	r := &Runner{config: c, startedAt: time.Now(), events: mailbox.New[agreed.Event](maxQueuedEvents), peerQueues: map[string]*mailbox.Box[[]byte]{}}
-	r.machine = agreed.New(0, c.Machine)
+	r := &Runner{config: c, startedAt: time.Now(), events: mailbox.New[agreement.Event](maxQueuedEvents), peerQueues: map[string]*mailbox.Box[[]byte]{}}
+	r.machine = agreement.New(0, c.Machine)
 	return r
 }
 
 // Effective returns what this manager may act on now; ok is false until a version is known to be
 // in force. It must be called for each decision. It does not block.
-func (r *Runner) Effective() (e agreed.EffectiveConfig, ok bool) {
+func (r *Runner) Effective() (e agreement.EffectiveConfig, ok bool) {
 	s := r.current.Load()
 	if s == nil {
 		return e, false
@@ -76,8 +76,8 @@
 }
 
 // Submit submits a version. Config.OnSubmissionResult is called with the result.
-func (r *Runner) Submit(d *agreed.Document) {
-	r.events.Force(agreed.Event{Kind: agreed.EventSubmit, Document: d})
+func (r *Runner) Submit(d *agreement.Document) {
+	r.events.Force(agreement.Event{Kind: agreement.EventSubmit, Document: d})
 }
 
 // DroppedMessages returns the number of messages that were dropped for lack of a connection or
@@ -103,14 +103,14 @@
 func (r *Runner) runMachine(ctx context.Context, group *errgroup.Group) error {
 	tick := time.NewTicker(r.config.Machine.TickInterval())
 	defer tick.Stop()
-	var batch []agreed.Event
+	var batch []agreement.Event
 	for restarts := 0; ; {
 		batch = batch[:0]
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			batch = append(batch, agreed.Event{Kind: agreed.EventTick})
+			batch = append(batch, agreement.Event{Kind: agreement.EventTick})
 		case <-r.events.Ready():
 			batch = r.events.Take(batch)
 		}
@@ -126,7 +126,7 @@
 				r.current.Store(nil)
 				r.config.Machine.Incarnation++
 				r.config.Machine.InitialReplicas = nil
-				r.machine = agreed.New(time.Since(r.startedAt), r.config.Machine)
+				r.machine = agreement.New(time.Since(r.startedAt), r.config.Machine)
 				break
 			}
 			r.perform(ctx, group, actions)
@@ -135,7 +135,7 @@
 }
 
 // handle passes an event to the machine. It returns a panic of the machine as an error.
-func (r *Runner) handle(e agreed.Event) (actions []agreed.Action, err error) {
+func (r *Runner) handle(e agreement.Event) (actions []agreement.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("agreement state machine panicked: %v", p)
@@ -149,24 +149,24 @@
 	return actions, nil
 }
 
-func (r *Runner) perform(ctx context.Context, group *errgroup.Group, actions []agreed.Action) {
+func (r *Runner) perform(ctx context.Context, group *errgroup.Group, actions []agreement.Action) {
 	for _, a := range actions {
 		switch a.Kind {
-		case agreed.ActionSend:
+		case agreement.ActionSend:
 			if !r.peerQueue(ctx, group, a.To).Put(a.Bytes) {
 				r.droppedMessages.Add(1)
 			}
-		case agreed.ActionInForce:
+		case agreement.ActionInForce:
 			r.config.Log.Info("version in force", zap.Uint64("version", a.Document.Version))
 			if r.config.OnInForce != nil {
 				r.config.OnInForce(a.Document)
 			}
-		case agreed.ActionSubmissionResult:
+		case agreement.ActionSubmissionResult:
 			r.config.Log.Info("submission result", zap.Uint64("version", a.Version), zap.Error(a.Err))
 			if r.config.OnSubmissionResult != nil {
 				r.config.OnSubmissionResult(a.Version, a.Err)
 			}
-		case agreed.ActionLogError:
+		case agreement.ActionLogError:
 			r.config.Log.Warn("agreement error", zap.Error(a.Err))
 		}
 	}
--- a/internal/agreed/carry/carry_test.go
+++ b/internal/agreement/runner/runner_test.go
@@ -1,4 +1,4 @@
-package carry
+package runner
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"go.uber.org/zap"
 
-	"millethinge/internal/agreed"
+	"millethinge/internal/agreement"
 )
 
 // A fleet of three on loopback agrees on a version and on one of 1 MB. Without one of the voters
@@ -22,7 +22,7 @@
 	defer cancel()
 	names := []string{"a", "b", "c"}
 	base := Config{Addresses: map[string]string{}, Log: zap.NewNop()}
-	base.Machine = agreed.Config{Voters: names, MaxDelay: time.Second}
+	base.Machine = agreement.Config{Voters: names, MaxDelay: time.Second}
 	listeners := map[string]net.Listener{}
 	for _, n := range names {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -30,10 +30,10 @@
 			t.Fatal(err)
 		}
 		listeners[n], base.Addresses[n] = l, l.Addr().String()
-		base.Machine.InitialReplicas = append(base.Machine.InitialReplicas, agreed.Replica{Name: n, Incarnation: 1})
+		base.Machine.InitialReplicas = append(base.Machine.InitialReplicas, agreement.Replica{Name: n, Incarnation: 1})
 	}
 	runners, stop := map[string]*Runner{}, map[string]func(){}
-	start := func(n string, incarnation uint64, initial []agreed.Replica, results chan error) {
+	start := func(n string, incarnation uint64, initial []agreement.Replica, results chan error) {
 		c := base
 		c.Machine.Name, c.Machine.Incarnation, c.Machine.InitialReplicas, c.Listener = n, incarnation, initial, listeners[n]
 		c.OnSubmissionResult = func(_ uint64, err error) {
@@ -72,14 +72,14 @@
 		}
 	}
 	for v := uint64(1); v <= 2; v++ {
-		runners["a"].Submit(&agreed.Document{Version: v, Replaces: v - 1, DisabledNodes: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
+		runners["a"].Submit(&agreement.Document{Version: v, Replaces: v - 1, DisabledNodes: []string{strings.Repeat("n", int(v-1)<<20), fmt.Sprint(v)}})
 		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
 		waitInForce(v, names...)
 	}
 	stop["c"]()
-	runners["b"].Submit(&agreed.Document{Version: 3, Replaces: 2})
+	runners["b"].Submit(&agreement.Document{Version: 3, Replaces: 2})
 	if err := <-results; err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 	"millethinge/internal/member"
 )
 
@@ -32,17 +32,17 @@
 	maxNameBytes = 100 // of a manager or site; what a member announces of itself has to fit into one datagram
 )
 
-func fleetBlock(l *loader) conf.Keyword {
-	return conf.Keyword{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Apply: func(d *conf.Directive) {
+func fleetBlock(l *loader) directive.Keyword {
+	return directive.Keyword{Name: "fleet", Usage: "{ … }", Doc: "the managers that work together, and how they meet", Apply: func(d *directive.Directive) {
 		fleet := &Fleet{MemberAddresses: map[string][2]string{}}
-		checkMember := func(d *conf.Directive, name string) {
+		checkMember := func(d *directive.Directive, name string) {
 			if !slices.ContainsFunc(fleet.Members, func(m member.ConfiguredMember) bool { return m.Name == name }) && !d.HasFault() {
 				d.ReportFault(d.ArgumentIndex(), "%q is none of the members; name them before", name)
 			}
 		}
-		var listen *conf.Directive
+		var listen *directive.Directive
 		d.Block(
-			conf.Keyword{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Repeatable: true, Required: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "members", Usage: "NAME SITE…", Doc: "all managers of the fleet, this one too, each with its site", Repeatable: true, Required: true, Apply: func(d *directive.Directive) {
 				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					m := member.ConfiguredMember{Name: readFleetName(d, "a manager's name")}
 					if slices.ContainsFunc(fleet.Members, func(other member.ConfiguredMember) bool { return other.Name == m.Name }) && !d.HasFault() {
@@ -54,20 +54,20 @@
 					}
 				}
 			}},
-			conf.Keyword{Name: "listen", Usage: "IP:PORT", Doc: "where the others are heard, TCP and UDP; without it nothing is sent, and all count as there", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "listen", Usage: "IP:PORT", Doc: "where the others are heard, TCP and UDP; without it nothing is sent, and all count as there", Apply: func(d *directive.Directive) {
 				fleet.Listen, listen = readIPv4Address(d), d
 			}},
-			conf.Keyword{Name: "address", Usage: "IP:PORT", Doc: "at which the others reach this one; that of listen if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "address", Usage: "IP:PORT", Doc: "at which the others reach this one; that of listen if absent", Apply: func(d *directive.Directive) {
 				if fleet.Address = readIPv4Address(d); isUnspecified(fleet.Address, true) && !d.HasFault() {
 					d.ReportFault(1, "%q can't be reached; name an address and a port", fleet.Address)
 				}
 			}},
-			conf.Keyword{Name: "join", Usage: "HOST:PORT…", Doc: "members to ask at the start", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "join", Usage: "HOST:PORT…", Doc: "members to ask at the start", Apply: func(d *directive.Directive) {
 				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					fleet.Join = append(fleet.Join, d.Address())
 				}
 			}},
-			conf.Keyword{Name: "at", Usage: "NAME HOST:PORT [HOST:PORT]", Doc: "where a member is reached from here, if not where it says: by TCP, and by UDP if that differs", Repeatable: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "at", Usage: "NAME HOST:PORT [HOST:PORT]", Doc: "where a member is reached from here, if not where it says: by TCP, and by UDP if that differs", Repeatable: true, Apply: func(d *directive.Directive) {
 				name := d.Word("a member")
 				checkMember(d, name)
 				addresses := [2]string{d.Address()}
@@ -76,7 +76,7 @@
 				}
 				fleet.MemberAddresses[name] = addresses
 			}},
-			conf.Keyword{Name: "key", Usage: "FILE", Doc: "of the fleet's keys, one a line; the first seals, all open. Must off loopback", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "key", Usage: "FILE", Doc: "of the fleet's keys, one a line; the first seals, all open. Must off loopback", Apply: func(d *directive.Directive) {
 				path := d.Word("a file")
 				if d.HasFault() {
 					return
@@ -88,7 +88,7 @@
 					l.Warnings = append(l.Warnings, fmt.Sprintf("fleet.key: %s may be read by others than its owner (mode %o); chmod 600 it", path, info.Mode().Perm()))
 				}
 			}},
-			conf.Keyword{Name: "voters", Usage: "NAME…", Doc: "three or five members, who decide for all", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "voters", Usage: "NAME…", Doc: "three or five members, who decide for all", Apply: func(d *directive.Directive) {
 				for first := true; (first || d.More()) && !d.HasFault(); first = false {
 					name := d.Word("a member")
 					checkMember(d, name)
@@ -109,7 +109,7 @@
 
 // checkFleet reports settings of the fleet's block that don't fit together or don't fit
 // the rest of the configuration. listen is the block's listen line, or nil.
-func (l *loader) checkFleet(d, listen *conf.Directive, fleet *Fleet) {
+func (l *loader) checkFleet(d, listen *directive.Directive, fleet *Fleet) {
 	self := slices.IndexFunc(fleet.Members, func(m member.ConfiguredMember) bool { return m.Name == l.deployment.Name })
 	if self < 0 && len(fleet.Members) > 0 && l.deployment.Name != "" {
 		d.ReportFault(0, "%q, the name of this manager, is none of the members", l.deployment.Name)
@@ -142,7 +142,7 @@
 }
 
 // readFleetName reads the name of a manager or site.
-func readFleetName(d *conf.Directive, expected string) string {
+func readFleetName(d *directive.Directive, expected string) string {
 	name := d.Word(expected)
 	switch {
 	case d.HasFault():
@@ -155,7 +155,7 @@
 }
 
 // readIPv4Address reads an IPv4 address and a port.
-func readIPv4Address(d *conf.Directive) string {
+func readIPv4Address(d *directive.Directive) string {
 	address := d.Address()
 	if addrPort, err := netip.ParseAddrPort(address); (err != nil || !addrPort.Addr().Is4()) && !d.HasFault() {
 		d.ReportFault(d.ArgumentIndex(), "%q is no IPv4 address with a port", address)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"millethinge/internal/broker"
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 	"millethinge/internal/peaks"
 	"millethinge/internal/route"
 )
@@ -41,7 +41,7 @@
 
 // blockFunc returns a top-level keyword of an operator's file, which sets a part of the
 // loader's Operator. A subsystem adds its own by an entry in topLevelBlocks.
-type blockFunc func(*loader) conf.Keyword
+type blockFunc func(*loader) directive.Keyword
 
 var topLevelBlocks = []blockFunc{websocketBlock, viewersBlock, teamBlock, dnssdBlock, rulesBlock, ordinaryBlock, peakBlock, siteBlock, fleetBlock}
 
@@ -49,42 +49,42 @@
 type loader struct {
 	Operator
 	deployment Deployment
-	faults     *conf.Faults
+	faults     *directive.Faults
 	deferred   []func() // work that refers to other blocks, run after all blocks are read
 }
 
 // ParseOperator reads an operator's file for a deployment. readFile reads the files that
-// it includes; if it is nil, include is a fault. The error is a *conf.Faults.
-func ParseOperator(name string, text []byte, readFile conf.ReadFileFunc, deployment Deployment) (Operator, error) {
-	l := &loader{deployment: deployment, faults: new(conf.Faults)}
+// it includes; if it is nil, include is a fault. The error is a *directive.Faults.
+func ParseOperator(name string, text []byte, readFile directive.ReadFileFunc, deployment Deployment) (Operator, error) {
+	l := &loader{deployment: deployment, faults: new(directive.Faults)}
 	l.Present = true
-	var keywords []conf.Keyword
+	var keywords []directive.Keyword
 	for _, block := range topLevelBlocks {
 		keywords = append(keywords, block(l))
 	}
-	conf.Apply(conf.Parse(name, text, readFile, l.faults), nil, l.faults, keywords)
+	directive.Apply(directive.Parse(name, text, readFile, l.faults), nil, l.faults, keywords)
 	for _, run := range l.deferred {
 		run()
 	}
 	return l.Operator, l.faults.Err()
 }
 
-// readFileBounded reads a file, and fails for one of more than conf.MaxBytes.
+// readFileBounded reads a file, and fails for one of more than directive.MaxBytes.
 func readFileBounded(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > conf.MaxBytes {
-		return nil, fmt.Errorf("%s: %d bytes; at most %d are read", path, info.Size(), conf.MaxBytes)
+	if info.Size() > directive.MaxBytes {
+		return nil, fmt.Errorf("%s: %d bytes; at most %d are read", path, info.Size(), directive.MaxBytes)
 	}
 	return os.ReadFile(path)
 }
 
 // Keywords returns the top-level keywords of an operator's file, for help texts.
-func Keywords() []conf.Keyword {
-	l := &loader{faults: new(conf.Faults)}
-	var keywords []conf.Keyword
+func Keywords() []directive.Keyword {
+	l := &loader{faults: new(directive.Faults)}
+	var keywords []directive.Keyword
 	for _, block := range topLevelBlocks {
 		keywords = append(keywords, block(l))
 	}
@@ -93,7 +93,7 @@
 
 // readClasses reads the remaining arguments as names of classes, at least one, and
 // returns by class whether it is named.
-func (l *loader) readClasses(d *conf.Directive) []bool {
+func (l *loader) readClasses(d *directive.Directive) []bool {
 	selected := make([]bool, len(l.deployment.Classes))
 	var names []string
 	for _, c := range l.deployment.Classes {
@@ -108,7 +108,7 @@
 }
 
 // checkUnique reports a fault if the name, d's first argument, is empty or in used.
-func checkUnique(d *conf.Directive, name string, used []string) {
+func checkUnique(d *directive.Directive, name string, used []string) {
 	if name == "" && !d.HasFault() {
 		d.ReportFault(1, "the name is empty")
 	} else if slices.Contains(used, name) {
--- a/internal/config/peaks.go
+++ b/internal/config/peaks.go
@@ -7,7 +7,7 @@
 
 	"millethinge/control"
 	"millethinge/internal/broker"
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 	"millethinge/internal/peaks"
 )
 
@@ -45,8 +45,8 @@
 }
 
 // ordinaryBlock reads the load to expect of each class until it is measured.
-func ordinaryBlock(l *loader) conf.Keyword {
-	return conf.Keyword{Name: "ordinary", Usage: "{ CLASS RATE LENGTH … }", Doc: "sessions a second over all managers, and their mean length, until measured", Apply: func(d *conf.Directive) {
+func ordinaryBlock(l *loader) directive.Keyword {
+	return directive.Keyword{Name: "ordinary", Usage: "{ CLASS RATE LENGTH … }", Doc: "sessions a second over all managers, and their mean length, until measured", Apply: func(d *directive.Directive) {
 		for _, line := range d.Directives() {
 			class := -1
 			var names []string
@@ -79,8 +79,8 @@
 // weekdays holds the days of the week by their keywords.
 var weekdays = map[string]time.Weekday{"sun": 0, "mon": 1, "tue": 2, "wed": 3, "thu": 4, "fri": 5, "sat": 6}
 
-func peakBlock(l *loader) conf.Keyword {
-	return conf.Keyword{Name: "peak", Usage: "NAME { … }", Doc: "an announced peak, for which room is held", Repeatable: true, Apply: func(d *conf.Directive) {
+func peakBlock(l *loader) directive.Keyword {
+	return directive.Keyword{Name: "peak", Usage: "NAME { … }", Doc: "an announced peak, for which room is held", Repeatable: true, Apply: func(d *directive.Directive) {
 		peak := peaks.Peak{Name: d.Word("a name"), Zone: time.UTC, Lead: defaultPeakLead, Early: defaultPeakEarly, Probability: defaultPeakProbability, MaxHarm: defaultPeakHarm}
 		names := make([]string, len(l.Peaks))
 		for i := range l.Peaks {
@@ -91,14 +91,14 @@
 			peak.Classes = append(peak.Classes, true)
 		}
 		scheduleCount, increaseCount := 0, 0
-		durationKeyword := func(name, doc string, target *time.Duration, maximum time.Duration) conf.Keyword {
-			return conf.Keyword{Name: name, Usage: "DURATION", Doc: doc, Apply: func(d *conf.Directive) { *target = d.Duration("a time", 0, maximum) }}
+		durationKeyword := func(name, doc string, target *time.Duration, maximum time.Duration) directive.Keyword {
+			return directive.Keyword{Name: name, Usage: "DURATION", Doc: doc, Apply: func(d *directive.Directive) { *target = d.Duration("a time", 0, maximum) }}
 		}
-		fractionKeyword := func(name, doc string, target *float64) conf.Keyword {
-			return conf.Keyword{Name: name, Usage: "PART", Doc: doc, Apply: func(d *conf.Directive) { *target = d.Float("a part from 0 to 1", 0, 1) }}
+		fractionKeyword := func(name, doc string, target *float64) directive.Keyword {
+			return directive.Keyword{Name: name, Usage: "PART", Doc: doc, Apply: func(d *directive.Directive) { *target = d.Float("a part from 0 to 1", 0, 1) }}
 		}
 		d.Block(
-			conf.Keyword{Name: "days", Usage: "DAY|last …", Doc: "of the month", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "days", Usage: "DAY|last …", Doc: "of the month", Apply: func(d *directive.Directive) {
 				for scheduleCount++; d.More(); {
 					if day := d.Word("a day"); day == "last" {
 						peak.Days.OfMonth = append(peak.Days.OfMonth, 0)
@@ -113,7 +113,7 @@
 					d.ReportFault(1, "wants days of the month, as in 15 last")
 				}
 			}},
-			conf.Keyword{Name: "dates", Usage: "YYYY-MM-DD …", Doc: "single dates", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "dates", Usage: "YYYY-MM-DD …", Doc: "single dates", Apply: func(d *directive.Directive) {
 				for scheduleCount++; d.More() || len(peak.Days.Dates) == 0 && !d.HasFault(); {
 					word := d.Word("a date, as in 2026-12-24")
 					t, err := time.Parse(time.DateOnly, word)
@@ -124,7 +124,7 @@
 					peak.Days.Dates = append(peak.Days.Dates, peaks.Day{Year: year, Month: month, Day: dayOfMonth})
 				}
 			}},
-			conf.Keyword{Name: "weekly", Usage: "mon|tue|… …", Doc: "days of the week", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "weekly", Usage: "mon|tue|… …", Doc: "days of the week", Apply: func(d *directive.Directive) {
 				for first := true; d.More() || first; first = false {
 					word := d.Word("a day of the week, as in fri")
 					weekday, ok := weekdays[word]
@@ -135,8 +135,8 @@
 				}
 				scheduleCount++
 			}},
-			conf.Keyword{Name: "daily", Doc: "each day", Apply: func(d *conf.Directive) { peak.Days.Daily, scheduleCount = true, scheduleCount+1 }},
-			conf.Keyword{Name: "at", Usage: "HH:MM", Doc: "when it begins", Required: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "daily", Doc: "each day", Apply: func(d *directive.Directive) { peak.Days.Daily, scheduleCount = true, scheduleCount+1 }},
+			directive.Keyword{Name: "at", Usage: "HH:MM", Doc: "when it begins", Required: true, Apply: func(d *directive.Directive) {
 				word := d.Word("a time of day, as in 18:00")
 				t, err := time.Parse("15:04", word)
 				if err != nil && !d.HasFault() {
@@ -144,7 +144,7 @@
 				}
 				peak.At = time.Duration(t.Hour())*time.Hour + time.Duration(t.Minute())*time.Minute
 			}},
-			conf.Keyword{Name: "zone", Usage: "NAME", Doc: "the time zone of at and the days; UTC if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "zone", Usage: "NAME", Doc: "the time zone of at and the days; UTC if absent", Apply: func(d *directive.Directive) {
 				location, err := time.LoadLocation(d.Word("a time zone, as in America/Mexico_City"))
 				if err != nil && !d.HasFault() {
 					d.ReportFault(1, "%v", err)
@@ -152,19 +152,19 @@
 					peak.Zone = location
 				}
 			}},
-			conf.Keyword{Name: "length", Usage: "DURATION", Doc: "how long it lasts", Required: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "length", Usage: "DURATION", Doc: "how long it lasts", Required: true, Apply: func(d *directive.Directive) {
 				peak.Length = d.Duration("how long it lasts", time.Second, maxPeakLength)
 			}},
 			durationKeyword("ramp", "over which it comes, and goes; 0s if absent", &peak.Ramp, maxPeakLength),
 			durationKeyword("lead", "before it, for which room is held at most; 90s if absent", &peak.Lead, maxPeakLead),
 			durationKeyword("early", "by how much it may come too early; 10m if absent", &peak.Early, maxPeakEarly),
-			conf.Keyword{Name: "classes", Usage: "CLASS…", Doc: "which more come of; all if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "classes", Usage: "CLASS…", Doc: "which more come of; all if absent", Apply: func(d *directive.Directive) {
 				peak.Classes = l.readClasses(d)
 			}},
-			conf.Keyword{Name: "factor", Usage: "N", Doc: "of the ordinary sessions a second", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "factor", Usage: "N", Doc: "of the ordinary sessions a second", Apply: func(d *directive.Directive) {
 				peak.Factor, increaseCount = d.Float("a factor over 1", 1, maxPeakFactor), increaseCount+1
 			}},
-			conf.Keyword{Name: "more", Usage: "N", Doc: "sessions a second, in place of a factor", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "more", Usage: "N", Doc: "sessions a second, in place of a factor", Apply: func(d *directive.Directive) {
 				peak.ExtraRate, increaseCount = d.Float("sessions a second", 0, maxSessionsPerS), increaseCount+1
 			}},
 			fractionKeyword("sure", "how likely it is to come; 0.9 if absent", &peak.Probability),
@@ -184,7 +184,7 @@
 
 // checkPeakFits reports a fault if the whole fleet can't carry the peak even with all
 // sessions on the lowest rungs. It needs the ordinary load to be configured.
-func (l *loader) checkPeakFits(d *conf.Directive, peak peaks.Peak) {
+func (l *loader) checkPeakFits(d *directive.Directive, peak peaks.Peak) {
 	classes := l.Operator.peakClassesWithLoad(l.deployment)
 	if d.HasFault() || classes == nil || l.deployment.FleetSlots <= 0 {
 		return
--- a/internal/config/rules.go
+++ b/internal/config/rules.go
@@ -3,37 +3,37 @@
 import (
 	"time"
 
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 	"millethinge/internal/route"
 	"millethinge/internal/rules"
 )
 
 // rulesBlock reads the rules that assign class, team, budget key and labels to requests.
 // They are compiled once all blocks are read, since they refer to teams.
-func rulesBlock(l *loader) conf.Keyword {
-	return conf.Keyword{Name: "rules", Usage: "{ … }", Doc: "classes, teams, budget keys and labels by rules", Apply: func(d *conf.Directive) {
+func rulesBlock(l *loader) directive.Keyword {
+	return directive.Keyword{Name: "rules", Usage: "{ … }", Doc: "classes, teams, budget keys and labels by rules", Apply: func(d *directive.Directive) {
 		source := route.Source{LoadZone: time.LoadLocation, Trace: l.deployment.Trace}
 		var otherwise []rules.Rule
 		d.Block(
-			conf.Keyword{Name: "zone", Usage: "NAME", Doc: "the time zone of clock and today; UTC if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "zone", Usage: "NAME", Doc: "the time zone of clock and today; UTC if absent", Apply: func(d *directive.Directive) {
 				source.LocalZone = d.Word("a time zone, as in America/Mexico_City")
 				if _, err := time.LoadLocation(source.LocalZone); err != nil && !d.HasFault() {
 					d.ReportFault(1, "%v", err)
 				}
 			}},
-			conf.Keyword{Name: "budget", Usage: "STEPS", Doc: "the most that a request may cost; 50000 if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "budget", Usage: "STEPS", Doc: "the most that a request may cost; 50000 if absent", Apply: func(d *directive.Directive) {
 				source.StepBudget = int64(d.Int("a number of steps", 1, rules.MaxStepBudget))
 			}},
-			conf.Keyword{Name: "define", Usage: "NAME EXPRESSION", Doc: "an expression's name", Repeatable: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "define", Usage: "NAME EXPRESSION", Doc: "an expression's name", Repeatable: true, Apply: func(d *directive.Directive) {
 				source.Definitions = append(source.Definitions, rules.Definition{Name: d.Word("a name"), Source: l.ruleSource(d, "an expression")})
 			}},
-			conf.Keyword{Name: "table", Usage: "NAME KEY -> VALUE default D { … }", Doc: "a look-up, a key and its value a line", Repeatable: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "table", Usage: "NAME KEY -> VALUE default D { … }", Doc: "a look-up, a key and its value a line", Repeatable: true, Apply: func(d *directive.Directive) {
 				source.Tables = append(source.Tables, readTable(d, true))
 			}},
-			conf.Keyword{Name: "set", Usage: "NAME KEY { … }", Doc: "a set, a key a line", Repeatable: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "set", Usage: "NAME KEY { … }", Doc: "a set, a key a line", Repeatable: true, Apply: func(d *directive.Directive) {
 				source.Tables = append(source.Tables, readTable(d, false))
 			}},
-			conf.Keyword{Name: "route", Usage: "NAME when CONDITION set TARGET = VALUE, …", Doc: "a rule; the first that matches counts", Repeatable: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "route", Usage: "NAME when CONDITION set TARGET = VALUE, …", Doc: "a rule; the first that matches counts", Repeatable: true, Apply: func(d *directive.Directive) {
 				name := d.Word("a name")
 				for i := range source.Rules {
 					if source.Rules[i].Name == name {
@@ -42,7 +42,7 @@
 				}
 				source.Rules = append(source.Rules, rules.Rule{Name: name, Source: l.ruleSource(d, "when CONDITION set TARGET = VALUE")})
 			}},
-			conf.Keyword{Name: "otherwise", Usage: "set TARGET = VALUE, …", Doc: "what a request is given that no rule matches", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "otherwise", Usage: "set TARGET = VALUE, …", Doc: "what a request is given that no rule matches", Apply: func(d *directive.Directive) {
 				otherwise = append(otherwise, rules.Rule{Name: "otherwise", Source: l.ruleSource(d, "set TARGET = VALUE")})
 			}},
 		)
@@ -65,7 +65,7 @@
 
 // ruleSource returns the rest of d's line as source text of the rules' language. expected
 // names it in the fault if it is missing.
-func (l *loader) ruleSource(d *conf.Directive, expected string) rules.Source {
+func (l *loader) ruleSource(d *directive.Directive, expected string) rules.Source {
 	if !d.More() {
 		d.Word(expected) // reports that it is missing
 	}
@@ -80,7 +80,7 @@
 }
 
 // readTable reads a table or, if values is false, a set.
-func readTable(d *conf.Directive, values bool) rules.Table {
+func readTable(d *directive.Directive, values bool) rules.Table {
 	table := rules.Table{Name: d.Word("a name")}
 	readKind := func(expected string) rules.Kind {
 		word := d.Word(expected)
--- a/internal/config/sites.go
+++ b/internal/config/sites.go
@@ -8,7 +8,7 @@
 
 	"millethinge/control"
 	"millethinge/internal/broker"
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 	"millethinge/internal/directory"
 	"millethinge/internal/site"
 )
@@ -28,8 +28,8 @@
 	WarmUp       time.Duration // until its nodes carry their full load after a return; 0: as in the settings
 }
 
-func siteBlock(l *loader) conf.Keyword {
-	return conf.Keyword{Name: "site", Usage: "NAME { … }", Doc: "zones that are lost together, and what gives way then", Repeatable: true, Apply: func(d *conf.Directive) {
+func siteBlock(l *loader) directive.Keyword {
+	return directive.Keyword{Name: "site", Usage: "NAME { … }", Doc: "zones that are lost together, and what gives way then", Repeatable: true, Apply: func(d *directive.Directive) {
 		s := Site{Name: d.Word("a name")}
 		var names []string
 		for _, other := range l.Sites {
@@ -37,7 +37,7 @@
 		}
 		checkUnique(d, s.Name, names)
 		d.Block(
-			conf.Keyword{Name: "zones", Usage: "ZONE…", Doc: "of the platform's list", Required: true, Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "zones", Usage: "ZONE…", Doc: "of the platform's list", Required: true, Apply: func(d *directive.Directive) {
 				for first := true; first || d.More(); first = false {
 					zone := d.Word("a zone")
 					switch inSite := func(other Site) bool { return slices.Contains(other.Zones, zone) }; {
@@ -50,10 +50,10 @@
 					s.Zones = append(s.Zones, zone)
 				}
 			}},
-			conf.Keyword{Name: "keep", Usage: "CLASS…", Doc: "whose sessions are taken before all others while it is lost; none if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "keep", Usage: "CLASS…", Doc: "whose sessions are taken before all others while it is lost; none if absent", Apply: func(d *directive.Directive) {
 				s.KeepClasses = l.readClasses(d)
 			}},
-			conf.Keyword{Name: "refuse", Usage: "CLASS…", Doc: "in this order, the first first; by worth for each kB if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "refuse", Usage: "CLASS…", Doc: "in this order, the first first; by worth for each kB if absent", Apply: func(d *directive.Directive) {
 				var names []string
 				for _, c := range l.deployment.Classes {
 					names = append(names, c.Name)
@@ -66,7 +66,7 @@
 					}
 				}
 			}},
-			conf.Keyword{Name: "pace", Usage: "DURATION", Doc: "until its nodes bear their full load again; the settings' warm-up if absent", Apply: func(d *conf.Directive) {
+			directive.Keyword{Name: "pace", Usage: "DURATION", Doc: "until its nodes bear their full load again; the settings' warm-up if absent", Apply: func(d *directive.Directive) {
 				s.WarmUp = d.Duration("how long they take", time.Millisecond, maxWarmUp)
 			}},
 		)
--- a/internal/remedy/remedy.go
+++ b/internal/diagnostic/diagnostic.go
@@ -1,8 +1,8 @@
-// Package remedy defines the interface of all errors that reach an operator: at the start, in
+// Package diagnostic defines the interface of all errors that reach an operator: at the start, in
 // the log, or in the answer to an operator's call. Each such error is a type of its own, with
 // the facts as fields. It has a stable code, under which docs/errors.md lists it, and says
 // what the operator can do.
-package remedy
+package diagnostic
 
 import (
 	"errors"
--- a/internal/remedy/remedy_test.go
+++ b/internal/diagnostic/diagnostic_test.go
@@ -1,4 +1,4 @@
-package remedy
+package diagnostic
 
 import (
 	"errors"
--- a/internal/conf/directive.go
+++ b/internal/directive/directive.go
@@ -1,4 +1,4 @@
-package conf
+package directive
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"millethinge/internal/spell"
+	"millethinge/internal/suggest"
 )
 
 // Keyword describes a keyword that a file or block may contain.
@@ -35,7 +35,7 @@
 	for _, d := range directives {
 		i := slices.Index(names, d.Name())
 		if i < 0 {
-			d.ReportFault(0, "unknown keyword %q%s", d.Name(), spell.Suggest(d.Name(), names))
+			d.ReportFault(0, "unknown keyword %q%s", d.Name(), suggest.Suggest(d.Name(), names))
 			continue
 		}
 		if firstUses[i] != nil && !keywords[i].Repeatable {
@@ -256,7 +256,7 @@
 	w := d.Word(expected)
 	i := slices.Index(choices, w)
 	if i < 0 && !d.hasFault {
-		d.ReportFault(d.current, "%q is not %s%s", w, expected, spell.Suggest(w, choices))
+		d.ReportFault(d.current, "%q is not %s%s", w, expected, suggest.Suggest(w, choices))
 	}
 	return i
 }
--- a/internal/conf/conf_test.go
+++ b/internal/directive/directive_test.go
@@ -1,4 +1,4 @@
-package conf
+package directive
 
 import (
 	"errors"
--- a/internal/conf/scan.go
+++ b/internal/directive/parse.go
@@ -1,4 +1,4 @@
-// Package conf reads configuration files in a line-based syntax like that of many Unix
+// Package directive reads configuration files in a line-based syntax like that of many Unix
 // daemons:
 //
 //	# a comment
@@ -15,7 +15,7 @@
 //
 // The package does no I/O of its own. It collects all faults instead of stopping at the
 // first, each with its file, line and column.
-package conf
+package directive
 
 import (
 	"fmt"
--- a/internal/directory/coordinator.go
+++ b/internal/directory/coordinator.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"millethinge/control"
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 const (
@@ -228,7 +228,7 @@
 		indexBefore, appliedBefore := c.lastIndex, c.applied
 		err := c.pollConn(ctx, addr, maxWait)
 		if err != nil && ctx.Err() == nil {
-			c.Log.Warn("coordinator", remedy.Fields(err)...)
+			c.Log.Warn("coordinator", diagnostic.Fields(err)...)
 		}
 		if c.applied > appliedBefore || errors.As(err, new(*TimeoutError)) { // after a time-out: the coordinator may be too slow for an immediate response
 			maxWait = pollWait
--- a/internal/directory/coordinator_test.go
+++ b/internal/directory/coordinator_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 	"go.uber.org/zap"
 
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -97,7 +97,7 @@
 				}
 				var changes int
 				err := newTestClient(func(Change) { changes++ }).pollConn(t.Context(), addr, 0)
-				if e, ok := remedy.FromError(err); !ok || e.Code() != code || changes != 0 {
+				if e, ok := diagnostic.FromError(err); !ok || e.Code() != code || changes != 0 {
 					t.Errorf("%.60q: error %v, %d changes", response, err, changes)
 				}
 			})
--- a/internal/directory/dns.go
+++ b/internal/directory/dnsquery.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 const (
@@ -76,7 +76,7 @@
 			return nil, &DNSQueryError{d.ServerAddr, network, name, int(resp.RCode), nil}
 		}
 		for _, err := range resp.skipped {
-			d.Log.Warn("dns-sd", remedy.Fields(&RecordError{name, recordTypeName(recordType), err})...)
+			d.Log.Warn("dns-sd", diagnostic.Fields(&RecordError{name, recordTypeName(recordType), err})...)
 		}
 		return resp.records, nil
 	}
--- a/internal/directory/dnssd.go
+++ b/internal/directory/dnssd.go
@@ -13,7 +13,7 @@
 	"golang.org/x/net/dns/dnsmessage"
 
 	"millethinge/control"
-	"millethinge/internal/remedy"
+	"millethinge/internal/diagnostic"
 )
 
 const (
@@ -52,7 +52,7 @@
 		}
 		if err != nil {
 			// The server does not respond: earlier records are used until their TTL expires.
-			d.Log.Warn("dns-sd", remedy.Fields(err)...)
+			d.Log.Warn("dns-sd", diagnostic.Fields(err)...)
 			d.apply(now, nil, false)
 			ttl = minRefreshInterval
 		} else {
@@ -108,7 +108,7 @@
 			if queryErr := (*DNSQueryError)(nil); ctx.Err() != nil || errors.As(err, &queryErr) {
 				return nil, 0, err
 			}
-			d.Log.Warn("dns-sd", remedy.Fields(err)...)
+			d.Log.Warn("dns-sd", diagnostic.Fields(err)...)
 			continue
 		}
 		ttl = min(ttl, recordTTL(r))
--- a/internal/fleettest/scenario.go
+++ b/internal/fleettest/scenario.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 )
 
 // Scenario is a parsed scenario file: a fleet, a sequence of acts, and expectations that must
@@ -61,12 +61,12 @@
 const maxDuration = time.Minute
 
 // Parse reads a scenario. open reads included files; if it is nil, includes are rejected. The
-// error is a *conf.Faults with all faults of the file.
-func Parse(name string, text []byte, open conf.ReadFileFunc) (*Scenario, error) {
+// error is a *directive.Faults with all faults of the file.
+func Parse(name string, text []byte, open directive.ReadFileFunc) (*Scenario, error) {
 	s := &Scenario{Name: name, Plan: FleetConfig{Seed: 1, WaitTimeout: defaultWaitTimeout, NodeModel: DefaultNodeModel, Terms: DefaultLimits,
 		Load: Load{ClipShare: 0.35, TimeLeft: 3 * time.Second, RetryShare: 0.9, Titles: 8, ManagerWeights: map[string]float64{}}}}
-	faults := new(conf.Faults)
-	conf.Apply(conf.Parse(name, text, open, faults), nil, faults, s.directives())
+	faults := new(directive.Faults)
+	directive.Apply(directive.Parse(name, text, open, faults), nil, faults, s.directives())
 	for _, f := range s.deferredChecks {
 		f()
 	}
@@ -80,23 +80,23 @@
 }
 
 // directives returns the keywords of a scenario file.
-func (s *Scenario) directives() []conf.Keyword {
+func (s *Scenario) directives() []directive.Keyword {
 	p := &s.Plan
-	return []conf.Keyword{
-		{Name: "seed", Usage: "N", Apply: func(d *conf.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
-		{Name: "patience", Usage: "DURATION", Apply: func(d *conf.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, maxDuration) }},
-		{Name: "level", Usage: "LEVEL", Apply: func(d *conf.Directive) {
+	return []directive.Keyword{
+		{Name: "seed", Usage: "N", Apply: func(d *directive.Directive) { p.Seed = uint64(d.Int("a number", 1, 1<<30)) }},
+		{Name: "patience", Usage: "DURATION", Apply: func(d *directive.Directive) { p.WaitTimeout = d.Duration("a time", time.Second, maxDuration) }},
+		{Name: "level", Usage: "LEVEL", Apply: func(d *directive.Directive) {
 			p.LogLevel = []string{"debug", "info", "warn"}[max(d.OneOf("a level", "debug", "info", "warn"), 0)]
 		}},
-		{Name: "sockets", Usage: "N", Apply: func(d *conf.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
-		{Name: "admin", Apply: func(*conf.Directive) { p.Admin = true }},
+		{Name: "sockets", Usage: "N", Apply: func(d *directive.Directive) { p.Sockets = d.Int("a number of descriptors", 128, 4096) }},
+		{Name: "admin", Apply: func(*directive.Directive) { p.Admin = true }},
 		{Name: "hall", Usage: "NAME { … }", Repeatable: true, Required: true, Apply: s.readHall},
-		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *conf.Directive) {
+		{Name: "absent", Usage: "NODE…", Repeatable: true, Apply: func(d *directive.Directive) {
 			for first := true; first || d.More(); first = false {
 				p.Unlisted = append(p.Unlisted, d.Word("a node"))
 			}
 		}},
-		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *conf.Directive) {
+		{Name: "operator", Usage: "LINE", Repeatable: true, Apply: func(d *directive.Directive) {
 			line, _ := d.Rest()
 			p.OperatorConfig += strings.Trim(line, "`") + "\n"
 		}},
@@ -108,29 +108,29 @@
 }
 
 // readHall reads a hall with its managers and nodes.
-func (s *Scenario) readHall(d *conf.Directive) {
+func (s *Scenario) readHall(d *directive.Directive) {
 	h := Hall{Name: d.Word("a name")}
-	names := func(to *[]string) func(*conf.Directive) {
-		return func(d *conf.Directive) {
+	names := func(to *[]string) func(*directive.Directive) {
+		return func(d *directive.Directive) {
 			for first := true; first || d.More(); first = false {
 				*to = append(*to, d.Word("a name"))
 			}
 		}
 	}
-	d.Block(conf.Keyword{Name: "managers", Usage: "NAME…", Apply: names(&h.Managers)}, conf.Keyword{Name: "nodes", Usage: "NAME…", Apply: names(&h.Nodes)})
+	d.Block(directive.Keyword{Name: "managers", Usage: "NAME…", Apply: names(&h.Managers)}, directive.Keyword{Name: "nodes", Usage: "NAME…", Apply: names(&h.Nodes)})
 	s.Plan.Halls = append(s.Plan.Halls, h)
 }
 
 // readLoad reads the load that the viewers generate.
-func (s *Scenario) readLoad(d *conf.Directive) {
+func (s *Scenario) readLoad(d *directive.Directive) {
 	l := &s.Plan.Load
 	d.Block(
-		conf.Keyword{Name: "rate", Usage: "N", Apply: func(d *conf.Directive) { l.SessionsPerSecond = d.Float("sessions per second", 0, 1000) }},
-		conf.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *conf.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
-		conf.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *conf.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
-		conf.Keyword{Name: "titles", Usage: "N", Apply: func(d *conf.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
-		conf.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *conf.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
-		conf.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *conf.Directive) {
+		directive.Keyword{Name: "rate", Usage: "N", Apply: func(d *directive.Directive) { l.SessionsPerSecond = d.Float("sessions per second", 0, 1000) }},
+		directive.Keyword{Name: "clip", Usage: "SHARE", Apply: func(d *directive.Directive) { l.ClipShare = d.Float("a share", 0, 1) }},
+		directive.Keyword{Name: "again", Usage: "SHARE", Apply: func(d *directive.Directive) { l.RetryShare = d.Float("a share", 0, 1) }},
+		directive.Keyword{Name: "titles", Usage: "N", Apply: func(d *directive.Directive) { l.Titles = d.Int("a number", 1, 1000) }},
+		directive.Keyword{Name: "left", Usage: "DURATION", Apply: func(d *directive.Directive) { l.TimeLeft = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
+		directive.Keyword{Name: "weight", Usage: "MANAGER N", Repeatable: true, Apply: func(d *directive.Directive) {
 			m := d.Word("a manager")
 			l.ManagerWeights[m] = d.Float("a weight", 0, 1000)
 			s.checkNames(d, 1, m)
@@ -139,29 +139,31 @@
 }
 
 // readNode reads the model of the media nodes.
-func (s *Scenario) readNode(d *conf.Directive) {
+func (s *Scenario) readNode(d *directive.Directive) {
 	m := &s.Plan.NodeModel
-	two := func(to *[2]time.Duration) func(*conf.Directive) {
-		return func(d *conf.Directive) {
+	two := func(to *[2]time.Duration) func(*directive.Directive) {
+		return func(d *directive.Directive) {
 			to[0] = d.Duration("a time", 0, maxDuration)
 			to[1] = d.Duration("a longer time", to[0], maxDuration)
 		}
 	}
 	d.Block(
-		conf.Keyword{Name: "link", Usage: "KB", Apply: func(d *conf.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
-		conf.Keyword{Name: "places", Usage: "N", Apply: func(d *conf.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
-		conf.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *conf.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, maxDuration) }},
-		conf.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *conf.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
-		conf.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *conf.Directive) { m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, maxDuration) }},
-		conf.Keyword{Name: "streams", Usage: "N", Apply: func(d *conf.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
-		conf.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.AnswerDelay)},
-		conf.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.SessionLength)},
+		directive.Keyword{Name: "link", Usage: "KB", Apply: func(d *directive.Directive) { m.LinkKB = d.Float("kB per second", 1, 1e9) }},
+		directive.Keyword{Name: "places", Usage: "N", Apply: func(d *directive.Directive) { m.MaxStreams = d.Int("streams", 1, 10000) }},
+		directive.Keyword{Name: "warm", Usage: "DURATION", Apply: func(d *directive.Directive) { m.WarmUpTime = d.Duration("a time", time.Millisecond, maxDuration) }},
+		directive.Keyword{Name: "share", Usage: "SHARE", Apply: func(d *directive.Directive) { m.StartCapacityShare = d.Float("a share", 0.01, 1) }},
+		directive.Keyword{Name: "idle", Usage: "DURATION", Apply: func(d *directive.Directive) {
+			m.ConnIdleTimeout = d.Duration("a time", 100*time.Millisecond, maxDuration)
+		}},
+		directive.Keyword{Name: "streams", Usage: "N", Apply: func(d *directive.Directive) { m.StreamsPerConn = d.Int("set-ups open on a connection", 1, 1000) }},
+		directive.Keyword{Name: "answer", Usage: "FROM TO", Apply: two(&m.AnswerDelay)},
+		directive.Keyword{Name: "length", Usage: "FROM TO", Apply: two(&m.SessionLength)},
 	)
 }
 
 // checkNames registers a check that names are parties of the fleet. The check runs after all
 // halls are read; it reports its fault at the argument with this number.
-func (s *Scenario) checkNames(d *conf.Directive, argument int, names ...string) {
+func (s *Scenario) checkNames(d *directive.Directive, argument int, names ...string) {
 	s.deferredChecks = append(s.deferredChecks, func() {
 		f := &Fleet{Config: s.Plan, Managers: map[string]*Manager{}, Nodes: map[string]*Node{}}
 		for _, h := range s.Plan.Halls {
@@ -179,16 +181,16 @@
 }
 
 // readAct reads an act.
-func (s *Scenario) readAct(d *conf.Directive) {
+func (s *Scenario) readAct(d *directive.Directive) {
 	a := act{name: d.Word("a name")}
 	d.Block(
-		conf.Keyword{Name: "when", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) {
+		directive.Keyword{Name: "when", Usage: "WHAT …", Repeatable: true, Apply: func(d *directive.Directive) {
 			if len(a.steps) > 0 {
 				d.ReportFault(0, "comes after do: an act waits for all its conditions first and then performs its steps")
 			}
 			a.conditions = append(a.conditions, s.readCondition(d))
 		}},
-		conf.Keyword{Name: "do", Usage: "WHAT …", Repeatable: true, Apply: func(d *conf.Directive) { a.steps = append(a.steps, s.readStep(d)) }},
+		directive.Keyword{Name: "do", Usage: "WHAT …", Repeatable: true, Apply: func(d *directive.Directive) { a.steps = append(a.steps, s.readStep(d)) }},
 	)
 	s.acts = append(s.acts, a)
 }
@@ -208,7 +210,7 @@
 }
 
 // readCondition reads what an act waits for.
-func (s *Scenario) readCondition(d *conf.Directive) condition {
+func (s *Scenario) readCondition(d *directive.Directive) condition {
 	words := append([]string{"after", "standing", "logged", "quiet", "open", "aside"}, sortedKeys(eventConditions)...)
 	i := d.OneOf("a condition", words...)
 	if i < 0 {
@@ -256,7 +258,7 @@
 
 // readOptionalName reads the name of a node or a manager, or returns "" at the end of the
 // directive.
-func (s *Scenario) readOptionalName(d *conf.Directive) string {
+func (s *Scenario) readOptionalName(d *directive.Directive) string {
 	if !d.More() {
 		return ""
 	}
--- a/internal/fleettest/steps.go
+++ b/internal/fleettest/steps.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"millethinge/internal/conf"
+	"millethinge/internal/directive"
 )
 
 // readStep reads a step of an act with its arguments. These are the steps:
@@ -41,7 +41,7 @@
 //	                      TIME after the successor's start
 //	stall N part|drip|body M…  N callers that never finish a call
 //	aside STEP            performs STEP in the background; the condition aside waits for it
-func (s *Scenario) readStep(d *conf.Directive) step {
+func (s *Scenario) readStep(d *directive.Directive) step {
 	words := []string{"cut", "heal", "reset", "delay", "trap", "trap-at", "untrap", "kill", "term", "start", "restart", "pause", "resume",
 		"starve", "feed", "hang", "unhang", "fail", "drain", "gone", "join", "late", "silent", "speak", "rate", "burst", "end", "mark",
 		"call", "disable", "enable", "empty", "fill", "upgrade", "stall", "aside"}
@@ -182,7 +182,7 @@
 }
 
 // readOperation reads a step that calls a manager's admin address.
-func (s *Scenario) readOperation(d *conf.Directive, word string) func(*scenarioRun) error {
+func (s *Scenario) readOperation(d *directive.Directive, word string) func(*scenarioRun) error {
 	if !s.Plan.Admin {
 		d.ReportFault(0, "wants the keyword admin before it")
 	}
@@ -233,7 +233,7 @@
 }
 
 // forEachManager reads names and returns a step that calls do for each manager they stand for.
-func (s *Scenario) forEachManager(d *conf.Directive, do func(r *scenarioRun, m string) error) func(*scenarioRun) error {
+func (s *Scenario) forEachManager(d *directive.Directive, do func(r *scenarioRun, m string) error) func(*scenarioRun) error {
 	return s.forGroup(d, func(r *scenarioRun, g Group) error {
 		for _, m := range g.managers {
 			if err := do(r, m); err != nil {
@@ -246,7 +246,7 @@
 
 // readNames reads names up to one of the stop words or the end of the directive, and returns
 // the stop word that it found.
-func (s *Scenario) readNames(d *conf.Directive, stopWords ...string) (names []string, stop string) {
+func (s *Scenario) readNames(d *directive.Directive, stopWords ...string) (names []string, stop string) {
 	first := d.ArgumentIndex() + 1
 	for d.More() {
 		word := d.Word("a name")
@@ -266,7 +266,7 @@
 
 // forGroup reads at least one name and returns a step that calls do with the parties they
 // stand for.
-func (s *Scenario) forGroup(d *conf.Directive, do func(*scenarioRun, Group) error) func(*scenarioRun) error {
+func (s *Scenario) forGroup(d *directive.Directive, do func(*scenarioRun, Group) error) func(*scenarioRun) error {
 	names, _ := s.readNames(d)
 	if len(names) == 0 {
 		d.ReportFault(d.ArgumentIndex()+1, "wants names")
@@ -281,7 +281,7 @@
 }
 
 // readLinkFault reads a cut, heal, reset or delay.
-func (s *Scenario) readLinkFault(d *conf.Directive, word string) func(*scenarioRun) error {
+func (s *Scenario) readLinkFault(d *directive.Directive, word string) func(*scenarioRun) error {
 	if word == "heal" && !d.More() {
 		return func(r *scenarioRun) error { r.Heal(r.All(), r.All()); return nil }
 	}
@@ -328,7 +328,7 @@
 }
 
 // readTrap reads a trap or trap-at.
-func (s *Scenario) readTrap(d *conf.Directive, word string) func(*scenarioRun) error {
+func (s *Scenario) readTrap(d *directive.Directive, word string) func(*scenarioRun) error {
 	manager, node := d.Word("a manager"), d.Word("a node")
 	s.checkNames(d, 2, manager)
 	s.checkNames(d, 3, node)
@@ -369,7 +369,7 @@
 }
 
 // readListUpdate reads a step that sets the phase of nodes in the lists.
-func (s *Scenario) readListUpdate(d *conf.Directive, word string) func(*scenarioRun) error {
+func (s *Scenario) readListUpdate(d *directive.Directive, word string) func(*scenarioRun) error {
 	names, stop := s.readNames(d, "for")
 	lists := []string{"lists"}
 	if stop != "" {
@@ -400,7 +400,7 @@
 //	logged MANAGER TEXT, unlogged MANAGER TEXT
 //	unmarked TEXT          in no manager's log up to the mark
 //	order CHEAP DEAR       some requests of class CHEAP are refused, and a larger share than of DEAR
-func (s *Scenario) readExpectation(d *conf.Directive) {
+func (s *Scenario) readExpectation(d *directive.Directive) {
 	words := []string{"served", "connects", "sent", "logged", "unlogged", "unmarked", "order"}
 	i := d.OneOf("what can be expected", words...)
 	if i < 0 {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/renameio/v2"
 
-	"millethinge/internal/duty"
+	"millethinge/internal/override"
 )
 
 // Format and names of the files.
@@ -33,8 +33,8 @@
 
 // StoredOverrides are the operator overrides as they are stored for other processes.
 type StoredOverrides struct {
-	Drain duty.Override            `cbor:"1,keyasint"` // whether clients are drained
-	Nodes map[string]duty.Override `cbor:"2,keyasint"` // whether a media node is disabled, by its id
+	Drain override.Override            `cbor:"1,keyasint"` // whether clients are drained
+	Nodes map[string]override.Override `cbor:"2,keyasint"` // whether a media node is disabled, by its id
 }
 
 // Merge adopts the overrides of other that are newer, and reports whether there were any.
@@ -42,12 +42,12 @@
 	if other.Drain.At.After(o.Drain.At) {
 		o.Drain, changed = other.Drain, true
 	}
-	for id, override := range other.Nodes {
-		if override.At.After(o.Nodes[id].At) {
+	for id, newer := range other.Nodes {
+		if newer.At.After(o.Nodes[id].At) {
 			if o.Nodes == nil {
-				o.Nodes = make(map[string]duty.Override)
+				o.Nodes = make(map[string]override.Override)
 			}
-			o.Nodes[id], changed = override, true
+			o.Nodes[id], changed = newer, true
 		}
 	}
 	return changed
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -10,7 +10,7 @@
 
 	"millethinge/control"
 	"millethinge/internal/broker"
-	"millethinge/internal/duty"
+	"millethinge/internal/override"
 )
 
 // openFolder opens the folder of a manager with this name.
@@ -28,7 +28,7 @@
 func TestUnusableFilesAreRejected(t *testing.T) {
 	parent := t.TempDir()
 	f := openFolder(t, parent, "n1")
-	want := StoredOverrides{Drain: duty.Override{Active: true, At: time.Unix(7, 5)}, Nodes: map[string]duty.Override{"s-1": {Active: true, At: time.Unix(8, 123456789)}}}
+	want := StoredOverrides{Drain: override.Override{Active: true, At: time.Unix(7, 5)}, Nodes: map[string]override.Override{"s-1": {Active: true, At: time.Unix(8, 123456789)}}}
 	if err := f.StoreOverrides(want); err != nil {
 		t.Fatal(err)
 	}
@@ -75,8 +75,8 @@
 // fields of an override are stored under the names Out and At, whatever they are called in Go.
 func TestStoredFormat(t *testing.T) {
 	const stored = "mlth\x00\x01\x00\x00\x00e\xf0\x1dIқ\"\xf6y\xa3\x01bn1\x02n127.0.0.1:5060\x03\xa2\x01\xa2bAtx\x1e1970-01-01T00:00:07.000000005ZcOut\xf5\x02\xa1cs-1\xa2bAtt1970-01-01T00:00:08ZcOut\xf4"
-	want := StoredOverrides{Drain: duty.Override{Active: true, At: time.Unix(7, 5).UTC()},
-		Nodes: map[string]duty.Override{"s-1": {Active: false, At: time.Unix(8, 0).UTC()}}}
+	want := StoredOverrides{Drain: override.Override{Active: true, At: time.Unix(7, 5).UTC()},
+		Nodes: map[string]override.Override{"s-1": {Active: false, At: time.Unix(8, 0).UTC()}}}
 	data, err := encode(envelope[StoredOverrides]{"n1", "127.0.0.1:5060", want})
 	if err != nil || string(data) != stored {
 		t.Errorf("stored as %q, want %q, %v", data, stored, err)
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -17,7 +17,7 @@
 	"millethinge/internal/broker"
 	"millethinge/internal/directory"
 	"millethinge/internal/mailbox"
-	"millethinge/internal/stall"
+	"millethinge/internal/pause"
 )
 
 // inboxLimit bounds the set-ups, probes and received messages that wait in one node's inbox.
@@ -49,7 +49,7 @@
 	group      *errgroup.Group
 	ctx        context.Context
 	openConns  atomic.Int64
-	pauseWatch stall.Detector
+	pauseWatch pause.Detector
 
 	mu    sync.RWMutex
 	nodes map[control.ServerID]*node
@@ -69,7 +69,7 @@
 // NewPool returns a Pool whose actors run in group until ctx ends.
 func NewPool(ctx context.Context, group *errgroup.Group, cfg Config) *Pool {
 	return &Pool{cfg: cfg, group: group, ctx: ctx, nodes: make(map[control.ServerID]*node),
-		pauseWatch: stall.Detector{Threshold: stall.ThresholdForGrace(cfg.DrainGrace)}}
+		pauseWatch: pause.Detector{Threshold: pause.ThresholdForGrace(cfg.DrainGrace)}}
 }
 
 // Apply applies a change of the list. A node's new state holds for its next SETUP as soon
--- a/internal/member/swim.go
+++ b/internal/member/swim.go
@@ -29,7 +29,7 @@
 	joinInterval   = time.Second            // between attempts to reach a member that is not present
 	joinTimeout    = time.Second            // for the connection and the answer
 	rejoinDelay    = 4 * time.Second        // until a member that was refused as a duplicate tries again
-	tickInterval   = 100 * time.Millisecond // shorter than any gap that package stall takes for a process pause
+	tickInterval   = 100 * time.Millisecond // shorter than any gap that package pause takes for a process pause
 	leaveTimeout   = 400 * time.Millisecond // for each of the two messages of a leave
 	gossipInterval = 200 * time.Millisecond
 )
--- a/internal/member/book.go
+++ b/internal/member/tracker.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"millethinge/internal/stall"
+	"millethinge/internal/pause"
 )
 
 // Time-outs of a Tracker.
@@ -139,7 +139,7 @@
 	reportedDuplicates map[[2]int64]bool // by the start times of both
 	reportedUnknown    map[string]bool
 	duplicateSeenAt    time.Time // when an earlier started member of its name was last heard of; zero: never
-	pauseDetector      stall.Detector
+	pauseDetector      pause.Detector
 	pendingEvents      []Event
 }
 
--- a/internal/duty/gate.go
+++ b/internal/override/gate.go
@@ -1,4 +1,4 @@
-package duty
+package override
 
 import (
 	"sync/atomic"
--- a/internal/duty/duty.go
+++ b/internal/override/override.go
@@ -1,6 +1,6 @@
-// Package duty applies operator overrides: which media nodes are disabled, and whether
+// Package override applies operator overrides: which media nodes are disabled, and whether
 // clients are drained. It does no I/O; times are arguments.
-package duty
+package override
 
 import (
 	"maps"
--- a/internal/stall/stall.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package stall detects process pauses: times in which the program itself did not run,
+// Package pause detects process pauses: times in which the program itself did not run,
 // such as between SIGSTOP and SIGCONT. After a pause the program's information about
 // other systems is as old as the pause is long, and nothing else shows it. A Detector
 // reports that information as stale until it has been requested anew.
@@ -6,7 +6,7 @@
 // The package does no I/O and reads no clock: times are arguments. They must come from a
 // clock that continues during a pause, as Go's monotonic clock does on Linux for a stopped
 // process.
-package stall
+package pause
 
 import (
 	"cmp"
--- a/internal/stall/stall_test.go
+++ b/internal/pause/pause_test.go
@@ -1,4 +1,4 @@
-package stall
+package pause
 
 import (
 	"testing"
--- a/internal/rules/check.go
+++ b/internal/rules/check.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"millethinge/internal/spell"
+	"millethinge/internal/suggest"
 )
 
 // setBuilder compiles the sources of one Set.
@@ -555,7 +555,7 @@
 	case functions[name] != nil:
 		return c.errorf(pos, "%s is a function; write %s(…)", name, name)
 	}
-	return c.errorf(pos, "unknown name %q%s", name, spell.Suggest(name, c.knownNames()))
+	return c.errorf(pos, "unknown name %q%s", name, suggest.Suggest(name, c.knownNames()))
 }
 
 // knownNames returns all valid names, to suggest one for a misspelt name.
@@ -627,7 +627,7 @@
 			names = append(names, n)
 		}
 		slices.Sort(names)
-		return c.errorf(pos, "no table %q%s", g.Name, spell.Suggest(g.Name, names))
+		return c.errorf(pos, "no table %q%s", g.Name, suggest.Suggest(g.Name, names))
 	case t.ValueKind == 0:
 		return c.errorf(pos, "%s is a set and has no values; write KEY in %s", t.Name, t.Name)
 	case key == nil:
--- a/internal/rules/function.go
+++ b/internal/rules/function.go
@@ -10,7 +10,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"millethinge/internal/spell"
+	"millethinge/internal/suggest"
 )
 
 // function is a built-in function. The compile function for the representation of its result is set; those
@@ -50,7 +50,7 @@
 		for _, e := range g.Args {
 			c.expr(e)
 		}
-		return c.errorf(pos, "no function %q%s", g.Name, spell.Suggest(g.Name, names))
+		return c.errorf(pos, "no function %q%s", g.Name, suggest.Suggest(g.Name, names))
 	}
 	args := make([]*node, len(g.Args))
 	for i, e := range g.Args {
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"millethinge/internal/spell"
+	"millethinge/internal/suggest"
 )
 
 // keyIndex maps the keys of a list literal, a table or a set to rows.
@@ -288,7 +288,7 @@
 		}
 		v.Integer = int64(slices.Index(names, text))
 		if v.Integer < 0 && text != "none" {
-			return v, fmt.Errorf("%q is no %v of this deployment%s", text, k, spell.Suggest(text, names))
+			return v, fmt.Errorf("%q is no %v of this deployment%s", text, k, suggest.Suggest(text, names))
 		}
 	}
 	return v, nil
--- a/internal/server/operation.go
+++ b/internal/server/admin.go
@@ -14,11 +14,11 @@
 	"millethinge/internal/admin"
 	"millethinge/internal/broker"
 	"millethinge/internal/config"
+	"millethinge/internal/diagnostic"
 	"millethinge/internal/directory"
-	"millethinge/internal/duty"
 	"millethinge/internal/front/jsonl"
 	"millethinge/internal/handover"
-	"millethinge/internal/remedy"
+	"millethinge/internal/override"
 )
 
 // processCheckInterval is the time between two checks for other processes of this manager
@@ -34,7 +34,7 @@
 // is configured; a nil adminService stands for none, and most methods accept it.
 type adminService struct {
 	cfg           *config.Config
-	gate          *duty.Gate
+	gate          *override.Gate
 	counts        *broker.Counters
 	nodeList      *directory.List
 	listSink      directory.Sink // takes list changes to which the overrides have been applied
@@ -46,9 +46,9 @@
 	process             *handover.Process
 	shared              atomic.Bool // whether another process of this manager is alive
 	ready               atomic.Bool
-	stopping            atomic.Bool     // set once this process is asked to end
-	coordinatorAnswered chan struct{}   // closed at the coordinator's first answer since the start
-	overrides           *duty.Overrides // owned by the list's actor goroutine
+	stopping            atomic.Bool         // set once this process is asked to end
+	coordinatorAnswered chan struct{}       // closed at the coordinator's first answer since the start
+	overrides           *override.Overrides // owned by the list's actor goroutine
 
 	mu            sync.Mutex
 	overrideState handover.StoredOverrides // the overrides as they are stored for other processes
@@ -62,7 +62,7 @@
 	if cfg.AdminListen == "" {
 		return nil
 	}
-	s := &adminService{cfg: cfg, gate: new(duty.Gate), counts: broker.NewCounters(len(cfg.ClassNames)), overrides: duty.NewOverrides(), log: log, coordinatorAnswered: make(chan struct{})}
+	s := &adminService{cfg: cfg, gate: new(override.Gate), counts: broker.NewCounters(len(cfg.ClassNames)), overrides: override.NewOverrides(), log: log, coordinatorAnswered: make(chan struct{})}
 	if cfg.SharedDir == "" {
 		return s
 	}
@@ -90,7 +90,7 @@
 
 // warnOperator logs an error that an operator can resolve.
 func warnOperator(log *zap.Logger, err error) {
-	log.Warn("handover folder could not be used", remedy.Fields(err)...)
+	log.Warn("handover folder could not be used", diagnostic.Fields(err)...)
 }
 
 // withOverrides returns a sink that applies the operator overrides to each change of the
@@ -104,7 +104,7 @@
 }
 
 // Gate returns the gate by which a drain turns clients away, or nil for a nil s.
-func (s *adminService) Gate() *duty.Gate {
+func (s *adminService) Gate() *override.Gate {
 	if s == nil {
 		return nil
 	}
@@ -237,14 +237,14 @@
 
 // loadOverrides merges the overrides that another process stored. It returns those for media
 // nodes if any override is new, otherwise nil.
-func (s *adminService) loadOverrides() map[string]duty.Override {
+func (s *adminService) loadOverrides() map[string]override.Override {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.loadOverridesLocked()
 }
 
 // loadOverridesLocked is loadOverrides for callers that hold s.mu.
-func (s *adminService) loadOverridesLocked() map[string]duty.Override {
+func (s *adminService) loadOverridesLocked() map[string]override.Override {
 	stored, changed, err := s.folder.LoadOverrides()
 	if err != nil {
 		warnOperator(s.log, err)
@@ -318,7 +318,7 @@
 }
 
 // applyDrain closes or opens the gate for clients as ordered.
-func (s *adminService) applyDrain(override duty.Override) {
+func (s *adminService) applyDrain(override override.Override) {
 	if override.Active {
 		s.gate.StartDrain(override.At)
 	} else {
@@ -328,7 +328,7 @@
 
 // applyOverrides puts overrides for media nodes into effect. It must be called only from the
 // list's actor goroutine.
-func (s *adminService) applyOverrides(overrides map[string]duty.Override) {
+func (s *adminService) applyOverrides(overrides map[string]override.Override) {
 	if c := s.overrides.Merge(overrides); len(c.Members) > 0 {
 		s.listSink(c)
 	}
@@ -431,10 +431,10 @@
 
 // SetDisabled disables a media node, or enables it again.
 func (s *adminService) SetDisabled(ctx context.Context, member string, disable bool) error {
-	override := duty.Override{Active: disable, At: time.Now()}
+	ordered := override.Override{Active: disable, At: time.Now()}
 	done := make(chan error, 1)
 	s.nodeList.AfterPending(func() {
-		c, known := s.overrides.Set(member, override)
+		c, known := s.overrides.Set(member, ordered)
 		if !known {
 			listed, _ := s.overrides.NodeCounts()
 			done <- &admin.UnknownMemberError{Member: member, ListedCount: listed}
@@ -443,7 +443,7 @@
 		if len(c.Members) > 0 {
 			s.listSink(c)
 		}
-		s.storeOverrides(handover.StoredOverrides{Nodes: map[string]duty.Override{member: override}})
+		s.storeOverrides(handover.StoredOverrides{Nodes: map[string]override.Override{member: ordered}})
 		done <- nil
 	})
 	select {
@@ -456,7 +456,7 @@
 
 // SetDraining begins or ends a drain of clients.
 func (s *adminService) SetDraining(_ context.Context, on bool) error {
-	override := duty.Override{Active: on, At: time.Now()}
+	override := override.Override{Active: on, At: time.Now()}
 	s.mu.Lock()
 	if current := s.overrideState.Drain; current.Active == on {
 		override = current // a repeated call keeps the time of the first
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"millethinge/internal/broker"
-	"millethinge/internal/conf"
 	"millethinge/internal/config"
+	"millethinge/internal/directive"
 	"millethinge/internal/directory"
 	"millethinge/internal/front/jsonl"
 	"millethinge/internal/front/message"
@@ -255,7 +255,7 @@
 // logReloadError logs why a reload of the configuration failed. Guard: a configuration that
 // can't be read or has faults changes nothing in the running manager.
 func logReloadError(err error, log *zap.Logger) {
-	var faults *conf.Faults
+	var faults *directive.Faults
 	if !errors.As(err, &faults) {
 		log.Error("configuration not reloaded; the old one stays", zap.Error(err))
 		return
--- a/internal/spell/spell.go
+++ b/internal/suggest/suggest.go
@@ -1,5 +1,5 @@
-// Package spell suggests the known word that a misspelled one most likely stands for.
-package spell
+// Package suggest suggests the known word that a misspelled one most likely stands for.
+package suggest
 
 import (
 	"fmt"
--- a/internal/spell/spell_test.go
+++ b/internal/suggest/suggest_test.go
@@ -1,4 +1,4 @@
-package spell
+package suggest
 
 import "testing"
 
