--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -36,17 +36,17 @@
 
 // Config configures a Broker.
 type Config struct {
-	Settings control.Settings
-	Seed     uint64
-	MemoryMB int
-	Drain    DrainTimes
-	Teams    []Team
-	Peaks    PeakConfig
-	Sites    SiteConfig
-	Nodes    Nodes
-	Counters *Counters      // nil: outcomes are not counted
-	HandOver func(Handover) // receives the established sessions when a successor takes over; must not block; nil: there are no successors
-	Log      *zap.Logger
+	Settings     control.Settings
+	Seed         uint64
+	MemoryMB     int
+	Drain        DrainTimes
+	Teams        []Team
+	Peaks        PeakConfig
+	Sites        SiteConfig
+	Nodes        Nodes
+	Counters     *Counters      // nil: outcomes are not counted
+	SendHandover func(Handover) // receives the established sessions when a successor takes over; must not block; nil: there are no successors
+	Log          *zap.Logger
 }
 
 // DrainTimes holds how long a Broker goes on after Drain, counted from its call.
@@ -100,7 +100,7 @@
 		drained:      make(chan struct{}),
 		drainTimes:   cfg.Drain,
 		counters:     cfg.Counters,
-		handOver:     cfg.HandOver,
+		handOver:     cfg.SendHandover,
 		planners:     newPlanners(&cfg, settings.Managers, cfg.Log),
 	}
 	for i := range b.planners {
--- a/internal/broker/handover.go
+++ b/internal/broker/handover.go
@@ -37,9 +37,9 @@
 // hostedClient is a Client that knows its viewer's host.
 type hostedClient interface{ From() string }
 
-// Handover returns the sessions that are established at the end of the drain. It may be
+// FinalHandover returns the sessions that are established at the end of the drain. It may be
 // called once the channel of Drained is closed.
-func (b *Broker) Handover() Handover { return b.finalHandover }
+func (b *Broker) FinalHandover() Handover { return b.finalHandover }
 
 // buildHandover returns the sessions that are established now.
 //
--- a/internal/broker/handover_test.go
+++ b/internal/broker/handover_test.go
@@ -36,7 +36,7 @@
 	predecessor.handleMessage(Report{Kind: ReportEnded, Server: server2, ID: 2, Status: control.ConnectionReset, Cause: CauseInterrupted})
 	predecessor.drainStart = predecessor.drainStart.Add(-predecessor.minDrainTime())
 	predecessor.checkDrained()
-	final := predecessor.Handover()
+	final := predecessor.FinalHandover()
 	if got := oldCalls.takeCalls(); len(final.Sessions) != 2 || !final.Final || final.Ended[2] != CauseInterrupted || got != "ended 2" {
 		t.Fatalf("%+v; calls: %s", final, got)
 	}
--- a/internal/broker/peaks.go
+++ b/internal/broker/peaks.go
@@ -94,7 +94,7 @@
 	for i := range p.classes {
 		p.classes[i].Survival = p.lengths[i].Survival(ages[i])
 	}
-	input := peaks.Input{Now: now, CapacitySlots: v.FleetSlots(), ManagerShare: v.ArrivalShare(), Classes: p.classes, Arrivals: p.arrivals}
+	input := peaks.Input{Now: now, CapacitySlots: v.FleetSlots(), ManagerShare: v.LoadShare(), Classes: p.classes, Arrivals: p.arrivals}
 	for i, n := range p.ownArrivals {
 		if p.hasOwnRule[i] {
 			input.PeakArrivals = append(input.PeakArrivals, peaks.PeakArrivals{Peak: i, Count: n})
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -40,7 +40,7 @@
 	FleetSlots() float64
 	// ArrivalShare is this manager's share of the arrivals at all managers, from 0 to 1;
 	// 0: unknown.
-	ArrivalShare() float64
+	LoadShare() float64
 	// SessionAges returns, by class, how long each established session has been playing, in
 	// seconds.
 	SessionAges() [][]float64
@@ -72,8 +72,8 @@
 // brokerView implements BrokerView.
 type brokerView struct{ *Broker }
 
-func (v brokerView) FleetSlots() float64   { return v.controller.CapacitySlots() }
-func (v brokerView) ArrivalShare() float64 { return v.controller.LoadShare() }
+func (v brokerView) FleetSlots() float64 { return v.controller.CapacitySlots() }
+func (v brokerView) LoadShare() float64  { return v.controller.LoadShare() }
 
 func (v brokerView) Probe(s control.ServerID) { v.nodes.Probe(s) }
 
--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -167,7 +167,7 @@
 			s.log.Info(DemandMessage, zap.Float64s("rates", rates), zap.Durations("lasts", lasts))
 		}
 	}
-	ration, text := s.siteGuide.Tick(now, s.siteWatch, v.ArrivalShare())
+	ration, text := s.siteGuide.Tick(now, s.siteWatch, v.LoadShare())
 	if text != "" {
 		sessions, share := s.siteGuide.PlanBasis()
 		s.log.Info("site plan", zap.String("plan", text), zap.Float64s("sessions", sessions), zap.Float64("share", share))
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -295,7 +295,7 @@
 // ended, if this process is leaving its sessions to a successor.
 func (s *adminService) handOverRemaining(sessionBroker *broker.Broker) {
 	if s != nil && s.handingOver {
-		s.handOver(sessionBroker.Handover())
+		s.handOver(sessionBroker.FinalHandover())
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -114,7 +114,7 @@
 		},
 	})
 	sessionBroker, err := broker.New(broker.Config{
-		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.BrokerPeaks(), Sites: cfg.BrokerSites(), Nodes: pool, Counters: counts, HandOver: service.HandoverFunc(), Log: log,
+		Settings: cfg.Settings, Seed: cfg.Seed, MemoryMB: cfg.MemoryMB, Drain: cfg.Drain, Teams: cfg.Operator.Teams, Peaks: cfg.BrokerPeaks(), Sites: cfg.BrokerSites(), Nodes: pool, Counters: counts, SendHandover: service.HandoverFunc(), Log: log,
 	})
 	if err != nil {
 		return err
