--- a/control/control.go
+++ b/control/control.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// Times are in seconds for classes whose start goal is baseGoalS; for shorter goals New scales them down.
+// Times (s) are in time units: 1 s for start goals of baseGoalS or more, less in proportion for shorter ones.
 const (
 	// Slots: room for sessions, counted in sessions of the middle rung's rate.
 	TargetUtilization = 0.9 // share of a link or uplink to fill; the rest covers the spread of true rates
@@ -21,7 +21,7 @@
 	arrivalWindowS = 30  // s over which arrival rates are measured for an update of the reserves
 
 	priorLengthS = 60  // s, assumed session length until ends are seen; long errs to caution in raising rungs
-	baseGoalS    = 1.5 // s, start goal that all times here suit; with shorter goals they shrink in proportion
+	baseGoalS    = 1.5 // s, longest start goal of all classes from which a time unit is 1 s
 
 	maxSearchSlots = 256 // most slots that the search for reserves covers; its time grows with their square
 	staleAfterS    = 12  // s after which a report of other managers' load is no longer used
@@ -539,14 +539,14 @@
 	return true
 }
 
-// budgetAllowsAttempt reports whether the budget allows one more further attempt.
+// budgetAllowsAttempt reports whether the retry budget allows one more retry.
 func (c *Controller) budgetAllowsAttempt() bool {
 	if c.cfg.BudgetWindowS <= 0 {
 		return true
 	}
 	c.budgetArrivals = dropBefore(c.budgetArrivals, c.now-c.cfg.BudgetWindowS+deadlineMarginS)
-	c.repeatTimes = dropBefore(c.repeatTimes, c.now-c.cfg.BudgetWindowS-deadlineMarginS)
-	return float64(len(c.repeatTimes)+1) <= c.cfg.BudgetFree+c.cfg.BudgetShare*float64(len(c.budgetArrivals))
+	c.retryTimes = dropBefore(c.retryTimes, c.now-c.cfg.BudgetWindowS-deadlineMarginS)
+	return float64(len(c.retryTimes)+1) <= c.cfg.BudgetFree+c.cfg.BudgetShare*float64(len(c.budgetArrivals))
 }
 
 // initialRung is the highest rung that the viewer allows and that fits a new session's part of the room:
@@ -580,8 +580,8 @@
 	}
 	all = append(all, s)
 	n := float64(len(all))
-	if c.sessionRatio.hasValue {
-		return all, n / (n + countPrior) * TargetUtilization * c.totalLinkKB() / c.sessionRatio.value
+	if c.fleetOwnRatio.hasValue {
+		return all, n / (n + countPrior) * TargetUtilization * c.totalLinkKB() / c.fleetOwnRatio.value
 	}
 	return all, min(TargetUtilization*c.totalLinkKB()/float64(c.cfg.Managers), n*c.slotKB)
 }
@@ -637,7 +637,7 @@
 func (c *Controller) sendSetup(s *session, sv *server, rung int) {
 	class := &c.cfg.Classes[s.class]
 	if s.nextAttempt > 0 && c.cfg.BudgetWindowS > 0 {
-		c.repeatTimes = append(c.repeatTimes, c.now)
+		c.retryTimes = append(c.retryTimes, c.now)
 	}
 	s.nextAttempt++
 	s.sentAt, s.rung = c.now, rung
@@ -809,7 +809,7 @@
 		}
 	}
 	if highest >= 0 {
-		c.sessionRatio.add(highest * c.totalLinkKB() / c.meanRateKB() / float64(len(c.sessions)+countPrior))
+		c.fleetOwnRatio.add(highest * c.totalLinkKB() / c.meanRateKB() / float64(len(c.sessions)+countPrior))
 	}
 }
 
--- a/control/ration.go
+++ b/control/ration.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// maxRetryAfterS is the longest time for which a ration keeps a refused viewer away.
+// maxRetryAfterS, in time units, is the longest time for which a ration keeps a refused
+// viewer away, and the longest that it keeps this manager from sending to a zone again.
 const maxRetryAfterS = 8
 
 // Ration is this manager's share of what a plan for the whole fleet allows. A nil
@@ -11,9 +12,10 @@
 	SessionLimits   []float64 // by class, sessions that this manager may hold at a time
 	RetryIntervalsS []float64 // by class, s between the returns of two refused viewers; 0: not spread
 	ZoneRates       []float64 // by zone, sessions a second that this manager may send there
-	// RungShares is, by class and rung, the share of the class's sessions that plays at
-	// that rung or a lower one. Those that play higher are lowered at once, since the
-	// room is wanted.
+	// RungShares is, by class, the cumulative distribution of sessions over rungs:
+	// RungShares[class][rung] is the share that plays at that rung or a lower one. An
+	// established session above its highest allowed rung is lowered at once, to free
+	// capacity.
 	RungShares [][]float64
 }
 
@@ -47,8 +49,9 @@
 	}
 }
 
-// highestRung is the highest rung at which a session may play: its viewer's, and no
-// higher than the ration allows it by a random number of its own.
+// highestRung is the highest rung at which a session may play: at most its topRung, and
+// at most what the ration allows. Which of the ration's shares a session falls into
+// follows from a hash of its ID, so it stays the same from call to call.
 func (c *Controller) highestRung(s *session) int {
 	ration := c.ration.Ration
 	if ration == nil || s.class >= len(ration.RungShares) || len(ration.RungShares[s.class]) == 0 {
@@ -68,10 +71,10 @@
 	return append(list, make([]float64, max(n-len(list), 0))...)
 }
 
-// overRation reports whether a new session is over its class's limit. A random
-// number decides about a fraction of a session, so that the sum over all managers
-// comes out right. It refuses too many where the plan takes this manager's share
-// for smaller than it is.
+// overRation reports whether a new session is over its class's limit. A limit that is
+// not whole is rounded up or down by a random number of each session, so that on
+// average the limits of all managers add up to the fleet's. It refuses too many where
+// the plan takes this manager's share for smaller than it is.
 func (c *Controller) overRation(s *session) bool {
 	ration := c.ration.Ration
 	if ration == nil || s.class >= len(ration.SessionLimits) || ration.SessionLimits[s.class] < 0 {
@@ -96,8 +99,9 @@
 	}
 	lastReturnAt := &c.ration.lastReturnAt[s.class]
 	*lastReturnAt = max(*lastReturnAt, c.now) + ration.RetryIntervalsS[s.class]/c.timeUnitS
+	// All return times up to maxRetryAfterS are taken: return a random one of them.
 	if *lastReturnAt-c.now > maxRetryAfterS {
-		*lastReturnAt = c.now + maxRetryAfterS // no time is left to give: a random one
+		*lastReturnAt = c.now + maxRetryAfterS
 		return max(minRetryAfterS, maxRetryAfterS*c.random())
 	}
 	return max(minRetryAfterS, *lastReturnAt-c.now)
@@ -113,8 +117,10 @@
 	return until
 }
 
-// countZoneSend counts a session against the ration's rate for a zone.
-func (c *Controller) countZoneSend(zone int) {
+// spaceZoneSends sets the earliest time of the next send to a zone, as the ration's
+// rate for it requires. The interval between sends is at most maxRetryAfterS, also if
+// the rate is 0.
+func (c *Controller) spaceZoneSends(zone int) {
 	if ration := c.ration.Ration; ration != nil && zone >= 0 && zone < len(ration.ZoneRates) && ration.ZoneRates[zone] >= 0 {
 		interval := math.Inf(1)
 		if rate := ration.ZoneRates[zone] * c.timeUnitS; rate > 0 {
--- a/control/settings.go
+++ b/control/settings.go
@@ -19,8 +19,9 @@
 }
 
 // validate returns an error that names the first setting out of range, and fills in
-// settings that may be absent. The names in its errors stay as they are, also where
-// the field behind one has another name (Fronts: Managers, Seats: MaxPerTitle).
+// settings that may be absent. Its errors are texts that commands print, which stay
+// stable. They name some fields by older names, 13 in all, such as Fronts for Managers
+// and Seats for MaxPerTitle.
 func validate(s *Settings) error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: no Classes")
--- a/control/state.go
+++ b/control/state.go
@@ -38,11 +38,11 @@
 	downAt         float64 // when its process was last known not to run
 	nextSendAt     float64 // when a set-up may be sent again while it is cold
 	probedAt       float64
-	raisedReportAt float64 // when the report was measured on which rungs were last raised
+	raisedReportAt float64 // measurement time of the report on which raising rungs was last tried
 	ejectedUntil   float64
 	reenabledAt    float64 // when an operator enabled it again
 	lastAliveAt    float64 // the last sign of life
-	unprovenErrors int     // errors on titles that never played, since a session last started there
+	unprovenErrors int     // since a session last started here, errors for titles that this manager has not seen play lately (titleMemoryS)
 }
 
 // candidate is a holder that may be sent a session; lower values are tried first.
@@ -90,7 +90,8 @@
 	m.value += meanWeight * (value - m.value)
 }
 
-// tokenBucket limits the arrivals of a tenant.
+// tokenBucket limits the arrivals of a tenant. tokens is the number of arrivals allowed
+// now, as of refilledAt.
 type tokenBucket struct{ tokens, refilledAt float64 }
 
 // titleClass is a key for the sessions of one title and class.
@@ -115,14 +116,14 @@
 	waiting          []*session // sessions whose placing is postponed
 	sessionsPerTitle map[titleClass]int
 	lastPlayed       map[uint64]float64 // by title, when a session of it last started to play
-	timeUnitS        float64            // s in the unit in which all times here are counted
+	timeUnitS        float64            // seconds in a time unit, in which all times here are counted
 	slotKB           float64            // rate of a slot, in kB a second
 
 	ownKB             float64       // rate that this manager's sessions ask for, in kB a second
 	tenantBuckets     []tokenBucket // by tenant
 	arrivalTimes      [][]float64   // by class, recent ones
-	budgetArrivals    []float64     // times of arrivals within the window of the attempts' budget
-	repeatTimes       []float64     // times of further attempts within it
+	budgetArrivals    []float64     // times of arrivals within the window of the retry budget
+	retryTimes        []float64     // times of retries (second and later attempts) within it
 	playedTime        float64       // sum of the lengths of sessions that have ended
 	endedSessions     float64       // their number
 	reservedSlots     []float64     // by class, slots on a server of meanSlots
@@ -137,16 +138,17 @@
 	zoneFailures      map[int]int     // by zone, failed connections since a sign of life of any server in it
 	zoneLostUntil     map[int]float64 // by zone, when one that seems lost is tried again
 	probesPending     int
-	probeCredit       float64     // probes that arrivals have paid for, where probes are costly
+	probeCredit       float64     // probes that probeForLoad may send now: each arrival adds a fraction, each probe takes one; used only if probesCostly
 	probesCostly      bool        // probes for a single session cost more than they gain
 	meanLoad          runningMean // fleet's load, in kB a second: reported utilization of links, times totalLinkKB
 	meanUplinkLoad    runningMean // the same, by the reported utilization of uplinks
-	sessionRatio      runningMean // fleet's load in sessions of this manager's mean rate, over the number of its own
+	fleetOwnRatio     runningMean // estimated sessions of the fleet (its load over meanRateKB) per session of this manager; countPrior is added to the latter
 }
 
-// scaleTimes converts the times of the settings into units of unitS, and rates per
-// time likewise. Where sessions and deadlines are shorter all else is quicker too,
-// and the times of this package suit one pace.
+// scaleTimes converts the times in cfg from seconds to time units of unitS seconds
+// each, and rates per second to rates per time unit, since the constants of this
+// package suit sessions and deadlines of one typical length. Within the Controller,
+// times are in time units then, also those whose names end in S.
 func scaleTimes(cfg Settings, unitS float64) Settings {
 	cfg.Classes, cfg.TenantQuotas = slices.Clone(cfg.Classes), slices.Clone(cfg.TenantQuotas)
 	for i := range cfg.Classes {
@@ -187,7 +189,9 @@
 	return 0
 }
 
-// observe takes a report, measured at a time, that all managers asked for kb.
+// observe records a report that the load of all managers' sessions, as measured at the
+// time at, was kb, in kB a second. weight, from 0 to 1, is the report's weight against a
+// previous one of the same time; it rises to 1 against one older by reportBlendS.
 func (l *linkLoad) observe(at, kb, weight float64) {
 	if at < l.ignoreUntil || at < l.measuredAt {
 		return
@@ -206,6 +210,8 @@
 	return times[sort.SearchFloat64s(times, t):]
 }
 
+// hash mixes two numbers into one: a is multiplied by the increment of SplitMix64, and
+// its XOR with b passes through the finalizer of SplitMix64.
 func hash(a, b uint64) uint64 {
 	h := a*0x9e3779b97f4a7c15 ^ b
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
@@ -213,8 +219,8 @@
 	return h ^ h>>31
 }
 
-// rebuildIndexes groups the listed servers by cell and rack, and forgets those that
-// are gone once no session of this manager is left there.
+// rebuildIndexes groups the listed servers by cell and rack, and removes gone servers
+// on which no session of this manager is left.
 func (c *Controller) rebuildIndexes() {
 	for i := range c.serversByCell {
 		c.serversByCell[i] = nil
@@ -265,10 +271,10 @@
 	return e.Status == ConnectFailed
 }
 
-// markAlive records a sign of life of a server, and so of its zone. A start that
-// the list doesn't tell yet is dated at the first sign of life since the process
-// was down. When it was dated at the failure, every manager stopped pacing before
-// the process was warm, by as long as it had been down.
+// markAlive records a sign of life of a server, and so of its zone. If the process was
+// down and the list does not show its restart yet, the restart is taken to be now, at
+// the first sign of life. When the time of the failure was taken instead, every
+// manager stopped limiting the set-ups to the cold server too early, by the downtime.
 func (c *Controller) markAlive(sv *server) {
 	if max(sv.lastAliveAt, sv.StartedAtS) < sv.downAt {
 		c.markCold(sv, c.now)
@@ -365,7 +371,7 @@
 // attach counts a session on a server until detach.
 func (c *Controller) attach(s *session, sv *server) {
 	s.server = sv
-	c.countZoneSend(sv.Zone)
+	c.spaceZoneSends(sv.Zone)
 	sv.sessions = append(sv.sessions, s)
 	c.sessionsPerTitle[titleClass{s.title, s.class}]++
 	c.updateOwnLoad(sv)
@@ -471,9 +477,10 @@
 	return c.actions
 }
 
-// CapacitySlots is what the usable servers give, in slots of the middle rung's
-// rate: nothing of a server that drains, is gone or stands in a zone that seems
-// lost, and of a cold one the share that has warmed up.
+// CapacitySlots is the capacity of the usable servers, in slots of the middle rung's
+// rate. A server that drains, is gone or stands in a zone that seems lost counts
+// nothing. The capacity of a cold one, for which linkKB already reduces the rate of
+// its link, is also multiplied by the elapsed share of its warm-up.
 func (c *Controller) CapacitySlots() float64 {
 	slots := 0.0
 	for _, sv := range c.serverOrder {
@@ -489,8 +496,9 @@
 	return slots
 }
 
-// LoadShare is this manager's estimated share of all managers' sessions: what it
-// asks for of the reported load, or an even share without reports.
+// LoadShare is this manager's estimated share of all managers' load, from 0 to 1:
+// the rate that its sessions ask for over the fleet's reported load, or an even
+// share without reports. It is at least a quarter of an even share.
 func (c *Controller) LoadShare() float64 {
 	evenShare := 1 / float64(c.cfg.Managers)
 	if fleetKB := c.meanLoad.value; c.meanLoad.hasValue && fleetKB > 0 && c.ownKB > 0 {
@@ -519,14 +527,16 @@
 	}
 }
 
-// dueAfterReenabling reports whether a server that an operator enabled again should
-// get its first session regardless of chance, at a time of this manager's own
-// within its send interval: operators see that it is used. With many managers the
-// intervals are long, and chance decides.
+// dueAfterReenabling reports whether a cold server that an operator enabled again may
+// be sent a session even if admitCold's random selection does not pick it, so that
+// operators soon see it used. Each manager does so from its own random time on, which
+// is within its send interval after the re-enabling. If that interval exceeds
+// reenabledUseS, as with many managers, selection stays random.
 func (c *Controller) dueAfterReenabling(sv *server) bool {
 	interval := c.coldSendInterval(sv)
 	return sv.reenabledAt > 0 && interval <= reenabledUseS && c.now >= sv.reenabledAt+interval*hashToUnit(c.seed, uint64(sv.Server))
 }
 
-// reenabledUseS is the time in s within which a server that was enabled again is used.
+// reenabledUseS, in time units, is the time within which a server that was enabled
+// again is used.
 const reenabledUseS = 4
--- a/control/takeover_test.go
+++ b/control/takeover_test.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// A server that an operator enabled again gets its first session within
-// reenabledUseS where its send interval allows that, regardless of chance; with
-// many managers chance decides.
+// A server that an operator enabled again may be sent a session within reenabledUseS,
+// whatever the random selection, if the manager's send interval is no longer than that.
+// With many managers it is longer, and selection stays random.
 func TestReenabledServerIsUsed(t *testing.T) {
 	for _, e := range []struct {
 		managers int
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -45,7 +45,7 @@
 	Sites        SiteConfig
 	Nodes        Nodes
 	Counters     *Counters      // nil: outcomes are not counted
-	SendHandover func(Handover) // receives the established sessions when a successor takes over; must not block; nil: there are no successors
+	SendHandover func(Handover) // sends the first Handover to a successor (the last: Broker.FinalHandover); must not block; nil: there are no successors
 	Log          *zap.Logger
 }
 
@@ -73,11 +73,11 @@
 	drainTimes         DrainTimes
 	counters           *Counters
 	drainStart         time.Time // when the drain was requested; zero: not draining
-	handingOver        bool      // a successor takes the established sessions over
-	handOver           func(Handover)
+	hasSuccessor       bool      // a successor takes the established sessions over
+	sendHandover       func(Handover)
 	finalHandover      Handover                   // valid once drained is closed
 	adoptedIDs         map[control.SessionID]bool // sessions adopted from predecessors, also those that have ended since
-	endedSinceHandover map[control.SessionID]int  // causes of the sessions that ended after they were handed over
+	endedSinceHandover map[control.SessionID]int  // causes of the ends of sessions that have ended since the first Handover; nil: none was sent
 }
 
 // New returns a Broker, which handles nothing until Run is called.
@@ -100,7 +100,7 @@
 		drained:      make(chan struct{}),
 		drainTimes:   cfg.Drain,
 		counters:     cfg.Counters,
-		handOver:     cfg.SendHandover,
+		sendHandover: cfg.SendHandover,
 		planners:     newPlanners(&cfg, settings.Managers, cfg.Log),
 	}
 	for i := range b.planners {
@@ -193,7 +193,7 @@
 		if b.drainStart.IsZero() {
 			b.drainStart = b.clock.now()
 			if m.forSuccessor {
-				b.handOverSessions()
+				b.startHandover()
 			}
 			b.timers.add(b.drainStart.Add(b.minDrainTime()), timerDrain, 0, 0)
 		}
@@ -212,7 +212,7 @@
 	select {
 	case <-b.drained:
 	default:
-		if b.handingOver {
+		if b.hasSuccessor {
 			b.finalHandover = b.buildHandover(true)
 		}
 		b.endEstablished()
@@ -222,7 +222,7 @@
 
 // minDrainTime is how long the drain lasts at least.
 func (b *Broker) minDrainTime() time.Duration {
-	if b.handingOver {
+	if b.hasSuccessor {
 		return b.drainTimes.AcceptFor
 	}
 	return b.drainTimes.KeepFor
@@ -237,7 +237,7 @@
 // at the node, before the program exits.
 func (b *Broker) endEstablished() {
 	for id, s := range b.sessions {
-		if _, ok := s.client.(hostedClient); ok && b.handingOver && s.Grace == 0 {
+		if _, ok := s.client.(hostedClient); ok && b.hasSuccessor && s.Grace == 0 {
 			continue // handed over
 		}
 		if s.playing {
@@ -266,7 +266,7 @@
 			// Guard: no session plays on a rung below its class's floor, whatever the
 			// decision module says.
 			s.rung = max(action.Rung, b.settings.Classes[s.Class].FloorRung)
-			if s.inFlight || s.playing && !b.handingOver { // the successor controls sessions that were handed over
+			if s.inFlight || s.playing && !b.hasSuccessor { // the successor controls sessions that were handed over
 				b.nodes.SetRung(s.server, s.ID, s.rung)
 			}
 		}
--- a/internal/broker/handover.go
+++ b/internal/broker/handover.go
@@ -27,21 +27,24 @@
 	ViewerHost      string            `cbor:"12,keyasint"` // host of the viewer
 }
 
-// Handover is what a process hands over to its successor.
+// Handover is what a process hands over to its successor. A process that drains for a
+// successor sends two: the first at the start of the drain, with the sessions that are
+// established then, and the last at the end, with the sessions that are established then
+// and, in Ended, those that have ended since the first.
 type Handover struct {
 	Sessions []EstablishedSession      `cbor:"1,keyasint"`
-	Ended    map[control.SessionID]int `cbor:"2,keyasint"` // causes of the sessions that have ended since an earlier Handover listed them
+	Ended    map[control.SessionID]int `cbor:"2,keyasint"` // causes of the ends of sessions that have ended since the first Handover; nil in the first
 	Final    bool                      `cbor:"3,keyasint"` // the last Handover before the process ends
 }
 
 // hostedClient is a Client that knows its viewer's host.
 type hostedClient interface{ From() string }
 
-// FinalHandover returns the sessions that are established at the end of the drain. It may be
-// called once the channel of Drained is closed.
+// FinalHandover returns the last Handover, made at the end of the drain. It may be called
+// once the channel of Drained is closed.
 func (b *Broker) FinalHandover() Handover { return b.finalHandover }
 
-// buildHandover returns the sessions that are established now.
+// buildHandover returns a Handover with the sessions that are established now.
 //
 // Guard: a session whose player may reconnect (Grace over 0) is not handed over, since the
 // state of its socket is not: it ends as when the program stops without a successor.
@@ -76,8 +79,9 @@
 
 func (b *Broker) handleAdoption(m adoption) {
 	now, added := b.clock.now(), 0
-	// Guard: the IDs of adopted sessions are kept for good. The final Handover of another
-	// predecessor may still list a session that has ended here.
+	// Guard: IDs of adopted sessions are never forgotten: otherwise a session that has ended
+	// here would be adopted again if a later Handover, perhaps of another predecessor, still
+	// lists it.
 	if b.adoptedIDs == nil {
 		b.adoptedIDs = make(map[control.SessionID]bool)
 	}
@@ -89,7 +93,7 @@
 			Request: Request{ID: e.ID, Class: e.Class, Team: e.Team, Key: e.Key, Title: e.Title,
 				Home: e.Home, Copies: e.Copies, MaxRung: e.MaxRung, PlayingOn: e.Server},
 			client: m.clientFor(e.ViewerHost), server: e.Server, attemptNumber: 1, rung: e.Rung,
-			playing: true, answered: true, adopted: true, finalReply: Reply{Kind: ReplyFailed, ID: e.ID, Cause: CauseFailed},
+			playing: true, answered: true, unclaimed: true, finalReply: Reply{Kind: ReplyFailed, ID: e.ID, Cause: CauseFailed},
 		}
 		if e.EstablishedAtNS > 0 {
 			s.establishedAt = now.Add(-max(time.Duration(now.UnixNano()-e.EstablishedAtNS), 0))
@@ -100,7 +104,7 @@
 		added++
 	}
 	for id, cause := range m.Ended {
-		if s := b.sessions[id]; s != nil && s.adopted {
+		if s := b.sessions[id]; s != nil && s.unclaimed {
 			// The predecessor may have told the viewer already, who then ignores this reply.
 			b.nodes.Release(s.server, id, CauseEnded)
 			b.notifyEnded(s, Reply{Kind: ReplyEnded, ID: id, Cause: cause})
@@ -110,13 +114,14 @@
 	b.log.Info("sessions taken over", zap.Int("sessions", added), zap.Int("over", len(m.Ended)), zap.Bool("last", m.Final))
 }
 
-// handOverSessions hands the established sessions over, and has later ends of them recorded.
-func (b *Broker) handOverSessions() {
-	b.handingOver = true
-	if b.handOver == nil {
+// startHandover sends the first Handover, if there is a function to send it, and has
+// sessions that end from now on recorded for the last one.
+func (b *Broker) startHandover() {
+	b.hasSuccessor = true
+	if b.sendHandover == nil {
 		return
 	}
 	h := b.buildHandover(false)
 	b.endedSinceHandover = make(map[control.SessionID]int)
-	b.handOver(h)
+	b.sendHandover(h)
 }
--- a/internal/broker/handover_test.go
+++ b/internal/broker/handover_test.go
@@ -20,7 +20,7 @@
 func TestHandover(t *testing.T) {
 	predecessor, oldCalls := newTestBroker(t)
 	var initial Handover
-	predecessor.handOver = func(e Handover) { initial = e }
+	predecessor.sendHandover = func(e Handover) { initial = e }
 	for id := control.SessionID(1); id <= 3; id++ {
 		predecessor.submitNow(oldCalls, id, feed, -1, 0)
 		predecessor.reportNow(id, ReportStarted, 0)
--- a/internal/broker/planner.go
+++ b/internal/broker/planner.go
@@ -38,8 +38,8 @@
 type BrokerView interface {
 	// FleetSlots is the capacity of the fleet's usable nodes in slots.
 	FleetSlots() float64
-	// ArrivalShare is this manager's share of the arrivals at all managers, from 0 to 1;
-	// 0: unknown.
+	// LoadShare is this manager's estimated share of all managers' load, from 0 to 1; an
+	// even share without reports.
 	LoadShare() float64
 	// SessionAges returns, by class, how long each established session has been playing, in
 	// seconds.
--- a/internal/broker/session.go
+++ b/internal/broker/session.go
@@ -26,7 +26,7 @@
 	deadline      time.Time
 	answered      bool  // the final answer is given, or none is needed
 	finalReply    Reply // for a player that reconnects
-	attemptNumber int   // of the last attempt, from 1; 0: none yet
+	attemptNumber int   // of the last attempt, from 1, while package control numbers attempts from 0; 0: none yet
 	server        control.ServerID
 	rung          int
 	inFlight      bool            // an attempt has been started and has not ended
@@ -34,7 +34,7 @@
 	playing       bool            // the session is established
 	mayHaveRun    bool            // an earlier attempt may have run
 	countedInTeam bool            // counted in its team's ledger
-	adopted       bool            // taken over from a predecessor, and not yet named by its viewer: client only delivers its end
+	unclaimed     bool            // taken over from a predecessor, and its viewer has not yet sent a request with its ID (PlayingOn): client can only deliver the session's end
 	establishedAt time.Time       // zero: unknown
 }
 
@@ -101,8 +101,8 @@
 func (b *Broker) rejoin(s *session, r Request) {
 	switch {
 	case r.PlayingOn != 0: // it names a session that this manager has already
-		if s.adopted {
-			s.client, s.adopted = r.Client, false
+		if s.unclaimed {
+			s.client, s.unclaimed = r.Client, false
 		} else if s.client != r.Client {
 			r.Client.Deliver(Reply{Kind: ReplyClosed, ID: r.ID}) // the session stays with s.client
 		}
@@ -185,8 +185,9 @@
 	b.abandonSession(s)
 }
 
-// abandonSession ends a session or a set-up whose viewer does not wait any more and needs no
-// answer.
+// abandonSession ends a session or a set-up whose viewer no longer waits. The viewer gets no
+// answer; if its connection is still known, ReplyAbandoned lets the front close its open
+// set-up, and ReplyClosed its established session.
 func (b *Broker) abandonSession(s *session) {
 	if s.playing {
 		b.recordViewerEnd(s, CauseEnded)
@@ -463,8 +464,8 @@
 	}
 }
 
-// recordViewerEnd keeps the final reply of an established session whose end its viewer knows
-// of, and closes the front's record of it.
+// recordViewerEnd records the final reply of an established session that its viewer has ended
+// or abandoned, and tells the front with ReplyClosed that the session is over.
 func (b *Broker) recordViewerEnd(s *session, cause int) {
 	if s.client != nil {
 		s.client.Deliver(Reply{Kind: ReplyClosed, ID: s.ID})
--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -140,7 +140,7 @@
 		patches        []Patch
 	}{
 		{"ends-reset-2", "over: not seen", []Patch{{"internal/media/node.go",
-			"return n.coveredLosses < n.possibleLosses && len(n.established) > 0", "return false"}}},
+			"return n.lossCountAtDial < n.lossCount && len(n.established) > 0", "return false"}}},
 		{"ends-mute-orphan", "over: not seen", []Patch{{"internal/media/node.go",
 			"if s.conn == nil || s.conn == c || s.conn.unusable {", "if c != nil && s.conn == c {"}}},
 		{"ends-mute-2", "over: not seen", []Patch{{"internal/media/node.go", "case !c.unresponsiveSince.IsZero() && c.openSetUps", "case false && c.openSetUps"}}},
--- a/internal/media/conn.go
+++ b/internal/media/conn.go
@@ -31,7 +31,7 @@
 	net.Conn
 	openSetUps        int       // set-ups sent on it that have not ended
 	lastUsedAt        time.Time // when it last carried a message, or was opened
-	unconfirmedSince  time.Time // when the first SETUP was written that no message is known to be later than; zero: none
+	unconfirmedSince  time.Time // when the oldest unconfirmed SETUP was written: no message has come that the node is known to have sent after it; zero: none is unconfirmed
 	lastReceivedAt    time.Time // when the last message came; zero: none yet
 	carriedMessage    bool      // a message was written on it
 	checkPending      bool      // a probe was sent to check whether it is unresponsive
@@ -50,8 +50,8 @@
 	return c.Write(b)
 }
 
-// suspect reports whether the connection may have failed: a SETUP was written that no message
-// is known to be later than, and nothing has come for longer than connSuspectTimeout.
+// suspect reports whether the connection may have failed: it has an unconfirmed SETUP, and
+// nothing has come for longer than connSuspectTimeout.
 func (c *conn) suspect(now time.Time) bool {
 	silentSince := c.unconfirmedSince
 	if c.lastReceivedAt.After(silentSince) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// retire closes the writing side. What the node has sent, or sends until it sees the
-// half-close, is still read, so a TEARDOWN by the node that crosses it is not lost. The connection is
+// retire shuts down the sending direction (half-close). What the node sends until it sees that
+// is still read, so a TEARDOWN that it sends at the same time is not lost. The connection is
 // closed after closeAfter at the latest.
 func (c *conn) retire(closeAfter time.Duration) {
 	c.unusable = true
--- a/internal/media/end_delivery_test.go
+++ b/internal/media/end_delivery_test.go
@@ -25,7 +25,7 @@
 	failNextConn                    func(c *conn)
 	reports                         *[]broker.Report
 	dialling                        bool
-	lossesAtDial, openedConns       int
+	lossCountAtStart, openedConns   int
 }
 
 func newScriptedNode(t *testing.T) *scriptedNode {
@@ -49,7 +49,7 @@
 // noteDial notes a dial that the actor has started.
 func (f *scriptedNode) noteDial() {
 	if f.n.dialling && !f.dialling {
-		f.dialling, f.lossesAtDial = true, f.n.possibleLosses
+		f.dialling, f.lossCountAtStart = true, f.n.lossCount
 	}
 }
 
@@ -80,7 +80,7 @@
 	}
 	repeat := f.endPending && !f.stalled
 	f.endPending = f.endPending && !repeat
-	f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial})
+	f.handle(dialResult{conn: c, lossCountAtStart: f.lossCountAtStart})
 	if repeat {
 		f.handle(received{c, message{kind: kindTearDown, id: 1, cause: 16}})
 	}
@@ -198,7 +198,7 @@
 		},
 		"newly opened, reset": func(f *scriptedNode) *conn {
 			f.failNextConn = func(c *conn) {
-				f.handle(dialResult{conn: c, lossesAtDial: f.lossesAtDial}, connClosed{c, syscall.ECONNRESET})
+				f.handle(dialResult{conn: c, lossCountAtStart: f.lossCountAtStart}, connClosed{c, syscall.ECONNRESET})
 			}
 			return nil
 		},
--- a/internal/media/lost_ends_test.go
+++ b/internal/media/lost_ends_test.go
@@ -113,10 +113,10 @@
 				t.Errorf("dials a connection: %v, want %v", n.dialling, e.want)
 			}
 			if e.want {
-				if n.possibleLosses != 1 {
-					t.Errorf("one break counted as %d possible losses", n.possibleLosses)
+				if n.lossCount != 1 {
+					t.Errorf("one break counted as %d possible losses", n.lossCount)
 				}
-				n.handle(dialResult{conn: newStubConn(), lossesAtDial: n.possibleLosses})
+				n.handle(dialResult{conn: newStubConn(), lossCountAtStart: n.lossCount})
 				if n.maintain(time.Now()); n.dialling {
 					t.Error("a second connection is dialled for the same break")
 				}
@@ -133,13 +133,13 @@
 	n.conns = []*conn{c, other}
 	n.established[1] = &establishedSession{conn: c}
 	n.handle(connClosed{c, syscall.ECONNRESET})
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: n.possibleLosses})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: n.lossCount})
 	announce := received{other, message{kind: kindAnnounce, id: 7}}
 	n.handle(announce)
 	if n.maintain(time.Now()); !n.dialling {
 		t.Fatal("an end may be lost on the closed connection, and no connection is dialled")
 	}
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: n.possibleLosses})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: n.lossCount})
 	n.handle(announce)
 	if n.maintain(time.Now()); n.dialling {
 		t.Error("a connection is dialled for each message")
@@ -156,14 +156,14 @@
 	n.dialling = true // begun before the breaks
 	n.handle(connClosed{a, syscall.ECONNRESET})
 	n.handle(connClosed{b, syscall.ECONNRESET})
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: 0})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: 0})
 	if n.dialling {
 		t.Fatal("dialled before the next tick")
 	}
 	if n.maintain(time.Now()); !n.dialling {
 		t.Fatal("the end may be lost, and no connection is dialled")
 	}
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: n.possibleLosses})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: n.lossCount})
 	if n.maintain(time.Now()); n.dialling {
 		t.Error("a connection is dialled for each break")
 	}
@@ -179,7 +179,7 @@
 	if n.maintain(time.Now().Add(2 * redialInterval)); !n.dialling {
 		t.Fatal("not retried after redialInterval")
 	}
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: 0})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: 0})
 	n.maintain(time.Now().Add(2 * redialInterval))
 	for i := range maxImmediateRedials {
 		if n.handle(dialResult{err: syscall.ETIMEDOUT}); !n.dialling {
@@ -316,10 +316,10 @@
 	}
 	// The end of a session that is named during a dial may have been sent on another connection
 	// since the dial began, so a second connection is dialled.
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: 0})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: 0})
 	n.dialling = true
 	n.handle(adoptRequest{3})
-	n.handle(dialResult{conn: newStubConn(), lossesAtDial: 0})
+	n.handle(dialResult{conn: newStubConn(), lossCountAtStart: 0})
 	if n.maintain(time.Now()); !n.dialling {
 		t.Error("no connection is dialled after the session was named")
 	}
--- a/internal/media/node.go
+++ b/internal/media/node.go
@@ -63,8 +63,8 @@
 	connSuspectTimeout = 200 * time.Millisecond
 	// earlyEndTTL is how long an end is kept that arrived before its session was adopted.
 	earlyEndTTL = 5 * time.Second
-	// abandonedSetUpTTL is how long an abandoned set-up is remembered, for a late answer.
-	abandonedSetUpTTL = 10 * time.Second
+	// endedSetUpTTL is how long a set-up that ended without an answer is remembered, in case one arrives late.
+	endedSetUpTTL = 10 * time.Second
 )
 
 // errConnLimit reports that no connection may be opened, since the process holds as
@@ -81,27 +81,33 @@
 	state   atomic.Int32 // the latest control.State in the list
 	inbox   *inbox
 
-	conns                []*conn
-	dialling             bool
-	attempts             map[control.SessionID]*attempt
-	interrupted          []*attempt // set-ups whose connection broke, until a dial shows whether the node is reachable
-	abandonedSetUps      map[control.SessionID]abandonedSetUp
-	established          map[control.SessionID]*establishedSession
-	earlyEnds            map[control.SessionID]earlyEnd
-	pendingReleases      map[control.SessionID]pendingRelease // releases that wait for a connection
-	pendingProbes        map[uint64]pendingProbe
-	queuedProbes         int       // probes that wait for a connection
-	setUpsHeld           bool      // set-ups wait until the list has been fetched again after a process pause
-	possibleLosses       int       // events, such as broken connections, that may have lost the end of a session
-	coveredLosses        int       // possibleLosses when the newest connection was dialled: the node repeats ends on that one
-	lossesAtFirstMessage int       // possibleLosses when awaitingMessage was last cleared
-	awaitingMessage      bool      // the newest connection was dialled after a possible loss, and no message has come since
-	lastAliveAt          time.Time // last sign of life: a message or an opened connection
-	lastMessageAt        time.Time // zero: none yet
-	redialAt             time.Time // earliest time of the next dial by maintain
-	connRefused          bool      // the last dial was refused: no process listens at the address
-	failedDials          int       // since the last dial that succeeded
-	writeBuf             []byte
+	conns           []*conn
+	dialling        bool
+	attempts        map[control.SessionID]*attempt
+	interrupted     []*attempt                       // set-ups whose connection broke, until a dial shows whether the node is reachable
+	endedSetUps     map[control.SessionID]endedSetUp // set-ups that ended without an answer, remembered in case one arrives late
+	established     map[control.SessionID]*establishedSession
+	earlyEnds       map[control.SessionID]earlyEnd
+	pendingReleases map[control.SessionID]pendingRelease // releases that wait for a connection
+	pendingProbes   map[uint64]pendingProbe
+	queuedProbes    int  // probes that wait for a connection
+	setUpsHeld      bool // set-ups wait until the list has been fetched again after a process pause
+	// A node repeats the end of a session on the next connection that opens. lossCount counts
+	// events, such as broken connections, after which an end may be lost. lossCountAtDial is
+	// its value when the dial of the newest connection began, so while lossCountAtDial <
+	// lossCount another dial is needed. lossCountAtFirstMessage is its value when
+	// awaitingMessage was last cleared. awaitingMessage: the newest connection was dialled
+	// after a possible loss, and no message has come since.
+	lossCount               int
+	lossCountAtDial         int
+	lossCountAtFirstMessage int
+	awaitingMessage         bool
+	lastAliveAt             time.Time // last sign of life: a message or an opened connection
+	lastMessageAt           time.Time // zero: none yet
+	redialAt                time.Time // earliest time of the next dial by maintain
+	connRefused             bool      // the last dial was refused: no process listens at the address
+	failedDials             int       // since the last dial that succeeded
+	writeBuf                []byte
 }
 
 // attempt is a set-up: queued while conn is nil, otherwise sent and not answered yet.
@@ -118,9 +124,9 @@
 	setUpSentAt      time.Time // when its SETUP was written or it was adopted; tells sessions of successive node processes apart
 }
 
-// abandonedSetUp is a set-up that was abandoned, remembered until expiresAt in case a
-// late answer arrives.
-type abandonedSetUp struct {
+// endedSetUp is a set-up that ended without an answer, remembered until expiresAt in case
+// one arrives late.
+type endedSetUp struct {
 	conn      *conn
 	sentAt    time.Time
 	expiresAt time.Time
@@ -152,7 +158,7 @@
 		pool: p, member: m, server: m.Server, id: m.ID, upSince: m.StartedAt,
 		inbox:           mailbox.New[any](inboxLimit),
 		attempts:        make(map[control.SessionID]*attempt),
-		abandonedSetUps: make(map[control.SessionID]abandonedSetUp),
+		endedSetUps:     make(map[control.SessionID]endedSetUp),
 		established:     make(map[control.SessionID]*establishedSession),
 		earlyEnds:       make(map[control.SessionID]earlyEnd),
 		pendingReleases: make(map[control.SessionID]pendingRelease),
@@ -317,7 +323,7 @@
 		n.inbox.Force(dialResult{err: errConnLimit})
 		return
 	}
-	addr, timeout, lossesAtDial := n.listedAddr(), n.pool.cfg.ConnectTimeout, n.possibleLosses
+	addr, timeout, lossCountAtStart := n.listedAddr(), n.pool.cfg.ConnectTimeout, n.lossCount
 	n.pool.group.Go(func() error {
 		nc, err := (&net.Dialer{Timeout: timeout}).DialContext(n.pool.ctx, "tcp", addr)
 		if err != nil {
@@ -328,7 +334,7 @@
 		c := &conn{Conn: nc, lastUsedAt: time.Now()}
 		// The actor may have ended by now, and would then not close the connection.
 		defer context.AfterFunc(n.pool.ctx, func() { nc.Close() })()
-		n.inbox.Force(dialResult{conn: c, addr: addr, lossesAtDial: lossesAtDial})
+		n.inbox.Force(dialResult{conn: c, addr: addr, lossCountAtStart: lossCountAtStart})
 		// Reading can start at once: the dialResult is in the inbox ahead of all messages.
 		err = c.readMessages(n.pool.cfg.LoadFields, func(m message) bool { return n.inbox.Put(received{c, m}) })
 		c.Close()
@@ -355,8 +361,8 @@
 	}
 	n.lastAliveAt, n.failedDials, n.redialAt, n.connRefused = time.Now(), 0, time.Time{}, false
 	n.conns = append(n.conns, m.conn)
-	if n.coveredLosses < m.lossesAtDial {
-		n.coveredLosses, n.awaitingMessage = m.lossesAtDial, m.lossesAtDial > n.lossesAtFirstMessage
+	if n.lossCountAtDial < m.lossCountAtStart {
+		n.lossCountAtDial, n.awaitingMessage = m.lossCountAtStart, m.lossCountAtStart > n.lossCountAtFirstMessage
 	}
 	n.trimConns()
 	n.resolveInterrupted(true)
@@ -366,9 +372,9 @@
 			delete(n.pendingReleases, id)
 		}
 	}
-	// Guard: if the queued set-ups fill the connection, probe queues each probe again.
-	// The loop counts a copy: counting queuedProbes itself down while probe counts it up
-	// never ended.
+	// Guard: loop over a copy of queuedProbes. If the queued set-ups fill the connection,
+	// probe queues each probe again and increments queuedProbes: a loop that counted
+	// queuedProbes itself down never ended.
 	queued := n.queuedProbes
 	n.queuedProbes = 0
 	for range queued {
@@ -397,10 +403,10 @@
 // canRetireConns reports whether idle connections may be retired, that is half-closed.
 //
 // Guard: not while a session is established. A node resets a half-closed connection
-// within 0.2 ms. If it has just sent the end of a session there whose own connection is
-// gone, the end is lost with the reset. That happens to one retired connection in tens of
-// thousands; a soak test retired six thousand. Connections left idle are closed by the
-// node itself, after everything that it sent on them.
+// within 0.2 ms. If the node has just sent, on that connection, the end of a session whose
+// own connection is closed, the reset discards it. That happens to one retired connection in
+// tens of thousands; a soak test retired six thousand. Connections left idle are closed by
+// the node itself, after everything that it sent on them.
 func (n *node) canRetireConns() bool { return len(n.established) == 0 }
 
 // trimConns retires the oldest connection without an open set-up if there are more than
@@ -545,9 +551,9 @@
 // close, if the last messages that the node sent on it may be lost.
 //
 // Guard: a node sends the end of a session on the connection of its set-up, or on any
-// other if that one is gone, and once more on the next connection that opens. An end that
-// was lost with its connection is repeated only if another connection is opened, even
-// where others are open and busy. An end sent on another connection that works is safe.
+// other if that one is closed, and once more on the next connection that opens. An end that
+// was lost with its connection is repeated only on a connection opened later; open
+// connections do not suffice. An end sent on another connection that works is safe.
 func (n *node) countBreak(c *conn) {
 	if c.breakCounted {
 		return
@@ -560,7 +566,7 @@
 // the end of an established session may have been lost with it.
 func (n *node) countPossibleLoss(c *conn) {
 	if n.mayCarryEnds(c) {
-		n.possibleLosses++
+		n.lossCount++
 	}
 }
 
@@ -579,7 +585,7 @@
 // endMayBeLost reports whether the end of an established session may have been lost with no
 // connection dialled and opened since, on which the node would repeat it.
 func (n *node) endMayBeLost() bool {
-	return n.coveredLosses < n.possibleLosses && len(n.established) > 0
+	return n.lossCountAtDial < n.lossCount && len(n.established) > 0
 }
 
 // handleClosed ends the set-ups that were open on a connection. At least a byte of each
@@ -603,7 +609,7 @@
 			continue
 		}
 		n.removeAttempt(a)
-		n.rememberAbandoned(a)
+		n.rememberEnded(a)
 		if nodeReachable || n.listedState() == control.Gone {
 			n.reportReset(a, nodeReachable)
 		} else {
@@ -627,9 +633,10 @@
 	}
 }
 
-// rememberAbandoned keeps a set-up that nobody waits for any more, in case a late answer arrives.
-func (n *node) rememberAbandoned(a *attempt) {
-	n.abandonedSetUps[a.ID] = abandonedSetUp{a.conn, a.sentAt, time.Now().Add(abandonedSetUpTTL)}
+// rememberEnded remembers a set-up that ended without an answer, because it was abandoned or its
+// connection broke, in case an answer arrives late.
+func (n *node) rememberEnded(a *attempt) {
+	n.endedSetUps[a.ID] = endedSetUp{a.conn, a.sentAt, time.Now().Add(endedSetUpTTL)}
 }
 
 // maintain runs on each tick. It drops what has expired, closes or retires connections,
@@ -661,9 +668,9 @@
 			delete(n.earlyEnds, id)
 		}
 	}
-	for id, a := range n.abandonedSetUps {
+	for id, a := range n.endedSetUps {
 		if now.After(a.expiresAt) {
-			delete(n.abandonedSetUps, id)
+			delete(n.endedSetUps, id)
 		}
 	}
 	excess := -maxIdleConnsPerNode
@@ -678,11 +685,13 @@
 			case !c.closeAt.IsZero() && now.After(c.closeAt):
 				n.closeConn(c)
 			case !c.unresponsiveSince.IsZero() && c.openSetUps == 0 && c.closeAt.Sub(now) > connSuspectTimeout && n.lastMessageAt.After(c.unresponsiveSince) && n.mayCarryEnds(c):
-				// Guard: ends that the node sends on an unresponsive connection are lost for
-				// as long as the node takes it for open, so it is closed once no set-up is open
-				// on it. It stays open while the node is stalled: when the node resumes, it may
-				// see this connection as newly opened, and repeat ends here that it repeats only
-				// once. The delay leaves time for what it then sends first on this connection.
+				// Guard: while the node takes an unresponsive connection for open, the ends that
+				// the node sends on it are lost. So the connection is closed once no set-up is
+				// open on it, but not before a message of the node has come on any connection
+				// since (lastMessageAt): until then the node may be stalled. When a stalled node
+				// resumes, it may see this connection as newly opened, and repeat ends on it that
+				// it repeats only once. connSuspectTimeout leaves time for what the resumed node
+				// sends first on this connection.
 				c.closeAt = now.Add(connSuspectTimeout)
 			case c.openSetUps == 0 && !c.unusable && !c.checkPending && c.suspect(now) && n.mayCarryEnds(c):
 				// Guard: a set-up on this connection was cancelled before any message came.
@@ -799,20 +808,20 @@
 	}
 	c := a.conn
 	if c != nil {
-		n.rememberAbandoned(a)
+		n.rememberEnded(a)
 		n.sendTearDown(c, a.ID, 0)
 	}
 	n.endAttempt(a, status)
 	if status == control.TimedOut && !c.unconfirmedSince.IsZero() && !a.sentAt.Before(c.unconfirmedSince) && !c.unusable {
-		// Guard: no message known to be later than this set-up has come, and perhaps
-		// none will. The other set-ups on the connection may still be answered; no new one
-		// is sent there.
+		// Guard: this SETUP is unconfirmed, and perhaps no message will come that confirms
+		// it. The other set-ups on the connection may still be answered; no new one is sent
+		// there.
 		c.markUnresponsive(time.Now(), n.pool.cfg.ConnIdleTimeout)
 	}
 }
 
-// sendTearDown writes a TEARDOWN on c and reports whether that succeeded. Otherwise c is
-// closed, at once or soon, which tells the node as much.
+// sendTearDown writes a TEARDOWN on c and reports whether that succeeded. On failure c is
+// closed, at once or after connSuspectTimeout, which also ends the session at the node.
 func (n *node) sendTearDown(c *conn, id control.SessionID, cause int) bool {
 	session := formatSessionID(id)
 	b := rtsp.AppendRequest(n.writeBuf[:0], "TEARDOWN", "rtsp://media/"+session)
@@ -912,13 +921,13 @@
 	n.clearSuspicion(m)
 	m.conn.lastReceivedAt = now
 	if n.awaitingMessage {
-		// Guard: a connection can be opened to a stalled node too. When the node resumes, it
-		// may send ends first on connections that closed meanwhile, and by then know the new
-		// one, so that it does not repeat them there. Only a connection that is opened after
-		// the node's first message shows such ends.
+		// Guard: a dial can succeed while the node is stalled. When the node resumes, it may
+		// send ends on connections that have been closed here meanwhile. It has then already
+		// accepted the new connection, so it does not repeat them on it, only on one opened
+		// after its first message: another one is dialled.
 		n.awaitingMessage = false
 		n.countPossibleLoss(nil)
-		n.lossesAtFirstMessage = n.possibleLosses
+		n.lossCountAtFirstMessage = n.lossCount
 	}
 	switch m.kind {
 	case kindSetUpAnswer:
@@ -943,8 +952,9 @@
 	}
 }
 
-// clearSuspicion clears the suspicion that set-ups on m's connection raised, as far as m is
-// known to be later than their SETUP.
+// clearSuspicion updates unconfirmedSince of m's connection for the SETUPs that m confirms: those
+// that the node is known to have received before it sent m. If there is one, the connection counts
+// as responsive again.
 //
 // Guard: a message may have been on its way when a SETUP was written, such as the 200 to an
 // earlier request. If it were taken for a sign of life, an unresponsive connection would get
@@ -956,7 +966,7 @@
 	if c.unconfirmedSince.IsZero() {
 		return
 	}
-	seenUntil := c.lastReceivedAt.Add(-1) // a request written in the same instant may be later
+	seenUntil := c.lastReceivedAt.Add(-1) // one nanosecond: a request with the same timestamp may have been written after that message came
 	if requestSentAt := n.answeredRequestSentAt(m); requestSentAt.After(seenUntil) {
 		seenUntil = requestSentAt
 	}
@@ -981,8 +991,8 @@
 	if a := n.attempts[m.id]; a != nil && a.conn == m.conn {
 		return a.sentAt
 	}
-	if g := n.abandonedSetUps[m.id]; g.conn == m.conn {
-		return g.sentAt
+	if ended := n.endedSetUps[m.id]; ended.conn == m.conn {
+		return ended.sentAt
 	}
 	if p := n.pendingProbes[uint64(m.id)]; p.conn == m.conn {
 		return p.sentAt
@@ -994,8 +1004,8 @@
 func (n *node) handleSetUpAnswer(m received) {
 	a := n.attempts[m.id]
 	if a == nil || a.conn == nil {
-		if _, wasAbandoned := n.abandonedSetUps[m.id]; wasAbandoned && m.status == 200 {
-			// Guard: a late 200 to an abandoned set-up is answered by a TEARDOWN. A second
+		if _, endedUnanswered := n.endedSetUps[m.id]; endedUnanswered && m.status == 200 {
+			// Guard: a late 200 to a set-up that has ended is answered by a TEARDOWN. A second
 			// copy of an answer, or one to an id that was never sent, does nothing.
 			n.established[m.id] = &establishedSession{conn: m.conn}
 			n.release(releaseRequest{m.id, 0})
--- a/internal/media/pool.go
+++ b/internal/media/pool.go
@@ -36,10 +36,10 @@
 	DrainGrace        time.Duration       // time after which nothing may be sent to a node that drains
 	DisableProbes     bool                // no probes are sent to nodes
 	MaxConnsInUpgrade int                 // replaces MaxConns while UpgradeInProgress reports true
-	UpgradeInProgress func() bool         // reports whether another process of this manager has its half of the descriptors; nil: never
+	UpgradeInProgress func() bool         // reports whether a second process of this manager (its predecessor or successor) runs, so that each may use only half of the descriptors; nil: never
 	OnSetUpSent       func()              // called for each SETUP that is written whole; may be nil
 	Report            func(broker.Report) // called with each report to the broker
-	OnPause           func(time.Duration) // called after a process pause, and to be followed by Pool.ListRefreshed; may be nil
+	OnPause           func(time.Duration) // called after a process pause: has the list fetched again, after which the caller calls Pool.ListRefreshed; may be nil
 	Log               *zap.Logger
 }
 
@@ -103,13 +103,14 @@
 	}
 }
 
-// checkPause notes that the process runs, detects process pauses, and reports whether set-ups
-// are held back.
+// checkPause records a heartbeat of this process, detects process pauses, and reports whether
+// set-ups must wait.
 //
 // Guard: after a process pause the known list may be older than a drain's grace. Set-ups that
-// were queued, or that are read first, would go to nodes that have been drained meanwhile.
-// Nothing is sent until the list has been fetched again, or that has taken too long.
-func (p *Pool) checkPause(now time.Time) (held bool) {
+// are already queued, or taken from the inbox before the new list, would go to nodes that have
+// drained meanwhile. No set-up is sent until the list has been fetched again, or the fetch has
+// taken too long.
+func (p *Pool) checkPause(now time.Time) (mustWait bool) {
 	if pause := p.pauseWatch.Heartbeat(now); pause > 0 {
 		p.cfg.Log.Warn("process was paused; fetching the list again", zap.Duration("for", pause))
 		if p.cfg.OnPause != nil {
@@ -162,7 +163,7 @@
 }
 
 // post puts a message into the inbox of a node's actor and reports whether it was taken. It is
-// not if the list has no such node or, if bounded is set, if the inbox is full.
+// refused if no such node is listed, or if bounded is set and the inbox is full.
 func (p *Pool) post(s control.ServerID, m any, bounded bool) bool {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
@@ -202,7 +203,7 @@
 	p.post(s, setRungRequest{id, rung}, false)
 }
 
-// Probe implements broker.Nodes. A probe that cannot be sent is reported as moot.
+// Probe implements broker.Nodes. A probe that cannot be sent is reported with status NotSent.
 func (p *Pool) Probe(s control.ServerID) {
 	if p.cfg.DisableProbes || !p.post(s, probeRequest{}, true) {
 		p.cfg.Report(broker.Report{Kind: broker.ReportProbed, Server: s, Status: control.NotSent})
@@ -230,10 +231,10 @@
 	resumeSetUps struct{} // set-ups that were held back may be sent
 	listChange   struct{ member directory.Member }
 	dialResult   struct {
-		conn         *conn
-		err          error
-		addr         string
-		lossesAtDial int // node.possibleLosses when the dial was begun
+		conn             *conn
+		err              error
+		addr             string
+		lossCountAtStart int // node.lossCount when the dial began
 	}
 	connClosed struct {
 		conn *conn
