--- a/internal/broker/handover_test.go
+++ b/internal/broker/handover_test.go
@@ -20,7 +20,7 @@
 func TestHandover(t *testing.T) {
 	predecessor, oldCalls := newTestBroker(t)
 	var initial Handover
-	predecessor.handOver = func(e Handover) { initial = e }
+	predecessor.sendHandover = func(e Handover) { initial = e }
 	for id := control.SessionID(1); id <= 3; id++ {
 		predecessor.submitNow(oldCalls, id, feed, -1, 0)
 		predecessor.reportNow(id, ReportStarted, 0)
@@ -36,7 +36,7 @@
 	predecessor.handleMessage(Report{Kind: ReportEnded, Server: server2, ID: 2, Status: control.ConnectionReset, Cause: CauseInterrupted})
 	predecessor.drainStart = predecessor.drainStart.Add(-predecessor.minDrainTime())
 	predecessor.checkDrained()
-	final := predecessor.Handover()
+	final := predecessor.FinalHandover()
 	if got := oldCalls.takeCalls(); len(final.Sessions) != 2 || !final.Final || final.Ended[2] != CauseInterrupted || got != "ended 2" {
 		t.Fatalf("%+v; calls: %s", final, got)
 	}
