--- a/internal/fleettest/scenario_test.go
+++ b/internal/fleettest/scenario_test.go
@@ -112,6 +112,7 @@
 		all = append(all, startPlay(t, strings.TrimSuffix(filepath.Base(file), ".txt"), "", buildProgram))
 	}
 	for _, p := range all {
+		t.Cleanup(func() { <-p.done }) // also if -skip leaves its subtest out: its folder is removed after this
 		t.Run(p.name, func(t *testing.T) {
 			<-p.done
 			t.Log(strings.Join(p.acts, "; "))
@@ -176,6 +177,7 @@
 		all = append(all, startPlay(t, e.scenario, e.rule, func() (string, error) { return BuildPatched(root, folder, e.patches...) }))
 	}
 	for _, p := range all {
+		t.Cleanup(func() { <-p.done }) // also if -skip leaves its subtest out: its folder is removed after this
 		t.Run(p.name, func(t *testing.T) {
 			<-p.done
 			if !strings.Contains(strings.Join(p.failures, "\n"), p.rule) {
