--- a/internal/broker/sites.go
+++ b/internal/broker/sites.go
@@ -83,7 +83,7 @@
 }
 
 // unknownKindStreams is the assumed maximum of streams on a node whose kind has no entry in
-// control.Settings.KindStreams. It is in effect no limit.
+// control.Settings.MaxStreamsByKind. It is in effect no limit.
 const unknownKindStreams = 1e6
 
 // RequestArrived counts a request, unless its viewer has asked before.
--- a/internal/server/admin.go
+++ b/internal/server/admin.go
@@ -393,7 +393,7 @@
 	}
 }
 
-// The following methods implement admin.Program.
+// The following methods implement admin.Backend.
 
 // Ready reports whether this process serves and has not been asked to end.
 func (s *adminService) Ready() bool { return s.ready.Load() && !s.stopping.Load() }
--- a/internal/site/watch.go
+++ b/internal/site/watch.go
@@ -41,10 +41,10 @@
 	// failureMaxAge is how long a failure counts. A manager exchanges messages with any one
 	// node rarely, and an older fault may have been repaired.
 	failureMaxAge = 6 * time.Second
-	// minLostShare is the share of a site's nodes, and lostNodes the number of its nodes, of
+	// minLostShare is the share of a site's nodes, and minLostNodes the number of its nodes, of
 	// which one suffices: so many have to fail in an uninterrupted run before the site is
-	// taken for lost. If half of a site's nodes are lost, a run cannot reach lostShare, and
-	// reaches lostNodes with a probability of 1 in 4,096.
+	// taken for lost. If half of a site's nodes are lost, a run cannot reach minLostShare, and
+	// reaches minLostNodes with a probability of 1 in 4,096.
 	minLostShare = 0.6
 	minLostNodes = 12
 	// minLostFailures is the minimum number of failures in that run.
